--- a/Makefile
+++ b/Makefile
@@ -117,6 +117,7 @@
 check:
 	@scripts/need
 	@$(MAKE) --no-print-directory tests
+	@B=$(B) scripts/check-outer-names
 	@B=$(B) scripts/check $(TESTS_C) $(TESTS_CC) $(TESTS_SH)
 
 demo:
