--- a/adapters/packet_settings.c
+++ b/adapters/packet_settings.c
@@ -88,7 +88,7 @@
 
 	if (err)
 		return err;
-	*out = (struct packet_settings){ .policy = policy_usual };
+	*out = (struct packet_settings){ .policy = policy_default };
 	settings_section(&r, "policy", policy_fields, &out->policy);
 	settings_take(&r, table, out);
 	return settings_close(&r);
--- a/core/packet/common/packet.h
+++ b/core/packet/common/packet.h
@@ -1,7 +1,4 @@
-/*
- * A packet of an opaque flow, as the decisions see it. The bytes it carries
- * are never read.
- */
+/* Header fields of a packet of an opaque flow. Its payload is never parsed. */
 #ifndef CB_PACKET_H
 #define CB_PACKET_H
 
@@ -15,15 +12,16 @@
 };
 
 /**
- * struct packet - head of one packet from a client
- * @flow: client's endpoint and the VIP it sends to
- * @cookie: routing cookie that the client returned; 0 when it has none yet
- * @seq: first byte that the packet carries
- * @ack: next byte that the client expects; in a SYN, copies sent before it
- * @size_bytes: bytes carried
- * @flags: enum packet_flag
- * @bytes: the whole packet as it came
- * @n_bytes: its size
+ * struct packet - one packet from a client
+ * @flow: endpoint of the client and the VIP that it sends to
+ * @cookie: routing cookie that the client echoes; 0 before it has received one
+ * @seq: sequence number of the first payload byte
+ * @ack: sequence number that the client expects next; in a SYN, the number of
+ *	copies of it that were sent before
+ * @size_bytes: size of the payload
+ * @flags: bit set of enum packet_flag
+ * @bytes: whole packet with its headers, as received; not owned
+ * @n_bytes: size of @bytes
  */
 struct packet {
 	struct flow_key flow;
--- a/core/packet/common/policy.c
+++ b/core/packet/common/policy.c
@@ -1,6 +1,6 @@
 #include "policy.h"
 
-const struct policy policy_usual = {
+const struct policy policy_default = {
 	.choices = 2,
 	.zone_penalty_percent = 40,
 	.trial_odds = 8,
--- a/core/packet/common/policy.h
+++ b/core/packet/common/policy.h
@@ -1,125 +1,148 @@
-/* Every figure and switch that the decisions on opaque flows go by. */
+/* Parameters and switches of all decisions on opaque flows. */
 #ifndef CB_POLICY_H
 #define CB_POLICY_H
 
 #include "types.h"
 
 /**
- * struct policy - those figures; policy_usual has the ones in use
- * @choices: of so many targets drawn at random the least loaded gets a new
- *	flow; 0 for all. The least loaded of all would be the same one for every
- *	entry until the next heartbeat: a target that has just started would be
- *	given every new flow of the fleet, and refuse most.
+ * struct policy - parameters of the decisions; the defaults are policy_default
+ * @choices: a new flow goes to the least loaded of this many targets drawn at
+ *	random; 0 for all targets. With all of them, every entry chooses the
+ *	same target until the next heartbeat: one that has just started gets
+ *	every new flow of the fleet and refuses most of them.
  * @zone_penalty_percent: a flow leaves its data centre when the best target
- *	there is busier by this part of its slots than the best elsewhere. Own
- *	targets first keeps flows alive when data centres are cut from each
- *	other and saves the bytes between them; spilling keeps a data centre
- *	that lost its targets served.
- * @trial_odds: one flow in so many may go to a target on trial after its
+ *	there is busier than the best target elsewhere by this part of its
+ *	slots. Preferring local targets keeps flows alive when data centres
+ *	are partitioned and saves traffic between them; the spill-over serves
+ *	the clients of a data centre that lost its targets.
+ * @trial_odds: one flow in this many may go to a target on trial after its
  *	ejection
- * @opening_due_ns: a client answers a target's handshake at once; two trips to
- *	it and one to the target take under 12 ms, the rest is for queues. Later
- *	the opening packet goes to another target. 0 for never.
- * @opening_due_means: nor before so many mean times that handshakes take: on a
- *	link that others fill each would be sent twice, and if both targets
- *	answer, one of them for nothing
- * @opening_until_ns: not after this, since the client's own copies come then
- *	and each further try is another handshake
- * @request_due_means: a request without an answer is doubted after so many
- *	mean answer times
- * @request_due_min_ns: but not sooner; above a busy moment
- * @request_due_max_ns: nor later
- * @repeat_quiet_ns: a client repeats what was not acknowledged for 200 ms, and
- *	its flow is quiet until then. An older packet sooner than that was
- *	overtaken on the way: packets of uploads are all the time, and each
- *	would be a doubt.
- * @probe: a doubted target is asked whether it lives, by a connection attempt
- * @probe_wait_ns: an attempt that takes longer is told silent: ten round trips
- *	between data centres and to spare. Longer where attempts took longer of
- *	late.
- * @probe_wait_max_ns: but no longer than this; until then a late answer is
- *	heard all the same
- * @witness: silence counts only beside another target that answers
- * @probe_pause_ns: after an attempt that was answered; a doubt in between is
- *	answered by that one
- * @look_again_ns: a silent target may only be paused or cut off, and a dead one
- *	start again while nobody can publish it: asked again this often. A
- *	leaving one that refuses is asked again after this.
- * @silent_misses: one lost packet must not condemn a target with all its flows
- * @silent_misses_alone: with no other target to compare with
- * @silent_least_ns: shorter pauses of a target are a burst or a lost packet
- * @reset_dead: flows of a target whose process has ended are reset: their
- *	clients would wait out their deadlines, and can open another at once
- * @reset_silent: and those of one that does not answer
+ * @opening_due_ns: an opening packet without an answer goes to another target
+ *	after this time; 0 for never. A client answers the handshake at once,
+ *	and two round trips to the client and one to the target take less than
+ *	12 ms; the rest allows for queues.
+ * @opening_due_means: minimum of that time, as a multiple of the mean handshake
+ *	time. On a link that other traffic fills, each opening packet would
+ *	otherwise be sent twice, and if both targets answer, one of them does
+ *	so for nothing.
+ * @opening_until_ns: no opening packet is sent to another target later than
+ *	this after the first: by then the client retransmits, and each further
+ *	attempt is another handshake
+ * @request_due_means: the target of a request becomes suspect when there is no
+ *	answer after this multiple of the mean answer time
+ * @request_due_min_ns: lower bound of that time, above a short load peak
+ * @request_due_max_ns: upper bound of that time
+ * @repeat_quiet_ns: an older packet counts as a retransmission only after its
+ *	flow was quiet for this long. Clients retransmit what is not
+ *	acknowledged within 200 ms and send nothing meanwhile; an older packet
+ *	that comes sooner was reordered by the network. Packets of uploads
+ *	often are, and each would make its target suspect.
+ * @probe: a suspect target is probed by a connection attempt
+ * @probe_wait_ns: a probe without an answer after this time counts as missed.
+ *	The time exceeds ten round trips between data centres. It grows when
+ *	recent probes took longer.
+ * @probe_wait_max_ns: upper bound of that time; an answer that arrives before
+ *	it is still processed
+ * @witness: a target is declared silent only while another target answers
+ *	probes, so that a fault of this VM's own link is not taken for one of
+ *	the target
+ * @probe_pause_ns: no new probe of a target for this long after one that was
+ *	answered; the answer covers suspicions that arise meanwhile
+ * @look_again_ns: interval of the probes of a silent or dead target. A silent
+ *	one may only be paused or partitioned, and a dead one may restart
+ *	while the platform cannot publish it. A leaving target that refuses a
+ *	connection is also probed again after this time.
+ * @silent_misses: consecutive missed probes after which a target is silent; more
+ *	than one, since a single lost packet must not end all its flows
+ * @silent_misses_alone: the same when there is no other target to compare with
+ * @silent_least_ns: minimum time without a sign of life before a target is
+ *	silent; shorter gaps are load peaks or lost packets
+ * @reset_dead: flows of a target whose process has ended are reset; their
+ *	clients can then open another flow at once instead of waiting for
+ *	their deadlines
+ * @reset_silent: flows of a silent target are reset, for the same reason
  * @eject: a target that fails far more requests than the others of its service
- *	gets no new flows for a while
- * @small_percent: an answer below this part of the mean of its kind counts as
- *	failed: errors are short. Of the answers of feeds, whose sizes vary, a
- *	few are below it at every target.
- * @failures_window_ns: failures are forgotten over this time
- * @failures_min: fewer may be chance at any target
- * @failures_min_trial: on trial fewer are enough, since it has failed before
- * @deviations: and so many standard deviations of a Poisson count above the
- *	others' mean, since under overload all have some
- * @deviations_trial: on trial
- * @failures_spare: and so many to spare, but on trial; feeds always have some
- * @eject_ns: first ejection; twice as long each time that it fails again soon
- * @eject_steps: so often
- * @trial_ns: then it is given a part of its flows: all entries try it again at
- *	about the same time, and an idle target would be given many at once
- * @eject_part: at most one in so many of a service's targets is ejected at a
- *	time: the others have to carry its load
- * @waiting_max: requests that wait here at most, while their targets have
- *	enough to do; 0 for none. Beyond that they go at once. Each takes 1.3 KB.
- * @limit_percent: a target is given this part of the requests that it works off
- *	within the target latency. With more, peers' figures of a moment ago let
- *	through too many.
- * @late_percent: of that, for one that will be late: it has waited longest and
- *	its client still wants it, but each that goes makes another late. With
- *	none beyond free slots feeds expire below full load; with too many
- *	overload costs more.
- * @guess_percent: before an answer has shown what work takes, it is taken for
- *	this part of the target latency: after all entries were away more
- *	requests come at once than there are slots, and without a limit those
- *	that come next wait behind all of them. 0 for no limit until then.
- * @young_ns: a process as young as this takes the first request that it sees of
- *	a flow whose opening it did not see for the repeat of one that came
- *	before its start: late already, so that it gets free slots only
- * @window_percent: what is left of an entry's window at a service when a target
- *	there had no room for a request; 0 for no window
- * @window_refused_percent: but not before this part of the requests was refused:
- *	small fleets, whose entries know better from their peers, lose by a cut
- *	for each
- * @window_pause_ns: refusals within this are one sign
- * @refused_percent: a small answer that took less than this part of the work of
- *	its kind was no work: the target refused
- * @running_window_ns: the requests that a target has are averaged over this
- *	before peers are told: at the moment of a heartbeat there may be none
- * @heartbeat_loaded_ns: time between heartbeats while a target has as much to
- *	do as it has slots, if the bytes allow it
- * @link_percent: this part of the VM's link is given to packets; the rest is
- *	for what is not counted
- * @link_ahead_ns: the link is handed packets for so long at once; what it
- *	can't carry soon it loses, and an urgent packet waits behind them
- * @link_waiting_max: packets that wait for the link at most; 1.3 KB each
- * @return_ns: entries that lapsed while the platform was away are presumed to
- *	live until so long after its return, and are gone if missing then
- * @heartbeat_ns: time between heartbeats; three are missed before a peer is
- *	counted out; a change has 3 s to be in force everywhere
- * @tell_loads: heartbeats tell what an entry's flows do at each target; each
- *	sees only its own
- * @tell_failures: and which targets failed requests
- * @relay: entries take from their peers what those know more; otherwise each
- *	waits for its own answer from the platform
- * @one_reader: of the entries of a data centre one reads while it is answered;
- *	otherwise each does
- * @old_listing: the first listing's later pages may be seconds old, and a watch
- *	that waits for nothing brings what came since. They cost the platform a
- *	tenth, and do not count towards its rate; of many targets there are
- *	hundreds of pages for each entry that starts and finds no peer.
- * @young_wait_ns: a process that knows nothing reads after this; when all
- *	restart together no peer has anything, and each further wait is one of
- *	all clients
+ *	gets no new flows for some time
+ * @small_percent: an answer smaller than this part of the mean size of its kind
+ *	counts as a failure, since error answers are short. The sizes of feeds
+ *	vary, so every target has a few of these.
+ * @failures_window_ns: time constant with which the count of failures decays
+ * @failures_min: a target with fewer failures is not ejected: they may be chance
+ * @failures_min_trial: the same for a target on trial; lower, since it has
+ *	failed before
+ * @deviations: a target is ejected only if its failures exceed the mean of the
+ *	others by this many standard deviations of a Poisson count; under
+ *	overload all targets fail some requests
+ * @deviations_trial: the same for a target on trial
+ * @failures_spare: failures allowed above that bound, except on trial; feeds
+ *	always have some
+ * @eject_ns: duration of the first ejection; doubled for each further one that
+ *	follows soon
+ * @eject_steps: maximum number of doublings
+ * @trial_ns: after an ejection a target is on trial for this long and gets only
+ *	a part of its flows: all entries use it again at about the same time,
+ *	and an idle target would attract many flows at once
+ * @eject_part: at most one in this many targets of a service is ejected at a
+ *	time, since the others have to carry its load
+ * @waiting_max: capacity of the queue of requests for busy targets; 0 for no
+ *	queue. Requests beyond it are sent at once. Each entry of the queue
+ *	takes 1.3 KB.
+ * @limit_percent: a target gets at most this part of the requests that it can
+ *	process within the latency objective. With a higher limit too many
+ *	requests are sent, since the advertised load of the peers lags.
+ * @late_percent: part of that limit which applies to requests that will miss
+ *	the latency objective. Their clients still want them, and they have
+ *	waited longest, but each one that is sent delays another. Without any
+ *	beyond the free slots, feeds expire below full load; too high a value
+ *	makes overload costlier.
+ * @guess_percent: before the first answer, the time of a request is assumed to
+ *	be this part of the latency objective; 0 for no limit until the first
+ *	answer. When all entries return after an outage, more requests arrive
+ *	at once than there are slots, and without a limit the ones that follow
+ *	wait behind all of them.
+ * @young_ns: for this long after its start, a process assumes that the first
+ *	request it sees on a flow whose opening it did not see is a
+ *	retransmission of a request from before the start. Such a request is
+ *	already late and gets free slots only.
+ * @window_percent: the window of an entry at a service shrinks to this part when
+ *	a target there refused a request for lack of capacity; 0 for no window
+ * @window_refused_percent: the window shrinks only when at least this part of
+ *	the requests was refused. Small fleets know the load better from their
+ *	peers, and lose throughput when every refusal shrinks the window.
+ * @window_pause_ns: refusals within this time count as one
+ * @refused_percent: a small answer that took less than this part of the mean
+ *	processing time of its kind counts as a refusal
+ * @running_window_ns: time over which the number of requests at a target is
+ *	averaged before it is advertised; at the time of a heartbeat it may
+ *	happen to be zero
+ * @heartbeat_loaded_ns: heartbeat interval while a target has as many requests
+ *	as slots, if the bandwidth for control traffic allows it
+ * @link_percent: part of the VM's link that is used for packets; the rest is for
+ *	traffic that is not accounted for
+ * @link_ahead_ns: packets are handed to the link this far ahead. The link drops
+ *	what it cannot send soon, and urgent packets wait behind the rest.
+ * @link_waiting_max: capacity of the queue of packets for the link; each takes
+ *	1.3 KB
+ * @return_ns: a target whose entry expired while the platform was unavailable is
+ *	presumed to live until this long after the platform answers again; if
+ *	its entry is still missing then, the target is gone
+ * @heartbeat_ns: heartbeat interval. A peer counts as lost after three missed
+ *	heartbeats, and a change has to be in force everywhere within 3 s.
+ * @tell_loads: heartbeats advertise the load of this entry's flows at each
+ *	target; otherwise each entry knows only its own flows
+ * @tell_failures: heartbeats advertise the targets that failed requests
+ * @relay: entries fetch documents from peers that have newer ones; otherwise
+ *	each waits for its own answer from the platform
+ * @one_reader: one entry of a data centre reads the platform for all as long as
+ *	the platform answers it; otherwise each entry reads
+ * @old_listing: pages of the first listing after its first page may be stale by
+ *	seconds; a watch that returns at once then brings the changes since.
+ *	Stale pages cost the platform a tenth of fresh ones and do not count
+ *	towards its rate limit. With many targets, each entry that starts
+ *	without a peer reads hundreds of pages.
+ * @young_wait_ns: an entry without documents reads the platform after this time.
+ *	When all entries restart together no peer has documents, and clients
+ *	wait for as long as the entries do.
  */
 struct policy {
 	uint32_t choices;
@@ -185,6 +208,6 @@
 	uint64_t young_wait_ns;
 };
 
-extern const struct policy policy_usual;
+extern const struct policy policy_default;
 
 #endif
--- a/core/packet/flow/path.c
+++ b/core/packet/flow/path.c
@@ -35,7 +35,7 @@
 	if (!p)
 		return NULL;
 	p->conf = *conf;
-	p->policy = conf->policy ? conf->policy : &policy_usual;
+	p->policy = conf->policy ? conf->policy : &policy_default;
 	p->directory = d;
 	p->port = port;
 	p->rng = rng;
--- a/core/packet/flow/path.h
+++ b/core/packet/flow/path.h
@@ -87,7 +87,7 @@
 
 /**
  * struct path_conf - settings
- * @policy: figures to go by; NULL for policy_usual
+ * @policy: figures to go by; NULL for policy_default
  * @zone: hash of this VM's data centre's name
  * @flows_max: flows followed at once
  * @flow_lifetime_ns: an open flow lives no longer
--- a/core/packet/node.c
+++ b/core/packet/node.c
@@ -252,7 +252,7 @@
 	if (!n)
 		return NULL;
 	n->conf = *conf;
-	n->policy = conf->policy ? conf->policy : &policy_usual;
+	n->policy = conf->policy ? conf->policy : &policy_default;
 	n->port = port;
 	n->now_ns = now_ns;
 	n->start_ns = now_ns;
--- a/core/packet/node.h
+++ b/core/packet/node.h
@@ -20,7 +20,7 @@
 
 /**
  * struct node_conf - settings of an entry
- * @policy: figures to go by; NULL for policy_usual
+ * @policy: figures to go by; NULL for policy_default
  * @self: its address for peers
  * @data_centre: name of its data centre
  * @boot: number of this process
--- a/sim/sim-experiment/read.c
+++ b/sim/sim-experiment/read.c
@@ -92,7 +92,7 @@
 {
 	struct variant *out = &x->variants[x->n_variants++];
 
-	out->policy = policy_usual;
+	out->policy = policy_default;
 	take_text(m, t, "title", out->title, sizeof(out->title), true);
 	fields_take(m, "policy", t, policy_fields, &out->policy);
 	fields_unknown(m, "policy", t);
@@ -141,7 +141,7 @@
 	if (x->n_variants)
 		return;
 	x->variants[x->n_variants++] =
-		(struct variant){ "usual", policy_usual };
+		(struct variant){ "usual", policy_default };
 }
 
 /**
--- a/sim/sim-packets/world.h
+++ b/sim/sim-packets/world.h
@@ -76,7 +76,7 @@
  * struct world_conf - what to emulate
  * @seed: of all chance
  * @site: the deployment
- * @policy: figures that the entries go by; NULL for policy_usual
+ * @policy: figures that the entries go by; NULL for policy_default
  * @driver: what runs the entries; the emulator when @driver.start is NULL
  */
 struct world_conf {
--- a/test/packet_bed.c
+++ b/test/packet_bed.c
@@ -66,7 +66,7 @@
 
 void bed_open(struct bed *b)
 {
-	bed_open_with(b, &policy_usual);
+	bed_open_with(b, &policy_default);
 }
 
 void bed_open_with(struct bed *b, const struct policy *policy)
--- a/test/packet_incarnation_test.c
+++ b/test/packet_incarnation_test.c
@@ -67,7 +67,7 @@
 	assert_int_equal(b.change, TARGET_RESTARTED);
 	assert_int_equal(bed_syn(&b, CALLER + 1, VIP, 0).action, PATH_FORWARD);
 	assert_false(outlier_ejected(t, b.now_ns));
-	assert_true(outlier_failures(t, &policy_usual, b.now_ns) == 0);
+	assert_true(outlier_failures(t, &policy_default, b.now_ns) == 0);
 	bed_close(&b);
 }
 
--- a/test/packet_load_test.c
+++ b/test/packet_load_test.c
@@ -40,7 +40,7 @@
 static void assert_gain(const char *experiment, const struct policy *without,
 			double least)
 {
-	double with = earned(experiment, &policy_usual);
+	double with = earned(experiment, &policy_default);
 	double before = earned(experiment, without);
 
 	if (with < before + least)
@@ -55,7 +55,7 @@
  */
 static void test_more_asked_than_can_be_done(void **state)
 {
-	struct policy none = policy_usual;
+	struct policy none = policy_default;
 
 	(void)state;
 	none.waiting_max = 0;
@@ -71,7 +71,7 @@
  */
 static void test_many_entries_overrun_the_queues(void **state)
 {
-	struct policy none = policy_usual;
+	struct policy none = policy_default;
 
 	(void)state;
 	none.window_percent = 0;
@@ -81,7 +81,7 @@
 /* Targets that start again are cold, and hold nothing of what was asked. */
 static void test_most_targets_restart(void **state)
 {
-	struct policy none = policy_usual;
+	struct policy none = policy_default;
 
 	(void)state;
 	none.waiting_max = 0;
@@ -96,7 +96,7 @@
  */
 static void test_all_entries_were_away(void **state)
 {
-	struct policy none = policy_usual;
+	struct policy none = policy_default;
 
 	(void)state;
 	none.young_ns = 0;
@@ -108,7 +108,7 @@
 /* Where targets keep up, waiting here must cost next to nothing. */
 static void test_targets_keep_up(void **state)
 {
-	struct policy none = policy_usual;
+	struct policy none = policy_default;
 
 	(void)state;
 	none.waiting_max = 0;
--- a/test/packet_node_test.c
+++ b/test/packet_node_test.c
@@ -747,7 +747,7 @@
 				outlier_failed(
 					directory_by_id(f->node->directory,
 							100 + i),
-					&policy_usual, f->now_ns);
+					&policy_default, f->now_ns);
 		for (uint32_t i = 0; i < 50; i++) {
 			if (i % 10 == 0)
 				load(f, requests);
--- a/test/packet_outlier_test.c
+++ b/test/packet_outlier_test.c
@@ -98,7 +98,7 @@
 	for (uint32_t round = 0; round < 20; round++) {
 		for (uint32_t i = 1; i <= TARGETS; i++)
 			outlier_failed(directory_by_id(b.directory, i),
-				       &policy_usual, b.now_ns);
+				       &policy_default, b.now_ns);
 		bed_pass(&b, 100 * MS);
 	}
 	assert_int_equal(b.n_ejected, 0);
@@ -130,8 +130,8 @@
 static void fail_much(struct bed *b, uint64_t id)
 {
 	for (uint32_t i = 0; i < 20; i++)
-		outlier_failed(directory_by_id(b->directory, id), &policy_usual,
-			       b->now_ns);
+		outlier_failed(directory_by_id(b->directory, id),
+			       &policy_default, b->now_ns);
 }
 
 /*
@@ -156,7 +156,7 @@
 static uint32_t placed(struct bed *b, uint32_t n, const struct target *t)
 {
 	struct place_query q = {
-		.policy = &policy_usual,
+		.policy = &policy_default,
 		.service = t->news.service,
 		.zone = t->news.zone,
 		.kind = ROUTE_REPORT,
@@ -187,11 +187,11 @@
 	bed_pass(&b, 200 * MS);
 	assert_int_equal(b.n_ejected, 1);
 	b.now_ns = t->ejected_until_ns + MS;
-	assert_true(outlier_on_trial(t, &policy_usual, b.now_ns));
+	assert_true(outlier_on_trial(t, &policy_default, b.now_ns));
 	/* Of 1,200 an even share is 200. */
 	assert_in_range(placed(&b, 1200, t), 20, 60);
 	b.now_ns += 3 * NS_PER_S;
-	assert_false(outlier_on_trial(t, &policy_usual, b.now_ns));
+	assert_false(outlier_on_trial(t, &policy_default, b.now_ns));
 	assert_in_range(placed(&b, 1200, t), 140, 260);
 	bed_close(&b);
 }
@@ -210,9 +210,9 @@
 	bed_pass(&b, 200 * MS);
 	first_ns = t->ejected_until_ns - b.now_ns;
 	b.now_ns = t->ejected_until_ns + MS;
-	outlier_failed(t, &policy_usual, b.now_ns);
-	outlier_failed(t, &policy_usual, b.now_ns);
-	outlier_failed(t, &policy_usual, b.now_ns);
+	outlier_failed(t, &policy_default, b.now_ns);
+	outlier_failed(t, &policy_default, b.now_ns);
+	outlier_failed(t, &policy_default, b.now_ns);
 	bed_pass(&b, 100 * MS);
 	assert_int_equal(b.n_ejected, 2);
 	second_ns = t->ejected_until_ns - b.now_ns;
@@ -242,14 +242,14 @@
 	(void)state;
 	for (uint32_t i = 0; i < 50; i++) {
 		assert_false(
-			outlier_small(&s, &policy_usual, ROUTE_FEED, 2400));
+			outlier_small(&s, &policy_default, ROUTE_FEED, 2400));
 		assert_false(
-			outlier_small(&s, &policy_usual, ROUTE_UPLOAD, 500));
+			outlier_small(&s, &policy_default, ROUTE_UPLOAD, 500));
 	}
-	assert_true(outlier_small(&s, &policy_usual, ROUTE_FEED, 500));
-	assert_true(outlier_small(&s, &policy_usual, ROUTE_UPLOAD, 211));
-	assert_false(outlier_small(&s, &policy_usual, ROUTE_UPLOAD, 500));
-	assert_true(outlier_small(&s, &policy_usual, ROUTE_UPLOAD, 190));
+	assert_true(outlier_small(&s, &policy_default, ROUTE_FEED, 500));
+	assert_true(outlier_small(&s, &policy_default, ROUTE_UPLOAD, 211));
+	assert_false(outlier_small(&s, &policy_default, ROUTE_UPLOAD, 500));
+	assert_true(outlier_small(&s, &policy_default, ROUTE_UPLOAD, 190));
 }
 
 static void test_failures_are_forgotten(void **state)
@@ -261,8 +261,8 @@
 	open_bed(&b);
 	t = directory_by_id(b.directory, 1);
 	fail_much(&b, 1);
-	assert_true(outlier_failures(t, &policy_usual, b.now_ns) > 19.9f);
-	assert_true(outlier_failures(t, &policy_usual,
+	assert_true(outlier_failures(t, &policy_default, b.now_ns) > 19.9f);
+	assert_true(outlier_failures(t, &policy_default,
 				     b.now_ns + 10 * NS_PER_S) < 0.2f);
 	bed_close(&b);
 }
--- a/test/packet_pacer_test.c
+++ b/test/packet_pacer_test.c
@@ -31,7 +31,7 @@
 {
 	static struct fixture f;
 
-	f = (struct fixture){ .policy = policy_usual, .now_ns = NS_PER_S };
+	f = (struct fixture){ .policy = policy_default, .now_ns = NS_PER_S };
 	f.policy.link_percent = 100;
 	f.policy.link_waiting_max = 64;
 	f.pacer = pacer_new(&f.policy, LINK_BYTES_PER_S);
@@ -208,7 +208,7 @@
 
 static void test_unknown_link_holds_nothing(void **state)
 {
-	struct pacer *p = pacer_new(&policy_usual, 0);
+	struct pacer *p = pacer_new(&policy_default, 0);
 
 	(void)state;
 	for (uint32_t i = 0; i < 1000; i++)
--- a/test/packet_place_test.c
+++ b/test/packet_place_test.c
@@ -13,7 +13,7 @@
 static struct target *place(struct bed *b, uint8_t kind, struct rng *rng)
 {
 	struct place_query q = {
-		.policy = &policy_usual,
+		.policy = &policy_default,
 		.service = directory_name(b->directory, SERVICE),
 		.zone = (uint32_t)hash_text(ZONE),
 		.kind = kind,
--- a/test/packet_settings_test.c
+++ b/test/packet_settings_test.c
@@ -97,7 +97,7 @@
 	assert_int_equal(s.policy.choices, 3);
 	assert_int_equal(s.policy.opening_due_ns, 80 * NS_PER_MS);
 	assert_false(s.policy.witness);
-	assert_int_equal(s.policy.trial_odds, policy_usual.trial_odds);
+	assert_int_equal(s.policy.trial_odds, policy_default.trial_odds);
 	assert_true(s.policy.eject);
 	assert_int_equal(mistakes_in(COMPLETE "[policy]\nchoices = -1\n"
 					      "heartbeat_ms = 1\n"
--- a/test/packet_source_test.c
+++ b/test/packet_source_test.c
@@ -13,7 +13,7 @@
 static struct source_view view(uint64_t now_ns, uint32_t rank, uint64_t through,
 			       uint64_t others_ns)
 {
-	return (struct source_view){ .policy = &policy_usual,
+	return (struct source_view){ .policy = &policy_default,
 				     .now_ns = now_ns,
 				     .rank = rank,
 				     .known = through,
--- a/test/packet_trips_test.c
+++ b/test/packet_trips_test.c
@@ -14,11 +14,11 @@
 	struct trips t = { 0 };
 
 	(void)state;
-	assert_int_equal(trips_wait_ns(&t, &policy_usual, NOW_NS),
-			 policy_usual.probe_wait_ns);
+	assert_int_equal(trips_wait_ns(&t, &policy_default, NOW_NS),
+			 policy_default.probe_wait_ns);
 	trips_heard(&t, 2 * MS, NOW_NS);
-	assert_int_equal(trips_wait_ns(&t, &policy_usual, NOW_NS),
-			 policy_usual.probe_wait_ns);
+	assert_int_equal(trips_wait_ns(&t, &policy_default, NOW_NS),
+			 policy_default.probe_wait_ns);
 }
 
 /*
@@ -33,10 +33,10 @@
 	(void)state;
 	trips_heard(&t, 120 * MS, NOW_NS);
 	trips_heard(&t, 3 * MS, NOW_NS + 10 * MS);
-	assert_int_equal(trips_wait_ns(&t, &policy_usual, NOW_NS + 20 * MS),
+	assert_int_equal(trips_wait_ns(&t, &policy_default, NOW_NS + 20 * MS),
 			 240 * MS);
 	trips_heard(&t, 300 * MS, NOW_NS + 30 * MS);
-	assert_int_equal(trips_wait_ns(&t, &policy_usual, NOW_NS + 40 * MS),
+	assert_int_equal(trips_wait_ns(&t, &policy_default, NOW_NS + 40 * MS),
 			 600 * MS);
 }
 
@@ -46,11 +46,11 @@
 
 	(void)state;
 	trips_heard(&t, 300 * MS, NOW_NS);
-	assert_int_equal(trips_wait_ns(&t, &policy_usual,
+	assert_int_equal(trips_wait_ns(&t, &policy_default,
 				       NOW_NS + 3 * NS_PER_S),
-			 policy_usual.probe_wait_ns);
+			 policy_default.probe_wait_ns);
 	trips_heard(&t, 40 * MS, NOW_NS + 3 * NS_PER_S);
-	assert_int_equal(trips_wait_ns(&t, &policy_usual,
+	assert_int_equal(trips_wait_ns(&t, &policy_default,
 				       NOW_NS + 3 * NS_PER_S),
 			 80 * MS);
 }
@@ -61,8 +61,8 @@
 
 	(void)state;
 	trips_heard(&t, 5 * NS_PER_S, NOW_NS);
-	assert_int_equal(trips_wait_ns(&t, &policy_usual, NOW_NS),
-			 policy_usual.probe_wait_max_ns);
+	assert_int_equal(trips_wait_ns(&t, &policy_default, NOW_NS),
+			 policy_default.probe_wait_max_ns);
 }
 
 int main(void)
--- a/test/packet_wait_prop.cc
+++ b/test/packet_wait_prop.cc
@@ -50,7 +50,7 @@
       public:
 	Entry()
 	{
-		policy = policy_usual;
+		policy = policy_default;
 		policy.limit_percent = 1; /* as many as slots */
 		policy.waiting_max = 5;
 		bed_open_with(&bed, &policy);
--- a/test/packet_wait_test.c
+++ b/test/packet_wait_test.c
@@ -415,7 +415,7 @@
 static void test_repeats_to_a_young_entry_get_free_slots(void **state)
 {
 	struct fixture *f = *state;
-	struct policy policy = policy_usual;
+	struct policy policy = policy_default;
 
 	policy.young_ns = f->bed.now_ns + NS_PER_S;
 	start_again(f, &policy);
@@ -429,8 +429,8 @@
 {
 	struct fixture *f = *state;
 
-	start_again(f, &policy_usual);
-	f->bed.now_ns += policy_usual.young_ns;
+	start_again(f, &policy_default);
+	f->bed.now_ns += policy_default.young_ns;
 	for (uint32_t i = 0; i < 2 * SLOTS; i++)
 		assert_int_equal(ask_unseen(f).action, PATH_FORWARD);
 }
@@ -438,7 +438,7 @@
 static void test_without_room_it_goes_at_once(void **state)
 {
 	struct fixture *f = *state;
-	struct policy policy = policy_usual;
+	struct policy policy = policy_default;
 
 	policy.waiting_max = 2;
 	start_again(f, &policy);
