--- a/adapters/relay_codec.c
+++ b/adapters/relay_codec.c
@@ -67,7 +67,7 @@
 	if (last->bytes && same(&last->base, base) &&
 	    !position_compare(last->to, to))
 		return last->bytes;
-	from = document_value(d, base->since);
+	from = document_value_at(d, base->since);
 	if (!from.bytes)
 		return NULL;
 	if (!last->bytes)
@@ -97,8 +97,8 @@
 	msgpack_pack_uint64(p, d->epoch);
 	msgpack_pack_uint64(p, d->revision);
 	msgpack_pack_uint64(p, d->created);
-	msgpack_pack_uint64(p, d->outdated.epoch);
-	msgpack_pack_uint64(p, d->outdated.revision);
+	msgpack_pack_uint64(p, d->stale_at.epoch);
+	msgpack_pack_uint64(p, d->stale_at.revision);
 	msgpack_pack_uint64(p, d->deleted);
 	msgpack_pack_uint64(p, from.epoch);
 	msgpack_pack_uint64(p, from.revision);
@@ -118,7 +118,7 @@
 {
 	if (after.revision && is_base(d, base))
 		return false;
-	return documents_lacks(s, after, d);
+	return documents_peer_lacks(s, after, d);
 }
 
 static void put_documents(msgpack_packer *p, const struct documents *s,
@@ -151,8 +151,8 @@
 		  const struct relay_base *base, struct relay_delta *delta,
 		  GString *out)
 {
-	bool whole = documents_needs_all(s, after);
-	struct position through = documents_through(s);
+	bool whole = documents_peer_needs_full(s, after);
+	struct position through = documents_synced(s);
 	msgpack_sbuffer buf;
 	msgpack_packer p;
 
@@ -188,8 +188,8 @@
 	    !msgpack_number(&f[1], UINT64_MAX, &d->epoch) ||
 	    !msgpack_number(&f[2], UINT64_MAX, &d->revision) ||
 	    !msgpack_number(&f[3], UINT64_MAX, &d->created) ||
-	    !msgpack_number(&f[4], UINT64_MAX, &d->outdated.epoch) ||
-	    !msgpack_number(&f[5], UINT64_MAX, &d->outdated.revision) ||
+	    !msgpack_number(&f[4], UINT64_MAX, &d->stale_at.epoch) ||
+	    !msgpack_number(&f[5], UINT64_MAX, &d->stale_at.revision) ||
 	    !msgpack_number(&f[6], 1, &deleted) ||
 	    !msgpack_number(&f[7], UINT64_MAX, &base->epoch) ||
 	    !msgpack_number(&f[8], UINT64_MAX, &base->revision) ||
--- a/cmd/cb-packet/decisions.c
+++ b/cmd/cb-packet/decisions.c
@@ -44,7 +44,7 @@
 		 t ? addr_text(t->news.addr, to, sizeof(to)) : "none",
 		 t ? health_names[t->health] : "none",
 		 table ? (unsigned long long)table->version : 0ULL,
-		 (unsigned long long)documents_through(d->node->documents)
+		 (unsigned long long)documents_synced(d->node->documents)
 			 .revision,
 		 (unsigned long long)(contact_age_ns(d) / NS_PER_MS));
 }
--- a/cmd/cb-packet/operators.c
+++ b/cmd/cb-packet/operators.c
@@ -86,9 +86,8 @@
 	gauge(out, "peers", peer_set_live(d->node->peers, now_ns));
 	gauge(out, "evacuated", directory_evacuations(d->node->directory)->n);
 	gauge(out, "revision",
-	      (double)documents_through(d->node->documents).revision);
-	gauge(out, "epoch",
-	      (double)documents_through(d->node->documents).epoch);
+	      (double)documents_synced(d->node->documents).revision);
+	gauge(out, "epoch", (double)documents_synced(d->node->documents).epoch);
 	gauge(out, "feed_load", path_feed_load(d->node->path));
 	if (!usage_read(&use)) {
 		gauge(out, "resident_bytes", (double)use.resident_bytes);
@@ -145,7 +144,7 @@
 static void write_status(struct packet_daemon *d, GString *out)
 {
 	const struct route_table *table = directory_table(d->node->directory);
-	struct position through = documents_through(d->node->documents);
+	struct position through = documents_synced(d->node->documents);
 	char addr[32];
 
 	g_string_append_printf(
@@ -250,11 +249,11 @@
 		relay_encode(s, after, &base, &c->delta, out);
 		return;
 	}
-	if (!c->body || c->changes != documents_changes(s)) {
+	if (!c->body || c->changes != documents_change_count(s)) {
 		if (!c->body)
 			c->body = g_string_new(NULL);
 		relay_encode(s, after, &base, &c->delta, c->body);
-		c->changes = documents_changes(s);
+		c->changes = documents_change_count(s);
 	}
 	g_string_append_len(out, c->body->str, (gssize)c->body->len);
 }
--- a/cmd/cb-packet/reading.c
+++ b/cmd/cb-packet/reading.c
@@ -25,15 +25,15 @@
 	int err;
 
 	if (!r->err && r->status == HTTP_GONE)
-		return SOURCE_BEHIND;
+		return SOURCE_GONE;
 	if (r->err == -EBUSY)
-		return SOURCE_BUSY;
+		return SOURCE_DEFERRED;
 	if (r->err || r->status != HTTP_OK)
 		return SOURCE_FAILED;
 	if (d->platform->read_epoch(r->header, &epoch))
 		return SOURCE_FAILED;
 	if (!node_answering(d->node, epoch, now_ns))
-		return SOURCE_BEHIND;
+		return SOURCE_GONE;
 	err = list ? d->platform->read_list(r->body, r->size_bytes, to, head)
 		   : d->platform->read_changes(r->body, r->size_bytes, to,
 					       head);
@@ -129,7 +129,7 @@
 {
 	struct packet_daemon *d = ctx;
 
-	return documents_value(d->node->documents, key_hash, since);
+	return documents_value_at(d->node->documents, key_hash, since);
 }
 
 /* Return: 0 when the documents were taken. */
--- a/core/packet/flow/path.c
+++ b/core/packet/flow/path.c
@@ -169,7 +169,7 @@
 {
 	struct place_query q = {
 		.policy = p->policy,
-		.service = route_service(r, flow_hash(key)),
+		.service = route_select_service(r, flow_hash(key)),
 		.zone = p->conf.zone,
 		.kind = r->kind,
 		.avoid = avoid,
@@ -271,7 +271,8 @@
 {
 	f->priority = r->priority;
 	f->asked_ns = now_ns;
-	f->aim_by_ns = r->aim_ms ? now_ns + r->aim_ms * NS_PER_MS : 0;
+	f->aim_by_ns =
+		r->objective_ms ? now_ns + r->objective_ms * NS_PER_MS : 0;
 	if (f->aim_by_ns && presumed_repeat(p, f, now_ns))
 		f->aim_by_ns = now_ns;
 	f->expires_ns = now_ns + r->timeout_ms * NS_PER_MS;
--- a/core/packet/node.c
+++ b/core/packet/node.c
@@ -64,14 +64,14 @@
 /* Whether anything is known that was of the moment when it was read. */
 bool node_knows(const struct node *n)
 {
-	return documents_through(n->documents).revision;
+	return documents_synced(n->documents).revision;
 }
 
 struct knowledge node_knowledge(const struct node *n)
 {
 	return (struct knowledge){
 		documents_newest(n->documents),
-		documents_carried(n->documents),
+		documents_retained_digest(n->documents),
 		n->carried_taken,
 	};
 }
@@ -81,10 +81,10 @@
 
 static void tell_knowledge(const struct node *n, struct hello *h)
 {
-	uint64_t age_ns = n->now_ns - documents_began_ns(n->documents);
+	uint64_t age_ns = n->now_ns - documents_epoch_start_ns(n->documents);
 
 	h->newest = documents_newest(n->documents);
-	h->carried = documents_carried(n->documents);
+	h->carried = documents_retained_digest(n->documents);
 	h->epoch_age_ms = age_ns < EPOCH_TOLD_NS
 				  ? (uint32_t)(age_ns / NS_PER_MS)
 				  : UINT32_MAX;
@@ -198,8 +198,8 @@
 				      n->policy->return_ns };
 	struct documents_port changed = { n, node_document_changed,
 					  node_document_compare };
-	struct documents_times kept = { conf->flow_lifetime_ns,
-					n->policy->return_ns };
+	struct documents_expiry kept = { conf->flow_lifetime_ns,
+					 n->policy->return_ns };
 	struct path_port port = {
 		.ctx = n,
 		.health = { n, probe, dead, health },
@@ -341,14 +341,13 @@
 	if (ready == n->ready)
 		return;
 	n->ready = ready;
-	n->port.log(
-		n->port.ctx, NODE_INFO, "ready", NULL,
-		"%s, configuration %llu, revision %llu, %u targets, "
-		"%u peers",
-		ready ? "yes" : "no", (unsigned long long)node_version(n),
-		(unsigned long long)documents_through(n->documents).revision,
-		directory_slots(n->directory),
-		peer_set_live(n->peers, n->now_ns));
+	n->port.log(n->port.ctx, NODE_INFO, "ready", NULL,
+		    "%s, configuration %llu, revision %llu, %u targets, "
+		    "%u peers",
+		    ready ? "yes" : "no", (unsigned long long)node_version(n),
+		    (unsigned long long)documents_synced(n->documents).revision,
+		    directory_slots(n->directory),
+		    peer_set_live(n->peers, n->now_ns));
 }
 
 /**
@@ -387,8 +386,9 @@
 	uint64_t age_ns = h->epoch_age_ms * NS_PER_MS;
 
 	if (h->newest.revision)
-		documents_began(n->documents, h->newest.epoch,
-				n->now_ns > age_ns ? n->now_ns - age_ns : 0);
+		documents_lower_epoch_start(
+			n->documents, h->newest.epoch,
+			n->now_ns > age_ns ? n->now_ns - age_ns : 0);
 }
 
 /**
--- a/core/packet/node_calls.c
+++ b/core/packet/node_calls.c
@@ -10,14 +10,15 @@
 		.policy = n->policy,
 		.now_ns = n->now_ns,
 		.rank = peer_set_rank(n->peers, n->now_ns),
-		.known = documents_known(n->documents).revision,
-		.through = documents_through(n->documents).revision,
-		.others_ns = peer_set_others_contact_ns(n->peers, n->now_ns),
+		.complete = documents_complete(n->documents).revision,
+		.synced = documents_synced(n->documents).revision,
+		.others_contact_ns =
+			peer_set_others_contact_ns(n->peers, n->now_ns),
 		.readers_before = peer_set_readers_before(
 			n->peers, n->now_ns - SOURCE_CONTACT_NS, n->now_ns),
-		.peers = peer_set_live(n->peers, n->now_ns),
+		.live_peers = peer_set_live(n->peers, n->now_ns),
 		.fetching = n->fetching,
-		.chance = hash_u64(n->now_ns, n->conf.self ^ n->conf.boot),
+		.random = hash_u64(n->now_ns, n->conf.self ^ n->conf.boot),
 	};
 }
 
@@ -35,13 +36,13 @@
 	n->fetching_carried = p->carried;
 	n->fetching_far = p->zone != node_zone(n);
 	n->counters.peer_calls++;
-	n->port.fetch(n->port.ctx, p->addr, documents_through(n->documents));
+	n->port.fetch(n->port.ctx, p->addr, documents_synced(n->documents));
 }
 
 static void watch(struct node *n, const struct source_view *v)
 {
-	n->asked = documents_known(n->documents);
-	n->port.watch(n->port.ctx, v->known, source_wait_ns(v));
+	n->asked = documents_complete(n->documents);
+	n->port.watch(n->port.ctx, v->complete, source_watch_wait_ns(v));
 }
 
 /* Start the calls that are due. */
@@ -132,7 +133,7 @@
  * @took_ns: time that it took
  * @now_ns: time
  *
- * Return: whether to ask over it; otherwise the call ends with SOURCE_BUSY.
+ * Return: whether to ask over it; otherwise the call ends with SOURCE_DEFERRED.
  */
 bool node_connected(struct node *n, uint64_t took_ns, uint64_t now_ns)
 {
@@ -140,7 +141,7 @@
 
 	n->now_ns = now_ns;
 	v = view(n);
-	return source_connected(&n->source, &v, took_ns);
+	return source_may_send(&n->source, &v, took_ns);
 }
 
 /*
@@ -150,7 +151,7 @@
  */
 static bool joins(const struct node *n, uint64_t epoch)
 {
-	uint64_t known = documents_known(n->documents).epoch;
+	uint64_t known = documents_complete(n->documents).epoch;
 
 	if (n->step == SOURCE_WATCH)
 		return epoch == known && epoch == n->asked.epoch;
@@ -177,11 +178,11 @@
  * @epoch: epoch that it tells
  * @now_ns: time
  *
- * Return: whether to take it; if not, the call ends with SOURCE_BEHIND.
+ * Return: whether to take it; if not, the call ends with SOURCE_GONE.
  */
 bool node_answering(struct node *n, uint64_t epoch, uint64_t now_ns)
 {
-	uint64_t known = documents_known(n->documents).epoch;
+	uint64_t known = documents_complete(n->documents).epoch;
 
 	n->now_ns = now_ns;
 	if (epoch != known && node_knows(n))
@@ -199,7 +200,7 @@
 	struct position at = { n->answer_epoch, head->revision };
 
 	if (n->step == SOURCE_WATCH) {
-		documents_covered(n->documents, at, n->now_ns);
+		documents_advance_synced(n->documents, at, n->now_ns);
 		return;
 	}
 	if (!n->source.listing)
@@ -215,7 +216,7 @@
 	at.revision = n->list_revision;
 	documents_list_end(n->documents, at, at, n->now_ns);
 	if (n->list_revision == n->list_first)
-		documents_covered(n->documents, at, n->now_ns);
+		documents_advance_synced(n->documents, at, n->now_ns);
 }
 
 /*
@@ -226,7 +227,7 @@
 {
 	struct source_view v = view(n);
 
-	return v.rank && v.others_ns + SOURCE_CONTACT_NS > v.now_ns;
+	return v.rank && v.others_contact_ns + SOURCE_CONTACT_NS > v.now_ns;
 }
 
 static void note_contact(struct node *n, bool ok, struct position at)
@@ -250,7 +251,7 @@
 static void note_behind(struct node *n)
 {
 	n->counters.platform_behind++;
-	if (!n->source.behind)
+	if (!n->source.gone_count)
 		n->port.log(n->port.ctx, NODE_WARNING, "platform", NULL,
 			    "no changes to be had after revision %llu, epoch "
 			    "%llu",
@@ -273,17 +274,17 @@
 	bool changed;
 
 	n->now_ns = now_ns;
-	if (outcome == SOURCE_BEHIND)
+	if (outcome == SOURCE_GONE)
 		note_behind(n);
 	if (outcome == SOURCE_OK) {
 		take_head(n, head);
 		at = (struct position){ n->answer_epoch, head->revision };
 	}
-	if (outcome != SOURCE_BUSY)
+	if (outcome != SOURCE_DEFERRED)
 		note_contact(n, outcome != SOURCE_FAILED, at);
 	changed = position_after(documents_newest(n->documents), n->told);
 	v = view(n);
-	n->source.came_ns = outcome == SOURCE_OK ? head->came_ns : 0;
+	n->source.transfer_ns = outcome == SOURCE_OK ? head->came_ns : 0;
 	source_end(&n->source, outcome, outcome == SOURCE_OK && head->more,
 		   changed, &v);
 	if (!n->source.listing)
@@ -303,7 +304,7 @@
 {
 	if (n->source.calling && n->step == SOURCE_LIST)
 		n->port.cancel(n->port.ctx);
-	source_needless(&n->source);
+	source_cancel_listing(&n->source);
 	n->list_first = 0;
 }
 
@@ -324,7 +325,7 @@
 		   uint64_t now_ns)
 {
 	n->now_ns = now_ns;
-	if (head->through.epoch < documents_known(n->documents).epoch)
+	if (head->through.epoch < documents_complete(n->documents).epoch)
 		return false;
 	if (!head->whole)
 		return true;
@@ -355,8 +356,8 @@
 	if (head->whole)
 		documents_list_end(n->documents, head->through, head->floor,
 				   now_ns);
-	documents_covered(n->documents, head->through, now_ns);
-	documents_knows(n->documents, head->newest);
+	documents_advance_synced(n->documents, head->through, now_ns);
+	documents_raise_newest(n->documents, head->newest);
 	n->carried_taken = n->fetching_carried;
 	if (first && node_knows(n))
 		give_up_listing(n);
--- a/core/packet/node_cold.c
+++ b/core/packet/node_cold.c
@@ -23,7 +23,7 @@
 static void presume_start(const struct node *n, struct target *t,
 			  const struct service_cold *cold)
 {
-	uint64_t until_ns = t->returned_ns + cold->start_ms * NS_PER_MS;
+	uint64_t until_ns = t->returned_ns + cold->cold_ms * NS_PER_MS;
 
 	if (t->cold_presumed && n->now_ns >= t->cold_until_ns)
 		t->cold_presumed = false;
@@ -44,9 +44,9 @@
 	bool seat;
 
 	presume_start(n, t, &cold);
-	if (!cold_limited(t, cold.per_s, n->now_ns))
+	if (!cold_limited(t, cold.flows_per_s, n->now_ns))
 		return;
-	share = cold_share(cold.per_s, &n->conf.cold);
+	share = cold_share(cold.flows_per_s, &n->conf.cold);
 	seat = may && t->news.zone == node_zone(n) &&
 	       peer_set_seat(n->peers, t->news.id) < share.seats;
 	cold_refill(t, seat, share.per_s, n->now_ns);
--- a/core/packet/node_published.c
+++ b/core/packet/node_published.c
@@ -43,7 +43,7 @@
 	log_routes(n, doc, err, version, routes);
 	/* Targets may have been published before their service was named. */
 	if (!err && directory_names(n->directory) > n->names_taken)
-		documents_again(n->documents);
+		documents_redeliver(n->documents);
 	n->names_taken = directory_names(n->directory);
 }
 
--- a/core/packet/peers/peer_set.c
+++ b/core/packet/peers/peer_set.c
@@ -166,7 +166,7 @@
 		struct read_claim c = { k->zone, k->by, k->at, k->number,
 					ago(now_ns, k->age_ms) };
 
-		read_claims_take(&f->claims, &c);
+		read_claims_merge(&f->claims, &c);
 	}
 }
 
@@ -363,13 +363,13 @@
 			uint64_t now_ns)
 {
 	struct read_claim c[HELLO_CLAIMS_MAX];
-	uint32_t n = read_claims_newest(&f->claims, f->conf.zone, c,
+	uint32_t n = read_claims_select(&f->claims, f->conf.zone, c,
 					HELLO_CLAIMS_MAX);
 
 	for (uint32_t i = 0; i < n; i++)
 		h->claims[h->n_claims++] =
-			(struct hello_claim){ c[i].zone, c[i].by, c[i].at,
-					      c[i].number,
+			(struct hello_claim){ c[i].zone, c[i].reader,
+					      c[i].position, c[i].seq,
 					      age_ms(now_ns, c[i].contact_ns) };
 }
 
@@ -410,7 +410,7 @@
  */
 void peer_set_contact(struct peer_set *f, struct position at, uint64_t now_ns)
 {
-	read_claims_contact(&f->claims, f->conf.zone, f->conf.self, at, now_ns);
+	read_claims_renew(&f->claims, f->conf.zone, f->conf.self, at, now_ns);
 }
 
 /**
@@ -454,10 +454,10 @@
  */
 uint64_t peer_set_others_contact_ns(const struct peer_set *f, uint64_t now_ns)
 {
-	const struct read_claim *c = read_claims_of(&f->claims, f->conf.zone);
-	const struct peer_vm *p = c ? find(f, c->by) : NULL;
+	const struct read_claim *c = read_claims_get(&f->claims, f->conf.zone);
+	const struct peer_vm *p = c ? find(f, c->reader) : NULL;
 
-	if (!c || c->by == f->conf.self ||
+	if (!c || c->reader == f->conf.self ||
 	    (p && (p->leaving || p->heard_ns + silence_ns(f) <= now_ns)))
 		return 0;
 	return c->contact_ns;
@@ -472,7 +472,7 @@
  */
 uint64_t peer_set_last_contact_ns(const struct peer_set *f)
 {
-	return read_claims_latest_ns(&f->claims);
+	return read_claims_last_contact_ns(&f->claims);
 }
 
 /**
@@ -490,7 +490,7 @@
 {
 	if (f->far_ns + FAR_HEARD_NS < now_ns)
 		return 0;
-	return read_claims_before(&f->claims, f->conf.zone, since_ns);
+	return read_claims_readers_before(&f->claims, f->conf.zone, since_ns);
 }
 
 /**
--- a/core/packet/peers/peer_set.h
+++ b/core/packet/peers/peer_set.h
@@ -81,7 +81,7 @@
  * @leaving: it is about to end
  * @reply: an answer to this is wanted: the sender knows few others
  * @newest: newest position that it knows
- * @carried: what it carries over from earlier epochs, as documents_carried()
+ * @carried: what it carries over from earlier epochs, as documents_retained_digest()
  * @epoch_age_ms: how long ago anybody heard first of the epoch of @newest;
  *	UINT32_MAX for longer than that matters
  * @trouble_age_ms: how long ago anybody found the platform in trouble;
--- a/core/packet/publish/documents.c
+++ b/core/packet/publish/documents.c
@@ -7,52 +7,52 @@
 #include <string.h>
 
 /*
- * @known, @through, @newest and @floor are revisions of @epoch; @carried is up
- * to date as of @carried_changes.
+ * @complete, @synced, @newest and @floor are revisions of @epoch;
+ * @retained_digest was computed when @change_count was @digest_change_count.
  */
 struct documents {
 	struct documents_port port;
-	struct documents_times times;
+	struct documents_expiry expiry;
 	struct document **all;
 	uint32_t n;
 	uint32_t capacity;
 	struct index *by_key;
 	uint64_t epoch;
-	uint64_t began_ns;
-	uint64_t known;
-	uint64_t through;
+	uint64_t epoch_start_ns;
+	uint64_t complete;
+	uint64_t synced;
 	uint64_t newest;
 	uint64_t floor;
-	uint64_t changes;
-	uint64_t carried;
-	uint64_t carried_changes;
+	uint64_t change_count;
+	uint64_t retained_digest;
+	uint64_t digest_change_count;
 	uint32_t listing;
 };
 
 /**
- * documents_new() - an empty store
- * @port: who is told of changes
- * @times: how long what is kept
+ * documents_new() - create an empty replica
+ * @port: callbacks
+ * @expiry: how long documents are kept
  *
- * Return: store, or NULL without memory.
+ * Return: documents, freed by documents_free(); NULL when memory is exhausted.
  */
 struct documents *documents_new(struct documents_port port,
-				struct documents_times times)
+				struct documents_expiry expiry)
 {
-	struct documents *s = calloc(1, sizeof(*s));
+	struct documents *docs = calloc(1, sizeof(*docs));
 
-	if (!s)
+	if (!docs)
 		return NULL;
-	s->port = port;
-	s->times = times;
-	s->by_key = index_new(DOCUMENTS_MAX);
-	if (s->by_key)
-		return s;
-	free(s);
+	docs->port = port;
+	docs->expiry = expiry;
+	docs->by_key = index_new(DOCUMENTS_MAX);
+	if (docs->by_key)
+		return docs;
+	free(docs);
 	return NULL;
 }
 
-/* Earlier values are of use while peers may still have them. */
+/* A peer may still have an earlier value for this long. */
 #define EARLIER_KEEP_NS (20 * NS_PER_S)
 
 static void document_free(struct document *d)
@@ -64,52 +64,52 @@
 	free(d);
 }
 
-void documents_free(struct documents *s)
+void documents_free(struct documents *docs)
 {
-	if (!s)
+	if (!docs)
 		return;
-	for (uint32_t i = 0; i < s->n; i++)
-		document_free(s->all[i]);
-	free(s->all);
-	index_free(s->by_key);
-	free(s);
+	for (uint32_t i = 0; i < docs->n; i++)
+		document_free(docs->all[i]);
+	free(docs->all);
+	index_free(docs->by_key);
+	free(docs);
 }
 
-static struct document *find(const struct documents *s, const char *key)
+static struct document *find(const struct documents *docs, const char *key)
 {
-	uint32_t i = index_get(s->by_key, hash_text(key));
+	uint32_t i = index_get(docs->by_key, hash_text(key));
 
-	if (i == INDEX_NONE || strcmp(s->all[i]->key, key))
+	if (i == INDEX_NONE || strcmp(docs->all[i]->key, key))
 		return NULL;
-	return s->all[i];
+	return docs->all[i];
 }
 
-static struct document *add(struct documents *s, const char *key)
+static struct document *add(struct documents *docs, const char *key)
 {
 	struct document *d;
 
-	if (s->n == s->capacity) {
-		uint32_t capacity = s->capacity ? s->capacity * 2 : 64;
+	if (docs->n == docs->capacity) {
+		uint32_t capacity = docs->capacity ? docs->capacity * 2 : 64;
 		struct document **grown =
-			realloc(s->all, capacity * sizeof(*grown));
+			realloc(docs->all, capacity * sizeof(*grown));
 
 		if (!grown)
 			return NULL;
-		s->all = grown;
-		s->capacity = capacity;
+		docs->all = grown;
+		docs->capacity = capacity;
 	}
 	d = calloc(1, sizeof(*d));
-	if (!d || index_put(s->by_key, hash_text(key), s->n)) {
+	if (!d || index_put(docs->by_key, hash_text(key), docs->n)) {
 		free(d);
 		return NULL;
 	}
 	memcpy(d->key, key, strnlen(key, DOCUMENT_KEY_MAX_BYTES));
-	s->all[s->n++] = d;
+	docs->all[docs->n++] = d;
 	return d;
 }
 
-/* Make the value one of the earlier ones, or drop it. */
-static void retire(struct document *d, uint64_t now_ns)
+/* Moves a large value to the earlier ones; frees a small one. */
+static void keep_earlier(struct document *d, uint64_t now_ns)
 {
 	struct document_value *last = NULL;
 
@@ -128,40 +128,40 @@
 						 d->value, d->size_bytes };
 }
 
-static int keep_value(struct document *d, const struct document *news,
-		      uint64_t now_ns)
+static int store_value(struct document *d, const struct document *update,
+		       uint64_t now_ns)
 {
 	uint8_t *copy;
 
-	if (news->deleted && !news->value)
-		return 0; /* the last value stays */
-	copy = malloc(news->size_bytes + 1);
+	if (update->deleted && !update->value)
+		return 0; /* open flows need the last value */
+	copy = malloc(update->size_bytes + 1);
 	if (!copy)
 		return -ENOMEM;
-	if (news->size_bytes)
-		memcpy(copy, news->value, news->size_bytes);
-	copy[news->size_bytes] = '\0';
-	retire(d, now_ns);
+	if (update->size_bytes)
+		memcpy(copy, update->value, update->size_bytes);
+	copy[update->size_bytes] = '\0';
+	keep_earlier(d, now_ns);
 	d->value = copy;
-	d->size_bytes = news->size_bytes;
+	d->size_bytes = update->size_bytes;
 	return 0;
 }
 
-static void show(struct documents *s, struct document *d)
+static void report_change(struct documents *docs, struct document *d)
 {
-	s->changes++;
-	d->held = !s->port.changed(s->port.ctx, d);
+	docs->change_count++;
+	d->deferred = !docs->port.changed(docs->port.ctx, d);
 }
 
-static void delete_at(struct documents *s, struct document *d,
+static void delete_at(struct documents *docs, struct document *d,
 		      struct position at, uint64_t now_ns)
 {
 	d->epoch = at.epoch;
 	d->revision = at.revision;
-	d->outdated = (struct position){ 0 };
+	d->stale_at = (struct position){ 0 };
 	d->deleted = true;
-	d->forget_ns = now_ns + s->times.deleted_ns;
-	show(s, d);
+	d->forget_ns = now_ns + docs->expiry.deleted_ns;
+	report_change(docs, d);
 }
 
 static bool same_value(const struct document *a, const struct document *b)
@@ -170,254 +170,274 @@
 	       (!a->size_bytes || !memcmp(a->value, b->value, a->size_bytes));
 }
 
-/* Revisions known are of an epoch: those of the one before end. */
-static void enter(struct documents *s, uint64_t epoch, uint64_t now_ns)
+/* Revisions of the earlier epoch have no meaning in the new one. */
+static void enter_epoch(struct documents *docs, uint64_t epoch, uint64_t now_ns)
 {
-	if (epoch <= s->epoch)
+	if (epoch <= docs->epoch)
 		return;
-	s->epoch = epoch;
-	s->began_ns = now_ns;
-	s->known = 0;
-	s->through = 0;
-	s->newest = 0;
-	s->floor = 0;
-	s->changes++;
-	for (uint32_t i = 0; i < s->n; i++)
-		if (s->all[i]->epoch == epoch &&
-		    s->all[i]->revision > s->newest)
-			s->newest = s->all[i]->revision;
+	docs->epoch = epoch;
+	docs->epoch_start_ns = now_ns;
+	docs->complete = 0;
+	docs->synced = 0;
+	docs->newest = 0;
+	docs->floor = 0;
+	docs->change_count++;
+	for (uint32_t i = 0; i < docs->n; i++)
+		if (docs->all[i]->epoch == epoch &&
+		    docs->all[i]->revision > docs->newest)
+			docs->newest = docs->all[i]->revision;
 }
 
-static bool carries(const struct documents *s, uint64_t now_ns)
+static bool may_retain(const struct documents *docs, uint64_t now_ns)
 {
-	return now_ns < s->began_ns + s->times.carried_ns;
+	return now_ns < docs->epoch_start_ns + docs->expiry.retained_ns;
 }
 
 /*
- * A fact of another epoch than what is known under its key. A later epoch's
- * copy may have less than what is known, and a peer may have carried over what
- * the copy lacks: then contents tell which is later.
+ * Returns whether @update, which is of another epoch than @d, is the later
+ * version. The copy that an epoch begins with may have an older version than the
+ * one known here, and a peer may have retained one that the copy lacks. Then the
+ * contents decide, and @d records that the platform has an older version.
  */
-static bool wins(struct documents *s, struct document *d,
-		 const struct document *news)
+static bool resolve_across_epochs(struct documents *docs, struct document *d,
+				  const struct document *update)
 {
-	int order = news->deleted ? 0 : s->port.compare(s->port.ctx, news);
+	int order = update->deleted
+			    ? 0
+			    : docs->port.compare(docs->port.ctx, update);
 
-	if (news->epoch < d->epoch)
+	if (update->epoch < d->epoch)
 		return order > 0 && !d->deleted;
 	if (order >= 0)
 		return true;
-	d->outdated = document_position(news);
-	s->changes++;
+	d->stale_at = document_position(update);
+	docs->change_count++;
 	return false;
 }
 
 /*
- * What a peer says that the platform has less of: of no account when more is
- * known here, and the platform has nothing under the key.
+ * The @stale_at of a peer's document. It is ignored when this replica is
+ * complete beyond it: the platform then has nothing under the key.
  */
-static struct position outdated_by_peer(const struct documents *s,
-					const struct document *news)
+static struct position stale_at_of_peer(const struct documents *docs,
+					const struct document *update)
 {
 	struct position none = { 0 };
 
-	return position_after(news->outdated, documents_known(s))
-		       ? news->outdated
+	return position_after(update->stale_at, documents_complete(docs))
+		       ? update->stale_at
 		       : none;
 }
 
-/* What gives way to @news is less, and the platform has it. */
-static struct position outdated_now(const struct documents *s,
-				    const struct document *d,
-				    const struct document *news)
+/*
+ * The @stale_at of a document that becomes @update. When @update is of an earlier
+ * epoch, the version that it replaces is the older one that the platform has.
+ */
+static struct position stale_at_after(const struct documents *docs,
+				      const struct document *d,
+				      const struct document *update)
 {
-	return news->epoch < d->epoch ? document_position(d)
-				      : outdated_by_peer(s, news);
+	return update->epoch < d->epoch ? document_position(d)
+					: stale_at_of_peer(docs, update);
 }
 
 /*
- * Whether @news may be taken under a new key. Of an epoch that is over, what a
- * peer still carries may, and what was deleted: that names departed targets.
+ * Whether @update may be added under a new key. Of an earlier epoch, only
+ * documents that a peer still retains may, and deleted ones: these identify
+ * targets that are gone.
  */
-static bool may_add(const struct documents *s, const struct document *news,
+static bool may_add(const struct documents *docs, const struct document *update,
 		    uint64_t now_ns)
 {
-	return news->epoch >= s->epoch || news->deleted ||
-	       outdated_by_peer(s, news).revision || carries(s, now_ns);
+	return update->epoch >= docs->epoch || update->deleted ||
+	       stale_at_of_peer(docs, update).revision ||
+	       may_retain(docs, now_ns);
 }
 
 /**
- * documents_put() - take a fact
- * @s: store
- * @news: the document; its value is copied
- * @origin: how it came
- * @now_ns: time
+ * documents_put() - merge a version of a document
+ * @docs: documents
+ * @update: the version; its value is copied
+ * @origin: how it arrived
+ * @now_ns: current time
  *
- * Return: 0 when it was taken; -EALREADY when as late a one is known;
- * -ENOMEM, also when there are too many.
+ * Return: 0 when it was stored; -EALREADY when the known version is as late or
+ * later; -ENOMEM when memory or DOCUMENTS_MAX is exhausted.
  */
-int documents_put(struct documents *s, const struct document *news,
+int documents_put(struct documents *docs, const struct document *update,
 		  enum document_origin origin, uint64_t now_ns)
 {
-	struct document *d = find(s, news->key);
+	struct document *d = find(docs, update->key);
 	bool same = false;
 	int err;
 
-	/* Neither an end that a peer remembers nor what it carries over shows
-	 * that a later one stands. */
-	if (d && origin == DOCUMENT_LISTED && !news->deleted &&
-	    news->epoch >= d->epoch)
-		d->seen = s->listing;
-	if (d && news->epoch == d->epoch && news->revision <= d->revision) {
+	/* Neither a deletion nor a retained document in a peer's full state shows
+	 * that the later version known here still exists. */
+	if (d && origin == DOCUMENT_LISTED && !update->deleted &&
+	    update->epoch >= d->epoch)
+		d->listing = docs->listing;
+	if (d && update->epoch == d->epoch && update->revision <= d->revision) {
 		if (origin == DOCUMENT_LISTED)
-			d->outdated = news->outdated;
+			d->stale_at = update->stale_at;
 		return -EALREADY;
 	}
-	if (d ? news->epoch != d->epoch && !wins(s, d, news)
-	      : !may_add(s, news, now_ns))
+	if (d ? update->epoch != d->epoch &&
+			    !resolve_across_epochs(docs, d, update)
+	      : !may_add(docs, update, now_ns))
 		return -EALREADY;
-	if (!s->known && !s->through)
-		enter(s, news->epoch, now_ns);
+	if (!docs->complete && !docs->synced)
+		enter_epoch(docs, update->epoch, now_ns);
 	if (d)
-		same = news->epoch > d->epoch && same_value(d, news);
+		same = update->epoch > d->epoch && same_value(d, update);
 	else
-		d = add(s, news->key);
+		d = add(docs, update->key);
 	if (!d)
 		return -ENOMEM;
-	/* Peers that have a large value at its earlier position need no other. */
+	/* A large value is stored again, so that it stays known at its earlier
+	 * position: peers that have it there need no other. */
 	err = same && d->size_bytes < DOCUMENT_LARGE_BYTES
 		      ? 0
-		      : keep_value(d, news, now_ns);
+		      : store_value(d, update, now_ns);
 	if (err)
 		return err;
-	d->outdated = origin == DOCUMENT_LISTED ? news->outdated
-						: outdated_now(s, d, news);
-	d->epoch = news->epoch;
-	d->revision = news->revision;
-	if (news->created)
-		d->created = news->created;
-	d->deleted = news->deleted;
-	d->forget_ns = now_ns + s->times.deleted_ns;
+	d->stale_at = origin == DOCUMENT_LISTED
+			      ? update->stale_at
+			      : stale_at_after(docs, d, update);
+	d->epoch = update->epoch;
+	d->revision = update->revision;
+	if (update->created)
+		d->created = update->created;
+	d->deleted = update->deleted;
+	d->forget_ns = now_ns + docs->expiry.deleted_ns;
 	if (origin == DOCUMENT_LISTED)
-		d->seen = s->listing;
-	documents_knows(s, document_position(d));
-	s->changes++;
+		d->listing = docs->listing;
+	documents_raise_newest(docs, document_position(d));
+	docs->change_count++;
 	if (!same)
-		show(s, d);
+		report_change(docs, d);
 	return 0;
 }
 
 /**
- * documents_again() - show the documents that were not taken once more
- * @s: store
+ * documents_redeliver() - report again the changes that could not be applied
+ * @docs: documents
  */
-void documents_again(struct documents *s)
+void documents_redeliver(struct documents *docs)
 {
-	for (uint32_t i = 0; i < s->n; i++)
-		if (s->all[i]->held)
-			show(s, s->all[i]);
+	for (uint32_t i = 0; i < docs->n; i++)
+		if (docs->all[i]->deferred)
+			report_change(docs, docs->all[i]);
 }
 
 /**
- * documents_list_begin() - a whole listing of the platform begins
- * @s: store
+ * documents_list_begin() - begin a full listing
+ * @docs: documents
+ *
+ * The documents of the listing are put as DOCUMENT_LISTED, up to
+ * documents_list_end().
  */
-void documents_list_begin(struct documents *s)
+void documents_list_begin(struct documents *docs)
 {
-	s->listing++;
+	docs->listing++;
 }
 
 /**
- * documents_list_end() - every page of the listing was put
- * @s: store
- * @at: least position that one of its pages shows
- * @floor: what was deleted up to there it does not name; of the platform's
- *	listing @at, of a peer's whole state that peer's documents_floor()
- * @now_ns: time
+ * documents_list_end() - end a full listing after its last page
+ * @docs: documents
+ * @at: lowest position of its pages
+ * @floor: compaction floor of the listing: it lacks the deletions up to there. For
+ *	a listing of the platform this is @at, for the full state of a peer that
+ *	peer's documents_floor().
+ * @now_ns: current time
  *
- * What it lacks was deleted, unless it came after that position, or is carried
- * over from an earlier epoch.
+ * Documents that the listing lacks are deleted, except later ones than @at and
+ * ones that are retained from an earlier epoch.
  */
-void documents_list_end(struct documents *s, struct position at,
+void documents_list_end(struct documents *docs, struct position at,
 			struct position floor, uint64_t now_ns)
 {
-	enter(s, at.epoch, now_ns);
-	if (at.epoch < s->epoch)
+	enter_epoch(docs, at.epoch, now_ns);
+	if (at.epoch < docs->epoch)
 		return;
-	for (uint32_t i = 0; i < s->n; i++) {
-		struct document *d = s->all[i];
+	for (uint32_t i = 0; i < docs->n; i++) {
+		struct document *d = docs->all[i];
 
-		if (d->seen == s->listing || d->deleted ||
+		if (d->listing == docs->listing || d->deleted ||
 		    position_after(document_position(d), at))
 			continue;
-		d->outdated = (struct position){ 0 };
-		if (d->epoch == at.epoch || !carries(s, now_ns))
-			delete_at(s, d, at, now_ns);
+		d->stale_at = (struct position){ 0 };
+		if (d->epoch == at.epoch || !may_retain(docs, now_ns))
+			delete_at(docs, d, at, now_ns);
 	}
-	documents_knows(s, at);
-	s->floor = floor.revision;
-	if (at.revision > s->known)
-		s->known = at.revision;
+	documents_raise_newest(docs, at);
+	docs->floor = floor.revision;
+	if (at.revision > docs->complete)
+		docs->complete = at.revision;
 }
 
 /**
- * documents_covered() - everything up to a position is known, and that was all
- *	there was when the platform was asked
- * @s: store
- * @at: position
- * @now_ns: time
+ * documents_advance_synced() - record that every change up to a position is known,
+ *	from an answer that was not stale
+ * @docs: documents
+ * @at: that position
+ * @now_ns: current time; start of the epoch of @at if that is a new one
  */
-void documents_covered(struct documents *s, struct position at, uint64_t now_ns)
+void documents_advance_synced(struct documents *docs, struct position at,
+			      uint64_t now_ns)
 {
-	enter(s, at.epoch, now_ns);
-	if (at.epoch < s->epoch)
+	enter_epoch(docs, at.epoch, now_ns);
+	if (at.epoch < docs->epoch)
 		return;
-	if (at.revision > s->through)
-		s->through = at.revision;
-	if (at.revision > s->known)
-		s->known = at.revision;
+	if (at.revision > docs->synced)
+		docs->synced = at.revision;
+	if (at.revision > docs->complete)
+		docs->complete = at.revision;
 }
 
 /**
- * documents_knows() - a peer with this newest position told all it knows
- * @s: store
- * @newest: its newest position, also when that was a deletion since forgotten
+ * documents_raise_newest() - raise the newest position after a peer sent all its
+ *	changes
+ * @docs: documents
+ * @newest: newest position of the peer; the document may be gone, when it was a
+ *	deletion that has expired since
  */
-void documents_knows(struct documents *s, struct position newest)
+void documents_raise_newest(struct documents *docs, struct position newest)
 {
-	if (newest.epoch == s->epoch && newest.revision > s->newest)
-		s->newest = newest.revision;
+	if (newest.epoch == docs->epoch && newest.revision > docs->newest)
+		docs->newest = newest.revision;
 }
 
 /**
- * documents_began() - a peer tells when it heard of an epoch
- * @s: store
- * @epoch: epoch
- * @began_ns: when
+ * documents_lower_epoch_start() - record that a peer saw an epoch begin earlier
+ * @docs: documents
+ * @epoch: epoch; ignored unless it is the current one
+ * @start_ns: when the peer, or one that it learned it from, first saw the epoch
  *
- * What is carried over ends at the same time everywhere; by the time at which
- * each entry heard of the epoch, peers would hand it on for ever.
+ * Retained documents have to expire at the same time everywhere. If each entry
+ * counted from when it learned of the epoch itself, peers would relay expired
+ * documents to each other without end.
  */
-void documents_began(struct documents *s, uint64_t epoch, uint64_t began_ns)
+void documents_lower_epoch_start(struct documents *docs, uint64_t epoch,
+				 uint64_t start_ns)
 {
-	if (epoch == s->epoch && began_ns < s->began_ns)
-		s->began_ns = began_ns;
+	if (epoch == docs->epoch && start_ns < docs->epoch_start_ns)
+		docs->epoch_start_ns = start_ns;
 }
 
-static void forget(struct documents *s, uint32_t i)
+static void forget(struct documents *docs, uint32_t i)
 {
-	struct document *d = s->all[i];
+	struct document *d = docs->all[i];
 
-	index_del(s->by_key, hash_text(d->key), i);
-	if (d->epoch == s->epoch && d->revision > s->floor)
-		s->floor = d->revision;
-	s->changes++;
-	s->n--;
-	if (i != s->n) {
-		struct document *last = s->all[s->n];
+	index_del(docs->by_key, hash_text(d->key), i);
+	if (d->epoch == docs->epoch && d->revision > docs->floor)
+		docs->floor = d->revision;
+	docs->change_count++;
+	docs->n--;
+	if (i != docs->n) {
+		struct document *last = docs->all[docs->n];
 
-		index_put(s->by_key, hash_text(last->key), i);
-		s->all[i] = last;
+		index_put(docs->by_key, hash_text(last->key), i);
+		docs->all[i] = last;
 	}
 	document_free(d);
 }
@@ -434,193 +454,210 @@
 	}
 }
 
-/* Nobody has written again what the platform lost: it is gone. */
-static void end_carried(struct documents *s, uint64_t now_ns)
+/* Deletes documents that the platform lost and nobody wrote again in time. */
+static void delete_retained(struct documents *docs, uint64_t now_ns)
 {
-	struct position at = { s->epoch, s->known };
+	struct position at = { docs->epoch, docs->complete };
 
-	for (uint32_t i = 0; i < s->n; i++) {
-		struct document *d = s->all[i];
+	for (uint32_t i = 0; i < docs->n; i++) {
+		struct document *d = docs->all[i];
 
-		if (documents_is_carried(s, d) && d->outdated.epoch != s->epoch)
-			delete_at(s, d, at, now_ns);
+		if (documents_is_retained(docs, d) &&
+		    d->stale_at.epoch != docs->epoch)
+			delete_at(docs, d, at, now_ns);
 	}
 }
 
 /**
- * documents_tick() - forget what was deleted, or changed, long ago
- * @s: store
- * @now_ns: time
+ * documents_tick() - remove expired documents and earlier values
+ * @docs: documents
+ * @now_ns: current time
+ *
+ * Deletes retained documents whose time is over, and reports that.
  */
-void documents_tick(struct documents *s, uint64_t now_ns)
-{
-	if (documents_carried(s) && !carries(s, now_ns))
-		end_carried(s, now_ns);
-	for (uint32_t i = s->n; i-- > 0;) {
-		forget_earlier(s->all[i], now_ns);
-		if (s->all[i]->deleted && now_ns >= s->all[i]->forget_ns)
-			forget(s, i);
+void documents_tick(struct documents *docs, uint64_t now_ns)
+{
+	if (documents_retained_digest(docs) && !may_retain(docs, now_ns))
+		delete_retained(docs, now_ns);
+	for (uint32_t i = docs->n; i-- > 0;) {
+		forget_earlier(docs->all[i], now_ns);
+		if (docs->all[i]->deleted && now_ns >= docs->all[i]->forget_ns)
+			forget(docs, i);
 	}
 }
 
 /**
- * documents_known() - position up to which everything is known, though there
- *	may have been more for seconds
- * @s: store
+ * documents_complete() - position up to which every change is known
+ * @docs: documents
+ *
+ * After a listing of stale pages, the platform may have been seconds ahead of it
+ * when it answered.
  *
- * Return: position, of revision 0 before the first listing of its epoch.
+ * Return: position in the current epoch; revision 0 before the first listing.
  */
-struct position documents_known(const struct documents *s)
+struct position documents_complete(const struct documents *docs)
 {
-	return (struct position){ s->epoch, s->known };
+	return (struct position){ docs->epoch, docs->complete };
 }
 
 /**
- * documents_through() - position up to which everything is known, of an answer
- *	that was not old
- * @s: store
+ * documents_synced() - position up to which every change is known, from an answer
+ *	that was not stale
+ * @docs: documents
  *
- * Return: position, of revision 0 before the first such answer.
+ * Return: position in the current epoch; revision 0 before the first such answer.
  */
-struct position documents_through(const struct documents *s)
+struct position documents_synced(const struct documents *docs)
 {
-	return (struct position){ s->epoch, s->through };
+	return (struct position){ docs->epoch, docs->synced };
 }
 
 /**
- * documents_newest() - latest position of a document known
- * @s: store
+ * documents_newest() - latest position of a known document
+ * @docs: documents
  *
- * Return: position; it tells peers whether there is anything to fetch, which
- * @documents_through doesn't: that grows with every heartbeat of a target.
+ * Peers compare it to see whether there is anything to fetch. documents_synced()
+ * would not do: it grows with every heartbeat of a target.
+ *
+ * Return: position in the current epoch; revision 0 for none.
  */
-struct position documents_newest(const struct documents *s)
+struct position documents_newest(const struct documents *docs)
 {
-	return (struct position){ s->epoch, s->newest };
+	return (struct position){ docs->epoch, docs->newest };
 }
 
 /**
- * documents_floor() - what was deleted up to there may not be known here: it was
- *	forgotten, or happened before a listing, which names what stands
- * @s: store
+ * documents_floor() - compaction floor: deletions up to this position may be missing
+ * @docs: documents
+ *
+ * They have expired, or came before a listing, which contains only what exists.
  *
- * Return: position; who knows less than this needs everything.
+ * Return: position in the current epoch; a peer that is complete only up to an
+ * earlier one needs the full state.
  */
-struct position documents_floor(const struct documents *s)
+struct position documents_floor(const struct documents *docs)
 {
-	return (struct position){ s->epoch, s->floor };
+	return (struct position){ docs->epoch, docs->floor };
 }
 
 /**
- * documents_began_ns() - when the present epoch was first heard of
- * @s: store
+ * documents_epoch_start_ns() - when the current epoch was first seen, here or at a
+ *	peer
+ * @docs: documents
  *
- * Return: time.
+ * Return: time in nanoseconds.
  */
-uint64_t documents_began_ns(const struct documents *s)
+uint64_t documents_epoch_start_ns(const struct documents *docs)
 {
-	return s->began_ns;
+	return docs->epoch_start_ns;
 }
 
 /**
- * documents_changes() - how often anything changed here
- * @s: store
+ * documents_change_count() - number of changes so far
+ * @docs: documents
  *
- * Return: a count that is greater after each change.
+ * Return: number that grows with each change of a document, an epoch or a
+ * @stale_at.
  */
-uint64_t documents_changes(const struct documents *s)
+uint64_t documents_change_count(const struct documents *docs)
 {
-	return s->changes;
+	return docs->change_count;
 }
 
 /**
- * documents_is_carried() - whether a document is of an epoch before this one
- * @s: store
- * @d: document
+ * documents_is_retained() - whether a document is retained from an earlier epoch
+ * @docs: documents
+ * @d: one of them
  *
- * Return: whether it stands, and the platform has nothing as late under its key.
+ * Return: true when it is not deleted and the platform has no version as late.
  */
-bool documents_is_carried(const struct documents *s, const struct document *d)
+bool documents_is_retained(const struct documents *docs,
+			   const struct document *d)
 {
-	return !d->deleted && d->epoch < s->epoch;
+	return !d->deleted && d->epoch < docs->epoch;
 }
 
 /**
- * documents_carried() - tells apart what two entries carry over
- * @s: store
+ * documents_retained_digest() - digest of the retained documents
+ * @docs: documents; the digest is cached until the next change
  *
- * Return: a number that is the same for the same documents; 0 for none.
+ * Return: a sum of hashes, the same at two entries that retain the same documents;
+ * 0 when there are none.
  */
-uint64_t documents_carried(struct documents *s)
-{
-	if (s->carried_changes == s->changes)
-		return s->carried;
-	s->carried_changes = s->changes;
-	s->carried = 0;
-	for (uint32_t i = 0; i < s->n; i++) {
-		const struct document *d = s->all[i];
-
-		if (documents_is_carried(s, d))
-			s->carried += hash_u64(hash_text(d->key) ^ d->revision,
-					       d->epoch);
+uint64_t documents_retained_digest(struct documents *docs)
+{
+	if (docs->digest_change_count == docs->change_count)
+		return docs->retained_digest;
+	docs->digest_change_count = docs->change_count;
+	docs->retained_digest = 0;
+	for (uint32_t i = 0; i < docs->n; i++) {
+		const struct document *d = docs->all[i];
+
+		if (documents_is_retained(docs, d))
+			docs->retained_digest += hash_u64(
+				hash_text(d->key) ^ d->revision, d->epoch);
 	}
-	return s->carried;
+	return docs->retained_digest;
 }
 
 /**
- * documents_lacks() - whether a peer lacks a document
- * @s: store
- * @after: position up to which it knows everything; of this epoch
- * @d: document
+ * documents_peer_lacks() - whether a peer has to be sent a document
+ * @docs: documents
+ * @after: position of the current epoch up to which the peer knows every change
+ * @d: one of @docs
+ *
+ * A retained document has no position in the current epoch, so every peer is sent
+ * it.
  *
- * Return: whether. What is carried over has no place in this epoch, so each
- * peer is sent it.
+ * Return: true when it is retained or later than @after.
  */
-bool documents_lacks(const struct documents *s, struct position after,
-		     const struct document *d)
+bool documents_peer_lacks(const struct documents *docs, struct position after,
+			  const struct document *d)
 {
-	return documents_is_carried(s, d) ||
+	return documents_is_retained(docs, d) ||
 	       position_after(document_position(d), after);
 }
 
 /**
- * documents_needs_all() - whether a peer needs everything that stands
- * @s: store
- * @after: position up to which it knows everything
+ * documents_peer_needs_full() - whether a peer has to be sent the full state
+ * @docs: documents
+ * @after: position up to which the peer knows every change; revision 0 for none
  *
- * Return: whether deletions since may not be known here, or it knows an earlier
- * epoch, or nothing.
+ * Return: true when deletions since @after may be missing here, or @after is of an
+ * earlier epoch, or the peer has no documents.
  */
-bool documents_needs_all(const struct documents *s, struct position after)
+bool documents_peer_needs_full(const struct documents *docs,
+			       struct position after)
 {
 	if (!after.revision)
 		return true;
-	return after.epoch < s->epoch ||
-	       (after.epoch == s->epoch && after.revision < s->floor);
+	return after.epoch < docs->epoch ||
+	       (after.epoch == docs->epoch && after.revision < docs->floor);
 }
 
-const struct document *documents_at(const struct documents *s, uint32_t i)
+const struct document *documents_at(const struct documents *docs, uint32_t i)
 {
-	return i < s->n ? s->all[i] : NULL;
+	return i < docs->n ? docs->all[i] : NULL;
 }
 
-uint32_t documents_count(const struct documents *s)
+uint32_t documents_count(const struct documents *docs)
 {
-	return s->n;
+	return docs->n;
 }
 
 /**
- * documents_largest() - the largest document that stands
- * @s: store
+ * documents_largest() - the largest document
+ * @docs: documents
  *
- * Return: document of DOCUMENT_LARGE_BYTES or more, or NULL.
+ * Return: a document that is not deleted, of DOCUMENT_LARGE_BYTES or more; NULL
+ * when there is none. Owned by @docs.
  */
-const struct document *documents_largest(const struct documents *s)
+const struct document *documents_largest(const struct documents *docs)
 {
 	const struct document *best = NULL;
 
-	for (uint32_t i = 0; i < s->n; i++) {
-		const struct document *d = s->all[i];
+	for (uint32_t i = 0; i < docs->n; i++) {
+		const struct document *d = docs->all[i];
 
 		if (d->deleted || d->size_bytes < DOCUMENT_LARGE_BYTES)
 			continue;
@@ -631,14 +668,15 @@
 }
 
 /**
- * document_value() - value that a document had since a position
+ * document_value_at() - value that a document got at a position
  * @d: document
  * @since: that position
  *
- * Return: value, not owned; without bytes when it is not known any more.
+ * Return: the current or an earlier value, owned by @d; its bytes are NULL when
+ * it is not known.
  */
-struct document_value document_value(const struct document *d,
-				     struct position since)
+struct document_value document_value_at(const struct document *d,
+					struct position since)
 {
 	if (!position_compare(document_position(d), since) && !d->deleted)
 		return (struct document_value){ since, 0, d->value,
@@ -651,19 +689,20 @@
 }
 
 /**
- * documents_value() - the same by the hash of the document's key
- * @s: store
- * @key_hash: hash
- * @since: position of the document
+ * documents_value_at() - value of the document with a given hash of its key
+ * @docs: documents
+ * @key_hash: hash_text() of the key
+ * @since: position at which the document got the value
  *
- * Return: as document_value().
+ * Return: as document_value_at().
  */
-struct document_value documents_value(const struct documents *s,
-				      uint64_t key_hash, struct position since)
+struct document_value documents_value_at(const struct documents *docs,
+					 uint64_t key_hash,
+					 struct position since)
 {
-	uint32_t i = index_get(s->by_key, key_hash);
+	uint32_t i = index_get(docs->by_key, key_hash);
 
 	if (i == INDEX_NONE)
 		return (struct document_value){ 0 };
-	return document_value(s->all[i], since);
+	return document_value_at(docs->all[i], since);
 }
--- a/core/packet/publish/evacuations.c
+++ b/core/packet/publish/evacuations.c
@@ -12,11 +12,12 @@
 }
 
 /**
- * evacuations_begin() - a data centre is evacuated from now on
+ * evacuations_begin() - evacuate a data centre
  * @e: evacuations
- * @name: its name; one that no target has evacuates nothing
+ * @name: name of the data centre; one that no target has is accepted as well
  *
- * Return: 0; -EALREADY when it is; -ENAMETOOLONG; -ENOSPC when too many are.
+ * Return: 0; -EALREADY when it is evacuated already; -ENAMETOOLONG when the name
+ * takes NAME_MAX_BYTES or more; -ENOSPC when EVACUATIONS_MAX are evacuated.
  */
 int evacuations_begin(struct evacuations *e, const char *name)
 {
@@ -36,9 +37,9 @@
 }
 
 /**
- * evacuations_end() - a data centre may be used again
+ * evacuations_end() - end the evacuation of a data centre
  * @e: evacuations
- * @name: its name
+ * @name: name of the data centre
  *
  * Return: 0; -EALREADY when it was not evacuated.
  */
--- a/core/packet/publish/evacuations.h
+++ b/core/packet/publish/evacuations.h
@@ -1,19 +1,19 @@
 /*
- * Data centres whose targets get no new flows, since the operator has taken
- * their load away. Open flows stay where they are.
+ * Data centres that the operator has evacuated: their targets get no new flows.
+ * Open flows stay at their targets.
  */
 #ifndef CB_EVACUATIONS_H
 #define CB_EVACUATIONS_H
 
 #include "types.h"
 
-/* Some five times the data centres of the size in two years. */
+/* Five times the number of data centres planned for in two years. */
 #define EVACUATIONS_MAX 128
 
 /**
- * struct evacuation - a data centre that is evacuated
+ * struct evacuation - an evacuated data centre
  * @zone: hash of its name
- * @name: its name
+ * @name: its name, NUL-terminated
  */
 struct evacuation {
 	uint32_t zone;
@@ -21,9 +21,9 @@
 };
 
 /**
- * struct evacuations - those in force
- * @n: how many
- * @all: those
+ * struct evacuations - all evacuated data centres
+ * @n: number of them
+ * @all: the first @n are in use, in no order
  */
 struct evacuations {
 	uint32_t n;
@@ -38,7 +38,7 @@
  * @e: evacuations
  * @zone: hash of its name
  *
- * Return: whether.
+ * Return: true when it is.
  */
 static inline bool evacuations_has(const struct evacuations *e, uint32_t zone)
 {
--- a/core/packet/publish/position.h
+++ b/core/packet/publish/position.h
@@ -1,6 +1,6 @@
 /*
- * A place in the platform's history. Revisions alone do not order two facts:
- * a platform that came back from an older copy of itself gives them out again.
+ * A position in the history of the platform. Revisions alone do not order two
+ * versions: a platform that is restored from an older copy reuses revisions.
  */
 #ifndef CB_POSITION_H
 #define CB_POSITION_H
@@ -8,9 +8,9 @@
 #include "types.h"
 
 /**
- * struct position - a place in the platform's history
- * @epoch: grows by one each time the platform comes back from an older copy
- * @revision: revision within that epoch; 0 for nothing known
+ * struct position - a position in the history of the platform
+ * @epoch: incremented each time the platform is restored from an older copy
+ * @revision: revision within @epoch; 0 for none
  */
 struct position {
 	uint64_t epoch;
@@ -18,12 +18,12 @@
 };
 
 /**
- * position_compare() - order of two places
- * @a: one
- * @b: the other
+ * position_compare() - order two positions
+ * @a: first position
+ * @b: second position
  *
- * Return: above 0 when @a is the later one, 0 when they are the same, else
- * below 0.
+ * Return: positive when @a is later than @b, 0 when they are equal, negative
+ * when @a is earlier.
  */
 static inline int position_compare(struct position a, struct position b)
 {
--- a/core/packet/publish/read_claims.c
+++ b/core/packet/publish/read_claims.c
@@ -1,140 +1,147 @@
 #include "read_claims.h"
 
-/* Another order of data centres than that of their names' hashes. */
+/* Orders data centres independently of the plain hashes of their names. */
 #define ORDER_SEED 0x6f72646572ULL
 
-static struct read_claim *find(const struct read_claims *c, uint32_t zone)
+static struct read_claim *find(const struct read_claims *claims, uint32_t zone)
 {
-	for (uint32_t i = 0; i < c->n; i++)
-		if (c->all[i].zone == zone)
-			return (struct read_claim *)&c->all[i];
+	for (uint32_t i = 0; i < claims->n; i++)
+		if (claims->all[i].zone == zone)
+			return (struct read_claim *)&claims->all[i];
 	return NULL;
 }
 
-static bool newer(const struct read_claim *a, const struct read_claim *b)
+static bool is_later(const struct read_claim *a, const struct read_claim *b)
 {
-	int order = position_compare(a->at, b->at);
+	int order = position_compare(a->position, b->position);
 
 	if (order)
 		return order > 0;
-	if (a->number != b->number)
-		return a->number > b->number;
-	/* Two that began together: otherwise each goes on, and neither hears
-	 * of the other. */
-	return a->by > b->by;
+	if (a->seq != b->seq)
+		return a->seq > b->seq;
+	/* Two readers may begin at the same position with the same @seq. Without
+	 * an order both would go on, each ignoring the claim of the other. */
+	return a->reader > b->reader;
 }
 
 /**
- * read_claims_take() - take a claim that a peer passed on
- * @c: claims
- * @news: claim
+ * read_claims_merge() - merge a claim that a peer relayed
+ * @claims: claims
+ * @update: the claim; copied
  *
- * Return: whether it was newer than what was known.
+ * Return: true when it is later than the known claim of its data centre. It is
+ * ignored when READ_CLAIMS_MAX others are known.
  */
-bool read_claims_take(struct read_claims *c, const struct read_claim *news)
+bool read_claims_merge(struct read_claims *claims,
+		       const struct read_claim *update)
 {
-	struct read_claim *known = find(c, news->zone);
+	struct read_claim *known = find(claims, update->zone);
 
-	if (known && !newer(news, known))
+	if (known && !is_later(update, known))
 		return false;
-	if (!known && c->n == READ_CLAIMS_MAX)
+	if (!known && claims->n == READ_CLAIMS_MAX)
 		return false;
 	if (!known)
-		known = &c->all[c->n++];
-	*known = *news;
+		known = &claims->all[claims->n++];
+	*known = *update;
 	return true;
 }
 
 /**
- * read_claims_contact() - the platform answered this VM
- * @c: claims
- * @zone: its data centre
- * @self: its address
- * @at: position of the platform; of revision 0 when the answer told none
- * @now_ns: time
+ * read_claims_renew() - claim to read for a data centre, after an answer
+ * @claims: claims
+ * @zone: hash of the name of this VM's data centre
+ * @self: address for peers of this VM
+ * @position: position of the platform in the answer; revision 0 when it had none
+ * @now_ns: current time
  */
-void read_claims_contact(struct read_claims *c, uint32_t zone, uint64_t self,
-			 struct position at, uint64_t now_ns)
+void read_claims_renew(struct read_claims *claims, uint32_t zone, uint64_t self,
+		       struct position position, uint64_t now_ns)
 {
-	const struct read_claim *known = find(c, zone);
-	struct read_claim own = { zone, self, at, 1, now_ns };
+	const struct read_claim *known = find(claims, zone);
+	struct read_claim own = { zone, self, position, 1, now_ns };
 
-	if (known && !position_after(at, known->at)) {
-		own.at = known->at;
-		own.number = known->number + 1;
+	if (known && !position_after(position, known->position)) {
+		own.position = known->position;
+		own.seq = known->seq + 1;
 	}
-	read_claims_take(c, &own);
+	read_claims_merge(claims, &own);
 }
 
 /**
- * read_claims_withdraw() - the platform did not answer this VM: if it was the one
- *	that claimed for its data centre, the next in rank has to read soon
- * @c: claims
- * @zone: its data centre
- * @self: its address
- * @contact_ns: no later contact is claimed from now on
+ * read_claims_withdraw() - shorten the claim of this VM after a failed call
+ * @claims: claims
+ * @zone: hash of the name of this VM's data centre
+ * @self: address for peers of this VM
+ * @contact_ns: the claim's contact is set back to this time, so that the VM next
+ *	in rank reads soon
+ *
+ * Does nothing when another VM has the claim, or its contact is not later.
  */
-void read_claims_withdraw(struct read_claims *c, uint32_t zone, uint64_t self,
-			  uint64_t contact_ns)
+void read_claims_withdraw(struct read_claims *claims, uint32_t zone,
+			  uint64_t self, uint64_t contact_ns)
 {
-	struct read_claim *known = find(c, zone);
+	struct read_claim *known = find(claims, zone);
 
-	if (!known || known->by != self || known->contact_ns <= contact_ns)
+	if (!known || known->reader != self || known->contact_ns <= contact_ns)
 		return;
 	known->contact_ns = contact_ns;
-	known->number++;
+	known->seq++;
 }
 
 /**
- * read_claims_of() - the claim of a data centre
- * @c: claims
- * @zone: data centre
+ * read_claims_get() - the claim of a data centre
+ * @claims: claims
+ * @zone: hash of the name of the data centre
  *
- * Return: claim, or NULL.
+ * Return: claim, owned by @claims; NULL when none is known.
  */
-const struct read_claim *read_claims_of(const struct read_claims *c,
-					uint32_t zone)
+const struct read_claim *read_claims_get(const struct read_claims *claims,
+					 uint32_t zone)
 {
-	return find(c, zone);
+	return find(claims, zone);
 }
 
 /**
- * read_claims_latest_ns() - when the platform last answered anybody
- * @c: claims
+ * read_claims_last_contact_ns() - when the platform last answered any reader
+ * @claims: claims
  *
- * Return: time; 0 for never.
+ * Return: time in nanoseconds; 0 for never.
  */
-uint64_t read_claims_latest_ns(const struct read_claims *c)
+uint64_t read_claims_last_contact_ns(const struct read_claims *claims)
 {
 	uint64_t latest_ns = 0;
 
-	for (uint32_t i = 0; i < c->n; i++)
-		if (c->all[i].contact_ns > latest_ns)
-			latest_ns = c->all[i].contact_ns;
+	for (uint32_t i = 0; i < claims->n; i++)
+		if (claims->all[i].contact_ns > latest_ns)
+			latest_ns = claims->all[i].contact_ns;
 	return latest_ns;
 }
 
 /**
- * read_claims_before() - how many data centres read that come before one
- * @c: claims
- * @zone: that one
- * @since_ns: who was not answered since does not read
+ * read_claims_readers_before() - number of data centres with a reader that precede
+ *	one
+ * @claims: claims
+ * @zone: hash of the name of that one; it need not have a claim
+ * @since_ns: a data centre whose last contact is not later has no reader
+ *
+ * The order of data centres is the same at all entries.
  *
- * Return: how many.
+ * Return: number of data centres.
  */
-uint32_t read_claims_before(const struct read_claims *c, uint32_t zone,
-			    uint64_t since_ns)
+uint32_t read_claims_readers_before(const struct read_claims *claims,
+				    uint32_t zone, uint64_t since_ns)
 {
 	uint64_t own = hash_u64(zone, ORDER_SEED);
 	uint32_t n = 0;
 
-	for (uint32_t i = 0; i < c->n; i++)
-		n += c->all[i].contact_ns > since_ns &&
-		     hash_u64(c->all[i].zone, ORDER_SEED) < own;
+	for (uint32_t i = 0; i < claims->n; i++)
+		n += claims->all[i].contact_ns > since_ns &&
+		     hash_u64(claims->all[i].zone, ORDER_SEED) < own;
 	return n;
 }
 
-static bool told(const struct read_claim *out, uint32_t n, uint32_t zone)
+static bool has_zone(const struct read_claim *out, uint32_t n, uint32_t zone)
 {
 	for (uint32_t i = 0; i < n; i++)
 		if (out[i].zone == zone)
@@ -142,16 +149,16 @@
 	return false;
 }
 
-static const struct read_claim *latest_untold(const struct read_claims *c,
+static const struct read_claim *latest_not_in(const struct read_claims *claims,
 					      const struct read_claim *out,
 					      uint32_t n)
 {
 	const struct read_claim *best = NULL;
 
-	for (uint32_t i = 0; i < c->n; i++) {
-		const struct read_claim *k = &c->all[i];
+	for (uint32_t i = 0; i < claims->n; i++) {
+		const struct read_claim *k = &claims->all[i];
 
-		if (!told(out, n, k->zone) &&
+		if (!has_zone(out, n, k->zone) &&
 		    (!best || k->contact_ns > best->contact_ns))
 			best = k;
 	}
@@ -159,25 +166,25 @@
 }
 
 /**
- * read_claims_newest() - the claims worth passing on
- * @c: claims
- * @zone: this one's first
- * @out: filled, then with the latest contacts
- * @out_max: room in @out
+ * read_claims_select() - select the claims for a heartbeat
+ * @claims: claims
+ * @zone: hash of the name of a data centre, whose claim comes first
+ * @out: filled with copies, after that claim the ones with the latest contacts
+ * @out_max: number of elements of @out
  *
- * Return: how many.
+ * Return: number of claims in @out.
  */
-uint32_t read_claims_newest(const struct read_claims *c, uint32_t zone,
+uint32_t read_claims_select(const struct read_claims *claims, uint32_t zone,
 			    struct read_claim *out, uint32_t out_max)
 {
-	const struct read_claim *next = find(c, zone);
+	const struct read_claim *next = find(claims, zone);
 	uint32_t n = 0;
 
 	if (!next)
-		next = latest_untold(c, out, n);
+		next = latest_not_in(claims, out, n);
 	while (next && n < out_max) {
 		out[n++] = *next;
-		next = latest_untold(c, out, n);
+		next = latest_not_in(claims, out, n);
 	}
 	return n;
 }
--- a/core/packet/publish/route_table.h
+++ b/core/packet/publish/route_table.h
@@ -1,4 +1,4 @@
-/* Routes of one published configuration: which services a VIP's flows go to. */
+/* Routes of a published configuration: to which services the flows of a VIP go. */
 #ifndef CB_ROUTE_TABLE_H
 #define CB_ROUTE_TABLE_H
 
@@ -8,17 +8,18 @@
 #define ROUTES_MAX 65536
 
 /**
- * enum route_kind - what clients send on a route's flows
+ * enum route_kind - what clients send on the flows of a route
  * @ROUTE_FEED: many idempotent requests on a long flow
- * @ROUTE_REPORT: one non-idempotent request a flow
- * @ROUTE_UPLOAD: one bulky non-idempotent request a flow
+ * @ROUTE_REPORT: one non-idempotent request per flow
+ * @ROUTE_UPLOAD: one large non-idempotent request per flow
+ * @ROUTE_KINDS: number of kinds
  */
 enum route_kind { ROUTE_FEED, ROUTE_REPORT, ROUTE_UPLOAD, ROUTE_KINDS };
 
 /**
- * struct route_share - a service and its part of a route's new flows
- * @service: number of its name
- * @weight: relative part
+ * struct route_share - a service and its part of the new flows of a route
+ * @service: number of the service's name in the directory
+ * @weight: part, relative to the weights of the other services
  */
 struct route_share {
 	uint32_t service;
@@ -26,24 +27,24 @@
 };
 
 /**
- * struct route - what is known of one VIP
+ * struct route - route of one VIP
  * @vip: address and port that clients send to
  * @kind: enum route_kind
  * @priority: 0 is served first
- * @timeout_ms: longest time a request may take, milliseconds
- * @aim_ms: time in which its answers are of full use, milliseconds
- * @n_shares: services that new flows go to
+ * @timeout_ms: longest time that a request may take
+ * @objective_ms: latency objective of requests; 0 for none
+ * @n_shares: number of services that new flows go to
  * @shares: those services
- * @n_past: services that flows opened earlier may still be at
- * @past: those services; @weight is unused
- * @past_until_ns: until when such a flow may still live
+ * @n_past: number of services that only flows opened earlier may still be at
+ * @past: numbers of those services
+ * @past_until_ns: latest time at which such a flow may still be open
  */
 struct route {
 	uint64_t vip;
 	uint8_t kind;
 	uint8_t priority;
 	uint32_t timeout_ms;
-	uint32_t aim_ms;
+	uint32_t objective_ms;
 	uint32_t n_shares;
 	struct route_share shares[ROUTE_SHARES_MAX];
 	uint32_t n_past;
@@ -52,27 +53,27 @@
 };
 
 /**
- * struct service_cold - what a service's targets bear after a start
- * @service: number of its name
- * @start_ms: they are cold for so long
- * @per_s: new flows a second that one bears then, of all entries together; 0
- *	when no rate is told
+ * struct service_cold - limits of a service's targets after their start
+ * @service: number of the service's name in the directory
+ * @cold_ms: time for which a target is cold
+ * @flows_per_s: new flows a second that a cold target can take from all entries
+ *	together; 0 when no rate is published
  */
 struct service_cold {
 	uint32_t service;
-	uint32_t start_ms;
-	float per_s;
+	uint32_t cold_ms;
+	float flows_per_s;
 };
 
 /**
- * struct route_table - one configuration
+ * struct route_table - a configuration
  * @version: version that the operator gave it
  * @idle_timeout_ns: a flow that is idle for longer may be dropped
- * @routes: routes, as published
- * @n_routes: how many
- * @cold: services, as published
- * @n_cold: how many
- * @by_vip: index of @routes, made by route_table_index()
+ * @routes: routes, owned
+ * @n_routes: number of routes
+ * @cold: services with their limits after a start, owned
+ * @n_cold: number of those
+ * @by_vip: index of @routes, owned, made by route_table_index()
  */
 struct route_table {
 	uint64_t version;
@@ -84,12 +85,13 @@
 	struct index *by_vip;
 };
 
-int route_table_index(struct route_table *t);
-void route_table_inherit(struct route_table *t, const struct route_table *old,
-			 uint64_t now_ns, uint64_t flow_lifetime_ns);
-struct route *route_table_find(const struct route_table *t, uint64_t vip);
-bool route_allows(const struct route *r, uint32_t service, uint64_t now_ns);
-uint32_t route_service(const struct route *r, uint64_t hash);
-void route_table_free(struct route_table *t);
+int route_table_index(struct route_table *table);
+void route_table_inherit(struct route_table *table,
+			 const struct route_table *old, uint64_t now_ns,
+			 uint64_t flow_lifetime_ns);
+struct route *route_table_find(const struct route_table *table, uint64_t vip);
+bool route_allows(const struct route *route, uint32_t service, uint64_t now_ns);
+uint32_t route_select_service(const struct route *route, uint64_t hash);
+void route_table_free(struct route_table *table);
 
 #endif
--- a/core/packet/publish/source.c
+++ b/core/packet/publish/source.c
@@ -1,241 +1,256 @@
 #include "source.h"
 
 /*
- * Of those that know each other the first in rank reads, and the others have it
- * from there soon after; the next in rank waits for as long as a listing takes,
- * a second at most.
+ * Of the new processes that know each other, the first in rank reads and the
+ * others fetch from it soon after. Each further rank waits longer, together at
+ * most for as long as a listing takes.
  */
-#define YOUNG_STEP_NS (60 * NS_PER_MS)
-#define YOUNG_WAIT_MAX_NS NS_PER_S
+#define NEW_STEP_NS (60 * NS_PER_MS)
+#define NEW_WAIT_MAX_NS NS_PER_S
 /*
- * Who hears of so many others before it has read anything waits for one of
- * them: when all start together the first few have read before the rest could,
- * since the platform's link is shared by all that read.
+ * A process that knows this many others before it has read anything waits for
+ * one of them to finish. All of them share the platform's link, so when all start
+ * together the first few finish before the rest could.
  */
-#define CROWD 12
-#define CROWD_WAIT_NS (400 * NS_PER_MS)
-/* A rank counts when heartbeats had time to tell of all that live. */
+#define MASS_START_PEERS 12
+#define MASS_START_WAIT_NS (400 * NS_PER_MS)
+/* Until then heartbeats may not have named all live peers, and the rank is not
+ * reliable. */
 #define RANK_KNOWN_NS (500 * NS_PER_MS)
-/* Ranks stand in one after the other, not all at once. */
+/* The ranks take over from a silent reader one after the other. */
 #define RANK_STEP_NS (300 * NS_PER_MS)
 /*
- * Changes that come in a row are read in one call. Pages of a listing follow
- * each other at once: a pause after each that brought something new would keep an
- * entry that starts from serving.
+ * Pause after an answer with changes, so that changes in a row are read in one
+ * call. There is no pause between the pages of a listing: one after each page
+ * with something new would delay an entry that starts.
  */
 #define BATCH_NS (300 * NS_PER_MS)
-/* One data centre reads for all; another one reads as well, since a watch may
- * have gone silent, but seldom: a change that only it sees is known after a
- * second, and in force everywhere half a second later, of 3 s. */
+/* One data centre reads for all. A second one reads as well, since the watch of
+ * the first may have lost its connection, but less often: a change that only the
+ * second sees is known after 1 s and in force everywhere 0.5 s later, within the
+ * limit of 3 s. */
 #define READING_ZONES 2
 #define SECOND_BATCH_NS NS_PER_S
 /*
- * An answer that takes longer to come fills this VM's link. A watch brings every
- * value that a document had: in a row of changes of a large configuration each
- * answer would be longer than the one before, and news of targets come behind
- * it. A listing brings the last value alone.
+ * An answer whose transfer takes longer than this fills the VM's link. A watch
+ * returns every value that a document had, so while a large configuration changes
+ * repeatedly each answer would be longer than the one before, and changes of
+ * targets would queue behind it. A listing returns the last value only.
  */
 #define SLOW_ANSWER_NS (500 * NS_PER_MS)
 #define RETRY_FIRST_NS (100 * NS_PER_MS)
 #define RETRY_DOUBLINGS 3
-/* Then the listing's first page may be older than the platform's history. */
+/* After this many failures the first page of the listing may be older than the
+ * history that the platform keeps, and the listing begins again. */
 #define LISTING_FAILURES 8
-/* A process that knows nothing yet serves nobody, so it asks more often. */
+/* An entry without documents serves no client, so it retries more often. */
 #define RETRY_DOUBLINGS_FIRST 1
 
 /*
- * Answers of others stand in the way of a connection to the platform for as long
- * as they will in the way of our answer. Of hundreds that start at once all would
- * have theirs together, and last. With the link left to some of them at a time,
- * the first ones have theirs soon, and the rest have it from these. Where the way
- * to the platform takes that long anyhow, nobody gives way more than a few times.
+ * When a connection to the platform takes longer than this, answers to others
+ * fill the platform's link, and would delay our answer as well. Of hundreds of
+ * entries that start at once, all would get their answers together at the end.
+ * With only some of them reading at a time, the first ones finish soon and the
+ * rest fetch from these. Where the platform is that far away in any case, an
+ * entry defers its call a few times only.
  */
 #define BUSY_CONNECT_NS (12 * NS_PER_MS)
-#define GIVE_WAY_NS (50 * NS_PER_MS)
-#define GIVE_WAY_SPREAD_NS (200 * NS_PER_MS)
-#define GIVE_WAY_MOST 4
+#define DEFER_NS (50 * NS_PER_MS)
+#define DEFER_JITTER_NS (200 * NS_PER_MS)
+#define DEFERRALS_MAX 4
 
-static uint64_t young_wait_ns(const struct source_view *v)
+static uint64_t new_process_wait_ns(const struct source_view *view)
 {
-	uint64_t wait_ns = v->rank * YOUNG_STEP_NS;
+	uint64_t wait_ns = view->rank * NEW_STEP_NS;
 
-	if (v->peers >= CROWD)
-		wait_ns += CROWD_WAIT_NS;
-	if (wait_ns > YOUNG_WAIT_MAX_NS)
-		wait_ns = YOUNG_WAIT_MAX_NS;
-	return v->policy->young_wait_ns + wait_ns;
+	if (view->live_peers >= MASS_START_PEERS)
+		wait_ns += MASS_START_WAIT_NS;
+	if (wait_ns > NEW_WAIT_MAX_NS)
+		wait_ns = NEW_WAIT_MAX_NS;
+	return view->policy->young_wait_ns + wait_ns;
 }
 
-/* A peer that is being asked answers sooner than the platform, or not at all. */
-static uint64_t first_ns(const struct source *s, const struct source_view *v)
+/* Earliest time of the first call. A peer that is being asked either answers
+ * sooner than the platform or not at all. */
+static uint64_t first_call_ns(const struct source *source,
+			      const struct source_view *view)
 {
-	return s->start_ns +
-	       (v->fetching ? v->policy->young_wait_ns + YOUNG_WAIT_MAX_NS
-			    : young_wait_ns(v));
+	return source->start_ns +
+	       (view->fetching ? view->policy->young_wait_ns + NEW_WAIT_MAX_NS
+			       : new_process_wait_ns(view));
 }
 
-static bool wanted(const struct source *s, const struct source_view *v)
+static bool has_to_read(const struct source *source,
+			const struct source_view *view)
 {
-	uint64_t patience_ns = v->rank * RANK_STEP_NS;
+	uint64_t rank_wait_ns = view->rank * RANK_STEP_NS;
 
-	if (s->listing)
+	if (source->listing)
 		return true;
-	if (!v->through)
-		return v->now_ns >= first_ns(s, v);
-	if (!v->policy->one_reader)
+	if (!view->synced)
+		return view->now_ns >= first_call_ns(source, view);
+	if (!view->policy->one_reader)
 		return true;
-	if (v->readers_before >= READING_ZONES)
+	if (view->readers_before >= READING_ZONES)
 		return false;
-	if (!v->rank && (v->now_ns > s->start_ns + RANK_KNOWN_NS ||
-			 v->now_ns > v->others_ns + SOURCE_CONTACT_NS))
+	if (!view->rank &&
+	    (view->now_ns > source->start_ns + RANK_KNOWN_NS ||
+	     view->now_ns > view->others_contact_ns + SOURCE_CONTACT_NS))
 		return true;
-	return v->now_ns > v->others_ns + SOURCE_CONTACT_NS + patience_ns;
+	return view->now_ns >
+	       view->others_contact_ns + SOURCE_CONTACT_NS + rank_wait_ns;
 }
 
 /**
- * source_next() - the next call, if one is due
- * @s: state
- * @v: what the decision goes by
+ * source_next() - decide on the next call
+ * @source: state
+ * @view: input of the decision
  *
- * Return: SOURCE_WAIT, or the call to make after source_begin().
+ * Return: SOURCE_WAIT when no call is due; otherwise the call to make, after
+ * source_begin().
  */
-enum source_step source_next(const struct source *s,
-			     const struct source_view *v)
+enum source_step source_next(const struct source *source,
+			     const struct source_view *view)
 {
-	if (s->calling || v->now_ns < s->next_ns || !wanted(s, v))
+	if (source->calling || view->now_ns < source->next_ns ||
+	    !has_to_read(source, view))
 		return SOURCE_WAIT;
-	return s->listing || s->relist || !v->known ? SOURCE_LIST
-						    : SOURCE_WATCH;
+	return source->listing || source->relist || !view->complete
+		       ? SOURCE_LIST
+		       : SOURCE_WATCH;
 }
 
 /**
- * source_wait_ns() - how long a watch may wait for a change
- * @v: what the decision goes by
+ * source_watch_wait_ns() - how long a watch may wait for a change
+ * @view: input of the decision
  *
- * Return: time; none after a listing that may be old: what came since is
- * wanted at once, also when it is nothing.
+ * Return: time in nanoseconds; 0 after a listing that may be stale, since the
+ * changes since then are needed at once, even if there are none.
  */
-uint64_t source_wait_ns(const struct source_view *v)
+uint64_t source_watch_wait_ns(const struct source_view *view)
 {
-	return v->through ? SOURCE_WATCH_MS * NS_PER_MS : 0;
+	return view->synced ? SOURCE_WATCH_WAIT_MS * NS_PER_MS : 0;
 }
 
 /**
- * source_begin() - a call was started
- * @s: state
- * @step: which
+ * source_begin() - record that a call was started
+ * @source: state
+ * @step: SOURCE_LIST or SOURCE_WATCH
  */
-void source_begin(struct source *s, enum source_step step)
+void source_begin(struct source *source, enum source_step step)
 {
-	s->calling = true;
-	s->relist = false;
-	s->listing = step == SOURCE_LIST;
+	source->calling = true;
+	source->relist = false;
+	source->listing = step == SOURCE_LIST;
 }
 
 /**
- * source_connected() - whether to ask over a connection that has just been made
- * @s: state
- * @v: what the decision goes by
- * @took_ns: time that it took
+ * source_may_send() - whether to send the request over a connection just made
+ * @source: state
+ * @view: input of the decision
+ * @connect_ns: time that the connection took
  *
- * Return: whether; false when others are being answered, before a first
- * listing. The call ends with SOURCE_BUSY then.
+ * Return: false before the first listing while the platform is busy with answers
+ * to others; the call then ends with SOURCE_DEFERRED.
  */
-bool source_connected(const struct source *s, const struct source_view *v,
-		      uint64_t took_ns)
+bool source_may_send(const struct source *source,
+		     const struct source_view *view, uint64_t connect_ns)
 {
-	return v->known || took_ns < BUSY_CONNECT_NS ||
-	       s->gave_way >= GIVE_WAY_MOST;
+	return view->complete || connect_ns < BUSY_CONNECT_NS ||
+	       source->deferrals >= DEFERRALS_MAX;
 }
 
 /**
- * source_needless() - a peer brought what a first listing was to bring
- * @s: state
+ * source_cancel_listing() - end a listing that a peer's documents made unnecessary
+ * @source: state
  *
- * The page on its way, if any, is not waited for.
+ * A call for a page of it no longer counts as in progress; a watch does.
  */
-void source_needless(struct source *s)
+void source_cancel_listing(struct source *source)
 {
-	s->calling = s->calling && !s->listing;
-	s->listing = false;
+	source->calling = source->calling && !source->listing;
+	source->listing = false;
 }
 
-/* The next call after an answer that brought changes. */
-static void go_on(struct source *s, const struct source_view *v)
+/* Schedules the next call after an answer with changes. */
+static void schedule_after_changes(struct source *source,
+				   const struct source_view *view)
 {
-	if (s->came_ns > SLOW_ANSWER_NS) {
-		s->relist = true;
-		s->exact = true;
+	if (source->transfer_ns > SLOW_ANSWER_NS) {
+		source->relist = true;
+		source->exact = true;
 		return;
 	}
-	s->next_ns += v->readers_before ? SECOND_BATCH_NS : BATCH_NS;
+	source->next_ns += view->readers_before ? SECOND_BATCH_NS : BATCH_NS;
 }
 
-static void list_anew(struct source *s)
+static void restart_listing(struct source *source)
 {
-	s->relist = true;
-	s->exact = true;
-	s->listing = false;
+	source->relist = true;
+	source->exact = true;
+	source->listing = false;
 }
 
 /*
- * Listed at once when the history is gone. When the next watch is told the same
- * a listing does not help: without a pause it would be asked for as fast as the
- * platform answers.
+ * Pause before the listing that follows a SOURCE_GONE: none at first. When the
+ * next watch fails in the same way, a listing does not help, and without a pause
+ * it would be repeated as fast as the platform answers.
  */
-static uint64_t behind_wait_ns(struct source *s)
+static uint64_t gone_wait_ns(struct source *source)
 {
-	uint32_t again = s->behind++;
+	uint32_t repeats = source->gone_count++;
 
-	if (!again)
+	if (!repeats)
 		return 0;
-	again--;
+	repeats--;
 	return RETRY_FIRST_NS
-	       << (again < RETRY_DOUBLINGS ? again : RETRY_DOUBLINGS);
+	       << (repeats < RETRY_DOUBLINGS ? repeats : RETRY_DOUBLINGS);
 }
 
 /**
- * source_end() - a call ended
- * @s: state
- * @outcome: how
- * @more: a listing goes on
- * @changed: a watch brought changes
- * @v: what the decision goes by
+ * source_end() - record that a call ended and schedule the next one
+ * @source: state
+ * @outcome: how the call ended
+ * @has_more: the listing has further pages; only with SOURCE_OK
+ * @changed: the answer contained changes
+ * @view: input of the decision, after the answer was processed
  */
-void source_end(struct source *s, enum source_outcome outcome, bool more,
-		bool changed, const struct source_view *v)
+void source_end(struct source *source, enum source_outcome outcome,
+		bool has_more, bool changed, const struct source_view *view)
 {
-	uint32_t most = v->through ? RETRY_DOUBLINGS : RETRY_DOUBLINGS_FIRST;
-	uint32_t doublings = s->failures < most ? s->failures : most;
-	uint64_t now_ns = v->now_ns;
+	uint32_t doublings_max =
+		view->synced ? RETRY_DOUBLINGS : RETRY_DOUBLINGS_FIRST;
+	uint32_t doublings = source->failures < doublings_max ? source->failures
+							      : doublings_max;
+	uint64_t now_ns = view->now_ns;
 
-	s->calling = false;
+	source->calling = false;
 	if (outcome == SOURCE_OK) {
-		if (!s->listing)
-			s->behind = 0;
-		s->listing = s->listing && more;
-		s->failures = 0;
-		s->next_ns = now_ns;
-		if (changed && !s->listing && v->through)
-			go_on(s, v);
+		if (!source->listing)
+			source->gone_count = 0;
+		source->listing = source->listing && has_more;
+		source->failures = 0;
+		source->next_ns = now_ns;
+		if (changed && !source->listing && view->synced)
+			schedule_after_changes(source, view);
 		return;
 	}
-	if (outcome == SOURCE_BUSY) {
-		s->listing = false;
-		s->gave_way++;
-		s->next_ns =
-			now_ns + GIVE_WAY_NS + v->chance % GIVE_WAY_SPREAD_NS;
+	if (outcome == SOURCE_DEFERRED) {
+		source->listing = false;
+		source->deferrals++;
+		source->next_ns =
+			now_ns + DEFER_NS + view->random % DEFER_JITTER_NS;
 		return;
 	}
-	if (outcome == SOURCE_BEHIND) {
-		list_anew(s);
-		s->next_ns = now_ns + behind_wait_ns(s);
+	if (outcome == SOURCE_GONE) {
+		restart_listing(source);
+		source->next_ns = now_ns + gone_wait_ns(source);
 		return;
 	}
-	/* A page that failed is asked for again: from the start, a listing of
-	 * many pages would never end at a platform that refuses some calls. */
-	s->failures++;
-	if (s->listing && s->failures >= LISTING_FAILURES)
-		list_anew(s);
-	s->next_ns = now_ns + (RETRY_FIRST_NS << doublings);
+	/* Only the failed page is requested again. If the listing began anew, one
+	 * of many pages would never end at a platform that refuses some calls. */
+	source->failures++;
+	if (source->listing && source->failures >= LISTING_FAILURES)
+		restart_listing(source);
+	source->next_ns = now_ns + (RETRY_FIRST_NS << doublings);
 }
--- a/core/packet/target/directory_names.c
+++ b/core/packet/target/directory_names.c
@@ -62,7 +62,7 @@
 		if (c->service >= DIRECTORY_SERVICES_MAX)
 			continue;
 		d->services[c->service].cold = *c;
-		d->any_cold |= c->per_s > 0;
+		d->any_cold |= c->flows_per_s > 0;
 	}
 }
 
--- a/core/packet/target/place.c
+++ b/core/packet/target/place.c
@@ -110,7 +110,7 @@
 static bool eligible(const struct directory *d, const struct target *t,
 		     const struct place_query *q)
 {
-	float per_s = d->services[q->service].cold.per_s;
+	float per_s = d->services[q->service].cold.flows_per_s;
 
 	return t->health != HEALTH_SILENT && target_serving(d, t) &&
 	       !cold_full(t, per_s, q->now_ns);
@@ -147,7 +147,7 @@
 	}
 	chosen = cheapest(&far, q, cheapest(&near, q, NULL, rng), rng);
 	if (chosen)
-		cold_opened(chosen, d->services[q->service].cold.per_s,
+		cold_opened(chosen, d->services[q->service].cold.flows_per_s,
 			    q->now_ns);
 	return chosen;
 }
--- a/sim/sim-packets/entries.c
+++ b/sim/sim-packets/entries.c
@@ -126,10 +126,10 @@
 		node_fetched(s->node, NULL, w->now_ns);
 		return;
 	}
-	head.through = documents_through(from);
+	head.through = documents_synced(from);
 	head.newest = documents_newest(from);
 	head.floor = documents_floor(from);
-	head.whole = documents_needs_all(from, after);
+	head.whole = documents_peer_needs_full(from, after);
 	if (!node_fetching(s->node, &head, w->now_ns)) {
 		node_fetched(s->node, NULL, w->now_ns);
 		return;
@@ -139,7 +139,7 @@
 
 		if (head.whole)
 			node_relay_listed(s->node, d);
-		else if (documents_lacks(from, after, d))
+		else if (documents_peer_lacks(from, after, d))
 			node_relayed(s->node, d);
 	}
 	node_fetched(s->node, &head, w->now_ns);
--- a/sim/sim-packets/store.c
+++ b/sim/sim-packets/store.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 #define EVACUATION_PREFIX "evacuated/"
-#define WATCH_NS (SOURCE_WATCH_MS * NS_PER_MS)
+#define WATCH_NS (SOURCE_WATCH_WAIT_MS * NS_PER_MS)
 #define LIST_TIMEOUT_NS (1500 * NS_PER_MS)
 /* Keys on a page of a listing. */
 #define PAGE_KEYS 50
@@ -114,7 +114,7 @@
 
 	if (!node_answering(e->node, old ? w->old_epoch : w->epoch,
 			    w->now_ns)) {
-		node_answer(e->node, SOURCE_BEHIND, &head, w->now_ns);
+		node_answer(e->node, SOURCE_GONE, &head, w->now_ns);
 		return;
 	}
 	for (uint32_t i = from; i < n && i < from + PAGE_KEYS; i++) {
@@ -138,7 +138,7 @@
 	e->watching = false;
 	if (outcome == SOURCE_OK &&
 	    !node_answering(e->node, w->epoch, w->now_ns))
-		outcome = SOURCE_BEHIND;
+		outcome = SOURCE_GONE;
 	for (uint32_t i = 0; outcome == SOURCE_OK && i < w->n_keys; i++) {
 		const struct document *d = &w->keys[i].d;
 
@@ -180,7 +180,7 @@
 	if (store_mode_of(w, entry) != STORE_ANSWERS ||
 	    s->watch_epoch != w->epoch)
 		return SOURCE_FAILED; /* its connection did not live through */
-	return s->watch_after > w->revision ? SOURCE_BEHIND : SOURCE_OK;
+	return s->watch_after > w->revision ? SOURCE_GONE : SOURCE_OK;
 }
 
 static void on_watch_over(struct world *w, const struct event *e)
@@ -428,7 +428,7 @@
 		r->kind = v->routes[i].kind;
 		r->priority = v->routes[i].priority;
 		r->timeout_ms = v->routes[i].timeout_ms;
-		r->aim_ms = v->routes[i].aim_ms;
+		r->objective_ms = v->routes[i].aim_ms;
 		r->n_shares = 1;
 		r->shares[0] = (struct route_share){
 			directory_known(names,
--- a/test/packet_bed.c
+++ b/test/packet_bed.c
@@ -108,7 +108,7 @@
 		bed_table(b, directory_table(b->directory)->version + 1);
 
 	for (uint32_t i = 0; i < t->n_routes; i++) {
-		t->routes[i].aim_ms = aim_ms;
+		t->routes[i].objective_ms = aim_ms;
 		t->routes[i].timeout_ms = timeout_ms;
 		t->routes[i].priority = t->routes[i].kind == ROUTE_FEED;
 	}
--- a/test/packet_documents_test.c
+++ b/test/packet_documents_test.c
@@ -32,7 +32,7 @@
 static struct documents *open_store(void)
 {
 	struct documents_port port = { NULL, on_change, no_order };
-	struct documents_times times = { KEEP_NS, CARRY_NS };
+	struct documents_expiry times = { KEEP_NS, CARRY_NS };
 
 	changes = 0;
 	return documents_new(port, times);
@@ -104,11 +104,11 @@
 	assert_true(find(s, "b")->deleted);
 	/* Written after the first page was read. */
 	assert_false(find(s, "new")->deleted);
-	assert_int_equal(documents_known(s).revision, 10);
+	assert_int_equal(documents_complete(s).revision, 10);
 	/* Its pages may have been old. */
-	assert_int_equal(documents_through(s).revision, 0);
-	documents_covered(s, at(10), NS_PER_S);
-	assert_int_equal(documents_through(s).revision, 10);
+	assert_int_equal(documents_synced(s).revision, 0);
+	documents_advance_synced(s, at(10), NS_PER_S);
+	assert_int_equal(documents_synced(s).revision, 10);
 	documents_free(s);
 }
 
@@ -175,11 +175,11 @@
 /* Its one key is at revision 26 of epoch 1, and all of that epoch is known. */
 static struct documents *open_before_restore(struct documents_port port)
 {
-	struct documents_times times = { KEEP_NS, CARRY_NS };
+	struct documents_expiry times = { KEEP_NS, CARRY_NS };
 	struct documents *s = documents_new(port, times);
 
 	put_in(s, 1, "a", 26, "24", DOCUMENT_CHANGED);
-	documents_covered(s, (struct position){ 1, 26 }, NS_PER_S);
+	documents_advance_synced(s, (struct position){ 1, 26 }, NS_PER_S);
 	changes = 0;
 	return s;
 }
@@ -191,7 +191,7 @@
 		put_in(s, 2, "a", 20, value, DOCUMENT_LISTED);
 	documents_list_end(s, (struct position){ 2, 23 },
 			   (struct position){ 2, 23 }, NS_PER_S);
-	documents_covered(s, (struct position){ 2, 23 }, NS_PER_S);
+	documents_advance_synced(s, (struct position){ 2, 23 }, NS_PER_S);
 }
 
 /* Guards against changes taken for old because their revision was used before. */
@@ -202,7 +202,7 @@
 
 	(void)state;
 	list_restored(s, "24");
-	assert_int_equal(documents_through(s).revision, 23);
+	assert_int_equal(documents_synced(s).revision, 23);
 	assert_int_equal(put_in(s, 2, "a", 26, "28", DOCUMENT_CHANGED), 0);
 	assert_string_equal((char *)find(s, "a")->value, "28");
 	assert_int_equal(put_in(s, 1, "a", 27, "26", DOCUMENT_CHANGED),
@@ -220,7 +220,7 @@
 	(void)state;
 	list_restored(s, "24");
 	assert_int_equal(changes, 0);
-	assert_int_equal(documents_carried(s), 0);
+	assert_int_equal(documents_retained_digest(s), 0);
 	documents_free(s);
 }
 
@@ -233,12 +233,12 @@
 	(void)state;
 	list_restored(s, NULL);
 	assert_false(find(s, "a")->deleted);
-	assert_int_not_equal(documents_carried(s), 0);
+	assert_int_not_equal(documents_retained_digest(s), 0);
 	documents_tick(s, NS_PER_S + CARRY_NS - 1);
 	assert_false(find(s, "a")->deleted);
 	documents_tick(s, NS_PER_S + CARRY_NS);
 	assert_true(find(s, "a")->deleted);
-	assert_int_equal(documents_carried(s), 0);
+	assert_int_equal(documents_retained_digest(s), 0);
 	/* Written again all the same, if late. */
 	assert_int_equal(put_in(s, 2, "a", 24, "24", DOCUMENT_CHANGED), 0);
 	assert_false(find(s, "a")->deleted);
@@ -253,10 +253,10 @@
 
 	(void)state;
 	list_restored(s, NULL);
-	documents_began(s, 1, 0);
+	documents_lower_epoch_start(s, 1, 0);
 	documents_tick(s, NS_PER_S + 1);
 	assert_false(find(s, "a")->deleted);
-	documents_began(s, 2, NS_PER_S / 2);
+	documents_lower_epoch_start(s, 2, NS_PER_S / 2);
 	documents_tick(s, NS_PER_S / 2 + CARRY_NS);
 	assert_true(find(s, "a")->deleted);
 	documents_free(s);
@@ -275,9 +275,9 @@
 	/* It stands until it is written again. */
 	documents_tick(s, NS_PER_S + 2 * CARRY_NS);
 	assert_false(find(s, "a")->deleted);
-	assert_int_not_equal(documents_carried(s), 0);
+	assert_int_not_equal(documents_retained_digest(s), 0);
 	assert_int_equal(put_in(s, 2, "a", 24, "24", DOCUMENT_CHANGED), 0);
-	assert_int_equal(documents_carried(s), 0);
+	assert_int_equal(documents_retained_digest(s), 0);
 	assert_int_equal(changes, 0);
 	documents_free(s);
 }
@@ -289,21 +289,23 @@
 		(struct documents_port){ &known, on_change, by_number });
 	struct documents *s = documents_new(
 		(struct documents_port){ &known, on_change, by_number },
-		(struct documents_times){ KEEP_NS, CARRY_NS });
+		(struct documents_expiry){ KEEP_NS, CARRY_NS });
 
 	(void)state;
 	known = peer;
 	list_restored(peer, "14");
 	known = s;
 	list_restored(s, "14");
-	assert_int_not_equal(documents_carried(s), documents_carried(peer));
-	assert_true(
-		documents_lacks(peer, documents_through(s), find(peer, "a")));
+	assert_int_not_equal(documents_retained_digest(s),
+			     documents_retained_digest(peer));
+	assert_true(documents_peer_lacks(peer, documents_synced(s),
+					 find(peer, "a")));
 	assert_int_equal(documents_put(s, find(peer, "a"), DOCUMENT_CHANGED,
 				       NS_PER_S),
 			 0);
 	assert_string_equal((char *)find(s, "a")->value, "24");
-	assert_int_equal(documents_carried(s), documents_carried(peer));
+	assert_int_equal(documents_retained_digest(s),
+			 documents_retained_digest(peer));
 	/* Listed again, the copy brings nothing back. */
 	list_restored(s, "14");
 	assert_string_equal((char *)find(s, "a")->value, "24");
@@ -340,10 +342,10 @@
 	(void)state;
 	known = s;
 	list_restored(s, NULL);
-	before = documents_changes(s);
+	before = documents_change_count(s);
 	assert_int_equal(put_in(s, 2, "a", 20, "14", DOCUMENT_CHANGED),
 			 -EALREADY);
-	assert_true(documents_changes(s) > before);
+	assert_true(documents_change_count(s) > before);
 	documents_free(s);
 }
 
@@ -354,16 +356,16 @@
 	struct documents *s = open_before_restore(port);
 
 	(void)state;
-	assert_false(documents_needs_all(s, (struct position){ 1, 26 }));
+	assert_false(documents_peer_needs_full(s, (struct position){ 1, 26 }));
 	put_in(s, 1, "b", 27, "x", DOCUMENT_CHANGED);
 	put_in(s, 1, "b", 28, NULL, DOCUMENT_CHANGED);
 	documents_tick(s, NS_PER_S + KEEP_NS);
-	assert_true(documents_needs_all(s, (struct position){ 1, 26 }));
+	assert_true(documents_peer_needs_full(s, (struct position){ 1, 26 }));
 	list_restored(s, "24");
 	assert_int_equal(documents_floor(s).revision, 23);
-	assert_true(documents_needs_all(s, (struct position){ 1, 26 }));
-	assert_false(documents_needs_all(s, (struct position){ 2, 23 }));
-	assert_false(documents_needs_all(s, (struct position){ 3, 1 }));
+	assert_true(documents_peer_needs_full(s, (struct position){ 1, 26 }));
+	assert_false(documents_peer_needs_full(s, (struct position){ 2, 23 }));
+	assert_false(documents_peer_needs_full(s, (struct position){ 3, 1 }));
 	documents_free(s);
 }
 
@@ -377,16 +379,16 @@
 	documents_list_begin(s);
 	put(s, "a", 2, "x", DOCUMENT_LISTED);
 	documents_list_end(s, at(10), at(10), NS_PER_S);
-	documents_covered(s, at(10), NS_PER_S);
-	assert_true(documents_needs_all(s, at(9)));
-	assert_false(documents_needs_all(s, at(10)));
-	assert_true(documents_needs_all(s, at(0)));
+	documents_advance_synced(s, at(10), NS_PER_S);
+	assert_true(documents_peer_needs_full(s, at(9)));
+	assert_false(documents_peer_needs_full(s, at(10)));
+	assert_true(documents_peer_needs_full(s, at(0)));
 	/* A peer that has always followed hands its own on. */
 	documents_list_begin(s);
 	put(s, "a", 2, "x", DOCUMENT_LISTED);
 	documents_list_end(s, at(12), at(4), NS_PER_S);
-	documents_covered(s, at(12), NS_PER_S);
-	assert_false(documents_needs_all(s, at(5)));
+	documents_advance_synced(s, at(12), NS_PER_S);
+	assert_false(documents_peer_needs_full(s, at(5)));
 	documents_free(s);
 }
 
@@ -425,8 +427,8 @@
 	struct position same = { 1, 26 }, other = { 2, 26 };
 
 	(void)state;
-	assert_non_null(documents_value(s, hash_text("a"), same).bytes);
-	assert_null(documents_value(s, hash_text("a"), other).bytes);
+	assert_non_null(documents_value_at(s, hash_text("a"), same).bytes);
+	assert_null(documents_value_at(s, hash_text("a"), other).bytes);
 	documents_free(s);
 }
 
--- a/test/packet_node_test.c
+++ b/test/packet_node_test.c
@@ -171,7 +171,7 @@
 	t->n_routes = 1;
 	t->routes = calloc(1, sizeof(*t->routes));
 	t->routes[0].vip = VIP;
-	t->routes[0].aim_ms = (uint32_t)strtoul(rest, NULL, 10);
+	t->routes[0].objective_ms = (uint32_t)strtoul(rest, NULL, 10);
 	t->routes[0].timeout_ms = 2000;
 	t->routes[0].n_shares = 1;
 	t->routes[0].shares[0].service = directory_name(names, "service");
@@ -387,7 +387,7 @@
 	/* What it had asked for is gone: it lists anew. */
 	listed(f);
 	pass(f, 400 * MS);
-	node_answer(f->node, SOURCE_BEHIND, &more, f->now_ns);
+	node_answer(f->node, SOURCE_GONE, &more, f->now_ns);
 	pass(f, 40 * MS);
 	strcpy(more.last_key, "t/1");
 	node_answering(f->node, 0, f->now_ns);
@@ -864,7 +864,7 @@
 		fact(f,
 		     f->node->step == SOURCE_LIST ? node_listed : node_changed,
 		     "routes", revision, version);
-	node_answer(f->node, joined ? SOURCE_OK : SOURCE_BEHIND, &head,
+	node_answer(f->node, joined ? SOURCE_OK : SOURCE_GONE, &head,
 		    f->now_ns);
 	return joined;
 }
@@ -986,7 +986,7 @@
 	assert_int_equal(f->calls.watches, 1);
 	/* Nobody has seen the store away. */
 	assert_false(node_answering(f->node, 1, f->now_ns));
-	node_answer(f->node, SOURCE_BEHIND, &head, f->now_ns);
+	node_answer(f->node, SOURCE_GONE, &head, f->now_ns);
 	pass(f, 20 * MS);
 	assert_true(node_answering(f->node, 1, f->now_ns));
 	fact(f, node_listed, "routes", 5, "3");
--- a/test/packet_relay_test.c
+++ b/test/packet_relay_test.c
@@ -27,7 +27,7 @@
 	return 0;
 }
 
-static const struct documents_times kept = { NS_PER_S, NS_PER_S };
+static const struct documents_expiry kept = { NS_PER_S, NS_PER_S };
 
 static struct position at(uint64_t revision)
 {
@@ -59,7 +59,7 @@
 static struct document_value known(void *ctx, uint64_t key_hash,
 				   struct position since)
 {
-	return documents_value(ctx, key_hash, since);
+	return documents_value_at(ctx, key_hash, since);
 }
 
 static void test_relay_brings_what_is_missing(void **state)
@@ -80,7 +80,7 @@
 	strcpy(d.key, "b");
 	d.revision = 5;
 	documents_put(from, &d, DOCUMENT_CHANGED, 1);
-	documents_covered(from, at(6), NOW_NS);
+	documents_advance_synced(from, at(6), NOW_NS);
 	relay_encode(from, at(3), &none, &delta, body);
 	assert_int_equal(relay_decode((uint8_t *)body->str, (uint32_t)body->len,
 				      (struct relay_port){ to, refuse, known },
@@ -121,7 +121,7 @@
 		d.value[i] = (uint8_t)rng_next(&rng);
 	memcpy(d.value + LARGE_BYTES / 2, &revision, sizeof(revision));
 	documents_put(s, &d, DOCUMENT_CHANGED, NOW_NS);
-	documents_covered(s, at(revision), NOW_NS);
+	documents_advance_synced(s, at(revision), NOW_NS);
 	free(d.value);
 }
 
@@ -164,12 +164,12 @@
 	struct relay_head head;
 	int err;
 
-	relay_encode(p->from, documents_through(p->to), &base, &p->delta,
+	relay_encode(p->from, documents_synced(p->to), &base, &p->delta,
 		     p->body);
 	err = relay_decode((uint8_t *)p->body->str, (uint32_t)p->body->len,
 			   (struct relay_port){ p->to, begin, known }, &head);
 	if (!err)
-		documents_covered(p->to, head.through, NOW_NS);
+		documents_advance_synced(p->to, head.through, NOW_NS);
 	return err;
 }
 
@@ -253,7 +253,7 @@
 	fetch(p);
 	base = relay_base(p->to);
 	put_large(p->from, 9);
-	relay_encode(p->from, documents_through(p->to), &base, &p->delta,
+	relay_encode(p->from, documents_synced(p->to), &base, &p->delta,
 		     p->body);
 	put_large(p->to, 8);
 	assert_int_equal(
@@ -301,8 +301,8 @@
 
 	put_large(p->from, 5);
 	assert_int_equal(fetch(p), 0);
-	documents_covered(p->from, (struct position){ 2, 23 }, NOW_NS);
-	documents_covered(p->to, (struct position){ 2, 23 }, NOW_NS);
+	documents_advance_synced(p->from, (struct position){ 2, 23 }, NOW_NS);
+	documents_advance_synced(p->to, (struct position){ 2, 23 }, NOW_NS);
 	assert_int_equal(fetch(p), 0);
 	assert_true(p->body->len < 100);
 	assert_same(p);
@@ -323,7 +323,7 @@
 	documents_list_begin(p->from);
 	documents_put(p->from, &d, DOCUMENT_LISTED, NOW_NS);
 	documents_list_end(p->from, restored, restored, NOW_NS);
-	documents_covered(p->from, restored, NOW_NS);
+	documents_advance_synced(p->from, restored, NOW_NS);
 	assert_int_equal(fetch(p), 0);
 	assert_true(p->body->len < 1000);
 	assert_same(p);
@@ -341,7 +341,7 @@
 					  struct position since)
 {
 	(void)ctx;
-	return documents_value(asking, key_hash, since);
+	return documents_value_at(asking, key_hash, since);
 }
 
 static bool begin_count(void *ctx, const struct relay_head *head,
@@ -364,8 +364,8 @@
 	put_large(p->from, 5);
 	assert_int_equal(fetch(p), 0);
 	base = relay_base(p->to);
-	documents_covered(p->from, (struct position){ 2, 23 }, NOW_NS);
-	relay_encode(p->from, documents_through(p->to), &base, &p->delta,
+	documents_advance_synced(p->from, (struct position){ 2, 23 }, NOW_NS);
+	relay_encode(p->from, documents_synced(p->to), &base, &p->delta,
 		     p->body);
 	asking = p->to;
 	assert_int_equal(relay_decode((uint8_t *)p->body->str,
@@ -385,16 +385,16 @@
 	struct document d = { .key = "a",
 			      .epoch = 1,
 			      .revision = 26,
-			      .outdated = { 2, 20 },
+			      .stale_at = { 2, 20 },
 			      .value = (uint8_t *)"24",
 			      .size_bytes = 2 };
 	struct pair *p = *state;
 
 	documents_put(p->from, &d, DOCUMENT_CHANGED, NOW_NS);
-	documents_covered(p->from, (struct position){ 2, 23 }, NOW_NS);
+	documents_advance_synced(p->from, (struct position){ 2, 23 }, NOW_NS);
 	assert_int_equal(fetch(p), 0);
 	assert_int_equal(documents_at(p->to, 0)->epoch, 1);
-	assert_int_equal(documents_at(p->to, 0)->outdated.epoch, 2);
+	assert_int_equal(documents_at(p->to, 0)->stale_at.epoch, 2);
 	documents_tick(p->to, NOW_NS + 60 * NS_PER_S);
 	assert_false(documents_at(p->to, 0)->deleted);
 }
--- a/test/packet_source_test.c
+++ b/test/packet_source_test.c
@@ -10,15 +10,15 @@
 #define MS NS_PER_MS
 #define START_NS (100 * NS_PER_S)
 
-static struct source_view view(uint64_t now_ns, uint32_t rank, uint64_t through,
-			       uint64_t others_ns)
+static struct source_view view(uint64_t now_ns, uint32_t rank, uint64_t synced,
+			       uint64_t others_contact_ns)
 {
 	return (struct source_view){ .policy = &policy_default,
 				     .now_ns = now_ns,
 				     .rank = rank,
-				     .known = through,
-				     .through = through,
-				     .others_ns = others_ns };
+				     .complete = synced,
+				     .synced = synced,
+				     .others_contact_ns = others_contact_ns };
 }
 
 static void test_new_process_lists_at_once(void **state)
@@ -43,7 +43,7 @@
 	source_end(&s, SOURCE_OK, true, false, &v);
 	assert_int_equal(source_next(&s, &v), SOURCE_LIST);
 	source_begin(&s, SOURCE_LIST);
-	v.known = v.through = 9;
+	v.complete = v.synced = 9;
 	source_end(&s, SOURCE_OK, false, false, &v);
 	assert_int_equal(source_next(&s, &v), SOURCE_WATCH);
 }
@@ -61,7 +61,7 @@
 
 	(void)state;
 	source_begin(&s, SOURCE_WATCH);
-	s.came_ns = 1400 * MS;
+	s.transfer_ns = 1400 * MS;
 	source_end(&s, SOURCE_OK, false, true, &v);
 	assert_int_equal(source_next(&s, &v), SOURCE_LIST);
 	source_begin(&s, SOURCE_LIST);
@@ -72,7 +72,7 @@
 	source_end(&s, SOURCE_OK, false, false, &v);
 	assert_int_equal(source_next(&s, &v), SOURCE_WATCH);
 	source_begin(&s, SOURCE_WATCH);
-	s.came_ns = 10 * MS;
+	s.transfer_ns = 10 * MS;
 	source_end(&s, SOURCE_OK, false, true, &v);
 	v.now_ns += NS_PER_S;
 	assert_int_equal(source_next(&s, &v), SOURCE_WATCH);
@@ -95,16 +95,16 @@
 		source_end(&s, SOURCE_OK, page < 12, true, &v);
 	}
 	/* Pages may have been old: what came since is asked for at once. */
-	v.known = 9;
+	v.complete = 9;
 	assert_int_equal(source_next(&s, &v), SOURCE_WATCH);
-	assert_int_equal(source_wait_ns(&v), 0);
+	assert_int_equal(source_watch_wait_ns(&v), 0);
 	source_begin(&s, SOURCE_WATCH);
-	v.known = v.through = 12;
+	v.complete = v.synced = 12;
 	source_end(&s, SOURCE_OK, false, true, &v);
 	assert_int_equal(source_next(&s, &v), SOURCE_WAIT);
 	v.now_ns += 300 * MS;
 	assert_int_equal(source_next(&s, &v), SOURCE_WATCH);
-	assert_int_equal(source_wait_ns(&v), SOURCE_WATCH_MS * MS);
+	assert_int_equal(source_watch_wait_ns(&v), SOURCE_WATCH_WAIT_MS * MS);
 }
 
 /*
@@ -118,10 +118,10 @@
 	struct source_view v = view(START_NS + NS_PER_S, 0, 0, 0);
 
 	(void)state;
-	v.known = 9;
+	v.complete = 9;
 	source_begin(&s, SOURCE_WATCH);
 	assert_false(s.exact);
-	source_end(&s, SOURCE_BEHIND, false, false, &v);
+	source_end(&s, SOURCE_GONE, false, false, &v);
 	assert_int_equal(source_next(&s, &v), SOURCE_LIST);
 	assert_true(s.exact);
 }
@@ -137,24 +137,24 @@
 	struct source_view v = view(START_NS + 40 * MS, 0, 0, 0);
 
 	(void)state;
-	assert_true(source_connected(&s, &v, 4 * MS));
-	v.chance = UINT64_MAX;
+	assert_true(source_may_send(&s, &v, 4 * MS));
+	v.random = UINT64_MAX;
 	for (uint32_t i = 0; i < 4; i++) {
 		assert_int_equal(source_next(&s, &v), SOURCE_LIST);
 		source_begin(&s, SOURCE_LIST);
-		assert_false(source_connected(&s, &v, 30 * MS));
-		source_end(&s, SOURCE_BUSY, false, false, &v);
+		assert_false(source_may_send(&s, &v, 30 * MS));
+		source_end(&s, SOURCE_DEFERRED, false, false, &v);
 		assert_int_equal(s.failures, 0);
 		assert_int_equal(source_next(&s, &v), SOURCE_WAIT);
 		assert_in_range(s.next_ns - v.now_ns, 50 * MS, 250 * MS);
 		v.now_ns = s.next_ns;
 	}
 	/* The platform may be far away, and no peer there. */
-	assert_true(source_connected(&s, &v, 30 * MS));
+	assert_true(source_may_send(&s, &v, 30 * MS));
 	/* Who reads for others does not wait. */
-	s.gave_way = 0;
-	v.known = v.through = 9;
-	assert_true(source_connected(&s, &v, 30 * MS));
+	s.deferrals = 0;
+	v.complete = v.synced = 9;
+	assert_true(source_may_send(&s, &v, 30 * MS));
 }
 
 /* A VM that hears of many waits for what they read. */
@@ -164,9 +164,9 @@
 	struct source_view v = view(START_NS + 300 * MS, 0, 0, 0);
 
 	(void)state;
-	v.peers = 11;
+	v.live_peers = 11;
 	assert_int_equal(source_next(&s, &v), SOURCE_LIST);
-	v.peers = 12;
+	v.live_peers = 12;
 	assert_int_equal(source_next(&s, &v), SOURCE_WAIT);
 	v.now_ns += 120 * MS;
 	assert_int_equal(source_next(&s, &v), SOURCE_LIST);
@@ -181,9 +181,9 @@
 	(void)state;
 	source_begin(&s, SOURCE_LIST);
 	source_end(&s, SOURCE_OK, true, true, &v);
-	source_needless(&s);
-	v.known = v.through = 9;
-	v.others_ns = v.now_ns;
+	source_cancel_listing(&s);
+	v.complete = v.synced = 9;
+	v.others_contact_ns = v.now_ns;
 	assert_int_equal(source_next(&s, &v), SOURCE_WAIT);
 }
 
@@ -193,7 +193,7 @@
 	struct source_view v = view(START_NS + NS_PER_S, 1, 9, 0);
 
 	(void)state;
-	v.others_ns = v.now_ns - NS_PER_S;
+	v.others_contact_ns = v.now_ns - NS_PER_S;
 	assert_int_equal(source_next(&s, &v), SOURCE_WAIT);
 	v.rank = 0;
 	assert_int_equal(source_next(&s, &v), SOURCE_WATCH);
@@ -209,7 +209,7 @@
 	struct source_view v = view(START_NS + 10 * NS_PER_S, 1, 9, 0);
 
 	(void)state;
-	v.others_ns = v.now_ns - SOURCE_CONTACT_NS - 350 * MS;
+	v.others_contact_ns = v.now_ns - SOURCE_CONTACT_NS - 350 * MS;
 	assert_int_equal(source_next(&s, &v), SOURCE_WATCH);
 	v.rank = 2;
 	assert_int_equal(source_next(&s, &v), SOURCE_WAIT);
@@ -224,7 +224,7 @@
 
 	(void)state;
 	source_begin(&s, SOURCE_WATCH);
-	source_end(&s, SOURCE_BEHIND, false, false, &v);
+	source_end(&s, SOURCE_GONE, false, false, &v);
 	assert_int_equal(source_next(&s, &v), SOURCE_LIST);
 }
 
@@ -343,7 +343,7 @@
 			continue;
 		source_begin(&s, step);
 		listings += step == SOURCE_LIST;
-		source_end(&s, step == SOURCE_LIST ? SOURCE_OK : SOURCE_BEHIND,
+		source_end(&s, step == SOURCE_LIST ? SOURCE_OK : SOURCE_GONE,
 			   false, false, &v);
 	}
 	assert_in_range(listings, 2, 20);
@@ -351,7 +351,7 @@
 	source_begin(&s, SOURCE_WATCH);
 	source_end(&s, SOURCE_OK, false, false, &v);
 	source_begin(&s, SOURCE_WATCH);
-	source_end(&s, SOURCE_BEHIND, false, false, &v);
+	source_end(&s, SOURCE_GONE, false, false, &v);
 	assert_int_equal(source_next(&s, &v), SOURCE_LIST);
 }
 
--- a/test/restore_prop.cc
+++ b/test/restore_prop.cc
@@ -176,20 +176,20 @@
 	{
 		position at = { store.epoch, store.revision };
 
-		if (store.epoch < documents_known(e.docs).epoch)
+		if (store.epoch < documents_complete(e.docs).epoch)
 			return;
 		documents_list_begin(e.docs);
 		for (const auto &k : store.keys)
 			if (!k.second.deleted)
 				put(e, k.first, DOCUMENT_LISTED);
 		documents_list_end(e.docs, at, at, now_ns);
-		documents_covered(e.docs, at, now_ns);
+		documents_advance_synced(e.docs, at, now_ns);
 	}
 
 	/* A watch of another epoch, or after what is not there, is a listing. */
 	void read(Entry &e)
 	{
-		position known = documents_known(e.docs);
+		position known = documents_complete(e.docs);
 		position at = { store.epoch, store.revision };
 
 		if (known.epoch != store.epoch || !known.revision) {
@@ -199,21 +199,21 @@
 		for (const auto &k : store.keys)
 			if (k.second.revision > known.revision)
 				put(e, k.first, DOCUMENT_CHANGED);
-		documents_covered(e.docs, at, now_ns);
+		documents_advance_synced(e.docs, at, now_ns);
 	}
 
 	bool ahead(const Entry &e, const Entry &peer)
 	{
 		position own = documents_newest(e.docs);
 		position its = documents_newest(peer.docs);
-		uint64_t carried = documents_carried(peer.docs);
+		uint64_t carried = documents_retained_digest(peer.docs);
 
-		if (!documents_through(peer.docs).revision)
+		if (!documents_synced(peer.docs).revision)
 			return false;
 		if (position_after(its, own))
 			return true;
 		return its.epoch == own.epoch && carried &&
-		       carried != documents_carried(e.docs) &&
+		       carried != documents_retained_digest(e.docs) &&
 		       carried != e.taken;
 	}
 
@@ -225,16 +225,17 @@
 	/* A heartbeat of @peer, and what @e asks it for. */
 	void hear(Entry &e, const Entry &peer)
 	{
-		position after = documents_through(e.docs);
-		position through = documents_through(peer.docs);
-		bool whole = documents_needs_all(peer.docs, after);
+		position after = documents_synced(e.docs);
+		position through = documents_synced(peer.docs);
+		bool whole = documents_peer_needs_full(peer.docs, after);
 
 		if (through.revision)
-			documents_began(e.docs, through.epoch,
-					documents_began_ns(peer.docs));
+			documents_lower_epoch_start(
+				e.docs, through.epoch,
+				documents_epoch_start_ns(peer.docs));
 		if (!ahead(e, peer) || through.epoch < after.epoch)
 			return;
-		e.taken = documents_carried(peer.docs);
+		e.taken = documents_retained_digest(peer.docs);
 		if (whole)
 			documents_list_begin(e.docs);
 		for (uint32_t i = 0; i < documents_count(peer.docs); i++) {
@@ -242,14 +243,14 @@
 
 			if (whole)
 				hand(e, d, DOCUMENT_LISTED);
-			else if (documents_lacks(peer.docs, after, d))
+			else if (documents_peer_lacks(peer.docs, after, d))
 				hand(e, d, DOCUMENT_CHANGED);
 		}
 		if (whole)
 			documents_list_end(e.docs, through,
 					   documents_floor(peer.docs), now_ns);
-		documents_covered(e.docs, through, now_ns);
-		documents_knows(e.docs, documents_newest(peer.docs));
+		documents_advance_synced(e.docs, through, now_ns);
+		documents_raise_newest(e.docs, documents_newest(peer.docs));
 	}
 
 	void start(unsigned i)
@@ -400,7 +401,7 @@
 		w.fell = w.fell || e->fell;
 	for (const auto &e : w.entries)
 		agreed = agreed && state(e->docs) == truth(w) &&
-			 !documents_carried(e->docs);
+			 !documents_retained_digest(e->docs);
 	return agreed && !w.fell;
 }
 
--- a/test/users_platform_test.c
+++ b/test/users_platform_test.c
@@ -501,11 +501,11 @@
 	assert_int_equal(n.routes->routes[0].kind, ROUTE_FEED);
 	assert_int_equal(n.routes->idle_timeout_ns, 15 * NS_PER_S);
 	assert_int_equal(n.routes->n_cold, 2);
-	assert_true(n.routes->cold[0].per_s == 0);
+	assert_true(n.routes->cold[0].flows_per_s == 0);
 	assert_int_equal(n.routes->cold[1].service,
 			 directory_known(names, "t"));
-	assert_int_equal(n.routes->cold[1].start_ms, 2500);
-	assert_true(n.routes->cold[1].per_s == 4.5f);
+	assert_int_equal(n.routes->cold[1].cold_ms, 2500);
+	assert_true(n.routes->cold[1].flows_per_s == 4.5f);
 	route_table_free(n.routes);
 	directory_free(names);
 }
