--- a/adapters/hello_codec.c
+++ b/adapters/hello_codec.c
@@ -47,12 +47,12 @@
 					  h->failing[i].failures_centi });
 	msgpack_pack_array(p, h->n_claims);
 	for (uint32_t i = 0; i < h->n_claims; i++)
-		put_numbers(p, CLAIM_FIELDS,
-			    (uint64_t[]){ h->claims[i].zone, h->claims[i].by,
-					  h->claims[i].at.epoch,
-					  h->claims[i].at.revision,
-					  h->claims[i].number,
-					  h->claims[i].age_ms });
+		put_numbers(
+			p, CLAIM_FIELDS,
+			(uint64_t[]){ h->claims[i].zone, h->claims[i].reader,
+				      h->claims[i].position.epoch,
+				      h->claims[i].position.revision,
+				      h->claims[i].seq, h->claims[i].age_ms });
 }
 
 /**
@@ -80,9 +80,9 @@
 					(h->has_loads ? HELLO_LOADS : 0));
 	msgpack_pack_uint64(&p, h->newest.epoch);
 	msgpack_pack_uint64(&p, h->newest.revision);
-	msgpack_pack_uint64(&p, h->carried);
+	msgpack_pack_uint64(&p, h->retained_digest);
 	msgpack_pack_uint64(&p, h->epoch_age_ms);
-	msgpack_pack_uint64(&p, h->trouble_age_ms);
+	msgpack_pack_uint64(&p, h->fault_age_ms);
 	put_lists(&p, h);
 	if (buf.size <= HELLO_MAX_BYTES) {
 		size_bytes = (uint32_t)buf.size;
@@ -192,7 +192,7 @@
 	    !msgpack_number(&f[4], UINT32_MAX, &flags) ||
 	    !msgpack_number(&f[5], UINT64_MAX, &h->newest.epoch) ||
 	    !msgpack_number(&f[6], UINT64_MAX, &h->newest.revision) ||
-	    !msgpack_number(&f[7], UINT64_MAX, &h->carried) ||
+	    !msgpack_number(&f[7], UINT64_MAX, &h->retained_digest) ||
 	    !msgpack_number(&f[8], UINT32_MAX, &age) ||
 	    !msgpack_number(&f[9], UINT32_MAX, &trouble))
 		return false;
@@ -201,7 +201,7 @@
 	h->reply = flags & HELLO_REPLY;
 	h->has_loads = flags & HELLO_LOADS;
 	h->epoch_age_ms = (uint32_t)age;
-	h->trouble_age_ms = (uint32_t)trouble;
+	h->fault_age_ms = (uint32_t)trouble;
 	return get_peers(&f[10], h) && get_loads(&f[11], h) &&
 	       get_dead(&f[12], h) && get_failing(&f[13], h) &&
 	       get_claims(&f[14], h);
--- a/bench/slopes-packets/main.c
+++ b/bench/slopes-packets/main.c
@@ -179,7 +179,7 @@
 	uint64_t start_ns;
 	uint32_t n;
 
-	loads_fill(f->directory, &h);
+	loads_fill_hello(f->directory, &h);
 	n = hello_encode(&h, data);
 	start_ns = clock_ns();
 	for (uint32_t i = 0; i < TICKS; i++) {
--- a/cmd/cb-packet/daemon.c
+++ b/cmd/cb-packet/daemon.c
@@ -95,7 +95,7 @@
 			 "refused, the settings in force stay");
 		mistakes_print(&m, stderr);
 	} else {
-		peer_set_seeds(d->node->peers, addrs, seeds(&next, addrs));
+		peer_set_set_seeds(d->node->peers, addrs, seeds(&next, addrs));
 		d->settings.decisions_per_s = next.decisions_per_s;
 		log_open("cb-packet", &next.log);
 		log_line(LOG_INFO, "reload", d->settings_path,
--- a/cmd/cb-packet/operators.c
+++ b/cmd/cb-packet/operators.c
@@ -83,7 +83,7 @@
 	gauge(out, "waiting", path_waiting(d->node->path));
 	gauge(out, "link_waiting", pacer_waiting(d->node->pacer));
 	gauge(out, "targets", directory_slots(d->node->directory));
-	gauge(out, "peers", peer_set_live(d->node->peers, now_ns));
+	gauge(out, "peers", peer_set_count_live(d->node->peers, now_ns));
 	gauge(out, "evacuated", directory_evacuations(d->node->directory)->n);
 	gauge(out, "revision",
 	      (double)documents_synced(d->node->documents).revision);
--- a/core/packet/node.c
+++ b/core/packet/node.c
@@ -58,7 +58,8 @@
 
 	if (!path_any_loaded(n->path))
 		return;
-	peer_set_hurry(n->peers, next_ns > n->loads_ns ? next_ns : n->loads_ns);
+	peer_set_expedite(n->peers,
+			  next_ns > n->loads_ns ? next_ns : n->loads_ns);
 }
 
 /* Whether anything is known that was of the moment when it was read. */
@@ -67,9 +68,9 @@
 	return documents_synced(n->documents).revision;
 }
 
-struct knowledge node_knowledge(const struct node *n)
+struct sync_state node_knowledge(const struct node *n)
 {
-	return (struct knowledge){
+	return (struct sync_state){
 		documents_newest(n->documents),
 		documents_retained_digest(n->documents),
 		n->carried_taken,
@@ -84,7 +85,7 @@
 	uint64_t age_ns = n->now_ns - documents_epoch_start_ns(n->documents);
 
 	h->newest = documents_newest(n->documents);
-	h->carried = documents_retained_digest(n->documents);
+	h->retained_digest = documents_retained_digest(n->documents);
 	h->epoch_age_ms = age_ns < EPOCH_TOLD_NS
 				  ? (uint32_t)(age_ns / NS_PER_MS)
 				  : UINT32_MAX;
@@ -99,7 +100,7 @@
 
 	if (!count)
 		return;
-	peer_set_fill(n->peers, &h, n->now_ns);
+	peer_set_fill_hello(n->peers, &h, n->now_ns);
 	h.leaving = n->stop_ns;
 	/* Nobody is to take for new what may be seconds old. */
 	if (node_knows(n))
@@ -112,9 +113,10 @@
 	if (dead)
 		h.dead[h.n_dead++] = target_incarnation(dead);
 	else if (n->now_ns >= n->loads_ns && n->policy->tell_loads)
-		loads_fill(n->directory, &h);
+		loads_fill_hello(n->directory, &h);
 	if (n->policy->tell_failures)
-		loads_fill_failing(n->directory, &h, n->policy, n->now_ns);
+		loads_fill_hello_failing(n->directory, &h, n->policy,
+					 n->now_ns);
 	pay(n, &h, count);
 	n->port.hello(n->port.ctx, to, count, &h);
 }
@@ -123,8 +125,7 @@
 void node_tell(struct node *n, const struct target *dead)
 {
 	uint64_t to[ROUND_MAX];
-	uint32_t count =
-		peer_set_neighbours(n->peers, n->now_ns, to, ROUND_MAX);
+	uint32_t count = peer_set_sample(n->peers, n->now_ns, to, ROUND_MAX);
 
 	send_hello(n, to, count, dead, HELLO_NEWS);
 }
@@ -283,8 +284,9 @@
  */
 static void judge_fresh(struct node *n)
 {
-	struct knowledge own = node_knowledge(n);
-	const struct peer_vm *p = peer_set_ahead(n->peers, &own, n->now_ns);
+	struct sync_state own = node_knowledge(n);
+	const struct peer_vm *p =
+		peer_set_find_ahead_of(n->peers, &own, n->now_ns);
 	bool missing = p && !position_after(p->newest, own.newest);
 
 	n->fresh = node_knows(n) && !p;
@@ -347,7 +349,7 @@
 		    ready ? "yes" : "no", (unsigned long long)node_version(n),
 		    (unsigned long long)documents_synced(n->documents).revision,
 		    directory_slots(n->directory),
-		    peer_set_live(n->peers, n->now_ns));
+		    peer_set_count_live(n->peers, n->now_ns));
 }
 
 /**
@@ -363,17 +365,18 @@
 
 	n->now_ns = now_ns;
 	path_tick(n->path, now_ns);
-	count = peer_set_due(n->peers, !node_knows(n), now_ns, to, ROUND_MAX);
+	count = peer_set_take_due(n->peers, !node_knows(n), now_ns, to,
+				  ROUND_MAX);
 	if (count) {
 		send_hello(n, to, count, NULL, HELLO_NEWS);
 		hurry(n);
-		loads_sum(n->directory, n->peers, now_ns);
+		loads_sum_peers(n->directory, n->peers, now_ns);
 	}
 	node_call(n);
 	documents_tick(n->documents, now_ns);
 	clock = (struct directory_clock){
 		now_ns,
-		peer_set_trouble_ns(n->peers),
+		peer_set_platform_fault_ns(n->peers),
 		peer_set_last_contact_ns(n->peers),
 	};
 	directory_tick(n->directory, &clock);
@@ -400,7 +403,7 @@
 void node_hello(struct node *n, const struct hello *h, uint64_t now_ns)
 {
 	n->now_ns = now_ns;
-	peer_set_hear(n->peers, h, now_ns);
+	peer_set_receive(n->peers, h, now_ns);
 	hear_epoch(n, h);
 	for (uint32_t i = 0; i < h->n_dead; i++)
 		path_told_dead(n->path, &h->dead[i]);
--- a/core/packet/node_calls.c
+++ b/core/packet/node_calls.c
@@ -9,14 +9,14 @@
 	return (struct source_view){
 		.policy = n->policy,
 		.now_ns = n->now_ns,
-		.rank = peer_set_rank(n->peers, n->now_ns),
+		.rank = peer_set_reader_rank(n->peers, n->now_ns),
 		.complete = documents_complete(n->documents).revision,
 		.synced = documents_synced(n->documents).revision,
 		.others_contact_ns =
 			peer_set_others_contact_ns(n->peers, n->now_ns),
 		.readers_before = peer_set_readers_before(
 			n->peers, n->now_ns - SOURCE_CONTACT_NS, n->now_ns),
-		.live_peers = peer_set_live(n->peers, n->now_ns),
+		.live_peers = peer_set_count_live(n->peers, n->now_ns),
 		.fetching = n->fetching,
 		.random = hash_u64(n->now_ns, n->conf.self ^ n->conf.boot),
 	};
@@ -24,16 +24,16 @@
 
 static void fetch(struct node *n)
 {
-	struct knowledge own = node_knowledge(n);
+	struct sync_state own = node_knowledge(n);
 	const struct peer_vm *p;
 
 	if (n->fetching || !n->policy->relay)
 		return;
-	p = peer_set_ahead(n->peers, &own, n->now_ns);
+	p = peer_set_find_ahead_of(n->peers, &own, n->now_ns);
 	if (!p)
 		return;
 	n->fetching = true;
-	n->fetching_carried = p->carried;
+	n->fetching_carried = p->retained_digest;
 	n->fetching_far = p->zone != node_zone(n);
 	n->counters.peer_calls++;
 	n->port.fetch(n->port.ctx, p->addr, documents_synced(n->documents));
@@ -168,7 +168,7 @@
 		    "answer of epoch %llu, known is epoch %llu",
 		    (unsigned long long)epoch, (unsigned long long)known);
 	if (epoch > known)
-		peer_set_trouble(n->peers, n->now_ns, n->now_ns);
+		peer_set_note_platform_fault(n->peers, n->now_ns, n->now_ns);
 }
 
 /**
@@ -236,7 +236,7 @@
 
 	if (ok) {
 		if (!needless_claim(n))
-			peer_set_contact(n->peers, at, n->now_ns);
+			peer_set_note_contact(n->peers, at, n->now_ns);
 		if (failures)
 			n->port.log(n->port.ctx, NODE_INFO, "platform", NULL,
 				    "answers again after %u failures",
@@ -244,7 +244,8 @@
 		return;
 	}
 	n->counters.platform_calls_failed++;
-	peer_set_trouble(n->peers, n->now_ns - SOURCE_CONTACT_NS, n->now_ns);
+	peer_set_note_platform_fault(n->peers, n->now_ns - SOURCE_CONTACT_NS,
+				     n->now_ns);
 }
 
 /* The first of a row is logged. */
--- a/core/packet/node_cold.c
+++ b/core/packet/node_cold.c
@@ -13,7 +13,7 @@
 		n->start_ns > n->paused_ns ? n->start_ns : n->paused_ns;
 
 	return n->now_ns >= since_ns + n->policy->young_ns &&
-	       !peer_set_lone(n->peers);
+	       !peer_set_is_alone(n->peers);
 }
 
 /*
@@ -48,7 +48,7 @@
 		return;
 	share = cold_share(cold.flows_per_s, &n->conf.cold);
 	seat = may && t->news.zone == node_zone(n) &&
-	       peer_set_seat(n->peers, t->news.id) < share.seats;
+	       peer_set_rendezvous_rank(n->peers, t->news.id) < share.seats;
 	cold_refill(t, seat, share.per_s, n->now_ns);
 }
 
--- a/core/packet/node_impl.h
+++ b/core/packet/node_impl.h
@@ -9,7 +9,7 @@
 void node_judge_ready(struct node *n);
 uint32_t node_zone(const struct node *n);
 bool node_knows(const struct node *n);
-struct knowledge node_knowledge(const struct node *n);
+struct sync_state node_knowledge(const struct node *n);
 
 /* node_published.c */
 uint64_t node_version(const struct node *n);
--- a/core/packet/peers/loads.c
+++ b/core/packet/peers/loads.c
@@ -3,91 +3,95 @@
 #include "outlier.h"
 
 #define CENTI 100.0f
-/* Larger numbers take more bytes than a heartbeat has room for. */
-#define TOLD_MAX UINT16_MAX
-/* What a peer told longer ago says nothing of now. */
+/* Larger numbers need more bytes than the size of a heartbeat allows for. */
+#define ADVERTISED_MAX UINT16_MAX
+/* Loads that a peer advertised longer ago are ignored. */
 #define LOADS_VALID_NS (2 * NS_PER_S)
-/* Less than half a failure is what is left of one that is forgotten. */
-#define FAILURES_TOLD_MIN 0.5f
+/* Counts of failures decay; a lower one is the rest of old failures. */
+#define FAILURES_ADVERTISED_MIN 0.5f
 
-static uint32_t told(float v)
+static uint32_t to_advertised(float v)
 {
-	return v < TOLD_MAX ? (uint32_t)v : TOLD_MAX;
+	return v < ADVERTISED_MAX ? (uint32_t)v : ADVERTISED_MAX;
 }
 
 /**
- * loads_fill() - put this entry's loads into a heartbeat
- * @d: directory
- * @h: heartbeat
+ * loads_fill_hello() - put the load of this entry's flows into a heartbeat
+ * @directory: targets
+ * @hello: heartbeat
  *
- * Targets without load are left out; beyond HELLO_LOADS_MAX the rest is.
+ * Targets without load are left out, and so are those beyond HELLO_LOADS_MAX.
  */
-void loads_fill(const struct directory *d, struct hello *h)
+void loads_fill_hello(const struct directory *directory, struct hello *hello)
 {
-	uint32_t n = directory_slots(d);
+	uint32_t n = directory_slots(directory);
 
-	h->has_loads = true;
-	for (uint32_t i = 0; i < n && h->n_loads < HELLO_LOADS_MAX; i++) {
-		const struct target *t = directory_slot(d, i);
+	hello->has_loads = true;
+	for (uint32_t i = 0; i < n && hello->n_loads < HELLO_LOADS_MAX; i++) {
+		const struct target *t = directory_slot(directory, i);
 		struct hello_load l = {
 			.cookie = t->cookie,
-			.feeds = told((float)t->feeds),
-			.short_centi = told(t->short_mean * CENTI),
-			.running_centi = told(t->running_mean * CENTI),
+			.feeds = to_advertised((float)t->feeds),
+			.short_centi = to_advertised(t->short_mean * CENTI),
+			.running_centi = to_advertised(t->running_mean * CENTI),
 		};
 
 		if (l.feeds || l.short_centi || l.running_centi)
-			h->loads[h->n_loads++] = l;
+			hello->loads[hello->n_loads++] = l;
 	}
 }
 
-/* Instead of the one that fails least, when there is no room for all. */
-static void add_failing(struct hello *h, struct hello_failing f)
+/* When the heartbeat is full, replaces the target with the fewest failures. */
+static void add_failing(struct hello *hello, struct hello_failing f)
 {
 	uint32_t least = 0;
 
-	if (h->n_failing < HELLO_FAILING_MAX) {
-		h->failing[h->n_failing++] = f;
+	if (hello->n_failing < HELLO_FAILING_MAX) {
+		hello->failing[hello->n_failing++] = f;
 		return;
 	}
 	for (uint32_t i = 1; i < HELLO_FAILING_MAX; i++)
-		if (h->failing[i].failures_centi <
-		    h->failing[least].failures_centi)
+		if (hello->failing[i].failures_centi <
+		    hello->failing[least].failures_centi)
 			least = i;
-	if (h->failing[least].failures_centi < f.failures_centi)
-		h->failing[least] = f;
+	if (hello->failing[least].failures_centi < f.failures_centi)
+		hello->failing[least] = f;
 }
 
 /**
- * loads_fill_failing() - put the targets that fail requests into a heartbeat
- * @d: directory
- * @h: heartbeat
- * @policy: figures to go by
- * @now_ns: time
+ * loads_fill_hello_failing() - put the targets that fail requests into a heartbeat
+ * @directory: targets
+ * @hello: heartbeat
+ * @policy: parameters
+ * @now_ns: current time
  *
- * Without it an entry of a large data centre, which sees a request in seconds
- * at each target, finds out too late.
+ * In a large data centre, an entry sends a target one request in several seconds.
+ * From its own failures alone it would detect a failing target too late.
  */
-void loads_fill_failing(const struct directory *d, struct hello *h,
-			const struct policy *policy, uint64_t now_ns)
+void loads_fill_hello_failing(const struct directory *directory,
+			      struct hello *hello, const struct policy *policy,
+			      uint64_t now_ns)
 {
-	uint32_t n = directory_slots(d);
+	uint32_t n = directory_slots(directory);
 
 	for (uint32_t i = 0; i < n; i++) {
-		const struct target *t = directory_slot(d, i);
+		const struct target *t = directory_slot(directory, i);
 		float failures = outlier_failures(t, policy, now_ns);
 
-		if (failures > FAILURES_TOLD_MIN)
-			add_failing(h, (struct hello_failing){
-					       t->cookie,
-					       told(failures * CENTI) });
+		if (failures > FAILURES_ADVERTISED_MIN)
+			add_failing(hello,
+				    (struct hello_failing){
+					    t->cookie,
+					    to_advertised(failures * CENTI) });
 	}
 }
 
-static void sum_failing(struct directory *d, const struct peer_vm *p)
+static void add_peer_failing(struct directory *directory,
+			     const struct peer_vm *p)
 {
 	for (uint32_t i = 0; i < p->n_failing; i++) {
-		struct target *t = directory_by_cookie(d, p->failing[i].cookie);
+		struct target *t =
+			directory_by_cookie(directory, p->failing[i].cookie);
 
 		if (t)
 			t->peers_failures +=
@@ -96,32 +100,34 @@
 }
 
 /**
- * loads_sum() - sum what the peers told
- * @d: directory
- * @f: set
- * @now_ns: time
+ * loads_sum_peers() - set the peers_* members of all targets from the heartbeats
+ * @directory: targets
+ * @peers: peers with the loads and failures that they advertised
+ * @now_ns: current time
  */
-void loads_sum(struct directory *d, const struct peer_set *f, uint64_t now_ns)
+void loads_sum_peers(struct directory *directory, const struct peer_set *peers,
+		     uint64_t now_ns)
 {
-	uint32_t n = directory_slots(d);
+	uint32_t n = directory_slots(directory);
 
 	for (uint32_t i = 0; i < n; i++) {
-		struct target *t = directory_slot(d, i);
+		struct target *t = directory_slot(directory, i);
 
 		t->peers_feeds = 0;
 		t->peers_short = 0;
 		t->peers_running = 0;
 		t->peers_failures = 0;
 	}
-	for (uint32_t i = 0; i < peer_set_count(f); i++) {
-		const struct peer_vm *p = peer_set_at(f, i);
+	for (uint32_t i = 0; i < peer_set_count(peers); i++) {
+		const struct peer_vm *p = peer_set_at(peers, i);
 
-		if (p->direct_ns + LOADS_VALID_NS < now_ns)
+		if (p->hello_ns + LOADS_VALID_NS < now_ns)
 			continue;
-		sum_failing(d, p);
+		add_peer_failing(directory, p);
 		for (uint32_t j = 0; j < p->n_loads; j++) {
 			const struct hello_load *l = &p->loads[j];
-			struct target *t = directory_by_cookie(d, l->cookie);
+			struct target *t =
+				directory_by_cookie(directory, l->cookie);
 
 			if (!t)
 				continue;
--- a/core/packet/peers/loads.h
+++ b/core/packet/peers/loads.h
@@ -1,4 +1,4 @@
-/* What the entries of a data centre tell each other of their targets' load. */
+/* Load and failures of targets, as entries advertise them in heartbeats. */
 #ifndef CB_LOADS_H
 #define CB_LOADS_H
 
@@ -6,9 +6,11 @@
 #include "peer_set.h"
 #include "policy.h"
 
-void loads_fill(const struct directory *d, struct hello *h);
-void loads_fill_failing(const struct directory *d, struct hello *h,
-			const struct policy *policy, uint64_t now_ns);
-void loads_sum(struct directory *d, const struct peer_set *f, uint64_t now_ns);
+void loads_fill_hello(const struct directory *directory, struct hello *hello);
+void loads_fill_hello_failing(const struct directory *directory,
+			      struct hello *hello, const struct policy *policy,
+			      uint64_t now_ns);
+void loads_sum_peers(struct directory *directory, const struct peer_set *peers,
+		     uint64_t now_ns);
 
 #endif
--- a/core/packet/peers/peer_set.c
+++ b/core/packet/peers/peer_set.c
@@ -3,39 +3,47 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A VM not heard of for three heartbeats and a little is not counted on. */
+/* A VM without a sign of life for three heartbeats and some slack is not live. */
 #define LIVE_NS (700 * NS_PER_MS)
-/* Until then somebody looks for it now and then: a partition may heal. */
+/* Until then a heartbeat is tried now and then: a partition may heal. */
 #define FORGET_NS (60 * NS_PER_S)
-/* Who heard of it longer ago does not pass it on: the dead would go round. */
+/* Older reports of third VMs are not relayed: dead VMs would circulate forever. */
 #define GOSSIP_MAX_MS 1500
-/* Heartbeats a round: neighbours of the data centre, and of any. */
-#define NEAR_MAX 8
-#define FAR_MAX 2
-/* Peers of other data centres that are kept: enough that some live, few enough
- * that those of the own one always have room. */
-#define FAR_KEPT 64
-/* A seed is tried once in so many rounds though others are known: a VM that
- * only knows its own side of a partition would never see it heal. */
+/* Heartbeats of a round: to VMs of this data centre, and of others. */
+#define LOCAL_MAX 8
+#define REMOTE_MAX 2
+/* VMs of other data centres that are kept: enough that some are live, few enough
+ * that all of this data centre fit into the table. */
+#define REMOTE_KEPT_MAX 64
+/* One seed is tried every so many rounds although other VMs are known: a VM that
+ * knows only its side of a partition would never notice that it healed. */
 #define SEED_ROUNDS 5
-/* Until anybody answered and told what is published: a VM is of no use before.
- * Who stays alone is cut off, and asks no more often than others do. */
+/* Heartbeat interval and its duration for a VM that is alone or has no documents,
+ * and so cannot serve. One that stays alone is partitioned, and falls back to the
+ * regular interval. */
 #define ALONE_PERIOD_NS (20 * NS_PER_MS)
-#define ALONE_HURRY_NS (2 * NS_PER_S)
+#define ALONE_DURATION_NS (2 * NS_PER_S)
 /*
- * The seeds after the first rounds less and less, up to ten times a second:
- * hundreds of VMs that start together would leave three seeds no time to read
- * the platform.
+ * Such a VM sends to the seeds at increasing intervals, up to the maximum: if
+ * hundreds of VMs that start together did so every 20 ms, three seeds would have
+ * no time to read the platform. The interval is this part of the time passed.
  */
 #define SEEDS_PART 4
 #define SEEDS_PERIOD_MAX_NS (100 * NS_PER_MS)
-/* A VM hears ten heartbeats a second from elsewhere, two where there are few:
- * with none for so long its data centre is cut off. */
-#define FAR_HEARD_NS NS_PER_S
+/* A VM receives ten heartbeats a second from other data centres, or two where
+ * there are few VMs. Without any for this long its data centre is cut off. */
+#define REMOTE_HELLO_NS NS_PER_S
 #define RANK_SEED 0x72616e6bULL
-/* Trouble of the platform is told for this long. */
-#define TROUBLE_TOLD_NS (10 * NS_PER_S)
+/* A fault of the platform is advertised for this long. */
+#define FAULT_ADVERTISED_NS (10 * NS_PER_S)
 
+/*
+ * @next_ns is the time of the next round of heartbeats, @alone_ns when this VM
+ * became alone or without documents, 0 when it is neither, @seeds_ns the earliest
+ * time of the next heartbeat to the seeds, @remote_ns the time of the last
+ * heartbeat from another data centre, @fault_ns of the last known fault of the
+ * platform.
+ */
 struct peer_set {
 	struct peer_set_conf conf;
 	struct rng rng;
@@ -46,170 +54,173 @@
 	uint64_t seeds_ns;
 	uint32_t round;
 	struct read_claims claims;
-	uint64_t far_ns;
-	uint64_t trouble_ns;
+	uint64_t remote_ns;
+	uint64_t fault_ns;
 };
 
 /**
- * peer_set_new() - nobody known yet
- * @conf: settings
+ * peer_set_new() - create a set without peers
+ * @conf: configuration; copied
  * @rng: random source
  *
- * Return: set, or NULL without memory.
+ * Return: set, freed by peer_set_free(); NULL when memory is exhausted.
  */
 struct peer_set *peer_set_new(const struct peer_set_conf *conf, struct rng rng)
 {
-	struct peer_set *f = calloc(1, sizeof(*f));
+	struct peer_set *set = calloc(1, sizeof(*set));
 
-	if (!f)
+	if (!set)
 		return NULL;
-	f->conf = *conf;
-	f->rng = rng;
-	f->peers = calloc(PEERS_MAX, sizeof(*f->peers));
-	if (f->peers)
-		return f;
-	free(f);
+	set->conf = *conf;
+	set->rng = rng;
+	set->peers = calloc(PEERS_MAX, sizeof(*set->peers));
+	if (set->peers)
+		return set;
+	free(set);
 	return NULL;
 }
 
-void peer_set_free(struct peer_set *f)
+void peer_set_free(struct peer_set *set)
 {
-	if (!f)
+	if (!set)
 		return;
-	for (uint32_t i = 0; i < f->n; i++)
-		free(f->peers[i].loads);
-	free(f->peers);
-	free(f);
+	for (uint32_t i = 0; i < set->n; i++)
+		free(set->peers[i].loads);
+	free(set->peers);
+	free(set);
 }
 
 /**
- * peer_set_seeds() - take a changed list of seeds
- * @f: set
- * @seeds: addresses
- * @n: how many
+ * peer_set_set_seeds() - replace the seeds
+ * @set: peers
+ * @seeds: addresses for peers; copied
+ * @n: number of @seeds; those that struct peer_set_conf cannot hold are ignored
  */
-void peer_set_seeds(struct peer_set *f, const uint64_t *seeds, uint32_t n)
+void peer_set_set_seeds(struct peer_set *set, const uint64_t *seeds, uint32_t n)
 {
-	uint32_t most = sizeof(f->conf.seeds) / sizeof(f->conf.seeds[0]);
+	uint32_t most = sizeof(set->conf.seeds) / sizeof(set->conf.seeds[0]);
 
-	f->conf.n_seeds = n < most ? n : most;
-	memcpy(f->conf.seeds, seeds, f->conf.n_seeds * sizeof(*seeds));
+	set->conf.n_seeds = n < most ? n : most;
+	memcpy(set->conf.seeds, seeds, set->conf.n_seeds * sizeof(*seeds));
 }
 
-static struct peer_vm *find(const struct peer_set *f, uint64_t addr)
+static struct peer_vm *find(const struct peer_set *set, uint64_t addr)
 {
-	for (uint32_t i = 0; i < f->n; i++)
-		if (f->peers[i].addr == addr)
-			return &f->peers[i];
+	for (uint32_t i = 0; i < set->n; i++)
+		if (set->peers[i].addr == addr)
+			return &set->peers[i];
 	return NULL;
 }
 
-static uint32_t count_far(const struct peer_set *f)
+static uint32_t count_remote(const struct peer_set *set)
 {
-	uint32_t far = 0;
+	uint32_t remote = 0;
 
-	for (uint32_t i = 0; i < f->n; i++)
-		far += f->peers[i].zone != f->conf.zone;
-	return far;
+	for (uint32_t i = 0; i < set->n; i++)
+		remote += set->peers[i].zone != set->conf.zone;
+	return remote;
 }
 
-static struct peer_vm *add(struct peer_set *f, uint64_t addr, uint32_t zone)
+static struct peer_vm *add(struct peer_set *set, uint64_t addr, uint32_t zone)
 {
-	struct peer_vm *p = find(f, addr);
+	struct peer_vm *p = find(set, addr);
 
-	if (p || addr == f->conf.self || f->n == PEERS_MAX)
+	if (p || addr == set->conf.self || set->n == PEERS_MAX)
 		return p;
-	if (zone != f->conf.zone && count_far(f) >= FAR_KEPT)
+	if (zone != set->conf.zone && count_remote(set) >= REMOTE_KEPT_MAX)
 		return NULL;
-	p = &f->peers[f->n++];
+	p = &set->peers[set->n++];
 	*p = (struct peer_vm){ .addr = addr, .zone = zone };
 	return p;
 }
 
-static bool live(const struct peer_vm *p, uint64_t now_ns)
+static bool is_live(const struct peer_vm *p, uint64_t now_ns)
 {
-	return p->heard_ns && p->heard_ns + LIVE_NS > now_ns;
+	return p->seen_ns && p->seen_ns + LIVE_NS > now_ns;
 }
 
-static uint64_t ago(uint64_t now_ns, uint64_t age_ms)
+static uint64_t time_of_age(uint64_t now_ns, uint64_t age_ms)
 {
 	uint64_t age_ns = age_ms * NS_PER_MS;
 
 	return age_ns < now_ns ? now_ns - age_ns : 1;
 }
 
-static void hear_of(struct peer_set *f, const struct hello_peer *h,
-		    uint64_t now_ns)
+static void receive_gossip(struct peer_set *set,
+			   const struct hello_peer *gossip, uint64_t now_ns)
 {
-	uint64_t heard_ns = ago(now_ns, h->age_ms);
-	struct peer_vm *p = add(f, h->addr, h->zone);
+	uint64_t seen_ns = time_of_age(now_ns, gossip->age_ms);
+	struct peer_vm *p = add(set, gossip->addr, gossip->zone);
 
-	if (p && heard_ns > p->heard_ns)
-		p->heard_ns = heard_ns;
+	if (p && seen_ns > p->seen_ns)
+		p->seen_ns = seen_ns;
 }
 
-/* Without memory the peer counts as idle: placement is worse, no more. */
-static void keep_loads(struct peer_vm *p, const struct hello *h)
+/* When memory is exhausted the peer counts as idle: placement gets worse. */
+static void store_loads(struct peer_vm *p, const struct hello *hello)
 {
 	if (!p->loads)
 		p->loads = malloc(HELLO_LOADS_MAX * sizeof(*p->loads));
-	p->n_loads = p->loads ? h->n_loads : 0;
+	p->n_loads = p->loads ? hello->n_loads : 0;
 	if (p->n_loads)
-		memcpy(p->loads, h->loads, p->n_loads * sizeof(*h->loads));
+		memcpy(p->loads, hello->loads,
+		       p->n_loads * sizeof(*hello->loads));
 }
 
-static void hear_claims(struct peer_set *f, const struct hello *h,
-			uint64_t now_ns)
+static void receive_claims(struct peer_set *set, const struct hello *hello,
+			   uint64_t now_ns)
 {
-	for (uint32_t i = 0; i < h->n_claims; i++) {
-		const struct hello_claim *k = &h->claims[i];
-		struct read_claim c = { k->zone, k->by, k->at, k->number,
-					ago(now_ns, k->age_ms) };
+	for (uint32_t i = 0; i < hello->n_claims; i++) {
+		const struct hello_claim *k = &hello->claims[i];
+		struct read_claim c = { k->zone, k->reader, k->position, k->seq,
+					time_of_age(now_ns, k->age_ms) };
 
-		read_claims_merge(&f->claims, &c);
+		read_claims_merge(&set->claims, &c);
 	}
 }
 
 /**
- * peer_set_hear() - take a peer's heartbeat
- * @f: set
- * @h: heartbeat
- * @now_ns: time
+ * peer_set_receive() - process the heartbeat of a peer
+ * @set: peers
+ * @hello: heartbeat
+ * @now_ns: current time
  *
- * Return: whether it knows something newer than it did before.
+ * Return: true when the newest position of the peer has advanced.
  */
-bool peer_set_hear(struct peer_set *f, const struct hello *h, uint64_t now_ns)
+bool peer_set_receive(struct peer_set *set, const struct hello *hello,
+		      uint64_t now_ns)
 {
-	struct peer_vm *p = add(f, h->from, h->zone);
-	uint64_t trouble_ns;
+	struct peer_vm *p = add(set, hello->from, hello->zone);
+	uint64_t fault_ns;
 	bool newer;
 
 	if (!p)
 		return false;
-	newer = position_after(h->newest, p->newest);
-	p->zone = h->zone;
-	p->boot = h->boot;
-	p->heard_ns = p->direct_ns = now_ns;
-	p->leaving = h->leaving;
-	p->newest = h->newest;
-	p->carried = h->carried;
-	if (h->zone != f->conf.zone)
-		f->far_ns = now_ns;
-	if (h->has_loads)
-		keep_loads(p, h);
-	p->n_failing = h->n_failing;
-	memcpy(p->failing, h->failing, sizeof(p->failing));
-	for (uint32_t i = 0; i < h->n_peers; i++)
-		if (h->peers[i].age_ms <= GOSSIP_MAX_MS)
-			hear_of(f, &h->peers[i], now_ns);
-	hear_claims(f, h, now_ns);
-	trouble_ns = ago(now_ns, h->trouble_age_ms);
-	if (h->trouble_age_ms != UINT32_MAX && trouble_ns > f->trouble_ns)
-		f->trouble_ns = trouble_ns;
+	newer = position_after(hello->newest, p->newest);
+	p->zone = hello->zone;
+	p->boot = hello->boot;
+	p->seen_ns = p->hello_ns = now_ns;
+	p->leaving = hello->leaving;
+	p->newest = hello->newest;
+	p->retained_digest = hello->retained_digest;
+	if (hello->zone != set->conf.zone)
+		set->remote_ns = now_ns;
+	if (hello->has_loads)
+		store_loads(p, hello);
+	p->n_failing = hello->n_failing;
+	memcpy(p->failing, hello->failing, sizeof(p->failing));
+	for (uint32_t i = 0; i < hello->n_peers; i++)
+		if (hello->peers[i].age_ms <= GOSSIP_MAX_MS)
+			receive_gossip(set, &hello->peers[i], now_ns);
+	receive_claims(set, hello, now_ns);
+	fault_ns = time_of_age(now_ns, hello->fault_age_ms);
+	if (hello->fault_age_ms != UINT32_MAX && fault_ns > set->fault_ns)
+		set->fault_ns = fault_ns;
 	return newer;
 }
 
-static uint32_t put(uint64_t *to, uint32_t n, uint32_t to_max, uint64_t addr)
+static uint32_t add_address(uint64_t *to, uint32_t n, uint32_t to_max,
+			    uint64_t addr)
 {
 	for (uint32_t i = 0; i < n; i++)
 		if (to[i] == addr)
@@ -219,137 +230,144 @@
 	return n;
 }
 
-/* Up to @most live VMs of this data centre or of others, from a random one. */
-static uint32_t some(struct peer_set *f, bool near, uint32_t most,
-		     uint64_t now_ns, uint64_t *to, uint32_t n, uint32_t to_max)
+/* Adds up to @most live VMs of this data centre or of others, from a random
+ * one on. */
+static uint32_t add_random_live(struct peer_set *set, bool local, uint32_t most,
+				uint64_t now_ns, uint64_t *to, uint32_t n,
+				uint32_t to_max)
 {
-	uint32_t from = f->n ? (uint32_t)(rng_next(&f->rng) % f->n) : 0;
+	uint32_t from = set->n ? (uint32_t)(rng_next(&set->rng) % set->n) : 0;
 	uint32_t taken = 0;
 
-	for (uint32_t i = 0; i < f->n && taken < most; i++) {
-		const struct peer_vm *p = &f->peers[(from + i) % f->n];
+	for (uint32_t i = 0; i < set->n && taken < most; i++) {
+		const struct peer_vm *p = &set->peers[(from + i) % set->n];
 
-		if ((p->zone == f->conf.zone) != near || !live(p, now_ns))
+		if ((p->zone == set->conf.zone) != local || !is_live(p, now_ns))
 			continue;
-		n = put(to, n, to_max, p->addr);
+		n = add_address(to, n, to_max, p->addr);
 		taken++;
 	}
 	return n;
 }
 
 /**
- * peer_set_neighbours() - whom to tell urgent news
- * @f: set
- * @now_ns: time
- * @to: filled with addresses
- * @to_max: room in @to
+ * peer_set_sample() - select random live peers for a round of heartbeats
+ * @set: peers; its random source advances
+ * @now_ns: current time
+ * @to: filled with addresses for peers
+ * @to_max: number of elements of @to
  *
- * Return: how many.
+ * Return: number of addresses.
  */
-uint32_t peer_set_neighbours(struct peer_set *f, uint64_t now_ns, uint64_t *to,
-			     uint32_t to_max)
+uint32_t peer_set_sample(struct peer_set *set, uint64_t now_ns, uint64_t *to,
+			 uint32_t to_max)
 {
-	uint32_t n = some(f, true, NEAR_MAX, now_ns, to, 0, to_max);
+	uint32_t n =
+		add_random_live(set, true, LOCAL_MAX, now_ns, to, 0, to_max);
 
-	return some(f, false, FAR_MAX, now_ns, to, n, to_max);
+	return add_random_live(set, false, REMOTE_MAX, now_ns, to, n, to_max);
 }
 
-static uint32_t put_seeds(const struct peer_set *f, uint64_t *to, uint32_t n,
+static uint32_t add_seeds(const struct peer_set *set, uint64_t *to, uint32_t n,
 			  uint32_t to_max)
 {
-	for (uint32_t i = 0; i < f->conf.n_seeds; i++)
-		if (f->conf.seeds[i] != f->conf.self)
-			n = put(to, n, to_max, f->conf.seeds[i]);
+	for (uint32_t i = 0; i < set->conf.n_seeds; i++)
+		if (set->conf.seeds[i] != set->conf.self)
+			n = add_address(to, n, to_max, set->conf.seeds[i]);
 	return n;
 }
 
-/* Somebody not heard of lately, and a seed: partitions heal through these. */
-static uint32_t lost(struct peer_set *f, uint64_t now_ns, uint64_t *to,
-		     uint32_t n, uint32_t to_max)
+/* Adds a random VM if it is not live, and a random seed, so that a healed
+ * partition is noticed. */
+static uint32_t add_lost_and_seed(struct peer_set *set, uint64_t now_ns,
+				  uint64_t *to, uint32_t n, uint32_t to_max)
 {
 	const struct peer_vm *p =
-		f->n ? &f->peers[rng_next(&f->rng) % f->n] : NULL;
+		set->n ? &set->peers[rng_next(&set->rng) % set->n] : NULL;
 	uint64_t seed;
 
-	if (p && !live(p, now_ns))
-		n = put(to, n, to_max, p->addr);
-	if (!f->conf.n_seeds)
+	if (p && !is_live(p, now_ns))
+		n = add_address(to, n, to_max, p->addr);
+	if (!set->conf.n_seeds)
 		return n;
-	seed = f->conf.seeds[rng_next(&f->rng) % f->conf.n_seeds];
-	if (seed != f->conf.self)
-		n = put(to, n, to_max, seed);
+	seed = set->conf.seeds[rng_next(&set->rng) % set->conf.n_seeds];
+	if (seed != set->conf.self)
+		n = add_address(to, n, to_max, seed);
 	return n;
 }
 
-static void drop_old(struct peer_set *f, uint64_t now_ns)
+static void remove_forgotten(struct peer_set *set, uint64_t now_ns)
 {
-	for (uint32_t i = f->n; i-- > 0;)
-		if (f->peers[i].heard_ns + FORGET_NS < now_ns) {
-			free(f->peers[i].loads);
-			f->peers[i] = f->peers[--f->n];
+	for (uint32_t i = set->n; i-- > 0;)
+		if (set->peers[i].seen_ns + FORGET_NS < now_ns) {
+			free(set->peers[i].loads);
+			set->peers[i] = set->peers[--set->n];
 		}
 }
 
-/* Whether this VM, which is alone or knows nothing, is in a hurry. */
-static bool hurries(struct peer_set *f, bool settled, uint64_t now_ns)
+/* Updates @alone_ns; returns whether heartbeats are sent at the short interval. */
+static bool update_alone(struct peer_set *set, bool settled, uint64_t now_ns)
 {
 	if (settled)
-		f->alone_ns = 0;
-	else if (!f->alone_ns)
-		f->alone_ns = now_ns;
-	return f->alone_ns && now_ns < f->alone_ns + ALONE_HURRY_NS;
+		set->alone_ns = 0;
+	else if (!set->alone_ns)
+		set->alone_ns = now_ns;
+	return set->alone_ns && now_ns < set->alone_ns + ALONE_DURATION_NS;
 }
 
-static bool seeds_due(struct peer_set *f, uint64_t now_ns)
+static bool take_seeds_due(struct peer_set *set, uint64_t now_ns)
 {
-	uint64_t period_ns = (now_ns - f->alone_ns) / SEEDS_PART;
+	uint64_t period_ns = (now_ns - set->alone_ns) / SEEDS_PART;
 
-	if (now_ns < f->seeds_ns)
+	if (now_ns < set->seeds_ns)
 		return false;
 	if (period_ns > SEEDS_PERIOD_MAX_NS)
 		period_ns = SEEDS_PERIOD_MAX_NS;
-	f->seeds_ns = now_ns + period_ns;
+	set->seeds_ns = now_ns + period_ns;
 	return true;
 }
 
 /**
- * peer_set_due() - whom a heartbeat is due to
- * @f: set
- * @young: nothing is known yet of what is published
- * @now_ns: time
- * @to: filled with addresses
- * @to_max: room in @to
+ * peer_set_take_due() - addresses that a heartbeat is due to, and schedule the next
+ *	round
+ * @set: peers; those not seen for FORGET_NS are removed
+ * @no_documents: this entry has no documents yet
+ * @now_ns: current time
+ * @to: filled with addresses for peers
+ * @to_max: number of elements of @to
  *
- * Return: how many; 0 when none is due yet.
+ * Return: number of addresses; 0 when no heartbeat is due.
  */
-uint32_t peer_set_due(struct peer_set *f, bool young, uint64_t now_ns,
-		      uint64_t *to, uint32_t to_max)
+uint32_t peer_set_take_due(struct peer_set *set, bool no_documents,
+			   uint64_t now_ns, uint64_t *to, uint32_t to_max)
 {
 	uint32_t n;
 
-	if (now_ns < f->next_ns)
+	if (now_ns < set->next_ns)
 		return 0;
-	drop_old(f, now_ns);
-	n = peer_set_neighbours(f, now_ns, to, to_max);
-	if (hurries(f, n && !young, now_ns)) {
-		f->next_ns = now_ns + ALONE_PERIOD_NS;
-		return seeds_due(f, now_ns) ? put_seeds(f, to, n, to_max) : n;
+	remove_forgotten(set, now_ns);
+	n = peer_set_sample(set, now_ns, to, to_max);
+	if (update_alone(set, n && !no_documents, now_ns)) {
+		set->next_ns = now_ns + ALONE_PERIOD_NS;
+		return take_seeds_due(set, now_ns)
+			       ? add_seeds(set, to, n, to_max)
+			       : n;
 	}
-	f->next_ns = now_ns + f->conf.period_ns;
-	if (!n || young || f->round++ % SEED_ROUNDS == 0)
-		n = lost(f, now_ns, to, n, to_max);
+	set->next_ns = now_ns + set->conf.period_ns;
+	if (!n || no_documents || set->round++ % SEED_ROUNDS == 0)
+		n = add_lost_and_seed(set, now_ns, to, n, to_max);
 	return n;
 }
 
 /**
- * peer_set_hurry() - the next heartbeat is due earlier
- * @f: set
- * @next_ns: at this time, if it was later
+ * peer_set_expedite() - bring the next round of heartbeats forward
+ * @set: peers
+ * @next_ns: its latest time
  */
-void peer_set_hurry(struct peer_set *f, uint64_t next_ns)
+void peer_set_expedite(struct peer_set *set, uint64_t next_ns)
 {
-	if (f->next_ns > next_ns)
-		f->next_ns = next_ns;
+	if (set->next_ns > next_ns)
+		set->next_ns = next_ns;
 }
 
 static uint32_t age_ms(uint64_t now_ns, uint64_t then_ns)
@@ -359,252 +377,267 @@
 	return ms < UINT32_MAX ? (uint32_t)ms : UINT32_MAX - 1;
 }
 
-static void fill_claims(const struct peer_set *f, struct hello *h,
+static void fill_claims(const struct peer_set *set, struct hello *hello,
 			uint64_t now_ns)
 {
 	struct read_claim c[HELLO_CLAIMS_MAX];
-	uint32_t n = read_claims_select(&f->claims, f->conf.zone, c,
+	uint32_t n = read_claims_select(&set->claims, set->conf.zone, c,
 					HELLO_CLAIMS_MAX);
 
 	for (uint32_t i = 0; i < n; i++)
-		h->claims[h->n_claims++] =
+		hello->claims[hello->n_claims++] =
 			(struct hello_claim){ c[i].zone, c[i].reader,
 					      c[i].position, c[i].seq,
 					      age_ms(now_ns, c[i].contact_ns) };
 }
 
 /**
- * peer_set_fill() - fill what is known of the others into a heartbeat
- * @f: set
- * @h: heartbeat
- * @now_ns: time
+ * peer_set_fill_hello() - put the sender, peers, claims and a fault into a heartbeat
+ * @set: peers; its random source advances
+ * @hello: heartbeat
+ * @now_ns: current time
  */
-void peer_set_fill(struct peer_set *f, struct hello *h, uint64_t now_ns)
-{
-	uint32_t from = f->n ? (uint32_t)(rng_next(&f->rng) % f->n) : 0;
-
-	h->from = f->conf.self;
-	h->zone = f->conf.zone;
-	h->boot = f->conf.boot;
-	fill_claims(f, h, now_ns);
-	h->trouble_age_ms = UINT32_MAX;
-	if (f->trouble_ns && f->trouble_ns + TROUBLE_TOLD_NS > now_ns)
-		h->trouble_age_ms = age_ms(now_ns, f->trouble_ns);
-	for (uint32_t i = 0; i < f->n && h->n_peers < HELLO_PEERS_MAX; i++) {
-		const struct peer_vm *p = &f->peers[(from + i) % f->n];
-
-		if (!live(p, now_ns))
+void peer_set_fill_hello(struct peer_set *set, struct hello *hello,
+			 uint64_t now_ns)
+{
+	uint32_t from = set->n ? (uint32_t)(rng_next(&set->rng) % set->n) : 0;
+
+	hello->from = set->conf.self;
+	hello->zone = set->conf.zone;
+	hello->boot = set->conf.boot;
+	fill_claims(set, hello, now_ns);
+	hello->fault_age_ms = UINT32_MAX;
+	if (set->fault_ns && set->fault_ns + FAULT_ADVERTISED_NS > now_ns)
+		hello->fault_age_ms = age_ms(now_ns, set->fault_ns);
+	for (uint32_t i = 0; i < set->n && hello->n_peers < HELLO_PEERS_MAX;
+	     i++) {
+		const struct peer_vm *p = &set->peers[(from + i) % set->n];
+
+		if (!is_live(p, now_ns))
 			continue;
-		h->peers[h->n_peers++] =
+		hello->peers[hello->n_peers++] =
 			(struct hello_peer){ p->addr, p->zone,
-					     age_ms(now_ns, p->heard_ns) };
+					     age_ms(now_ns, p->seen_ns) };
 	}
-	h->reply = peer_set_live(f, now_ns) < 2;
+	hello->reply = peer_set_count_live(set, now_ns) < 2;
 }
 
 /**
- * peer_set_contact() - the platform answered this VM
- * @f: set
- * @at: position of the platform; of revision 0 when the answer told none
- * @now_ns: time
+ * peer_set_note_contact() - record that the platform answered this VM
+ * @set: peers
+ * @position: position of the platform; revision 0 when the answer had none
+ * @now_ns: current time
  */
-void peer_set_contact(struct peer_set *f, struct position at, uint64_t now_ns)
+void peer_set_note_contact(struct peer_set *set, struct position position,
+			   uint64_t now_ns)
 {
-	read_claims_renew(&f->claims, f->conf.zone, f->conf.self, at, now_ns);
+	read_claims_renew(&set->claims, set->conf.zone, set->conf.self,
+			  position, now_ns);
 }
 
 /**
- * peer_set_trouble() - this VM found the platform in trouble
- * @f: set
- * @contact_ns: no later contact is claimed from now on, so that the next VM
- *	in rank tries soon
- * @now_ns: time
+ * peer_set_note_platform_fault() - record a fault of the platform
+ * @set: peers
+ * @contact_ns: the claim of this VM is set back to this contact, so that the VM next
+ *	in rank reads soon
+ * @now_ns: current time
+ *
+ * A fault is a failed call, or an answer of a new epoch.
  */
-void peer_set_trouble(struct peer_set *f, uint64_t contact_ns, uint64_t now_ns)
+void peer_set_note_platform_fault(struct peer_set *set, uint64_t contact_ns,
+				  uint64_t now_ns)
 {
-	f->trouble_ns = now_ns;
-	read_claims_withdraw(&f->claims, f->conf.zone, f->conf.self,
+	set->fault_ns = now_ns;
+	read_claims_withdraw(&set->claims, set->conf.zone, set->conf.self,
 			     contact_ns);
 }
 
-uint64_t peer_set_trouble_ns(const struct peer_set *f)
+uint64_t peer_set_platform_fault_ns(const struct peer_set *set)
 {
-	return f->trouble_ns;
+	return set->fault_ns;
 }
 
 /*
- * After which silence a VM of this data centre is taken for lost. Among many a
- * VM is heard of less often: with the same time for all, each would take most
- * others for lost at times, think itself first in rank, and read the platform.
+ * Time without a sign of life after which a VM of this data centre counts as lost.
+ * The more VMs there are, the less often each is heard from. With a fixed time
+ * each VM would at times count most others as lost, rank itself first and read
+ * the platform.
  */
-static uint64_t silence_ns(const struct peer_set *f)
+static uint64_t lost_after_ns(const struct peer_set *set)
 {
-	uint32_t near = f->n - count_far(f);
+	uint32_t local = set->n - count_remote(set);
 
-	return LIVE_NS * (1 + near / NEAR_MAX);
+	return LIVE_NS * (1 + local / LOCAL_MAX);
 }
 
 /**
- * peer_set_others_contact_ns() - when the platform last answered another VM of
- *	this data centre that goes on reading
- * @f: set
- * @now_ns: time
+ * peer_set_others_contact_ns() - when the platform last answered another reader of
+ *	this data centre
+ * @set: peers
+ * @now_ns: current time
  *
- * Return: time, 0 for never.
+ * Return: time in nanoseconds; 0 for never, and when that reader is leaving or
+ * lost, or is this VM.
  */
-uint64_t peer_set_others_contact_ns(const struct peer_set *f, uint64_t now_ns)
+uint64_t peer_set_others_contact_ns(const struct peer_set *set, uint64_t now_ns)
 {
-	const struct read_claim *c = read_claims_get(&f->claims, f->conf.zone);
-	const struct peer_vm *p = c ? find(f, c->reader) : NULL;
+	const struct read_claim *c =
+		read_claims_get(&set->claims, set->conf.zone);
+	const struct peer_vm *p = c ? find(set, c->reader) : NULL;
 
-	if (!c || c->reader == f->conf.self ||
-	    (p && (p->leaving || p->heard_ns + silence_ns(f) <= now_ns)))
+	if (!c || c->reader == set->conf.self ||
+	    (p && (p->leaving || p->seen_ns + lost_after_ns(set) <= now_ns)))
 		return 0;
 	return c->contact_ns;
 }
 
 /**
- * peer_set_last_contact_ns() - when the platform last answered this VM or any
- *	that was heard of
- * @f: set
+ * peer_set_last_contact_ns() - when the platform last answered any known reader
+ * @set: peers
  *
- * Return: time, 0 for never.
+ * Return: time in nanoseconds; 0 for never.
  */
-uint64_t peer_set_last_contact_ns(const struct peer_set *f)
+uint64_t peer_set_last_contact_ns(const struct peer_set *set)
 {
-	return read_claims_last_contact_ns(&f->claims);
+	return read_claims_last_contact_ns(&set->claims);
 }
 
 /**
- * peer_set_readers_before() - how many data centres read the platform that come
- *	before this one
- * @f: set
- * @since_ns: who was not answered since does not read
- * @now_ns: time
+ * peer_set_readers_before() - number of data centres with a reader that precede this
+ *	one
+ * @set: peers
+ * @since_ns: a data centre whose last contact is not later has no reader
+ * @now_ns: current time
  *
- * Return: how many; 0 when nobody elsewhere was heard of late. What they read
- * does not come here then.
+ * Return: number of data centres; 0 when no heartbeat came from another data
+ * centre recently, since what they read does not arrive here then.
  */
-uint32_t peer_set_readers_before(const struct peer_set *f, uint64_t since_ns,
+uint32_t peer_set_readers_before(const struct peer_set *set, uint64_t since_ns,
 				 uint64_t now_ns)
 {
-	if (f->far_ns + FAR_HEARD_NS < now_ns)
+	if (set->remote_ns + REMOTE_HELLO_NS < now_ns)
 		return 0;
-	return read_claims_readers_before(&f->claims, f->conf.zone, since_ns);
+	return read_claims_readers_before(&set->claims, set->conf.zone,
+					  since_ns);
 }
 
 /**
- * peer_set_rank() - this VM's place among the live ones of its data centre
- * @f: set
- * @now_ns: time
+ * peer_set_reader_rank() - rank of this VM among the readers of its data centre
+ * @set: peers
+ * @now_ns: current time
  *
- * Return: 0 when it should read the platform.
+ * Return: number of VMs that are not lost and precede this one; 0 for the one that
+ * should read the platform.
  */
-uint32_t peer_set_rank(const struct peer_set *f, uint64_t now_ns)
+uint32_t peer_set_reader_rank(const struct peer_set *set, uint64_t now_ns)
 {
-	uint64_t mine = hash_u64(f->conf.self, RANK_SEED);
-	uint64_t lost_ns = silence_ns(f);
+	uint64_t mine = hash_u64(set->conf.self, RANK_SEED);
+	uint64_t lost_ns = lost_after_ns(set);
 	uint32_t rank = 0;
 
-	for (uint32_t i = 0; i < f->n; i++) {
-		const struct peer_vm *p = &f->peers[i];
+	for (uint32_t i = 0; i < set->n; i++) {
+		const struct peer_vm *p = &set->peers[i];
 
-		if (p->zone == f->conf.zone && p->direct_ns && !p->leaving &&
+		if (p->zone == set->conf.zone && p->hello_ns && !p->leaving &&
 		    hash_u64(p->addr, RANK_SEED) < mine &&
-		    p->heard_ns + lost_ns > now_ns)
+		    p->seen_ns + lost_ns > now_ns)
 			rank++;
 	}
 	return rank;
 }
 
 /**
- * peer_set_seat() - this VM's place for a matter among those of its data centre
- * @f: set
- * @what: the matter
+ * peer_set_rendezvous_rank() - rank of this VM in its data centre for a key, by
+ *	rendezvous hashing
+ * @set: peers
+ * @key: key, such as the id of a target
  *
- * Those that were lost lately count, so that both sides of a partition see the
- * same places.
+ * VMs lost recently count, so that both sides of a partition see the same ranks.
  *
- * Return: 0 for the first.
+ * Return: number of VMs that precede this one for @key.
  */
-uint32_t peer_set_seat(const struct peer_set *f, uint64_t what)
+uint32_t peer_set_rendezvous_rank(const struct peer_set *set, uint64_t key)
 {
-	uint64_t mine = hash_u64(f->conf.self, what);
+	uint64_t mine = hash_u64(set->conf.self, key);
 	uint32_t before = 0;
 
-	for (uint32_t i = 0; i < f->n; i++)
-		before += f->peers[i].zone == f->conf.zone &&
-			  hash_u64(f->peers[i].addr, what) < mine;
+	for (uint32_t i = 0; i < set->n; i++)
+		before += set->peers[i].zone == set->conf.zone &&
+			  hash_u64(set->peers[i].addr, key) < mine;
 	return before;
 }
 
 /**
- * peer_set_lone() - whether this VM knows nobody though there are others
- * @f: set
+ * peer_set_is_alone() - whether no peer is known although there are seeds
+ * @set: peers
  *
- * Return: whether.
+ * Return: true when there is a seed other than this VM, and no peer is known.
  */
-bool peer_set_lone(const struct peer_set *f)
+bool peer_set_is_alone(const struct peer_set *set)
 {
-	if (f->n)
+	if (set->n)
 		return false;
-	for (uint32_t i = 0; i < f->conf.n_seeds; i++)
-		if (f->conf.seeds[i] != f->conf.self)
+	for (uint32_t i = 0; i < set->conf.n_seeds; i++)
+		if (set->conf.seeds[i] != set->conf.self)
 			return true;
 	return false;
 }
 
-/* Two that carry different documents over ask each other once. */
-static bool ahead(const struct peer_vm *p, const struct knowledge *own)
+/* Entries that retain different documents fetch from each other once, not without
+ * end. */
+static bool is_ahead(const struct peer_vm *p, const struct sync_state *own)
 {
 	if (position_after(p->newest, own->newest))
 		return true;
-	return p->newest.epoch == own->newest.epoch && p->carried &&
-	       p->carried != own->carried && p->carried != own->carried_taken;
+	return p->newest.epoch == own->newest.epoch && p->retained_digest &&
+	       p->retained_digest != own->retained_digest &&
+	       p->retained_digest != own->fetched_digest;
 }
 
 /**
- * peer_set_ahead() - a peer to fetch from
- * @f: set
- * @own: what is known here
- * @now_ns: time
+ * peer_set_find_ahead_of() - find a peer with newer documents to fetch from
+ * @set: peers; its random source advances
+ * @own: documents of this entry
+ * @now_ns: current time
  *
- * Return: a live peer that knows something newer, of this data centre if there
- * is one; or NULL.
+ * Return: a live peer with a newer position, or with retained documents that
+ * differ, of this data centre if there is one; NULL when there is none. Owned by
+ * @set.
  */
-const struct peer_vm *
-peer_set_ahead(struct peer_set *f, const struct knowledge *own, uint64_t now_ns)
+const struct peer_vm *peer_set_find_ahead_of(struct peer_set *set,
+					     const struct sync_state *own,
+					     uint64_t now_ns)
 {
-	uint32_t from = f->n ? (uint32_t)(rng_next(&f->rng) % f->n) : 0;
-	const struct peer_vm *far = NULL;
+	uint32_t from = set->n ? (uint32_t)(rng_next(&set->rng) % set->n) : 0;
+	const struct peer_vm *remote = NULL;
 
-	for (uint32_t i = 0; i < f->n; i++) {
-		const struct peer_vm *p = &f->peers[(from + i) % f->n];
+	for (uint32_t i = 0; i < set->n; i++) {
+		const struct peer_vm *p = &set->peers[(from + i) % set->n];
 
-		if (!live(p, now_ns) || !ahead(p, own))
+		if (!is_live(p, now_ns) || !is_ahead(p, own))
 			continue;
-		if (p->zone == f->conf.zone)
+		if (p->zone == set->conf.zone)
 			return p;
-		far = p;
+		remote = p;
 	}
-	return far;
+	return remote;
 }
 
-uint32_t peer_set_live(const struct peer_set *f, uint64_t now_ns)
+uint32_t peer_set_count_live(const struct peer_set *set, uint64_t now_ns)
 {
 	uint32_t n = 0;
 
-	for (uint32_t i = 0; i < f->n; i++)
-		n += live(&f->peers[i], now_ns);
+	for (uint32_t i = 0; i < set->n; i++)
+		n += is_live(&set->peers[i], now_ns);
 	return n;
 }
 
-uint32_t peer_set_count(const struct peer_set *f)
+uint32_t peer_set_count(const struct peer_set *set)
 {
-	return f->n;
+	return set->n;
 }
 
-const struct peer_vm *peer_set_at(const struct peer_set *f, uint32_t i)
+const struct peer_vm *peer_set_at(const struct peer_set *set, uint32_t i)
 {
-	return i < f->n ? &f->peers[i] : NULL;
+	return i < set->n ? &set->peers[i] : NULL;
 }
--- a/test/packet_node_test.c
+++ b/test/packet_node_test.c
@@ -1002,9 +1002,10 @@
 static void test_not_ready_before_it_has_what_peers_carry(void **state)
 {
 	struct fixture *f = *state;
-	struct hello h = {
-		.from = PEER, .newest = { 2, 23 }, .carried = 77, .boot = 1
-	};
+	struct hello h = { .from = PEER,
+			   .newest = { 2, 23 },
+			   .retained_digest = 77,
+			   .boot = 1 };
 	struct relay_head head = { .through = { 2, 23 },
 				   .newest = { 2, 23 },
 				   .whole = false };
--- a/test/packet_peers_test.c
+++ b/test/packet_peers_test.c
@@ -70,7 +70,7 @@
 	assert_int_equal(hello_decode(data, size_bytes, &got), 0);
 	if (i >= VMS || n->cut[from] != n->cut[i])
 		return;
-	peer_set_hear(n->vm[i], &got, n->now_ns);
+	peer_set_receive(n->vm[i], &got, n->now_ns);
 }
 
 static void net_pass(struct net *n, uint64_t ns)
@@ -80,11 +80,11 @@
 
 	for (; n->now_ns < end_ns; n->now_ns += 20 * MS) {
 		for (uint32_t i = 0; i < VMS; i++) {
-			uint32_t k = peer_set_due(n->vm[i], false, n->now_ns,
-						  to, ROOM);
+			uint32_t k = peer_set_take_due(n->vm[i], false,
+						       n->now_ns, to, ROOM);
 			struct hello h = { 0 };
 
-			peer_set_fill(n->vm[i], &h, n->now_ns);
+			peer_set_fill_hello(n->vm[i], &h, n->now_ns);
 			for (uint32_t j = 0; j < k; j++)
 				deliver(n, i, to[j], &h);
 		}
@@ -99,7 +99,8 @@
 	net_open(&n);
 	net_pass(&n, 3 * NS_PER_S);
 	for (uint32_t i = 0; i < VMS; i++)
-		assert_int_equal(peer_set_live(n.vm[i], n.now_ns), VMS - 1);
+		assert_int_equal(peer_set_count_live(n.vm[i], n.now_ns),
+				 VMS - 1);
 	net_close(&n);
 }
 
@@ -112,7 +113,8 @@
 	net_open(&n);
 	net_pass(&n, 3 * NS_PER_S);
 	for (uint32_t i = 0; i < VMS; i++)
-		readers[i % ZONES] += peer_set_rank(n.vm[i], n.now_ns) == 0;
+		readers[i % ZONES] +=
+			peer_set_reader_rank(n.vm[i], n.now_ns) == 0;
 	for (uint32_t z = 0; z < ZONES; z++)
 		assert_int_equal(readers[z], 1);
 	net_close(&n);
@@ -144,23 +146,24 @@
 	}
 	for (uint32_t step = 0; step < 500; step++, now_ns += 20 * MS) {
 		for (uint32_t i = 0; i < CROWD; i++) {
-			uint32_t k =
-				peer_set_due(vm[i], false, now_ns, to, ROOM);
+			uint32_t k = peer_set_take_due(vm[i], false, now_ns, to,
+						       ROOM);
 			struct hello h = { 0 };
 
-			peer_set_fill(vm[i], &h, now_ns);
+			peer_set_fill_hello(vm[i], &h, now_ns);
 			for (uint32_t j = 0; j < k; j++)
-				peer_set_hear(vm[ADDR_IP(to[j]) -
-						 ADDR_IP(address(0))],
-					      &h, now_ns);
+				peer_set_receive(vm[ADDR_IP(to[j]) -
+						    ADDR_IP(address(0))],
+						 &h, now_ns);
 		}
 		for (uint32_t i = 0; i < CROWD && step % 100 == 50; i++)
-			if (!peer_set_rank(vm[i], now_ns))
-				peer_set_contact(vm[i], at(step + 1), now_ns);
+			if (!peer_set_reader_rank(vm[i], now_ns))
+				peer_set_note_contact(vm[i], at(step + 1),
+						      now_ns);
 		if (step < 250 || step % 50)
 			continue;
 		for (uint32_t i = 0; i < CROWD; i++) {
-			first += !peer_set_rank(vm[i], now_ns);
+			first += !peer_set_reader_rank(vm[i], now_ns);
 			reading += peer_set_others_contact_ns(vm[i], now_ns) +
 					   2400 * MS <
 				   now_ns;
@@ -187,7 +190,7 @@
 	net_open(&n);
 	net_pass(&n, 2 * NS_PER_S);
 	for (uint32_t i = 0; i < ZONES; i++)
-		peer_set_contact(n.vm[i], at(50), n.now_ns);
+		peer_set_note_contact(n.vm[i], at(50), n.now_ns);
 	net_pass(&n, NS_PER_S);
 	for (uint32_t i = 0; i < VMS; i++)
 		before += peer_set_readers_before(
@@ -221,12 +224,13 @@
 	net_pass(&n, 2 * NS_PER_S);
 	n.cut[0] = n.cut[3] = n.cut[6] = true;
 	net_pass(&n, 10 * NS_PER_S);
-	assert_int_equal(peer_set_live(n.vm[0], n.now_ns), 2);
-	assert_int_equal(peer_set_live(n.vm[1], n.now_ns), 5);
+	assert_int_equal(peer_set_count_live(n.vm[0], n.now_ns), 2);
+	assert_int_equal(peer_set_count_live(n.vm[1], n.now_ns), 5);
 	memset(n.cut, 0, sizeof(n.cut));
 	net_pass(&n, 4 * NS_PER_S);
 	for (uint32_t i = 0; i < VMS; i++)
-		assert_int_equal(peer_set_live(n.vm[i], n.now_ns), VMS - 1);
+		assert_int_equal(peer_set_count_live(n.vm[i], n.now_ns),
+				 VMS - 1);
 	net_close(&n);
 }
 
@@ -237,69 +241,71 @@
 	(void)state;
 	net_open(&n);
 	net_pass(&n, 2 * NS_PER_S);
-	assert_int_equal(peer_set_trouble_ns(n.vm[8]), 0);
-	peer_set_trouble(n.vm[0], n.now_ns, n.now_ns);
+	assert_int_equal(peer_set_platform_fault_ns(n.vm[8]), 0);
+	peer_set_note_platform_fault(n.vm[0], n.now_ns, n.now_ns);
 	net_pass(&n, 2 * NS_PER_S);
 	for (uint32_t i = 0; i < VMS; i++)
-		assert_int_not_equal(peer_set_trouble_ns(n.vm[i]), 0);
+		assert_int_not_equal(peer_set_platform_fault_ns(n.vm[i]), 0);
 	net_close(&n);
 }
 
 static void test_peer_ahead_is_found(void **state)
 {
-	struct knowledge older = { { 0, 49 }, 0, 0 };
-	struct knowledge same = { { 0, 50 }, 0, 0 };
+	struct sync_state older = { { 0, 49 }, 0, 0 };
+	struct sync_state same = { { 0, 50 }, 0, 0 };
 	struct net n;
 	struct hello h = { .from = address(4), .zone = 1, .newest = { 0, 50 } };
 
 	(void)state;
 	net_open(&n);
-	peer_set_hear(n.vm[0], &h, n.now_ns);
-	assert_int_equal(peer_set_ahead(n.vm[0], &older, n.now_ns)->addr,
-			 address(4));
-	assert_null(peer_set_ahead(n.vm[0], &same, n.now_ns));
+	peer_set_receive(n.vm[0], &h, n.now_ns);
+	assert_int_equal(
+		peer_set_find_ahead_of(n.vm[0], &older, n.now_ns)->addr,
+		address(4));
+	assert_null(peer_set_find_ahead_of(n.vm[0], &same, n.now_ns));
 	/* Not one that fell silent. */
-	assert_null(peer_set_ahead(n.vm[0], &older, n.now_ns + NS_PER_S));
+	assert_null(
+		peer_set_find_ahead_of(n.vm[0], &older, n.now_ns + NS_PER_S));
 	net_close(&n);
 }
 
 /* Guards against entries that never ask who has read the restored store. */
 static void test_peer_of_a_later_epoch_is_ahead(void **state)
 {
-	struct knowledge before = { { 1, 50 }, 0, 0 };
-	struct knowledge later = { { 3, 1 }, 0, 0 };
+	struct sync_state before = { { 1, 50 }, 0, 0 };
+	struct sync_state later = { { 3, 1 }, 0, 0 };
 	struct net n;
 	struct hello h = { .from = address(4), .zone = 1, .newest = { 2, 40 } };
 
 	(void)state;
 	net_open(&n);
-	peer_set_hear(n.vm[0], &h, n.now_ns);
-	assert_non_null(peer_set_ahead(n.vm[0], &before, n.now_ns));
-	assert_null(peer_set_ahead(n.vm[0], &later, n.now_ns));
+	peer_set_receive(n.vm[0], &h, n.now_ns);
+	assert_non_null(peer_set_find_ahead_of(n.vm[0], &before, n.now_ns));
+	assert_null(peer_set_find_ahead_of(n.vm[0], &later, n.now_ns));
 	net_close(&n);
 }
 
 /* Guards against two that ask each other for what they carry without end. */
 static void test_who_carries_more_is_asked_once(void **state)
 {
-	struct knowledge own = { { 2, 40 }, 0, 0 };
+	struct sync_state own = { { 2, 40 }, 0, 0 };
 	struct net n;
 	struct hello h = { .from = address(4),
 			   .zone = 1,
 			   .newest = { 2, 40 },
-			   .carried = 77 };
+			   .retained_digest = 77 };
 
 	(void)state;
 	net_open(&n);
-	peer_set_hear(n.vm[0], &h, n.now_ns);
-	assert_non_null(peer_set_ahead(n.vm[0], &own, n.now_ns));
-	own.carried_taken = 77;
-	assert_null(peer_set_ahead(n.vm[0], &own, n.now_ns));
-	own = (struct knowledge){ { 2, 40 }, 77, 0 };
-	assert_null(peer_set_ahead(n.vm[0], &own, n.now_ns));
+	peer_set_receive(n.vm[0], &h, n.now_ns);
+	assert_non_null(peer_set_find_ahead_of(n.vm[0], &own, n.now_ns));
+	own.fetched_digest = 77;
+	assert_null(peer_set_find_ahead_of(n.vm[0], &own, n.now_ns));
+	own = (struct sync_state){ { 2, 40 }, 77, 0 };
+	assert_null(peer_set_find_ahead_of(n.vm[0], &own, n.now_ns));
 	/* Of another epoch it is not what is missing here. */
-	own = (struct knowledge){ { 3, 1 }, 0, 0 };
-	assert_null(peer_set_ahead(n.vm[0], &own, n.now_ns));
+	own = (struct sync_state){ { 3, 1 }, 0, 0 };
+	assert_null(peer_set_find_ahead_of(n.vm[0], &own, n.now_ns));
 	net_close(&n);
 }
 
@@ -312,8 +318,8 @@
 	(void)state;
 	net_open(&n);
 	for (uint32_t i = 0; i < 500; i++, n.now_ns += 20 * MS) {
-		uint32_t due =
-			peer_set_due(n.vm[8], false, n.now_ns, to, ROOM) > 0;
+		uint32_t due = peer_set_take_due(n.vm[8], false, n.now_ns, to,
+						 ROOM) > 0;
 
 		first += i < 3 ? due : 0;
 		hurried += i < 100 ? due : 0;
@@ -342,16 +348,16 @@
 				   .zone = 77,
 				   .boot = 1 };
 
-		peer_set_hear(n.vm[0], &h, n.now_ns);
+		peer_set_receive(n.vm[0], &h, n.now_ns);
 	}
 	for (uint32_t i = 0; i < 400; i++) {
 		struct hello h = { .from = ADDR(0x0d000000 + i, 7720),
 				   .zone = 0,
 				   .boot = 1 };
 
-		peer_set_hear(n.vm[0], &h, n.now_ns);
+		peer_set_receive(n.vm[0], &h, n.now_ns);
 	}
-	assert_in_range(peer_set_live(n.vm[0], n.now_ns), 401, 464);
+	assert_in_range(peer_set_count_live(n.vm[0], n.now_ns), 401, 464);
 	net_close(&n);
 }
 
@@ -369,16 +375,16 @@
 	t->feeds = 4;
 	t->short_mean = 1.5f;
 	t->running_mean = 0.25f;
-	loads_fill(b.directory, &h);
+	loads_fill_hello(b.directory, &h);
 	for (uint32_t i = 1; i <= 3; i++) {
 		h.from = address(i);
-		peer_set_hear(n.vm[0], &h, n.now_ns);
+		peer_set_receive(n.vm[0], &h, n.now_ns);
 	}
-	loads_sum(b.directory, n.vm[0], n.now_ns);
+	loads_sum_peers(b.directory, n.vm[0], n.now_ns);
 	assert_int_equal((int)t->peers_feeds, 12);
 	assert_int_equal((int)(t->peers_short * 10), 45);
 	assert_int_equal((int)(t->peers_running * 100), 75);
-	loads_sum(b.directory, n.vm[0], n.now_ns + 3 * NS_PER_S);
+	loads_sum_peers(b.directory, n.vm[0], n.now_ns + 3 * NS_PER_S);
 	assert_int_equal((int)t->peers_feeds, 0);
 	assert_int_equal((int)(t->peers_running * 100), 0);
 	net_close(&n);
@@ -400,9 +406,9 @@
 		.leaving = true,
 		.reply = true,
 		.newest = { UINT64_MAX, UINT64_MAX },
-		.carried = UINT64_MAX,
+		.retained_digest = UINT64_MAX,
 		.epoch_age_ms = UINT32_MAX,
-		.trouble_age_ms = UINT32_MAX,
+		.fault_age_ms = UINT32_MAX,
 		.n_peers = HELLO_PEERS_MAX,
 		.has_loads = true,
 		.n_loads = HELLO_LOADS_MAX,
@@ -434,10 +440,10 @@
 	assert_int_equal(got.n_loads, HELLO_LOADS_MAX);
 	assert_int_equal(got.n_failing, HELLO_FAILING_MAX);
 	assert_int_equal(got.n_claims, HELLO_CLAIMS_MAX);
-	assert_int_equal(got.claims[2].at.epoch, UINT64_MAX);
-	assert_int_equal(got.claims[2].at.revision, UINT64_MAX - 2);
+	assert_int_equal(got.claims[2].position.epoch, UINT64_MAX);
+	assert_int_equal(got.claims[2].position.revision, UINT64_MAX - 2);
 	assert_int_equal(got.newest.epoch, UINT64_MAX);
-	assert_int_equal(got.carried, UINT64_MAX);
+	assert_int_equal(got.retained_digest, UINT64_MAX);
 	assert_int_equal(got.failing[3].cookie, UINT32_MAX - 3);
 	assert_int_equal(got.failing[3].failures_centi, UINT16_MAX);
 }
