--- a/core/packet/common/policy.h
+++ b/core/packet/common/policy.h
@@ -52,8 +52,8 @@
  *	one may only be paused or partitioned, and a dead one may restart
  *	while the platform cannot publish it. A leaving target that refuses a
  *	connection is also probed again after this time.
- * @silent_misses: consecutive missed probes after which a target is silent; more
- *	than one, since a single lost packet must not end all its flows
+ * @silent_misses: consecutive missed probes after which a target is silent;
+ *	more than one, since a single lost packet must not end all its flows
  * @silent_misses_alone: the same when there is no other target to compare with
  * @silent_least_ns: minimum time without a sign of life before a target is
  *	silent; shorter gaps are load peaks or lost packets
@@ -67,7 +67,8 @@
  *	counts as a failure, since error answers are short. The sizes of feeds
  *	vary, so every target has a few of these.
  * @failures_window_ns: time constant with which the count of failures decays
- * @failures_min: a target with fewer failures is not ejected: they may be chance
+ * @failures_min: a target with fewer failures is not ejected: they may be
+ *	chance
  * @failures_min_trial: the same for a target on trial; lower, since it has
  *	failed before
  * @deviations: a target is ejected only if its failures exceed the mean of the
@@ -104,8 +105,9 @@
  *	request it sees on a flow whose opening it did not see is a
  *	retransmission of a request from before the start. Such a request is
  *	already late and gets free slots only.
- * @window_percent: the window of an entry at a service shrinks to this part when
- *	a target there refused a request for lack of capacity; 0 for no window
+ * @window_percent: the window of an entry at a service shrinks to this part
+ *	when a target there refused a request for lack of capacity; 0 for no
+ *	window
  * @window_refused_percent: the window shrinks only when at least this part of
  *	the requests was refused. Small fleets know the load better from their
  *	peers, and lose throughput when every refusal shrinks the window.
@@ -117,14 +119,14 @@
  *	happen to be zero
  * @heartbeat_loaded_ns: heartbeat interval while a target has as many requests
  *	as slots, if the bandwidth for control traffic allows it
- * @link_percent: part of the VM's link that is used for packets; the rest is for
- *	traffic that is not accounted for
+ * @link_percent: part of the VM's link that is used for packets; the rest is
+ *	for traffic that is not accounted for
  * @link_ahead_ns: packets are handed to the link this far ahead. The link drops
  *	what it cannot send soon, and urgent packets wait behind the rest.
  * @link_waiting_max: capacity of the queue of packets for the link; each takes
  *	1.3 KB
- * @return_ns: a target whose entry expired while the platform was unavailable is
- *	presumed to live until this long after the platform answers again; if
+ * @return_ns: a target whose entry expired while the platform was unavailable
+ *	is presumed to live until this long after the platform answers again; if
  *	its entry is still missing then, the target is gone
  * @heartbeat_ns: heartbeat interval. A peer counts as lost after three missed
  *	heartbeats, and a change has to be in force everywhere within 3 s.
@@ -140,9 +142,9 @@
  *	Stale pages cost the platform a tenth of fresh ones and do not count
  *	towards its rate limit. With many targets, each entry that starts
  *	without a peer reads hundreds of pages.
- * @young_wait_ns: an entry without documents reads the platform after this time.
- *	When all entries restart together no peer has documents, and clients
- *	wait for as long as the entries do.
+ * @young_wait_ns: an entry without documents reads the platform after this
+ *	time. When all entries restart together no peer has documents, and
+ *	clients wait for as long as the entries do.
  */
 struct policy {
 	uint32_t choices;
--- a/core/packet/peers/loads.c
+++ b/core/packet/peers/loads.c
@@ -59,14 +59,16 @@
 }
 
 /**
- * loads_fill_hello_failing() - put the targets that fail requests into a heartbeat
+ * loads_fill_hello_failing() - put the targets that fail requests into a
+ *	heartbeat
  * @directory: targets
  * @hello: heartbeat
  * @policy: parameters
  * @now_ns: current time
  *
- * In a large data centre, an entry sends a target one request in several seconds.
- * From its own failures alone it would detect a failing target too late.
+ * In a large data centre, an entry sends a target one request in several
+ * seconds. From its own failures alone it would detect a failing target too
+ * late.
  */
 void loads_fill_hello_failing(const struct directory *directory,
 			      struct hello *hello, const struct policy *policy,
@@ -100,7 +102,8 @@
 }
 
 /**
- * loads_sum_peers() - set the peers_* members of all targets from the heartbeats
+ * loads_sum_peers() - set the peers_* members of all targets from the
+ *	heartbeats
  * @directory: targets
  * @peers: peers with the loads and failures that they advertised
  * @now_ns: current time
--- a/core/packet/peers/peer_set.c
+++ b/core/packet/peers/peer_set.c
@@ -3,30 +3,33 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A VM without a sign of life for three heartbeats and some slack is not live. */
+/* A VM without a sign of life for three heartbeats and some slack is not
+ * live. */
 #define LIVE_NS (700 * NS_PER_MS)
 /* Until then a heartbeat is tried now and then: a partition may heal. */
 #define FORGET_NS (60 * NS_PER_S)
-/* Older reports of third VMs are not relayed: dead VMs would circulate forever. */
+/* Older reports of third VMs are not relayed: dead VMs would circulate
+ * forever. */
 #define GOSSIP_MAX_MS 1500
 /* Heartbeats of a round: to VMs of this data centre, and of others. */
 #define LOCAL_MAX 8
 #define REMOTE_MAX 2
-/* VMs of other data centres that are kept: enough that some are live, few enough
- * that all of this data centre fit into the table. */
+/* VMs of other data centres that are kept: enough that some are live, few
+ * enough that all of this data centre fit into the table. */
 #define REMOTE_KEPT_MAX 64
-/* One seed is tried every so many rounds although other VMs are known: a VM that
- * knows only its side of a partition would never notice that it healed. */
+/* One seed is tried every so many rounds although other VMs are known: a VM
+ * that knows only its side of a partition would never notice that it healed. */
 #define SEED_ROUNDS 5
-/* Heartbeat interval and its duration for a VM that is alone or has no documents,
- * and so cannot serve. One that stays alone is partitioned, and falls back to the
- * regular interval. */
+/* Heartbeat interval and its duration for a VM that is alone or has no
+ * documents, and so cannot serve. One that stays alone is partitioned, and
+ * falls back to the regular interval. */
 #define ALONE_PERIOD_NS (20 * NS_PER_MS)
 #define ALONE_DURATION_NS (2 * NS_PER_S)
 /*
  * Such a VM sends to the seeds at increasing intervals, up to the maximum: if
- * hundreds of VMs that start together did so every 20 ms, three seeds would have
- * no time to read the platform. The interval is this part of the time passed.
+ * hundreds of VMs that start together did so every 20 ms, three seeds would
+ * have no time to read the platform. The interval is this part of the time
+ * passed.
  */
 #define SEEDS_PART 4
 #define SEEDS_PERIOD_MAX_NS (100 * NS_PER_MS)
@@ -39,10 +42,10 @@
 
 /*
  * @next_ns is the time of the next round of heartbeats, @alone_ns when this VM
- * became alone or without documents, 0 when it is neither, @seeds_ns the earliest
- * time of the next heartbeat to the seeds, @remote_ns the time of the last
- * heartbeat from another data centre, @fault_ns of the last known fault of the
- * platform.
+ * became alone or without documents, 0 when it is neither, @seeds_ns the
+ * earliest time of the next heartbeat to the seeds, @remote_ns the time of the
+ * last heartbeat from another data centre, @fault_ns of the last known fault of
+ * the platform.
  */
 struct peer_set {
 	struct peer_set_conf conf;
@@ -305,7 +308,8 @@
 		}
 }
 
-/* Updates @alone_ns; returns whether heartbeats are sent at the short interval. */
+/* Updates @alone_ns; returns whether heartbeats are sent at the short
+ * interval. */
 static bool update_alone(struct peer_set *set, bool settled, uint64_t now_ns)
 {
 	if (settled)
@@ -328,8 +332,8 @@
 }
 
 /**
- * peer_set_take_due() - addresses that a heartbeat is due to, and schedule the next
- *	round
+ * peer_set_take_due() - addresses that a heartbeat is due to, and schedule the
+ *	next round
  * @set: peers; those not seen for FORGET_NS are removed
  * @no_documents: this entry has no documents yet
  * @now_ns: current time
@@ -392,7 +396,8 @@
 }
 
 /**
- * peer_set_fill_hello() - put the sender, peers, claims and a fault into a heartbeat
+ * peer_set_fill_hello() - put the sender, peers, claims and a fault into a
+ *	heartbeat
  * @set: peers; its random source advances
  * @hello: heartbeat
  * @now_ns: current time
@@ -438,8 +443,8 @@
 /**
  * peer_set_note_platform_fault() - record a fault of the platform
  * @set: peers
- * @contact_ns: the claim of this VM is set back to this contact, so that the VM next
- *	in rank reads soon
+ * @contact_ns: the claim of this VM is set back to this contact, so that the VM
+ *	next in rank reads soon
  * @now_ns: current time
  *
  * A fault is a failed call, or an answer of a new epoch.
@@ -458,10 +463,10 @@
 }
 
 /*
- * Time without a sign of life after which a VM of this data centre counts as lost.
- * The more VMs there are, the less often each is heard from. With a fixed time
- * each VM would at times count most others as lost, rank itself first and read
- * the platform.
+ * Time without a sign of life after which a VM of this data centre counts as
+ * lost. The more VMs there are, the less often each is heard from. With a fixed
+ * time each VM would at times count most others as lost, rank itself first and
+ * read the platform.
  */
 static uint64_t lost_after_ns(const struct peer_set *set)
 {
@@ -471,8 +476,8 @@
 }
 
 /**
- * peer_set_others_contact_ns() - when the platform last answered another reader of
- *	this data centre
+ * peer_set_others_contact_ns() - when the platform last answered another reader
+ *	of this data centre
  * @set: peers
  * @now_ns: current time
  *
@@ -503,8 +508,8 @@
 }
 
 /**
- * peer_set_readers_before() - number of data centres with a reader that precede this
- *	one
+ * peer_set_readers_before() - number of data centres with a reader that precede
+ *	this one
  * @set: peers
  * @since_ns: a data centre whose last contact is not later has no reader
  * @now_ns: current time
@@ -526,8 +531,8 @@
  * @set: peers
  * @now_ns: current time
  *
- * Return: number of VMs that are not lost and precede this one; 0 for the one that
- * should read the platform.
+ * Return: number of VMs that are not lost and precede this one; 0 for the one
+ * that should read the platform.
  */
 uint32_t peer_set_reader_rank(const struct peer_set *set, uint64_t now_ns)
 {
@@ -552,7 +557,8 @@
  * @set: peers
  * @key: key, such as the id of a target
  *
- * VMs lost recently count, so that both sides of a partition see the same ranks.
+ * VMs lost recently count, so that both sides of a partition see the same
+ * ranks.
  *
  * Return: number of VMs that precede this one for @key.
  */
@@ -583,8 +589,8 @@
 	return false;
 }
 
-/* Entries that retain different documents fetch from each other once, not without
- * end. */
+/* Entries that retain different documents fetch from each other once, not
+ * without end. */
 static bool is_ahead(const struct peer_vm *p, const struct sync_state *own)
 {
 	if (position_after(p->newest, own->newest))
@@ -601,8 +607,8 @@
  * @now_ns: current time
  *
  * Return: a live peer with a newer position, or with retained documents that
- * differ, of this data centre if there is one; NULL when there is none. Owned by
- * @set.
+ * differ, of this data centre if there is one; NULL when there is none. Owned
+ * by @set.
  */
 const struct peer_vm *peer_set_find_ahead_of(struct peer_set *set,
 					     const struct sync_state *own,
--- a/core/packet/peers/peer_set.h
+++ b/core/packet/peers/peer_set.h
@@ -1,8 +1,8 @@
 /*
  * Membership of the entries: discovery from seeds and by gossip in heartbeats,
  * and the choice of the readers of the platform. There is no election: each VM
- * ranks the live ones by a hash. When two VMs differ in their view, the platform
- * is read by one VM more than necessary.
+ * ranks the live ones by a hash. When two VMs differ in their view, the
+ * platform is read by one VM more than necessary.
  */
 #ifndef CB_PEER_SET_H
 #define CB_PEER_SET_H
@@ -36,10 +36,10 @@
  * struct hello_load - load of the sender's flows at one target
  * @cookie: cookie of the target
  * @feeds: open feeds
- * @short_centi: requests in progress that are not of feeds, in hundredths, averaged
- *	over a second
- * @running_centi: requests that the target is processing, in hundredths, averaged
- *	over the policy's running_window_ns
+ * @short_centi: requests in progress that are not of feeds, in hundredths,
+ *	averaged over a second
+ * @running_centi: requests that the target is processing, in hundredths,
+ *	averaged over the policy's running_window_ns
  */
 struct hello_load {
 	uint32_t cookie;
@@ -80,12 +80,12 @@
  * @zone: hash of the name of the sender's data centre
  * @boot: random number that identifies the sender's process
  * @leaving: the sender is about to stop
- * @reply: an answer is wanted: the sender has no documents, or knows fewer than two
- *	live peers
+ * @reply: an answer is wanted: the sender has no documents, or knows fewer than
+ *	two live peers
  * @newest: newest position that the sender knows
  * @retained_digest: documents_retained_digest() of the sender
- * @epoch_age_ms: time since any entry first saw the epoch of @newest; UINT32_MAX
- *	when that no longer matters
+ * @epoch_age_ms: time since any entry first saw the epoch of @newest;
+ *	UINT32_MAX when that no longer matters
  * @fault_age_ms: time since any entry last found a fault of the platform;
  *	UINT32_MAX for none recently
  * @n_peers: number of third VMs
@@ -127,15 +127,16 @@
  * struct peer_vm - another VM
  * @addr: its address for peers
  * @zone: hash of the name of its data centre
- * @boot: random number that identifies its process; 0 before its first heartbeat
+ * @boot: random number that identifies its process; 0 before its first
+ *	heartbeat
  * @seen_ns: last sign of life, from its own heartbeat or reported by another VM
  * @hello_ns: when its last own heartbeat arrived; 0 for never
  * @leaving: it is about to stop
  * @newest: newest position that it knows
  * @retained_digest: documents_retained_digest() of the VM
  * @n_loads: number of elements of @loads in use
- * @loads: advertised loads, owned, NULL before the first; allocated apart, since
- *	the peers are iterated over often
+ * @loads: advertised loads, owned, NULL before the first; allocated apart,
+ *	since the peers are iterated over often
  * @n_failing: number of targets that it saw fail requests
  * @failing: those targets
  */
--- a/core/packet/publish/documents.c
+++ b/core/packet/publish/documents.c
@@ -195,9 +195,10 @@
 
 /*
  * Returns whether @update, which is of another epoch than @d, is the later
- * version. The copy that an epoch begins with may have an older version than the
- * one known here, and a peer may have retained one that the copy lacks. Then the
- * contents decide, and @d records that the platform has an older version.
+ * version. The copy that an epoch begins with may have an older version than
+ * the one known here, and a peer may have retained one that the copy lacks.
+ * Then the contents decide, and @d records that the platform has an older
+ * version.
  */
 static bool resolve_across_epochs(struct documents *docs, struct document *d,
 				  const struct document *update)
@@ -230,8 +231,9 @@
 }
 
 /*
- * The @stale_at of a document that becomes @update. When @update is of an earlier
- * epoch, the version that it replaces is the older one that the platform has.
+ * The @stale_at of a document that becomes @update. When @update is of an
+ * earlier epoch, the version that it replaces is the older one that the
+ * platform has.
  */
 static struct position stale_at_after(const struct documents *docs,
 				      const struct document *d,
@@ -271,8 +273,8 @@
 	bool same = false;
 	int err;
 
-	/* Neither a deletion nor a retained document in a peer's full state shows
-	 * that the later version known here still exists. */
+	/* Neither a deletion nor a retained document in a peer's full state
+	 * shows that the later version known here still exists. */
 	if (d && origin == DOCUMENT_LISTED && !update->deleted &&
 	    update->epoch >= d->epoch)
 		d->listing = docs->listing;
@@ -345,9 +347,9 @@
  * documents_list_end() - end a full listing after its last page
  * @docs: documents
  * @at: lowest position of its pages
- * @floor: compaction floor of the listing: it lacks the deletions up to there. For
- *	a listing of the platform this is @at, for the full state of a peer that
- *	peer's documents_floor().
+ * @floor: compaction floor of the listing: it lacks the deletions up to there.
+ *	For a listing of the platform this is @at, for the full state of a peer
+ *	that peer's documents_floor().
  * @now_ns: current time
  *
  * Documents that the listing lacks are deleted, except later ones than @at and
@@ -376,8 +378,8 @@
 }
 
 /**
- * documents_advance_synced() - record that every change up to a position is known,
- *	from an answer that was not stale
+ * documents_advance_synced() - record that every change up to a position is
+ *	known, from an answer that was not stale
  * @docs: documents
  * @at: that position
  * @now_ns: current time; start of the epoch of @at if that is a new one
@@ -395,8 +397,8 @@
 }
 
 /**
- * documents_raise_newest() - raise the newest position after a peer sent all its
- *	changes
+ * documents_raise_newest() - raise the newest position after a peer sent all
+ *	its changes
  * @docs: documents
  * @newest: newest position of the peer; the document may be gone, when it was a
  *	deletion that has expired since
@@ -490,8 +492,8 @@
  * documents_complete() - position up to which every change is known
  * @docs: documents
  *
- * After a listing of stale pages, the platform may have been seconds ahead of it
- * when it answered.
+ * After a listing of stale pages, the platform may have been seconds ahead of
+ * it when it answered.
  *
  * Return: position in the current epoch; revision 0 before the first listing.
  */
@@ -501,11 +503,12 @@
 }
 
 /**
- * documents_synced() - position up to which every change is known, from an answer
- *	that was not stale
+ * documents_synced() - position up to which every change is known, from an
+ *	answer that was not stale
  * @docs: documents
  *
- * Return: position in the current epoch; revision 0 before the first such answer.
+ * Return: position in the current epoch; revision 0 before the first such
+ * answer.
  */
 struct position documents_synced(const struct documents *docs)
 {
@@ -516,8 +519,8 @@
  * documents_newest() - latest position of a known document
  * @docs: documents
  *
- * Peers compare it to see whether there is anything to fetch. documents_synced()
- * would not do: it grows with every heartbeat of a target.
+ * Peers compare it to see whether there is anything to fetch.
+ * documents_synced() would not do: it grows with every heartbeat of a target.
  *
  * Return: position in the current epoch; revision 0 for none.
  */
@@ -527,7 +530,8 @@
 }
 
 /**
- * documents_floor() - compaction floor: deletions up to this position may be missing
+ * documents_floor() - compaction floor: deletions up to this position may be
+ *	missing
  * @docs: documents
  *
  * They have expired, or came before a listing, which contains only what exists.
@@ -541,8 +545,8 @@
 }
 
 /**
- * documents_epoch_start_ns() - when the current epoch was first seen, here or at a
- *	peer
+ * documents_epoch_start_ns() - when the current epoch was first seen, here or
+ *	at a peer
  * @docs: documents
  *
  * Return: time in nanoseconds.
@@ -565,7 +569,8 @@
 }
 
 /**
- * documents_is_retained() - whether a document is retained from an earlier epoch
+ * documents_is_retained() - whether a document is retained from an earlier
+ *	epoch
  * @docs: documents
  * @d: one of them
  *
@@ -581,8 +586,8 @@
  * documents_retained_digest() - digest of the retained documents
  * @docs: documents; the digest is cached until the next change
  *
- * Return: a sum of hashes, the same at two entries that retain the same documents;
- * 0 when there are none.
+ * Return: a sum of hashes, the same at two entries that retain the same
+ * documents; 0 when there are none.
  */
 uint64_t documents_retained_digest(struct documents *docs)
 {
@@ -606,8 +611,8 @@
  * @after: position of the current epoch up to which the peer knows every change
  * @d: one of @docs
  *
- * A retained document has no position in the current epoch, so every peer is sent
- * it.
+ * A retained document has no position in the current epoch, so every peer is
+ * sent it.
  *
  * Return: true when it is retained or later than @after.
  */
@@ -623,8 +628,8 @@
  * @docs: documents
  * @after: position up to which the peer knows every change; revision 0 for none
  *
- * Return: true when deletions since @after may be missing here, or @after is of an
- * earlier epoch, or the peer has no documents.
+ * Return: true when deletions since @after may be missing here, or @after is of
+ * an earlier epoch, or the peer has no documents.
  */
 bool documents_peer_needs_full(const struct documents *docs,
 			       struct position after)
--- a/core/packet/publish/documents.h
+++ b/core/packet/publish/documents.h
@@ -7,7 +7,8 @@
  * When the platform is restored from an older copy of itself, a new epoch
  * begins. Documents known before that are missing in the copy are retained:
  * they were acknowledged, and their writers write them again. A document is
- * retained until the new epoch has a later version of it, or for a limited time.
+ * retained until the new epoch has a later version of it, or for a limited
+ * time.
  */
 #ifndef CB_DOCUMENTS_H
 #define CB_DOCUMENTS_H
@@ -44,8 +45,8 @@
  * @created: revision at which the key was created
  * @stale_at: position of the older version that the platform has under the key
  *	in a later epoch; revision 0 when it has none
- * @deleted: the key was deleted; @value is the last one before, which flows that
- *	are still open need
+ * @deleted: the key was deleted; @value is the last one before, which flows
+ *	that are still open need
  * @forget_ns: when a deleted document is removed
  * @listing: number of the last listing that contained the key
  * @deferred: the listener could not apply the last change yet, see
@@ -73,8 +74,8 @@
 /**
  * enum document_origin - how a version of a document arrived
  * @DOCUMENT_CHANGED: as a change, from the platform or from a peer
- * @DOCUMENT_LISTED: in the listing in progress. Documents that the listing lacks
- *	are deleted at its end, so nothing else may count as listed.
+ * @DOCUMENT_LISTED: in the listing in progress. Documents that the listing
+ *	lacks are deleted at its end, so nothing else may count as listed.
  */
 enum document_origin { DOCUMENT_CHANGED, DOCUMENT_LISTED };
 
--- a/core/packet/publish/evacuations.c
+++ b/core/packet/publish/evacuations.c
@@ -16,8 +16,9 @@
  * @e: evacuations
  * @name: name of the data centre; one that no target has is accepted as well
  *
- * Return: 0; -EALREADY when it is evacuated already; -ENAMETOOLONG when the name
- * takes NAME_MAX_BYTES or more; -ENOSPC when EVACUATIONS_MAX are evacuated.
+ * Return: 0; -EALREADY when it is evacuated already; -ENAMETOOLONG when the
+ * name takes NAME_MAX_BYTES or more; -ENOSPC when EVACUATIONS_MAX are
+ * evacuated.
  */
 int evacuations_begin(struct evacuations *e, const char *name)
 {
--- a/core/packet/publish/read_claims.c
+++ b/core/packet/publish/read_claims.c
@@ -19,8 +19,9 @@
 		return order > 0;
 	if (a->seq != b->seq)
 		return a->seq > b->seq;
-	/* Two readers may begin at the same position with the same @seq. Without
-	 * an order both would go on, each ignoring the claim of the other. */
+	/* Two readers may begin at the same position with the same @seq.
+	 * Without an order both would go on, each ignoring the claim of the
+	 * other. */
 	return a->reader > b->reader;
 }
 
@@ -52,7 +53,8 @@
  * @claims: claims
  * @zone: hash of the name of this VM's data centre
  * @self: address for peers of this VM
- * @position: position of the platform in the answer; revision 0 when it had none
+ * @position: position of the platform in the answer; revision 0 when it had
+ *	none
  * @now_ns: current time
  */
 void read_claims_renew(struct read_claims *claims, uint32_t zone, uint64_t self,
@@ -73,8 +75,8 @@
  * @claims: claims
  * @zone: hash of the name of this VM's data centre
  * @self: address for peers of this VM
- * @contact_ns: the claim's contact is set back to this time, so that the VM next
- *	in rank reads soon
+ * @contact_ns: the claim's contact is set back to this time, so that the VM
+ *	next in rank reads soon
  *
  * Does nothing when another VM has the claim, or its contact is not later.
  */
@@ -119,8 +121,8 @@
 }
 
 /**
- * read_claims_readers_before() - number of data centres with a reader that precede
- *	one
+ * read_claims_readers_before() - number of data centres with a reader that
+ *	precede one
  * @claims: claims
  * @zone: hash of the name of that one; it need not have a claim
  * @since_ns: a data centre whose last contact is not later has no reader
--- a/core/packet/publish/read_claims.h
+++ b/core/packet/publish/read_claims.h
@@ -1,7 +1,7 @@
 /*
- * Which data centres the platform answers: claims of their readers, relayed with
- * heartbeats. A data centre that knows of two others that read the platform does
- * not read it itself.
+ * Which data centres the platform answers: claims of their readers, relayed
+ * with heartbeats. A data centre that knows of two others that read the
+ * platform does not read it itself.
  */
 #ifndef CB_READ_CLAIMS_H
 #define CB_READ_CLAIMS_H
@@ -12,7 +12,8 @@
 #define READ_CLAIMS_MAX 32
 
 /**
- * struct read_claim - claim that the platform answers the reader of a data centre
+ * struct read_claim - claim that the platform answers the reader of a data
+ *	centre
  * @zone: hash of the name of the data centre
  * @reader: address for peers of the reader
  * @position: position of the platform in its last answer
--- a/core/packet/publish/route_table.c
+++ b/core/packet/publish/route_table.c
@@ -7,8 +7,8 @@
 
 /**
  * route_table_index() - build the index of a table by VIP
- * @table: table with its routes filled in; of two routes with the same VIP the first
- *	is used
+ * @table: table with its routes filled in; of two routes with the same VIP the
+ *	first is used
  *
  * Return: 0, or -ENOMEM.
  */
@@ -55,7 +55,8 @@
 }
 
 /**
- * route_table_inherit() - take over the services that open flows may still be at
+ * route_table_inherit() - take over the services that open flows may still be
+ *	at
  * @table: new table, indexed
  * @old: table in force before it, or NULL
  * @now_ns: current time
--- a/core/packet/publish/route_table.h
+++ b/core/packet/publish/route_table.h
@@ -1,4 +1,5 @@
-/* Routes of a published configuration: to which services the flows of a VIP go. */
+/* Routes of a published configuration: to which services the flows of a VIP
+ * go. */
 #ifndef CB_ROUTE_TABLE_H
 #define CB_ROUTE_TABLE_H
 
--- a/core/packet/publish/source.c
+++ b/core/packet/publish/source.c
@@ -9,8 +9,8 @@
 #define NEW_WAIT_MAX_NS NS_PER_S
 /*
  * A process that knows this many others before it has read anything waits for
- * one of them to finish. All of them share the platform's link, so when all start
- * together the first few finish before the rest could.
+ * one of them to finish. All of them share the platform's link, so when all
+ * start together the first few finish before the rest could.
  */
 #define MASS_START_PEERS 12
 #define MASS_START_WAIT_NS (400 * NS_PER_MS)
@@ -26,16 +26,17 @@
  */
 #define BATCH_NS (300 * NS_PER_MS)
 /* One data centre reads for all. A second one reads as well, since the watch of
- * the first may have lost its connection, but less often: a change that only the
- * second sees is known after 1 s and in force everywhere 0.5 s later, within the
- * limit of 3 s. */
+ * the first may have lost its connection, but less often: a change that only
+ * the second sees is known after 1 s and in force everywhere 0.5 s later,
+ * within the limit of 3 s. */
 #define READING_ZONES 2
 #define SECOND_BATCH_NS NS_PER_S
 /*
  * An answer whose transfer takes longer than this fills the VM's link. A watch
- * returns every value that a document had, so while a large configuration changes
- * repeatedly each answer would be longer than the one before, and changes of
- * targets would queue behind it. A listing returns the last value only.
+ * returns every value that a document had, so while a large configuration
+ * changes repeatedly each answer would be longer than the one before, and
+ * changes of targets would queue behind it. A listing returns the last value
+ * only.
  */
 #define SLOW_ANSWER_NS (500 * NS_PER_MS)
 #define RETRY_FIRST_NS (100 * NS_PER_MS)
@@ -150,8 +151,8 @@
  * @view: input of the decision
  * @connect_ns: time that the connection took
  *
- * Return: false before the first listing while the platform is busy with answers
- * to others; the call then ends with SOURCE_DEFERRED.
+ * Return: false before the first listing while the platform is busy with
+ * answers to others; the call then ends with SOURCE_DEFERRED.
  */
 bool source_may_send(const struct source *source,
 		     const struct source_view *view, uint64_t connect_ns)
@@ -161,7 +162,8 @@
 }
 
 /**
- * source_cancel_listing() - end a listing that a peer's documents made unnecessary
+ * source_cancel_listing() - end a listing that a peer's documents made
+ *	unnecessary
  * @source: state
  *
  * A call for a page of it no longer counts as in progress; a watch does.
@@ -193,8 +195,8 @@
 
 /*
  * Pause before the listing that follows a SOURCE_GONE: none at first. When the
- * next watch fails in the same way, a listing does not help, and without a pause
- * it would be repeated as fast as the platform answers.
+ * next watch fails in the same way, a listing does not help, and without a
+ * pause it would be repeated as fast as the platform answers.
  */
 static uint64_t gone_wait_ns(struct source *source)
 {
@@ -247,8 +249,9 @@
 		source->next_ns = now_ns + gone_wait_ns(source);
 		return;
 	}
-	/* Only the failed page is requested again. If the listing began anew, one
-	 * of many pages would never end at a platform that refuses some calls. */
+	/* Only the failed page is requested again. If the listing began anew,
+	 * one of many pages would never end at a platform that refuses some
+	 * calls. */
 	source->failures++;
 	if (source->listing && source->failures >= LISTING_FAILURES)
 		restart_listing(source);
--- a/core/packet/publish/source.h
+++ b/core/packet/publish/source.h
@@ -30,11 +30,12 @@
  * @policy: parameters
  * @now_ns: current time
  * @rank: rank of this VM among the live ones of its data centre, from 0
- * @complete: revision up to which every change is known, after which a watch asks;
- *	0 before the first listing
- * @synced: the same, of an answer that was not stale; 0 before the first one. Less
- *	than @complete after a listing that may be stale.
- * @others_contact_ns: when the platform last answered another VM of the data centre
+ * @complete: revision up to which every change is known, after which a watch
+ *	asks; 0 before the first listing
+ * @synced: the same, of an answer that was not stale; 0 before the first one.
+ *	Less than @complete after a listing that may be stale.
+ * @others_contact_ns: when the platform last answered another VM of the data
+ *	centre
  * @live_peers: number of live peers
  * @readers_before: number of data centres with a reader that precede this one
  * @fetching: a call to a peer with newer documents is in progress
@@ -60,7 +61,8 @@
  * @calling: a call is in progress
  * @listing: a listing is in progress
  * @relist: the next call begins a new listing
- * @exact: no page of a listing may be stale; otherwise only its first page may not
+ * @exact: no page of a listing may be stale; otherwise only its first page may
+ *	not
  * @transfer_ns: time between the first and the last byte of the last answer
  * @failures: consecutive failed calls
  * @gone_count: calls with outcome SOURCE_GONE since a watch was answered
