--- a/test/documents_prop.cc
+++ b/test/documents_prop.cc
@@ -1,6 +1,7 @@
 /*
- * What is published, spread in any order through any number of entries: never
- * back, all agree, a departed target is given no flows.
+ * Documents that spread in any order through any number of entries: no document
+ * goes back to an earlier version, all entries agree, and a target that is gone
+ * gets no flows.
  */
 #include <rapidcheck.h>
 
@@ -18,35 +19,35 @@
 namespace
 {
 
-constexpr uint64_t KEEP_NS = 60 * NS_PER_S;
+constexpr uint64_t KEEP_DELETED_NS = 60 * NS_PER_S;
 
-struct Fact {
+struct Version {
 	uint8_t key;
 	uint64_t revision;
 	bool deleted;
 	uint8_t value;
 };
 
-/* A history: each revision changes one key once. */
-rc::Gen<std::vector<Fact>> history()
+/* Generates a history in which each revision changes one key. */
+rc::Gen<std::vector<Version>> history()
 {
 	return rc::gen::map(
 		rc::gen::container<std::vector<std::pair<uint8_t, uint8_t>>>(
 			rc::gen::pair(rc::gen::inRange<uint8_t>(0, 6),
 				      rc::gen::arbitrary<uint8_t>())),
 		[](const std::vector<std::pair<uint8_t, uint8_t>> &changes) {
-			std::vector<Fact> facts;
+			std::vector<Version> versions;
 			uint64_t revision = 0;
 
 			for (const auto &c : changes)
-				facts.push_back({ c.first, ++revision,
-						  c.second % 4 == 0,
-						  c.second });
-			return facts;
+				versions.push_back({ c.first, ++revision,
+						     c.second % 4 == 0,
+						     c.second });
+			return versions;
 		});
 }
 
-document make(const Fact &f, std::string *value)
+document make_document(const Version &f, std::string *value)
 {
 	document d = {};
 
@@ -61,17 +62,17 @@
 	return d;
 }
 
-/* Highest revision seen by the listener, by key: it never falls. */
+/* Last reported revision of each key; it must never decrease. */
 struct Listener {
 	std::map<std::string, uint64_t> seen;
-	bool fell = false;
+	bool went_back = false;
 };
 
 bool on_change(void *ctx, const document *d)
 {
 	auto *l = static_cast<Listener *>(ctx);
 
-	l->fell = l->fell || d->revision < l->seen[d->key];
+	l->went_back = l->went_back || d->revision < l->seen[d->key];
 	l->seen[d->key] = d->revision;
 	return true;
 }
@@ -95,11 +96,12 @@
 	return out;
 }
 
-std::map<std::string, std::string> model(const std::vector<Fact> &facts)
+std::map<std::string, std::string>
+expected_state(const std::vector<Version> &versions)
 {
 	std::map<std::string, std::string> out;
 
-	for (const Fact &f : facts) {
+	for (const Version &f : versions) {
 		std::string key = "key-" + std::to_string(f.key);
 
 		if (f.deleted)
@@ -110,59 +112,60 @@
 	return out;
 }
 
-void put(documents *s, const Fact &f)
+void put(documents *s, const Version &f)
 {
 	std::string value;
-	document d = make(f, &value);
+	document d = make_document(f, &value);
 
 	documents_put(s, &d, DOCUMENT_CHANGED, 1);
 }
 
-/* A listing of the history up to a revision, in pages with others' facts. */
-void list(documents *s, const std::vector<Fact> &facts, size_t upto,
-	  const std::vector<Fact> &between)
+/* Lists the history up to revision @listed. Versions @between arrive from peers
+ * meanwhile. */
+void list(documents *s, const std::vector<Version> &versions, size_t listed,
+	  const std::vector<Version> &between)
 {
-	std::map<uint8_t, Fact> last;
+	std::map<uint8_t, Version> last;
 
-	for (size_t i = 0; i < upto; i++)
-		last[facts[i].key] = facts[i];
+	for (size_t i = 0; i < listed; i++)
+		last[versions[i].key] = versions[i];
 	documents_list_begin(s);
 	size_t n = 0;
 	for (const auto &k : last) {
 		std::string value;
-		document d = make(k.second, &value);
+		document d = make_document(k.second, &value);
 
 		if (n < between.size())
 			put(s, between[n++]);
 		if (!k.second.deleted)
 			documents_put(s, &d, DOCUMENT_LISTED, 1);
 	}
-	documents_list_end(s, { 0, upto }, { 0, upto }, 1);
+	documents_list_end(s, { 0, listed }, { 0, listed }, 1);
 }
 
 bool any_order()
 {
 	return rc::check(
-		"facts in any order, repeated, lead to the same state", [] {
-			const auto facts = *history();
-			auto order = facts;
+		"versions in any order, repeated, lead to the same state", [] {
+			const auto versions = *history();
+			auto order = versions;
 
 			for (size_t i = order.size(); i > 1; i--)
 				std::swap(
 					order[i - 1],
 					order[*rc::gen::inRange<size_t>(0, i)]);
 			Listener l;
-			documents *s =
-				documents_new({ &l, on_change, no_order },
-					      { KEEP_NS, KEEP_NS });
+			documents *s = documents_new(
+				{ &l, on_change, no_order },
+				{ KEEP_DELETED_NS, KEEP_DELETED_NS });
 
-			for (const Fact &f : order) {
+			for (const Version &f : order) {
 				put(s, f);
 				if (*rc::gen::arbitrary<bool>())
 					put(s, f);
 			}
-			RC_ASSERT(!l.fell);
-			RC_ASSERT(state(s) == model(facts));
+			RC_ASSERT(!l.went_back);
+			RC_ASSERT(state(s) == expected_state(versions));
 			documents_free(s);
 		});
 }
@@ -170,39 +173,42 @@
 bool listing_and_peers()
 {
 	return rc::check(
-		"listings and peers that are behind never bring anything back",
+		"listings and stale peers never restore an earlier version",
 		[] {
-			const auto facts = *history();
-			const size_t n = facts.size();
-			const size_t upto = *rc::gen::inRange<size_t>(0, n + 1);
+			const auto versions = *history();
+			const size_t n = versions.size();
+			const size_t listed =
+				*rc::gen::inRange<size_t>(0, n + 1);
 			const size_t known =
 				*rc::gen::inRange<size_t>(0, n + 1);
-			std::vector<Fact> between;
+			std::vector<Version> between;
 			Listener l;
-			documents *s =
-				documents_new({ &l, on_change, no_order },
-					      { KEEP_NS, KEEP_NS });
+			documents *s = documents_new(
+				{ &l, on_change, no_order },
+				{ KEEP_DELETED_NS, KEEP_DELETED_NS });
 
 			for (size_t i = 0; i < known; i++)
-				put(s, facts[i]);
+				put(s, versions[i]);
 			for (size_t i = 0; n && i < 4; i++)
 				between.push_back(
-					facts[*rc::gen::inRange<size_t>(0, n)]);
-			list(s, facts, upto, between);
-			for (const Fact &f : facts)
+					versions[*rc::gen::inRange<size_t>(0,
+									   n)]);
+			list(s, versions, listed, between);
+			for (const Version &f : versions)
 				put(s, f);
-			RC_ASSERT(!l.fell);
-			RC_ASSERT(state(s) == model(facts));
+			RC_ASSERT(!l.went_back);
+			RC_ASSERT(state(s) == expected_state(versions));
 			documents_free(s);
 		});
 }
 
-/* At most one living target an address, whatever order they became known in. */
+/* Of several targets at one address exactly one takes flows, in whatever order
+ * they become known. */
 bool one_target_an_address()
 {
-	return rc::check("an address has one target that takes flows", [] {
+	return rc::check("exactly one target of an address takes flows", [] {
 		const auto n = *rc::gen::inRange<uint64_t>(1, 8);
-		directory_conf conf = { KEEP_NS, NS_PER_S };
+		directory_conf conf = { KEEP_DELETED_NS, NS_PER_S };
 		directory *d = directory_new(&conf);
 		std::vector<uint64_t> ids;
 		uint32_t serving = 0;
--- a/test/packet_documents_test.c
+++ b/test/packet_documents_test.c
@@ -1,4 +1,7 @@
-/* What is published, joined by revision: never back, no deletion missed. */
+/*
+ * Merging of published documents by position: no document goes back to an
+ * earlier version, and no deletion is missed.
+ */
 #include "documents.h"
 
 #include <errno.h>
@@ -9,16 +12,16 @@
 #include <string.h>
 #include <cmocka.h>
 
-#define KEEP_NS (60 * NS_PER_S)
-#define CARRY_NS (2 * NS_PER_S)
+#define KEEP_DELETED_NS (60 * NS_PER_S)
+#define RETAIN_NS (2 * NS_PER_S)
 
-static uint32_t changes;
+static uint32_t change_count;
 
 static bool on_change(void *ctx, const struct document *d)
 {
 	(void)ctx;
 	(void)d;
-	changes++;
+	change_count++;
 	return true;
 }
 
@@ -29,13 +32,13 @@
 	return 0;
 }
 
-static struct documents *open_store(void)
+static struct documents *new_documents(void)
 {
 	struct documents_port port = { NULL, on_change, no_order };
-	struct documents_expiry times = { KEEP_NS, CARRY_NS };
+	struct documents_expiry expiry = { KEEP_DELETED_NS, RETAIN_NS };
 
-	changes = 0;
-	return documents_new(port, times);
+	change_count = 0;
+	return documents_new(port, expiry);
 }
 
 static struct position at(uint64_t revision)
@@ -43,8 +46,8 @@
 	return (struct position){ 0, revision };
 }
 
-static struct document fact(const char *key, uint64_t revision,
-			    const char *value)
+static struct document version(const char *key, uint64_t revision,
+			       const char *value)
 {
 	struct document d = { .revision = revision, .created = 1 };
 
@@ -58,7 +61,7 @@
 static int put(struct documents *s, const char *key, uint64_t revision,
 	       const char *value, enum document_origin origin)
 {
-	struct document d = fact(key, revision, value);
+	struct document d = version(key, revision, value);
 
 	return documents_put(s, &d, origin, NS_PER_S);
 }
@@ -71,27 +74,27 @@
 	return NULL;
 }
 
-static void test_newer_wins_in_any_order(void **state)
+static void test_later_version_wins_in_any_order(void **state)
 {
-	struct documents *s = open_store();
+	struct documents *s = new_documents();
 
 	(void)state;
 	assert_int_equal(put(s, "a", 5, "five", DOCUMENT_CHANGED), 0);
 	assert_int_equal(put(s, "a", 3, "three", DOCUMENT_CHANGED), -EALREADY);
 	assert_int_equal(put(s, "a", 5, "other", DOCUMENT_CHANGED), -EALREADY);
 	assert_string_equal((char *)find(s, "a")->value, "five");
-	assert_int_equal(changes, 1);
+	assert_int_equal(change_count, 1);
 	assert_int_equal(put(s, "a", 7, NULL, DOCUMENT_CHANGED), 0);
 	assert_int_equal(put(s, "a", 6, "late", DOCUMENT_CHANGED), -EALREADY);
 	assert_true(find(s, "a")->deleted);
-	/* The last value stays for late flows. */
+	/* Open flows still need the last value. */
 	assert_string_equal((char *)find(s, "a")->value, "five");
 	documents_free(s);
 }
 
-static void test_listing_finds_what_was_deleted(void **state)
+static void test_listing_deletes_missing_documents(void **state)
 {
-	struct documents *s = open_store();
+	struct documents *s = new_documents();
 
 	(void)state;
 	put(s, "a", 2, "x", DOCUMENT_CHANGED);
@@ -102,10 +105,10 @@
 	documents_list_end(s, at(10), at(10), NS_PER_S);
 	assert_false(find(s, "a")->deleted);
 	assert_true(find(s, "b")->deleted);
-	/* Written after the first page was read. */
+	/* Created after the first page was read. */
 	assert_false(find(s, "new")->deleted);
 	assert_int_equal(documents_complete(s).revision, 10);
-	/* Its pages may have been old. */
+	/* Its pages may have been stale. */
 	assert_int_equal(documents_synced(s).revision, 0);
 	documents_advance_synced(s, at(10), NS_PER_S);
 	assert_int_equal(documents_synced(s).revision, 10);
@@ -113,14 +116,14 @@
 }
 
 /*
- * Symptom: a target that left is given flows for as long as the process lives.
- * Sequence: the platform is listed over several pages; between two of them a
- * peer that is behind sends the target's entry; the listing lacks it. Cause:
- * the peer's word counted as seen in the listing.
+ * A target that is gone gets flows as long as the process runs. The platform is
+ * listed over several pages, and between two of them a peer with older
+ * documents sends the target's entry, which the listing lacks. The entry must
+ * not count as listed.
  */
-static void test_peer_between_pages_hides_no_deletion(void **state)
+static void test_peer_update_between_pages_hides_no_deletion(void **state)
 {
-	struct documents *s = open_store();
+	struct documents *s = new_documents();
 
 	(void)state;
 	put(s, "a", 2, "x", DOCUMENT_CHANGED);
@@ -133,37 +136,38 @@
 	documents_free(s);
 }
 
-static void test_deletions_are_forgotten_and_remembered_as_floor(void **state)
+static void test_expired_deletion_raises_floor(void **state)
 {
-	struct documents *s = open_store();
+	struct documents *s = new_documents();
 
 	(void)state;
 	put(s, "a", 2, "x", DOCUMENT_CHANGED);
 	put(s, "a", 4, NULL, DOCUMENT_CHANGED);
-	documents_tick(s, NS_PER_S + KEEP_NS - 1);
+	documents_tick(s, NS_PER_S + KEEP_DELETED_NS - 1);
 	assert_non_null(find(s, "a"));
-	documents_tick(s, NS_PER_S + KEEP_NS);
+	documents_tick(s, NS_PER_S + KEEP_DELETED_NS);
 	assert_null(find(s, "a"));
 	assert_int_equal(documents_floor(s).revision, 4);
 	assert_int_equal(documents_newest(s).revision, 4);
 	documents_free(s);
 }
 
-/* A fact of the epoch that begins when the platform comes back. */
-static int put_in(struct documents *s, uint64_t epoch, const char *key,
-		  uint64_t revision, const char *value,
-		  enum document_origin origin)
+/* Puts a version of the given epoch. */
+static int put_in_epoch(struct documents *s, uint64_t epoch, const char *key,
+			uint64_t revision, const char *value,
+			enum document_origin origin)
 {
-	struct document d = fact(key, revision, value);
+	struct document d = version(key, revision, value);
 
 	d.epoch = epoch;
 	return documents_put(s, &d, origin, NS_PER_S);
 }
 
-static struct documents *known;
+static struct documents *compared;
 
-/* Contents are numbers here, as versions of a configuration are. */
-static int by_number(void *ctx, const struct document *d)
+/* Values are numbers that grow, like the versions of a configuration; @ctx
+ * points to the documents to compare with. */
+static int compare_numbers(void *ctx, const struct document *d)
 {
 	const struct document *last = find(*(struct documents **)ctx, d->key);
 	int a = atoi((const char *)d->value);
@@ -172,130 +176,138 @@
 	return (a > b) - (a < b);
 }
 
-/* Its one key is at revision 26 of epoch 1, and all of that epoch is known. */
-static struct documents *open_before_restore(struct documents_port port)
+/* One key at revision 26 of epoch 1, which is synced up to there. */
+static struct documents *
+new_documents_before_restore(struct documents_port port)
 {
-	struct documents_expiry times = { KEEP_NS, CARRY_NS };
-	struct documents *s = documents_new(port, times);
+	struct documents_expiry expiry = { KEEP_DELETED_NS, RETAIN_NS };
+	struct documents *s = documents_new(port, expiry);
 
-	put_in(s, 1, "a", 26, "24", DOCUMENT_CHANGED);
+	put_in_epoch(s, 1, "a", 26, "24", DOCUMENT_CHANGED);
 	documents_advance_synced(s, (struct position){ 1, 26 }, NS_PER_S);
-	changes = 0;
+	change_count = 0;
 	return s;
 }
 
-static void list_restored(struct documents *s, const char *value)
+static void list_restored_copy(struct documents *s, const char *value)
 {
 	documents_list_begin(s);
 	if (value)
-		put_in(s, 2, "a", 20, value, DOCUMENT_LISTED);
+		put_in_epoch(s, 2, "a", 20, value, DOCUMENT_LISTED);
 	documents_list_end(s, (struct position){ 2, 23 },
 			   (struct position){ 2, 23 }, NS_PER_S);
 	documents_advance_synced(s, (struct position){ 2, 23 }, NS_PER_S);
 }
 
-/* Guards against changes taken for old because their revision was used before. */
-static void test_revision_given_out_again_is_taken(void **state)
+/* A change must not count as old because an earlier epoch used its revision. */
+static void test_reused_revision_of_new_epoch_is_stored(void **state)
 {
 	struct documents_port port = { NULL, on_change, no_order };
-	struct documents *s = open_before_restore(port);
+	struct documents *s = new_documents_before_restore(port);
 
 	(void)state;
-	list_restored(s, "24");
+	list_restored_copy(s, "24");
 	assert_int_equal(documents_synced(s).revision, 23);
-	assert_int_equal(put_in(s, 2, "a", 26, "28", DOCUMENT_CHANGED), 0);
+	assert_int_equal(put_in_epoch(s, 2, "a", 26, "28", DOCUMENT_CHANGED),
+			 0);
 	assert_string_equal((char *)find(s, "a")->value, "28");
-	assert_int_equal(put_in(s, 1, "a", 27, "26", DOCUMENT_CHANGED),
+	assert_int_equal(put_in_epoch(s, 1, "a", 27, "26", DOCUMENT_CHANGED),
 			 -EALREADY);
 	assert_int_equal(documents_newest(s).revision, 26);
 	documents_free(s);
 }
 
-/* What the copy has as it was known is no news. */
-static void test_unchanged_document_is_not_shown_again(void **state)
+/* A document that the restored copy has unchanged must not be reported. */
+static void test_unchanged_document_is_not_reported_after_restore(void **state)
 {
 	struct documents_port port = { NULL, on_change, no_order };
-	struct documents *s = open_before_restore(port);
+	struct documents *s = new_documents_before_restore(port);
 
 	(void)state;
-	list_restored(s, "24");
-	assert_int_equal(changes, 0);
+	list_restored_copy(s, "24");
+	assert_int_equal(change_count, 0);
 	assert_int_equal(documents_retained_digest(s), 0);
 	documents_free(s);
 }
 
-/* Guards against what was acknowledged ending because the store lost it. */
-static void test_lost_document_is_carried_for_a_while(void **state)
+/* An acknowledged document must not be deleted because the store lost it. */
+static void
+test_document_lost_in_restore_is_retained_for_limited_time(void **state)
 {
 	struct documents_port port = { NULL, on_change, no_order };
-	struct documents *s = open_before_restore(port);
+	struct documents *s = new_documents_before_restore(port);
 
 	(void)state;
-	list_restored(s, NULL);
+	list_restored_copy(s, NULL);
 	assert_false(find(s, "a")->deleted);
 	assert_int_not_equal(documents_retained_digest(s), 0);
-	documents_tick(s, NS_PER_S + CARRY_NS - 1);
+	documents_tick(s, NS_PER_S + RETAIN_NS - 1);
 	assert_false(find(s, "a")->deleted);
-	documents_tick(s, NS_PER_S + CARRY_NS);
+	documents_tick(s, NS_PER_S + RETAIN_NS);
 	assert_true(find(s, "a")->deleted);
 	assert_int_equal(documents_retained_digest(s), 0);
-	/* Written again all the same, if late. */
-	assert_int_equal(put_in(s, 2, "a", 24, "24", DOCUMENT_CHANGED), 0);
+	/* A later write creates it again. */
+	assert_int_equal(put_in_epoch(s, 2, "a", 24, "24", DOCUMENT_CHANGED),
+			 0);
 	assert_false(find(s, "a")->deleted);
 	documents_free(s);
 }
 
-/* Guards against peers handing a lost document on to each other for ever. */
-static void test_carried_ends_as_the_first_heard_of_the_epoch(void **state)
+/* Peers must not relay a lost document to each other without end. */
+static void test_retention_ends_at_earliest_known_epoch_start(void **state)
 {
 	struct documents_port port = { NULL, on_change, no_order };
-	struct documents *s = open_before_restore(port);
+	struct documents *s = new_documents_before_restore(port);
 
 	(void)state;
-	list_restored(s, NULL);
+	list_restored_copy(s, NULL);
 	documents_lower_epoch_start(s, 1, 0);
 	documents_tick(s, NS_PER_S + 1);
 	assert_false(find(s, "a")->deleted);
 	documents_lower_epoch_start(s, 2, NS_PER_S / 2);
-	documents_tick(s, NS_PER_S / 2 + CARRY_NS);
+	documents_tick(s, NS_PER_S / 2 + RETAIN_NS);
 	assert_true(find(s, "a")->deleted);
 	documents_free(s);
 }
 
-/* Guards against a configuration that goes back with the store. */
-static void test_older_copy_takes_nothing_back(void **state)
+/* A configuration must not go back when the store does. */
+static void test_older_version_of_restored_copy_is_ignored(void **state)
 {
-	struct documents *s = open_before_restore(
-		(struct documents_port){ &known, on_change, by_number });
+	struct documents *s =
+		new_documents_before_restore((struct documents_port){
+			&compared, on_change, compare_numbers });
 
 	(void)state;
-	known = s;
-	list_restored(s, "14");
+	compared = s;
+	list_restored_copy(s, "14");
 	assert_string_equal((char *)find(s, "a")->value, "24");
-	/* It stands until it is written again. */
-	documents_tick(s, NS_PER_S + 2 * CARRY_NS);
+	/* It is retained without a limit until it is written again. */
+	documents_tick(s, NS_PER_S + 2 * RETAIN_NS);
 	assert_false(find(s, "a")->deleted);
 	assert_int_not_equal(documents_retained_digest(s), 0);
-	assert_int_equal(put_in(s, 2, "a", 24, "24", DOCUMENT_CHANGED), 0);
+	assert_int_equal(put_in_epoch(s, 2, "a", 24, "24", DOCUMENT_CHANGED),
+			 0);
 	assert_int_equal(documents_retained_digest(s), 0);
-	assert_int_equal(changes, 0);
+	assert_int_equal(change_count, 0);
 	documents_free(s);
 }
 
-/* Guards against a newcomer that has only the copy. */
-static void test_newcomer_takes_what_a_peer_carries(void **state)
+/* An entry that knows only the restored copy must get the later version. */
+static void test_new_entry_takes_retained_document_of_peer(void **state)
 {
-	struct documents *peer = open_before_restore(
-		(struct documents_port){ &known, on_change, by_number });
+	struct documents *peer =
+		new_documents_before_restore((struct documents_port){
+			&compared, on_change, compare_numbers });
 	struct documents *s = documents_new(
-		(struct documents_port){ &known, on_change, by_number },
-		(struct documents_expiry){ KEEP_NS, CARRY_NS });
+		(struct documents_port){ &compared, on_change,
+					 compare_numbers },
+		(struct documents_expiry){ KEEP_DELETED_NS, RETAIN_NS });
 
 	(void)state;
-	known = peer;
-	list_restored(peer, "14");
-	known = s;
-	list_restored(s, "14");
+	compared = peer;
+	list_restored_copy(peer, "14");
+	compared = s;
+	list_restored_copy(s, "14");
 	assert_int_not_equal(documents_retained_digest(s),
 			     documents_retained_digest(peer));
 	assert_true(documents_peer_lacks(peer, documents_synced(s),
@@ -306,62 +318,67 @@
 	assert_string_equal((char *)find(s, "a")->value, "24");
 	assert_int_equal(documents_retained_digest(s),
 			 documents_retained_digest(peer));
-	/* Listed again, the copy brings nothing back. */
-	list_restored(s, "14");
+	/* Another listing of the copy does not restore the older version. */
+	list_restored_copy(s, "14");
 	assert_string_equal((char *)find(s, "a")->value, "24");
 	documents_free(s);
 	documents_free(peer);
 }
 
-/* Guards against a target that is back for good after it left: a peer has not
- * heard of its end, and carries over what it said before. */
-static void test_end_in_this_epoch_is_not_undone_by_a_peer(void **state)
+/*
+ * A target that left must not come back for good because a peer, which does not
+ * know of the deletion yet, has retained its entry.
+ */
+static void test_deletion_in_new_epoch_is_not_undone_by_peer(void **state)
 {
-	struct documents *s = open_before_restore(
-		(struct documents_port){ &known, on_change, by_number });
-	struct document carried = fact("a", 27, "25");
+	struct documents *s =
+		new_documents_before_restore((struct documents_port){
+			&compared, on_change, compare_numbers });
+	struct document retained = version("a", 27, "25");
 
 	(void)state;
-	known = s;
-	list_restored(s, "24");
-	put_in(s, 2, "a", 25, NULL, DOCUMENT_CHANGED);
-	carried.epoch = 1;
-	assert_int_equal(documents_put(s, &carried, DOCUMENT_CHANGED, NS_PER_S),
+	compared = s;
+	list_restored_copy(s, "24");
+	put_in_epoch(s, 2, "a", 25, NULL, DOCUMENT_CHANGED);
+	retained.epoch = 1;
+	assert_int_equal(documents_put(s, &retained, DOCUMENT_CHANGED,
+				       NS_PER_S),
 			 -EALREADY);
 	assert_true(find(s, "a")->deleted);
 	documents_free(s);
 }
 
-/* Guards against newcomers that are told less than is known of the copy. */
-static void test_what_is_outdated_counts_as_a_change(void **state)
+/* New entries must be sent what is known about the restored copy. */
+static void test_stale_version_at_platform_counts_as_change(void **state)
 {
-	struct documents *s = open_before_restore(
-		(struct documents_port){ &known, on_change, by_number });
+	struct documents *s =
+		new_documents_before_restore((struct documents_port){
+			&compared, on_change, compare_numbers });
 	uint64_t before;
 
 	(void)state;
-	known = s;
-	list_restored(s, NULL);
+	compared = s;
+	list_restored_copy(s, NULL);
 	before = documents_change_count(s);
-	assert_int_equal(put_in(s, 2, "a", 20, "14", DOCUMENT_CHANGED),
+	assert_int_equal(put_in_epoch(s, 2, "a", 20, "14", DOCUMENT_CHANGED),
 			 -EALREADY);
 	assert_true(documents_change_count(s) > before);
 	documents_free(s);
 }
 
-/* Guards against a peer that is told only what is new in its own epoch. */
-static void test_peer_of_an_earlier_epoch_needs_all(void **state)
+/* A peer of an earlier epoch must not be sent only changes of that epoch. */
+static void test_peer_of_earlier_epoch_needs_full_state(void **state)
 {
 	struct documents_port port = { NULL, on_change, no_order };
-	struct documents *s = open_before_restore(port);
+	struct documents *s = new_documents_before_restore(port);
 
 	(void)state;
 	assert_false(documents_peer_needs_full(s, (struct position){ 1, 26 }));
-	put_in(s, 1, "b", 27, "x", DOCUMENT_CHANGED);
-	put_in(s, 1, "b", 28, NULL, DOCUMENT_CHANGED);
-	documents_tick(s, NS_PER_S + KEEP_NS);
+	put_in_epoch(s, 1, "b", 27, "x", DOCUMENT_CHANGED);
+	put_in_epoch(s, 1, "b", 28, NULL, DOCUMENT_CHANGED);
+	documents_tick(s, NS_PER_S + KEEP_DELETED_NS);
 	assert_true(documents_peer_needs_full(s, (struct position){ 1, 26 }));
-	list_restored(s, "24");
+	list_restored_copy(s, "24");
 	assert_int_equal(documents_floor(s).revision, 23);
 	assert_true(documents_peer_needs_full(s, (struct position){ 1, 26 }));
 	assert_false(documents_peer_needs_full(s, (struct position){ 2, 23 }));
@@ -369,11 +386,13 @@
 	documents_free(s);
 }
 
-/* Guards against an end that some entries never hear of: who lists what stands
- * cannot tell a peer what ended before. */
-static void test_who_lists_knows_no_ends_before(void **state)
+/*
+ * A deletion must reach all entries: one that has read a listing, which
+ * contains only what exists, cannot tell a peer what was deleted before.
+ */
+static void test_listing_raises_floor_to_its_position(void **state)
 {
-	struct documents *s = open_store();
+	struct documents *s = new_documents();
 
 	(void)state;
 	documents_list_begin(s);
@@ -383,7 +402,7 @@
 	assert_true(documents_peer_needs_full(s, at(9)));
 	assert_false(documents_peer_needs_full(s, at(10)));
 	assert_true(documents_peer_needs_full(s, at(0)));
-	/* A peer that has always followed hands its own on. */
+	/* A listing from a peer that missed no deletion has a lower floor. */
 	documents_list_begin(s);
 	put(s, "a", 2, "x", DOCUMENT_LISTED);
 	documents_list_end(s, at(12), at(4), NS_PER_S);
@@ -392,10 +411,12 @@
 	documents_free(s);
 }
 
-/* Guards against an end that a peer remembers, taken for what stands. */
-static void test_end_in_a_whole_state_ends_what_came_later(void **state)
+/* An older deletion in a peer's full state must not count as a listed
+ * document. */
+static void
+test_older_deletion_in_full_state_does_not_keep_document(void **state)
 {
-	struct documents *s = open_store();
+	struct documents *s = new_documents();
 
 	(void)state;
 	put(s, "a", 4, "x", DOCUMENT_CHANGED);
@@ -406,24 +427,24 @@
 	documents_free(s);
 }
 
-/* Guards against what an earlier epoch deleted hiding what is there again. */
-static void test_deletion_of_an_earlier_epoch_gives_way(void **state)
+/* A deletion of an earlier epoch must not hide a document that exists again. */
+static void test_document_of_new_epoch_replaces_earlier_deletion(void **state)
 {
 	struct documents_port port = { NULL, on_change, no_order };
-	struct documents *s = open_before_restore(port);
+	struct documents *s = new_documents_before_restore(port);
 
 	(void)state;
-	put_in(s, 1, "a", 27, NULL, DOCUMENT_CHANGED);
-	list_restored(s, "24");
+	put_in_epoch(s, 1, "a", 27, NULL, DOCUMENT_CHANGED);
+	list_restored_copy(s, "24");
 	assert_false(find(s, "a")->deleted);
 	documents_free(s);
 }
 
-/* Guards against a change applied to a value that only shares its revision. */
-static void test_value_is_found_by_epoch_and_revision(void **state)
+/* A delta must not be applied to a value that only has the same revision. */
+static void test_value_of_other_epoch_is_not_found(void **state)
 {
 	struct documents_port port = { NULL, on_change, no_order };
-	struct documents *s = open_before_restore(port);
+	struct documents *s = new_documents_before_restore(port);
 	struct position same = { 1, 26 }, other = { 2, 26 };
 
 	(void)state;
@@ -435,27 +456,33 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_newer_wins_in_any_order),
-		cmocka_unit_test(test_listing_finds_what_was_deleted),
-		cmocka_unit_test(test_peer_between_pages_hides_no_deletion),
+		cmocka_unit_test(test_later_version_wins_in_any_order),
+		cmocka_unit_test(test_listing_deletes_missing_documents),
+		cmocka_unit_test(
+			test_peer_update_between_pages_hides_no_deletion),
+		cmocka_unit_test(test_expired_deletion_raises_floor),
+		cmocka_unit_test(test_reused_revision_of_new_epoch_is_stored),
+		cmocka_unit_test(
+			test_unchanged_document_is_not_reported_after_restore),
+		cmocka_unit_test(
+			test_document_lost_in_restore_is_retained_for_limited_time),
+		cmocka_unit_test(
+			test_retention_ends_at_earliest_known_epoch_start),
+		cmocka_unit_test(
+			test_older_version_of_restored_copy_is_ignored),
+		cmocka_unit_test(test_value_of_other_epoch_is_not_found),
+		cmocka_unit_test(
+			test_deletion_in_new_epoch_is_not_undone_by_peer),
 		cmocka_unit_test(
-			test_deletions_are_forgotten_and_remembered_as_floor),
-		cmocka_unit_test(test_revision_given_out_again_is_taken),
-		cmocka_unit_test(test_unchanged_document_is_not_shown_again),
-		cmocka_unit_test(test_lost_document_is_carried_for_a_while),
+			test_stale_version_at_platform_counts_as_change),
 		cmocka_unit_test(
-			test_carried_ends_as_the_first_heard_of_the_epoch),
-		cmocka_unit_test(test_older_copy_takes_nothing_back),
-		cmocka_unit_test(test_value_is_found_by_epoch_and_revision),
+			test_new_entry_takes_retained_document_of_peer),
+		cmocka_unit_test(test_peer_of_earlier_epoch_needs_full_state),
 		cmocka_unit_test(
-			test_end_in_this_epoch_is_not_undone_by_a_peer),
-		cmocka_unit_test(test_what_is_outdated_counts_as_a_change),
-		cmocka_unit_test(test_newcomer_takes_what_a_peer_carries),
-		cmocka_unit_test(test_peer_of_an_earlier_epoch_needs_all),
-		cmocka_unit_test(test_deletion_of_an_earlier_epoch_gives_way),
-		cmocka_unit_test(test_who_lists_knows_no_ends_before),
+			test_document_of_new_epoch_replaces_earlier_deletion),
+		cmocka_unit_test(test_listing_raises_floor_to_its_position),
 		cmocka_unit_test(
-			test_end_in_a_whole_state_ends_what_came_later),
+			test_older_deletion_in_full_state_does_not_keep_document),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/packet_evacuation_test.c
+++ b/test/packet_evacuation_test.c
@@ -1,4 +1,4 @@
-/* Data centres that are evacuated: their targets get no new flows. */
+/* Targets of evacuated data centres get no new flows. */
 #include "packet_bed.h"
 
 #include "evacuations.h"
@@ -11,7 +11,7 @@
 #include <string.h>
 #include <cmocka.h>
 
-#define CALLER ADDR(0x64400001, 1000)
+#define CLIENT ADDR(0x64400001, 1000)
 #define FLOWS 16
 
 static int setup(void **state)
@@ -30,9 +30,9 @@
 }
 
 /*
- * Symptom: targets that are being emptied go on getting flows. Sequence: the
- * operator evacuates a data centre; its own entries place nearest first. Cause:
- * nothing but a target's own word took it out of the choice.
+ * Targets being evacuated still get flows: the entries of their own data centre
+ * prefer local targets, and excluded only targets that announced their own
+ * leave.
  */
 static void test_evacuated_targets_get_no_flows(void **state)
 {
@@ -42,26 +42,26 @@
 	bed_target(b, 2, SERVICE, OTHER_ZONE);
 	assert_int_equal(directory_evacuate(b->directory, ZONE, true), 0);
 	for (uint32_t i = 0; i < FLOWS; i++)
-		assert_int_equal(bed_syn(b, CALLER + i, VIP, 0).target->news.id,
+		assert_int_equal(bed_syn(b, CLIENT + i, VIP, 0).target->news.id,
 				 2);
 	assert_int_equal(directory_evacuate(b->directory, ZONE, false), 0);
 	for (uint32_t i = 0; i < FLOWS; i++)
 		assert_int_equal(
-			bed_syn(b, CALLER + FLOWS + i, VIP, 0).target->news.id,
+			bed_syn(b, CLIENT + FLOWS + i, VIP, 0).target->news.id,
 			1);
 }
 
-/* A reset would break a live flow: it ends where it is. */
-static void test_open_flows_stay(void **state)
+/* A reset would break a live flow; it ends at its target. */
+static void test_open_flows_survive_evacuation(void **state)
 {
 	struct bed *b = *state;
 	struct target *t = bed_target(b, 1, SERVICE, ZONE);
 	struct path_verdict v;
 
 	bed_target(b, 2, SERVICE, OTHER_ZONE);
-	bed_open_flow(b, CALLER, VIP);
+	bed_open_flow(b, CLIENT, VIP);
 	directory_evacuate(b->directory, ZONE, true);
-	v = bed_data(b, CALLER, VIP, t->cookie, 2, 2, 100);
+	v = bed_data(b, CLIENT, VIP, t->cookie, 2, 2, 100);
 	assert_int_equal(v.action, PATH_FORWARD);
 	assert_ptr_equal(v.target, t);
 	bed_pass(b, 2 * NS_PER_S);
@@ -69,26 +69,26 @@
 }
 
 /*
- * Symptom: an opening packet arrives at an evacuated target a second after the
- * evacuation is in force. Sequence: the target does not answer; the entry, or
- * the client, sends the packet again. Cause: the flow's first target was kept.
+ * An evacuated target receives a SYN a second after the evacuation is in force.
+ * The target does not answer, the entry or the client sends the SYN again, and
+ * the flow must not keep its first target.
  */
-static void test_repeated_opening_packet_goes_elsewhere(void **state)
+static void test_retransmitted_syn_avoids_evacuated_target(void **state)
 {
 	struct bed *b = *state;
 
 	bed_target(b, 1, SERVICE, ZONE);
-	assert_int_equal(bed_syn(b, CALLER, VIP, 0).target->news.id, 1);
-	assert_int_equal(bed_syn(b, CALLER + 1, VIP, 0).target->news.id, 1);
+	assert_int_equal(bed_syn(b, CLIENT, VIP, 0).target->news.id, 1);
+	assert_int_equal(bed_syn(b, CLIENT + 1, VIP, 0).target->news.id, 1);
 	bed_target(b, 2, SERVICE, OTHER_ZONE);
 	directory_evacuate(b->directory, ZONE, true);
-	assert_int_equal(bed_syn(b, CALLER, VIP, 1).target->news.id, 2);
+	assert_int_equal(bed_syn(b, CLIENT, VIP, 1).target->news.id, 2);
 	bed_pass(b, 100 * MS);
 	assert_int_equal(b->n_again, 1);
 	assert_int_equal(b->again[0], 2);
 }
 
-static void test_refused_at_once_with_no_target_left(void **state)
+static void test_syn_is_reset_at_once_without_targets(void **state)
 {
 	struct bed *b = *state;
 	struct path_verdict v;
@@ -97,12 +97,12 @@
 	bed_target(b, 2, SERVICE, OTHER_ZONE);
 	directory_evacuate(b->directory, ZONE, true);
 	directory_evacuate(b->directory, OTHER_ZONE, true);
-	v = bed_syn(b, CALLER, VIP, 0);
+	v = bed_syn(b, CLIENT, VIP, 0);
 	assert_int_equal(v.action, PATH_RESET);
 	assert_int_equal(v.reason, PATH_no_target);
 }
 
-/* Nobody waits for whether an evacuated target without flows lives again. */
+/* No client waits for an evacuated target without flows to live again. */
 static void test_evacuated_targets_without_flows_are_not_probed(void **state)
 {
 	struct bed *b = *state;
@@ -118,20 +118,20 @@
 }
 
 /*
- * Symptom: requests wait until their clients give up. Sequence: targets have
- * all they can do and their data centre is evacuated; nothing there has to be
- * spared any more. Cause: what waited went on waiting for a free slot.
+ * Queued requests expire: their targets are busy and their data centre is
+ * evacuated. Its targets need no protection from load any more, so the requests
+ * must not wait for a free slot.
  */
-static void test_waiting_requests_go_at_once(void **state)
+static void test_evacuation_releases_queued_requests(void **state)
 {
 	struct bed *b = *state;
 	struct target *t = bed_target(b, 1, SERVICE, ZONE);
-	uint32_t asked = 0;
+	uint32_t sent = 0;
 
 	bed_times(b, 300, 2000);
-	for (; asked < FLOWS * 2; asked++) {
-		bed_open_flow(b, CALLER + asked, VIP);
-		bed_data(b, CALLER + asked, VIP, t->cookie, 2, 1, 100);
+	for (; sent < FLOWS * 2; sent++) {
+		bed_open_flow(b, CLIENT + sent, VIP);
+		bed_data(b, CLIENT + sent, VIP, t->cookie, 2, 1, 100);
 	}
 	assert_int_not_equal(path_waiting(b->path), 0);
 	directory_evacuate(b->directory, ZONE, true);
@@ -140,7 +140,7 @@
 	assert_int_equal(b->n_resets, 0);
 }
 
-static void test_begun_and_ended_by_name(void **state)
+static void test_evacuation_begins_and_ends_by_name(void **state)
 {
 	struct evacuations e = { 0 };
 
@@ -157,7 +157,8 @@
 	assert_true(evacuations_has(&e, (uint32_t)hash_text(ZONE)));
 }
 
-static void test_bounds(void **state)
+static void
+test_too_long_names_and_too_many_evacuations_are_refused(void **state)
 {
 	struct evacuations e = { 0 };
 	char name[NAME_MAX_BYTES + 1];
@@ -181,13 +182,14 @@
 {
 	const struct CMUnitTest tests[] = {
 		TEST(test_evacuated_targets_get_no_flows),
-		TEST(test_open_flows_stay),
-		TEST(test_repeated_opening_packet_goes_elsewhere),
-		TEST(test_refused_at_once_with_no_target_left),
+		TEST(test_open_flows_survive_evacuation),
+		TEST(test_retransmitted_syn_avoids_evacuated_target),
+		TEST(test_syn_is_reset_at_once_without_targets),
 		TEST(test_evacuated_targets_without_flows_are_not_probed),
-		TEST(test_waiting_requests_go_at_once),
-		cmocka_unit_test(test_begun_and_ended_by_name),
-		cmocka_unit_test(test_bounds),
+		TEST(test_evacuation_releases_queued_requests),
+		cmocka_unit_test(test_evacuation_begins_and_ends_by_name),
+		cmocka_unit_test(
+			test_too_long_names_and_too_many_evacuations_are_refused),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/packet_peers_test.c
+++ b/test/packet_peers_test.c
@@ -1,4 +1,4 @@
-/* Peers found from seeds, ranks of readers, heartbeats and relays on the wire. */
+/* Discovery of peers, ranks of readers, loads, and heartbeats on the wire. */
 #include "hello_codec.h"
 #include "node.h"
 #include "loads.h"
@@ -12,11 +12,11 @@
 #include <string.h>
 #include <cmocka.h>
 
-#define VMS 9
-#define ZONES 3
+#define NET_VMS 9
+#define NET_ZONES 3
 #define HEARTBEAT_NS (200 * MS)
-#define ROOM 16
-#define CROWD 57
+#define ADDRESSES_MAX 16
+#define MANY_VMS 57
 
 static struct position at(uint64_t revision)
 {
@@ -29,8 +29,8 @@
 }
 
 struct net {
-	struct peer_set *vm[VMS];
-	bool cut[VMS];
+	struct peer_set *vm[NET_VMS];
+	bool cut[NET_VMS];
 	uint64_t now_ns;
 };
 
@@ -38,10 +38,10 @@
 {
 	memset(n, 0, sizeof(*n));
 	n->now_ns = 100 * NS_PER_S;
-	for (uint32_t i = 0; i < VMS; i++) {
+	for (uint32_t i = 0; i < NET_VMS; i++) {
 		struct peer_set_conf conf = {
 			.self = address(i),
-			.zone = i % ZONES,
+			.zone = i % NET_ZONES,
 			.boot = i + 1,
 			.period_ns = HEARTBEAT_NS,
 			.n_seeds = 2,
@@ -54,7 +54,7 @@
 
 static void net_close(struct net *n)
 {
-	for (uint32_t i = 0; i < VMS; i++)
+	for (uint32_t i = 0; i < NET_VMS; i++)
 		peer_set_free(n->vm[i]);
 }
 
@@ -68,7 +68,7 @@
 
 	assert_int_not_equal(size_bytes, 0);
 	assert_int_equal(hello_decode(data, size_bytes, &got), 0);
-	if (i >= VMS || n->cut[from] != n->cut[i])
+	if (i >= NET_VMS || n->cut[from] != n->cut[i])
 		return;
 	peer_set_receive(n->vm[i], &got, n->now_ns);
 }
@@ -76,12 +76,12 @@
 static void net_pass(struct net *n, uint64_t ns)
 {
 	uint64_t end_ns = n->now_ns + ns;
-	uint64_t to[ROOM];
+	uint64_t to[ADDRESSES_MAX];
 
 	for (; n->now_ns < end_ns; n->now_ns += 20 * MS) {
-		for (uint32_t i = 0; i < VMS; i++) {
-			uint32_t k = peer_set_take_due(n->vm[i], false,
-						       n->now_ns, to, ROOM);
+		for (uint32_t i = 0; i < NET_VMS; i++) {
+			uint32_t k = peer_set_take_due(
+				n->vm[i], false, n->now_ns, to, ADDRESSES_MAX);
 			struct hello h = { 0 };
 
 			peer_set_fill_hello(n->vm[i], &h, n->now_ns);
@@ -91,49 +91,49 @@
 	}
 }
 
-static void test_all_find_each_other(void **state)
+static void test_all_vms_discover_each_other(void **state)
 {
 	struct net n;
 
 	(void)state;
 	net_open(&n);
 	net_pass(&n, 3 * NS_PER_S);
-	for (uint32_t i = 0; i < VMS; i++)
+	for (uint32_t i = 0; i < NET_VMS; i++)
 		assert_int_equal(peer_set_count_live(n.vm[i], n.now_ns),
-				 VMS - 1);
+				 NET_VMS - 1);
 	net_close(&n);
 }
 
-static void test_one_reader_a_data_centre(void **state)
+static void test_each_data_centre_has_one_reader(void **state)
 {
-	uint32_t readers[ZONES] = { 0 };
+	uint32_t readers[NET_ZONES] = { 0 };
 	struct net n;
 
 	(void)state;
 	net_open(&n);
 	net_pass(&n, 3 * NS_PER_S);
-	for (uint32_t i = 0; i < VMS; i++)
-		readers[i % ZONES] +=
+	for (uint32_t i = 0; i < NET_VMS; i++)
+		readers[i % NET_ZONES] +=
 			peer_set_reader_rank(n.vm[i], n.now_ns) == 0;
-	for (uint32_t z = 0; z < ZONES; z++)
+	for (uint32_t z = 0; z < NET_ZONES; z++)
 		assert_int_equal(readers[z], 1);
 	net_close(&n);
 }
 
 /*
- * Symptom: the platform is called 80 times a second by a fleet at rest.
- * Sequence: in a data centre of 57 each VM hears of any other but now and then.
- * Cause: whom it had not heard of for 0.7 s it took for lost, the reader too.
+ * An idle fleet calls the platform 80 times a second. In a data centre of 57
+ * VMs, each hears from any other one only now and then. After 0.7 s without a
+ * heartbeat it counted that one as lost, the reader too.
  */
-static void test_one_reader_among_many(void **state)
+static void test_many_vms_agree_on_one_reader(void **state)
 {
-	struct peer_set *vm[CROWD];
-	uint64_t to[ROOM];
+	struct peer_set *vm[MANY_VMS];
+	uint64_t to[ADDRESSES_MAX];
 	uint64_t now_ns = 100 * NS_PER_S;
 	uint32_t reading = 0, first = 0;
 
 	(void)state;
-	for (uint32_t i = 0; i < CROWD; i++) {
+	for (uint32_t i = 0; i < MANY_VMS; i++) {
 		struct peer_set_conf conf = {
 			.self = address(i),
 			.boot = i + 1,
@@ -145,9 +145,9 @@
 		vm[i] = peer_set_new(&conf, (struct rng){ i + 1 });
 	}
 	for (uint32_t step = 0; step < 500; step++, now_ns += 20 * MS) {
-		for (uint32_t i = 0; i < CROWD; i++) {
+		for (uint32_t i = 0; i < MANY_VMS; i++) {
 			uint32_t k = peer_set_take_due(vm[i], false, now_ns, to,
-						       ROOM);
+						       ADDRESSES_MAX);
 			struct hello h = { 0 };
 
 			peer_set_fill_hello(vm[i], &h, now_ns);
@@ -156,32 +156,32 @@
 						    ADDR_IP(address(0))],
 						 &h, now_ns);
 		}
-		for (uint32_t i = 0; i < CROWD && step % 100 == 50; i++)
+		for (uint32_t i = 0; i < MANY_VMS && step % 100 == 50; i++)
 			if (!peer_set_reader_rank(vm[i], now_ns))
 				peer_set_note_contact(vm[i], at(step + 1),
 						      now_ns);
 		if (step < 250 || step % 50)
 			continue;
-		for (uint32_t i = 0; i < CROWD; i++) {
+		for (uint32_t i = 0; i < MANY_VMS; i++) {
 			first += !peer_set_reader_rank(vm[i], now_ns);
 			reading += peer_set_others_contact_ns(vm[i], now_ns) +
 					   2400 * MS <
 				   now_ns;
 		}
 	}
-	/* Five looks: each time one, which is the one that reads. */
+	/* Of five samples, each has one VM of rank 0, which is the reader. */
 	assert_int_equal(first, 5);
 	assert_int_equal(reading, 5);
-	for (uint32_t i = 0; i < CROWD; i++)
+	for (uint32_t i = 0; i < MANY_VMS; i++)
 		peer_set_free(vm[i]);
 }
 
 /*
- * Symptom: a data centre that is cut off from the others hears of changes late.
- * Sequence: two others read for all. Cause: it waited for what they told last to
- * grow old, though nobody elsewhere was heard any more.
+ * Changes reach a data centre late when it is cut off from the two others that
+ * read for all. It must not wait for their claims to expire when no heartbeat
+ * of another data centre arrives any more.
  */
-static void test_who_hears_nobody_elsewhere_reads(void **state)
+static void test_data_centre_that_is_cut_off_reads_itself(void **state)
 {
 	uint32_t before = 0;
 	struct net n;
@@ -189,21 +189,21 @@
 	(void)state;
 	net_open(&n);
 	net_pass(&n, 2 * NS_PER_S);
-	for (uint32_t i = 0; i < ZONES; i++)
+	for (uint32_t i = 0; i < NET_ZONES; i++)
 		peer_set_note_contact(n.vm[i], at(50), n.now_ns);
 	net_pass(&n, NS_PER_S);
-	for (uint32_t i = 0; i < VMS; i++)
+	for (uint32_t i = 0; i < NET_VMS; i++)
 		before += peer_set_readers_before(
 			n.vm[i], n.now_ns - 2 * NS_PER_S, n.now_ns);
-	/* Three of the first data centre, three of the second, and so on. */
+	/* Each data centre has three VMs; 0, 1 and 2 of them precede it. */
 	assert_int_equal(before, 3 * (0 + 1 + 2));
-	for (uint32_t i = 0; i < VMS; i++)
+	for (uint32_t i = 0; i < NET_VMS; i++)
 		assert_int_equal(peer_set_readers_before(
 					 n.vm[i], n.now_ns - 2 * NS_PER_S,
 					 n.now_ns + 1300 * MS),
 				 0);
-	/* What was said long ago does not count either. */
-	for (uint32_t i = 0; i < VMS; i++)
+	/* Old claims do not count either. */
+	for (uint32_t i = 0; i < NET_VMS; i++)
 		assert_int_equal(peer_set_readers_before(n.vm[i], n.now_ns,
 							 n.now_ns),
 				 0);
@@ -211,11 +211,11 @@
 }
 
 /*
- * Symptom: after a partition the two sides know nothing of each other for good.
- * Sequence: some VMs, seeds among them, are cut off for longer than they are
- * counted as live. Cause: nobody tried those that were not heard of.
+ * After a partition the two sides never find each other again. Some VMs, seeds
+ * among them, are cut off for longer than they count as live, and nobody tries
+ * VMs that are not live.
  */
-static void test_partition_heals(void **state)
+static void test_vms_rediscover_each_other_after_partition(void **state)
 {
 	struct net n;
 
@@ -228,13 +228,13 @@
 	assert_int_equal(peer_set_count_live(n.vm[1], n.now_ns), 5);
 	memset(n.cut, 0, sizeof(n.cut));
 	net_pass(&n, 4 * NS_PER_S);
-	for (uint32_t i = 0; i < VMS; i++)
+	for (uint32_t i = 0; i < NET_VMS; i++)
 		assert_int_equal(peer_set_count_live(n.vm[i], n.now_ns),
-				 VMS - 1);
+				 NET_VMS - 1);
 	net_close(&n);
 }
 
-static void test_trouble_of_the_platform_is_told(void **state)
+static void test_platform_fault_reaches_all_vms(void **state)
 {
 	struct net n;
 
@@ -244,12 +244,12 @@
 	assert_int_equal(peer_set_platform_fault_ns(n.vm[8]), 0);
 	peer_set_note_platform_fault(n.vm[0], n.now_ns, n.now_ns);
 	net_pass(&n, 2 * NS_PER_S);
-	for (uint32_t i = 0; i < VMS; i++)
+	for (uint32_t i = 0; i < NET_VMS; i++)
 		assert_int_not_equal(peer_set_platform_fault_ns(n.vm[i]), 0);
 	net_close(&n);
 }
 
-static void test_peer_ahead_is_found(void **state)
+static void test_peer_with_newer_documents_is_found(void **state)
 {
 	struct sync_state older = { { 0, 49 }, 0, 0 };
 	struct sync_state same = { { 0, 50 }, 0, 0 };
@@ -263,14 +263,14 @@
 		peer_set_find_ahead_of(n.vm[0], &older, n.now_ns)->addr,
 		address(4));
 	assert_null(peer_set_find_ahead_of(n.vm[0], &same, n.now_ns));
-	/* Not one that fell silent. */
+	/* A peer that is no longer live does not count. */
 	assert_null(
 		peer_set_find_ahead_of(n.vm[0], &older, n.now_ns + NS_PER_S));
 	net_close(&n);
 }
 
-/* Guards against entries that never ask who has read the restored store. */
-static void test_peer_of_a_later_epoch_is_ahead(void **state)
+/* Entries must fetch from one that has read the restored store. */
+static void test_peer_of_later_epoch_is_ahead(void **state)
 {
 	struct sync_state before = { { 1, 50 }, 0, 0 };
 	struct sync_state later = { { 3, 1 }, 0, 0 };
@@ -285,8 +285,8 @@
 	net_close(&n);
 }
 
-/* Guards against two that ask each other for what they carry without end. */
-static void test_who_carries_more_is_asked_once(void **state)
+/* Two entries must not fetch retained documents from each other without end. */
+static void test_peer_with_other_retained_documents_is_asked_once(void **state)
 {
 	struct sync_state own = { { 2, 40 }, 0, 0 };
 	struct net n;
@@ -303,41 +303,43 @@
 	assert_null(peer_set_find_ahead_of(n.vm[0], &own, n.now_ns));
 	own = (struct sync_state){ { 2, 40 }, 77, 0 };
 	assert_null(peer_set_find_ahead_of(n.vm[0], &own, n.now_ns));
-	/* Of another epoch it is not what is missing here. */
+	/* Documents retained in an earlier epoch are of no use here. */
 	own = (struct sync_state){ { 3, 1 }, 0, 0 };
 	assert_null(peer_set_find_ahead_of(n.vm[0], &own, n.now_ns));
 	net_close(&n);
 }
 
-static void test_who_is_alone_hurries_for_a_while_only(void **state)
+/* Lone VMs must not flood the seeds with heartbeats. */
+static void test_short_interval_of_lone_vm_is_limited(void **state)
 {
 	struct net n;
-	uint64_t to[ROOM];
-	uint32_t first = 0, hurried = 0, later = 0;
+	uint64_t to[ADDRESSES_MAX];
+	uint32_t first = 0, early = 0, later = 0;
 
 	(void)state;
 	net_open(&n);
 	for (uint32_t i = 0; i < 500; i++, n.now_ns += 20 * MS) {
 		uint32_t due = peer_set_take_due(n.vm[8], false, n.now_ns, to,
-						 ROOM) > 0;
+						 ADDRESSES_MAX) > 0;
 
 		first += i < 3 ? due : 0;
-		hurried += i < 100 ? due : 0;
+		early += i < 100 ? due : 0;
 		later += i < 100 ? 0 : due;
 	}
-	/* At once, then less and less: three seeds hear hundreds of VMs. */
+	/* At once, then at growing intervals: hundreds of VMs share the
+	 * seeds. */
 	assert_int_equal(first, 3);
-	assert_in_range(hurried, 24, 30);
+	assert_in_range(early, 24, 30);
 	assert_in_range(later, 35, 45);
 	net_close(&n);
 }
 
 /*
- * Symptom: in a large fleet an entry does not know its neighbours, reads the
- * store though another does, and hears of changes late. Sequence: it is told of
- * thousands of VMs elsewhere first. Cause: they filled its table.
+ * In a large fleet an entry does not know the VMs of its data centre, reads the
+ * store although another one does, and learns of changes late: thousands of VMs
+ * elsewhere, named to it first, fill its table.
  */
-static void test_far_peers_leave_room_for_near_ones(void **state)
+static void test_remote_peers_do_not_fill_table(void **state)
 {
 	struct net n;
 
@@ -392,11 +394,10 @@
 }
 
 /*
- * Symptom: peers count an entry out while it is at its busiest. Sequence: its
- * loads are many and large, so a heartbeat passes the size of a datagram.
- * Cause: it was not sent at all then.
+ * Peers count an entry as lost when it is busiest: a heartbeat with many large
+ * loads that exceeds the size of a datagram is not sent at all.
  */
-static void test_fullest_heartbeat_fits(void **state)
+static void test_largest_heartbeat_fits_datagram(void **state)
 {
 	uint8_t data[HELLO_MAX_BYTES];
 	struct hello got, h = {
@@ -448,7 +449,7 @@
 	assert_int_equal(got.failing[3].failures_centi, UINT16_MAX);
 }
 
-static void test_cut_and_foreign_datagrams_are_refused(void **state)
+static void test_truncated_and_foreign_datagrams_are_rejected(void **state)
 {
 	uint8_t data[HELLO_MAX_BYTES];
 	struct hello h = { .from = address(1),
@@ -470,20 +471,23 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_peer_of_a_later_epoch_is_ahead),
-		cmocka_unit_test(test_who_carries_more_is_asked_once),
-		cmocka_unit_test(test_all_find_each_other),
-		cmocka_unit_test(test_one_reader_a_data_centre),
-		cmocka_unit_test(test_one_reader_among_many),
-		cmocka_unit_test(test_who_hears_nobody_elsewhere_reads),
-		cmocka_unit_test(test_partition_heals),
-		cmocka_unit_test(test_trouble_of_the_platform_is_told),
-		cmocka_unit_test(test_peer_ahead_is_found),
-		cmocka_unit_test(test_who_is_alone_hurries_for_a_while_only),
-		cmocka_unit_test(test_far_peers_leave_room_for_near_ones),
+		cmocka_unit_test(test_peer_of_later_epoch_is_ahead),
+		cmocka_unit_test(
+			test_peer_with_other_retained_documents_is_asked_once),
+		cmocka_unit_test(test_all_vms_discover_each_other),
+		cmocka_unit_test(test_each_data_centre_has_one_reader),
+		cmocka_unit_test(test_many_vms_agree_on_one_reader),
+		cmocka_unit_test(test_data_centre_that_is_cut_off_reads_itself),
+		cmocka_unit_test(
+			test_vms_rediscover_each_other_after_partition),
+		cmocka_unit_test(test_platform_fault_reaches_all_vms),
+		cmocka_unit_test(test_peer_with_newer_documents_is_found),
+		cmocka_unit_test(test_short_interval_of_lone_vm_is_limited),
+		cmocka_unit_test(test_remote_peers_do_not_fill_table),
 		cmocka_unit_test(test_loads_of_peers_are_summed),
-		cmocka_unit_test(test_fullest_heartbeat_fits),
-		cmocka_unit_test(test_cut_and_foreign_datagrams_are_refused),
+		cmocka_unit_test(test_largest_heartbeat_fits_datagram),
+		cmocka_unit_test(
+			test_truncated_and_foreign_datagrams_are_rejected),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/packet_relay_test.c
+++ b/test/packet_relay_test.c
@@ -1,4 +1,4 @@
-/* Documents between entries: whole, and as what changed. */
+/* Relay of documents between entries, whole and as deltas. */
 #include "relay_codec.h"
 
 #include <errno.h>
@@ -13,7 +13,7 @@
 #define LARGE_BYTES 250000
 #define KEY "configuration"
 
-static bool ignore(void *ctx, const struct document *d)
+static bool ignore_change(void *ctx, const struct document *d)
 {
 	(void)ctx;
 	(void)d;
@@ -27,7 +27,7 @@
 	return 0;
 }
 
-static const struct documents_expiry kept = { NS_PER_S, NS_PER_S };
+static const struct documents_expiry expiry = { NS_PER_S, NS_PER_S };
 
 static struct position at(uint64_t revision)
 {
@@ -39,8 +39,8 @@
 	documents_put(ctx, d, DOCUMENT_CHANGED, NOW_NS);
 }
 
-static bool begin(void *ctx, const struct relay_head *head,
-		  struct facts_port *to)
+static bool begin_collect(void *ctx, const struct relay_head *head,
+			  struct facts_port *to)
 {
 	(void)head;
 	*to = (struct facts_port){ ctx, collect };
@@ -56,17 +56,17 @@
 	return false;
 }
 
-static struct document_value known(void *ctx, uint64_t key_hash,
-				   struct position since)
+static struct document_value value_at(void *ctx, uint64_t key_hash,
+				      struct position since)
 {
 	return documents_value_at(ctx, key_hash, since);
 }
 
-static void test_relay_brings_what_is_missing(void **state)
+static void test_relay_sends_documents_that_peer_lacks(void **state)
 {
-	struct documents_port nobody = { NULL, ignore, no_order };
-	struct documents *from = documents_new(nobody, kept);
-	struct documents *to = documents_new(nobody, kept);
+	struct documents_port port = { NULL, ignore_change, no_order };
+	struct documents *from = documents_new(port, expiry);
+	struct documents *to = documents_new(port, expiry);
 	struct document d = { .key = "a", .revision = 3, .created = 3 };
 	GString *body = g_string_new(NULL);
 	struct relay_base none = { 0 };
@@ -82,15 +82,17 @@
 	documents_put(from, &d, DOCUMENT_CHANGED, 1);
 	documents_advance_synced(from, at(6), NOW_NS);
 	relay_encode(from, at(3), &none, &delta, body);
-	assert_int_equal(relay_decode((uint8_t *)body->str, (uint32_t)body->len,
-				      (struct relay_port){ to, refuse, known },
-				      &head),
-			 -EBUSY);
+	assert_int_equal(
+		relay_decode((uint8_t *)body->str, (uint32_t)body->len,
+			     (struct relay_port){ to, refuse, value_at },
+			     &head),
+		-EBUSY);
 	assert_int_equal(documents_count(to), 0);
-	assert_int_equal(relay_decode((uint8_t *)body->str, (uint32_t)body->len,
-				      (struct relay_port){ to, begin, known },
-				      &head),
-			 0);
+	assert_int_equal(
+		relay_decode((uint8_t *)body->str, (uint32_t)body->len,
+			     (struct relay_port){ to, begin_collect, value_at },
+			     &head),
+		0);
 	assert_int_equal(head.through.revision, 6);
 	assert_int_equal(head.newest.revision, 5);
 	assert_false(head.whole);
@@ -99,7 +101,8 @@
 	for (uint32_t i = 0; i < body->len; i++)
 		assert_int_not_equal(
 			relay_decode((uint8_t *)body->str, i,
-				     (struct relay_port){ to, begin, known },
+				     (struct relay_port){ to, begin_collect,
+							  value_at },
 				     &head),
 			0);
 	g_string_free(body, TRUE);
@@ -107,7 +110,7 @@
 	documents_free(to);
 }
 
-/* A large value of which a few bytes differ by revision. */
+/* Puts a large value of which a few bytes depend on the revision. */
 static void put_large(struct documents *s, uint64_t revision)
 {
 	struct document d = { .key = KEY,
@@ -134,11 +137,11 @@
 
 static int setup(void **state)
 {
-	struct documents_port nobody = { NULL, ignore, no_order };
+	struct documents_port port = { NULL, ignore_change, no_order };
 	struct pair *p = g_new0(struct pair, 1);
 
-	p->from = documents_new(nobody, kept);
-	p->to = documents_new(nobody, kept);
+	p->from = documents_new(port, expiry);
+	p->to = documents_new(port, expiry);
 	p->body = g_string_new(NULL);
 	*state = p;
 	return 0;
@@ -157,7 +160,7 @@
 	return 0;
 }
 
-/* @p->to asks @p->from for what it lacks. */
+/* @p->to fetches the documents that it lacks from @p->from. */
 static int fetch(struct pair *p)
 {
 	struct relay_base base = relay_base(p->to);
@@ -166,8 +169,9 @@
 
 	relay_encode(p->from, documents_synced(p->to), &base, &p->delta,
 		     p->body);
-	err = relay_decode((uint8_t *)p->body->str, (uint32_t)p->body->len,
-			   (struct relay_port){ p->to, begin, known }, &head);
+	err = relay_decode(
+		(uint8_t *)p->body->str, (uint32_t)p->body->len,
+		(struct relay_port){ p->to, begin_collect, value_at }, &head);
 	if (!err)
 		documents_advance_synced(p->to, head.through, NOW_NS);
 	return err;
@@ -184,12 +188,11 @@
 }
 
 /*
- * Symptom: a leaving target gets flows five seconds later, on links of 2
- * Mbit/s. Sequence: a configuration of 1,250 routes changes three times a
- * second; each change goes to every VM whole, and the links are full with it.
- * Cause: what had not changed was sent again.
+ * On links of 2 Mbit/s, a leaving target gets flows for five more seconds. A
+ * configuration of 1,250 routes changes three times a second, and sending it
+ * whole to every VM fills the links.
  */
-static void test_a_change_is_small(void **state)
+static void test_change_of_large_document_is_sent_as_delta(void **state)
 {
 	struct pair *p = *state;
 
@@ -203,7 +206,7 @@
 	assert_same(p);
 }
 
-static void test_two_changes_at_once(void **state)
+static void test_two_changes_are_sent_as_one_delta(void **state)
 {
 	struct pair *p = *state;
 
@@ -216,7 +219,7 @@
 	assert_same(p);
 }
 
-static void test_far_behind_it_goes_whole(void **state)
+static void test_value_is_sent_whole_to_peer_far_behind(void **state)
 {
 	struct pair *p = *state;
 
@@ -229,7 +232,7 @@
 	assert_same(p);
 }
 
-static void test_earlier_values_are_forgotten(void **state)
+static void test_expired_base_is_sent_whole(void **state)
 {
 	struct pair *p = *state;
 
@@ -242,8 +245,8 @@
 	assert_same(p);
 }
 
-/* The asking VM had the change from somebody else meanwhile, and more. */
-static void test_base_that_moved_on_meanwhile(void **state)
+/* The asking entry got a later change from another peer meanwhile. */
+static void test_delta_applies_when_base_is_no_longer_current(void **state)
 {
 	struct pair *p = *state;
 	struct relay_base base;
@@ -256,14 +259,16 @@
 	relay_encode(p->from, documents_synced(p->to), &base, &p->delta,
 		     p->body);
 	put_large(p->to, 8);
-	assert_int_equal(
-		relay_decode((uint8_t *)p->body->str, (uint32_t)p->body->len,
-			     (struct relay_port){ p->to, begin, known }, &head),
-		0);
+	assert_int_equal(relay_decode((uint8_t *)p->body->str,
+				      (uint32_t)p->body->len,
+				      (struct relay_port){ p->to, begin_collect,
+							   value_at },
+				      &head),
+			 0);
 	assert_same(p);
 }
 
-static void test_base_that_is_not_known_is_refused(void **state)
+static void test_delta_of_unknown_base_is_rejected(void **state)
 {
 	struct pair *p = *state;
 	struct relay_base base;
@@ -273,15 +278,17 @@
 	base = relay_base(p->from);
 	put_large(p->from, 9);
 	relay_encode(p->from, at(5), &base, &p->delta, p->body);
-	assert_int_equal(
-		relay_decode((uint8_t *)p->body->str, (uint32_t)p->body->len,
-			     (struct relay_port){ p->to, begin, known }, &head),
-		-ESTALE);
+	assert_int_equal(relay_decode((uint8_t *)p->body->str,
+				      (uint32_t)p->body->len,
+				      (struct relay_port){ p->to, begin_collect,
+							   value_at },
+				      &head),
+			 -ESTALE);
 	assert_int_equal(documents_count(p->to), 0);
 }
 
-/* Guards against a change applied to a value that only shares its revision. */
-static void test_base_of_another_epoch_is_no_base(void **state)
+/* A delta must not be applied to a value that only has the same revision. */
+static void test_base_of_other_epoch_is_ignored(void **state)
 {
 	struct pair *p = *state;
 	struct relay_base base;
@@ -294,8 +301,8 @@
 	assert_true(p->body->len > LARGE_BYTES / 2);
 }
 
-/* Guards against links filled with a configuration that the peer has already. */
-static void test_carried_document_that_the_peer_has_is_not_sent(void **state)
+/* Links must not be filled with a configuration that the peer has already. */
+static void test_retained_document_that_peer_has_is_not_sent(void **state)
 {
 	struct pair *p = *state;
 
@@ -308,8 +315,8 @@
 	assert_same(p);
 }
 
-/* Guards against every link filled with the configuration after a restore. */
-static void test_unchanged_document_of_a_later_epoch_is_small(void **state)
+/* After a restore the configuration must not be sent whole to every entry. */
+static void test_unchanged_document_of_new_epoch_is_sent_as_delta(void **state)
 {
 	struct position restored = { 2, 4 };
 	struct pair *p = *state;
@@ -337,8 +344,8 @@
 
 static struct documents *asking;
 
-static struct document_value asking_knows(void *ctx, uint64_t key_hash,
-					  struct position since)
+static struct document_value value_of_asking(void *ctx, uint64_t key_hash,
+					     struct position since)
 {
 	(void)ctx;
 	return documents_value_at(asking, key_hash, since);
@@ -352,9 +359,11 @@
 	return true;
 }
 
-/* Guards against a configuration that a peer's whole state leaves out, and
- * against links filled with one that the peer has. */
-static void test_whole_state_names_what_the_peer_has(void **state)
+/*
+ * A full state must contain the configuration that the peer has, since the peer
+ * deletes what it lacks, but must not fill the link with its value.
+ */
+static void test_full_state_names_document_that_peer_has(void **state)
 {
 	struct pair *p = *state;
 	struct relay_base base;
@@ -371,7 +380,7 @@
 	assert_int_equal(relay_decode((uint8_t *)p->body->str,
 				      (uint32_t)p->body->len,
 				      (struct relay_port){ &named, begin_count,
-							   asking_knows },
+							   value_of_asking },
 				      &head),
 			 0);
 	assert_true(head.whole);
@@ -379,8 +388,9 @@
 	assert_true(p->body->len < 1000);
 }
 
-/* Guards against a newcomer that ends what a copy has less of. */
-static void test_relay_tells_what_is_outdated_at_the_platform(void **state)
+/* A new entry must not delete a document of which the copy has an older
+ * version. */
+static void test_relay_sends_position_of_stale_version_at_platform(void **state)
 {
 	struct document d = { .key = "a",
 			      .epoch = 1,
@@ -399,8 +409,8 @@
 	assert_false(documents_at(p->to, 0)->deleted);
 }
 
-/* The same change asked for by many is encoded once. */
-static void test_change_is_kept(void **state)
+/* A delta that many peers ask for is encoded once. */
+static void test_delta_is_cached(void **state)
 {
 	struct pair *p = *state;
 	struct relay_base base;
@@ -423,7 +433,7 @@
 	assert_same(p);
 }
 
-static void test_cut_changes_are_refused(void **state)
+static void test_truncated_deltas_are_rejected(void **state)
 {
 	struct pair *p = *state;
 	struct relay_head head;
@@ -435,7 +445,8 @@
 	for (uint32_t i = 0; i < p->body->len; i++)
 		assert_int_not_equal(
 			relay_decode((uint8_t *)p->body->str, i,
-				     (struct relay_port){ p->to, begin, known },
+				     (struct relay_port){ p->to, begin_collect,
+							  value_at },
 				     &head),
 			0);
 }
@@ -446,28 +457,28 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test_setup_teardown(
-			test_carried_document_that_the_peer_has_is_not_sent,
-			setup, teardown),
+			test_retained_document_that_peer_has_is_not_sent, setup,
+			teardown),
 		cmocka_unit_test_setup_teardown(
-			test_unchanged_document_of_a_later_epoch_is_small,
+			test_unchanged_document_of_new_epoch_is_sent_as_delta,
 			setup, teardown),
 		cmocka_unit_test_setup_teardown(
-			test_whole_state_names_what_the_peer_has, setup,
+			test_full_state_names_document_that_peer_has, setup,
 			teardown),
 		cmocka_unit_test_setup_teardown(
-			test_relay_tells_what_is_outdated_at_the_platform,
+			test_relay_sends_position_of_stale_version_at_platform,
 			setup, teardown),
 		cmocka_unit_test_setup_teardown(
-			test_base_of_another_epoch_is_no_base, setup, teardown),
-		cmocka_unit_test(test_relay_brings_what_is_missing),
-		TEST(test_a_change_is_small),
-		TEST(test_two_changes_at_once),
-		TEST(test_far_behind_it_goes_whole),
-		TEST(test_earlier_values_are_forgotten),
-		TEST(test_base_that_moved_on_meanwhile),
-		TEST(test_base_that_is_not_known_is_refused),
-		TEST(test_change_is_kept),
-		TEST(test_cut_changes_are_refused),
+			test_base_of_other_epoch_is_ignored, setup, teardown),
+		cmocka_unit_test(test_relay_sends_documents_that_peer_lacks),
+		TEST(test_change_of_large_document_is_sent_as_delta),
+		TEST(test_two_changes_are_sent_as_one_delta),
+		TEST(test_value_is_sent_whole_to_peer_far_behind),
+		TEST(test_expired_base_is_sent_whole),
+		TEST(test_delta_applies_when_base_is_no_longer_current),
+		TEST(test_delta_of_unknown_base_is_rejected),
+		TEST(test_delta_is_cached),
+		TEST(test_truncated_deltas_are_rejected),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/packet_source_test.c
+++ b/test/packet_source_test.c
@@ -1,4 +1,4 @@
-/* Which VM reads the platform, and when. */
+/* Scheduling of the calls to the platform: which VM reads, and when. */
 #include "source.h"
 
 #include <setjmp.h>
@@ -32,7 +32,7 @@
 	assert_int_equal(source_next(&s, &v), SOURCE_LIST);
 }
 
-static void test_pages_until_the_last(void **state)
+static void test_listing_requests_every_page(void **state)
 {
 	struct source s = { .start_ns = START_NS };
 	struct source_view v = view(START_NS + NS_PER_S, 0, 0, 0);
@@ -49,12 +49,12 @@
 }
 
 /*
- * Symptom: a leaving target gets flows for seconds longer than it may. Sequence:
- * a large configuration changes three times a second; the reader's link takes a
- * second for each value, and a watch brings all of them, one behind the other.
- * Cause: the reader fell behind more with each answer.
+ * A leaving target gets flows for seconds too long. A large configuration
+ * changes three times a second and the reader's link takes a second for each
+ * value. A watch returns every value, so that the reader falls further behind
+ * with each answer; a listing returns only the last one.
  */
-static void test_slow_answer_is_followed_by_a_listing(void **state)
+static void test_slow_answer_is_followed_by_listing(void **state)
 {
 	struct source s = { .start_ns = START_NS };
 	struct source_view v = view(START_NS + NS_PER_S, 0, 9, 0);
@@ -68,7 +68,7 @@
 	source_end(&s, SOURCE_OK, false, true, &v);
 	assert_int_equal(source_next(&s, &v), SOURCE_LIST);
 	source_begin(&s, SOURCE_LIST);
-	/* Nothing new: wait for the next change. */
+	/* No changes: wait for the next one. */
 	source_end(&s, SOURCE_OK, false, false, &v);
 	assert_int_equal(source_next(&s, &v), SOURCE_WATCH);
 	source_begin(&s, SOURCE_WATCH);
@@ -79,11 +79,11 @@
 }
 
 /*
- * Symptom: a VM that starts is ready late. Sequence: it lists the platform over
- * many pages, of which the first few bring what is newer than the ones before.
- * Cause: the pause that gathers changes was made between pages, too.
+ * A VM that starts becomes ready late: the pause that batches changes must not
+ * apply between the pages of a listing, of which the first ones bring newer
+ * documents than the ones before.
  */
-static void test_pages_follow_at_once(void **state)
+static void test_listing_does_not_pause_between_pages(void **state)
 {
 	struct source s = { .start_ns = START_NS };
 	struct source_view v = view(START_NS + NS_PER_S, 0, 0, 0);
@@ -94,7 +94,7 @@
 		source_begin(&s, SOURCE_LIST);
 		source_end(&s, SOURCE_OK, page < 12, true, &v);
 	}
-	/* Pages may have been old: what came since is asked for at once. */
+	/* Pages may have been stale: changes since are requested at once. */
 	v.complete = 9;
 	assert_int_equal(source_next(&s, &v), SOURCE_WATCH);
 	assert_int_equal(source_watch_wait_ns(&v), 0);
@@ -108,11 +108,11 @@
 }
 
 /*
- * Symptom: a VM starts over and over. Sequence: the platform forgets its
- * history; what a listing shows that may be old is older than that. Cause: the
- * changes since can't be had, and the next listing was an old one again.
+ * A VM begins the listing over and over. The platform compacts its history, and
+ * the position of a stale listing precedes what it keeps, so that the watch
+ * fails. The next listing must not be stale again.
  */
-static void test_after_lost_history_pages_are_of_now(void **state)
+static void test_listing_after_compaction_is_not_stale(void **state)
 {
 	struct source s = { .start_ns = START_NS };
 	struct source_view v = view(START_NS + NS_PER_S, 0, 0, 0);
@@ -127,11 +127,11 @@
 }
 
 /*
- * Symptom: after all VMs lost power hundreds serve nothing for a second.
- * Sequence: all start at once and list the platform; its link carries all
- * answers at the same time. Cause: each is answered last.
+ * After a power failure of all VMs, hundreds serve nothing for a second. All
+ * start at once and list the platform, whose link carries all answers at the
+ * same time, so that all of them are late.
  */
-static void test_first_listing_gives_way(void **state)
+static void test_first_listing_is_deferred_while_platform_is_busy(void **state)
 {
 	struct source s = { .start_ns = START_NS };
 	struct source_view v = view(START_NS + 40 * MS, 0, 0, 0);
@@ -149,16 +149,16 @@
 		assert_in_range(s.next_ns - v.now_ns, 50 * MS, 250 * MS);
 		v.now_ns = s.next_ns;
 	}
-	/* The platform may be far away, and no peer there. */
+	/* The platform may be far away, with no peer to fetch from. */
 	assert_true(source_may_send(&s, &v, 30 * MS));
-	/* Who reads for others does not wait. */
+	/* A VM that reads for others does not wait. */
 	s.deferrals = 0;
 	v.complete = v.synced = 9;
 	assert_true(source_may_send(&s, &v, 30 * MS));
 }
 
-/* A VM that hears of many waits for what they read. */
-static void test_young_process_in_a_crowd_waits(void **state)
+/* A new process that knows many others waits for what they read. */
+static void test_new_process_waits_in_mass_start(void **state)
 {
 	struct source s = { .start_ns = START_NS };
 	struct source_view v = view(START_NS + 300 * MS, 0, 0, 0);
@@ -172,8 +172,8 @@
 	assert_int_equal(source_next(&s, &v), SOURCE_LIST);
 }
 
-/* A peer was faster: the other pages are not asked for. */
-static void test_listing_that_is_needless_ends(void **state)
+/* A peer was faster: further pages must not be requested. */
+static void test_listing_ends_after_documents_came_from_peer(void **state)
 {
 	struct source s = { .start_ns = START_NS };
 	struct source_view v = view(START_NS + 40 * MS, 1, 0, 0);
@@ -187,7 +187,7 @@
 	assert_int_equal(source_next(&s, &v), SOURCE_WAIT);
 }
 
-static void test_one_reads_while_it_is_answered(void **state)
+static void test_other_vms_do_not_read_while_reader_is_answered(void **state)
 {
 	struct source s = { .start_ns = START_NS };
 	struct source_view v = view(START_NS + NS_PER_S, 1, 9, 0);
@@ -200,10 +200,10 @@
 }
 
 /*
- * Symptom: a change isn't in force in a data centre for long. Sequence: its
- * reader is paused or turned away by the platform. Cause: nobody stood in.
+ * A change reaches a data centre late because its reader is paused, or refused
+ * by the platform, and no other VM takes over.
  */
-static void test_next_in_rank_stands_in(void **state)
+static void test_next_in_rank_reads_when_reader_is_silent(void **state)
 {
 	struct source s = { .start_ns = START_NS };
 	struct source_view v = view(START_NS + 10 * NS_PER_S, 1, 9, 0);
@@ -217,7 +217,7 @@
 	assert_int_equal(source_next(&s, &v), SOURCE_WATCH);
 }
 
-static void test_lost_history_lists_again(void **state)
+static void test_compacted_history_causes_listing(void **state)
 {
 	struct source s = { .start_ns = START_NS };
 	struct source_view v = view(START_NS + NS_PER_S, 0, 9, 0);
@@ -229,11 +229,11 @@
 }
 
 /*
- * Symptom: after all VMs were killed, hundreds of them serve nothing for half a
- * minute. Sequence: all list the platform, which refuses some pages. Cause: a
- * page that failed began the whole listing again.
+ * After all VMs were killed, hundreds serve nothing for half a minute: all list
+ * the platform, which refuses some pages. A failed page must not restart the
+ * listing.
  */
-static void test_failed_page_is_asked_again(void **state)
+static void test_failed_page_does_not_restart_listing(void **state)
 {
 	struct source s = { .start_ns = START_NS };
 	struct source_view v = view(START_NS + NS_PER_S, 0, 0, 0);
@@ -246,7 +246,7 @@
 	assert_true(s.listing);
 	v.now_ns = s.next_ns;
 	assert_int_equal(source_next(&s, &v), SOURCE_LIST);
-	/* But not for ever: the platform forgets its history. */
+	/* Not without end: the platform compacts its history. */
 	for (uint32_t i = 0; i < 8 && s.listing; i++) {
 		source_begin(&s, SOURCE_LIST);
 		source_end(&s, SOURCE_FAILED, false, false, &v);
@@ -256,8 +256,8 @@
 	assert_int_equal(source_next(&s, &v), SOURCE_LIST);
 }
 
-/* With another reader at work a young process first learns its rank. */
-static void test_young_process_leaves_reading_to_others(void **state)
+/* While another VM reads, a new process waits until its rank is known. */
+static void test_new_process_does_not_read_beside_active_reader(void **state)
 {
 	struct source s = { .start_ns = START_NS };
 	struct source_view v = view(START_NS + 50 * MS, 0, 9, START_NS);
@@ -270,8 +270,8 @@
 	assert_int_equal(source_next(&s, &v), SOURCE_WATCH);
 }
 
-/* The first in rank reads; who is given documents meanwhile need not. */
-static void test_those_that_start_together_wait_for_the_first(void **state)
+/* The first in rank reads; the others fetch the documents from it. */
+static void test_lower_ranks_wait_when_processes_start_together(void **state)
 {
 	struct source s = { .start_ns = START_NS };
 	struct source_view v = view(START_NS + 10 * MS, 0, 0, 0);
@@ -291,7 +291,7 @@
 	assert_int_equal(source_next(&s, &v), SOURCE_LIST);
 }
 
-static void test_failures_are_retried_ever_later(void **state)
+static void test_failed_calls_back_off(void **state)
 {
 	struct source s = { .start_ns = START_NS };
 	struct source_view v = view(START_NS + NS_PER_S, 0, 9, 0);
@@ -310,11 +310,11 @@
 }
 
 /*
- * Symptom: after all VMs lost power, clients wait on after the platform is
- * back. Sequence: the platform is down as well, for longer. Cause: processes
- * that knew nothing backed off like those that only miss news.
+ * After a power failure of all VMs, clients still wait when the platform
+ * answers again. It was down for longer, and processes without documents must
+ * not back off as long as those that only miss changes.
  */
-static void test_who_knows_nothing_asks_often(void **state)
+static void test_process_without_documents_backs_off_less(void **state)
 {
 	struct source s = { .start_ns = START_NS };
 	struct source_view v = view(START_NS + NS_PER_S, 0, 0, 0);
@@ -327,8 +327,8 @@
 	}
 }
 
-/* Guards against listings without end, as fast as the platform answers. */
-static void test_history_that_is_gone_again_is_asked_for_less(void **state)
+/* Listings must not repeat without end as fast as the platform answers. */
+static void test_repeatedly_compacted_history_backs_off(void **state)
 {
 	struct source s = { .start_ns = START_NS };
 	struct source_view v = view(START_NS + NS_PER_S, 0, 9, 0);
@@ -347,7 +347,7 @@
 			   false, false, &v);
 	}
 	assert_in_range(listings, 2, 20);
-	/* Once a watch is answered, the next loss is listed at once. */
+	/* After an answered watch, the next compaction is listed at once. */
 	source_begin(&s, SOURCE_WATCH);
 	source_end(&s, SOURCE_OK, false, false, &v);
 	source_begin(&s, SOURCE_WATCH);
@@ -359,24 +359,27 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_new_process_lists_at_once),
-		cmocka_unit_test(test_pages_until_the_last),
-		cmocka_unit_test(test_slow_answer_is_followed_by_a_listing),
-		cmocka_unit_test(test_pages_follow_at_once),
-		cmocka_unit_test(test_after_lost_history_pages_are_of_now),
-		cmocka_unit_test(test_first_listing_gives_way),
-		cmocka_unit_test(test_young_process_in_a_crowd_waits),
-		cmocka_unit_test(test_listing_that_is_needless_ends),
-		cmocka_unit_test(test_one_reads_while_it_is_answered),
-		cmocka_unit_test(test_next_in_rank_stands_in),
-		cmocka_unit_test(test_young_process_leaves_reading_to_others),
-		cmocka_unit_test(test_lost_history_lists_again),
-		cmocka_unit_test(test_failed_page_is_asked_again),
+		cmocka_unit_test(test_listing_requests_every_page),
+		cmocka_unit_test(test_slow_answer_is_followed_by_listing),
+		cmocka_unit_test(test_listing_does_not_pause_between_pages),
+		cmocka_unit_test(test_listing_after_compaction_is_not_stale),
 		cmocka_unit_test(
-			test_those_that_start_together_wait_for_the_first),
-		cmocka_unit_test(test_failures_are_retried_ever_later),
-		cmocka_unit_test(test_who_knows_nothing_asks_often),
+			test_first_listing_is_deferred_while_platform_is_busy),
+		cmocka_unit_test(test_new_process_waits_in_mass_start),
 		cmocka_unit_test(
-			test_history_that_is_gone_again_is_asked_for_less),
+			test_listing_ends_after_documents_came_from_peer),
+		cmocka_unit_test(
+			test_other_vms_do_not_read_while_reader_is_answered),
+		cmocka_unit_test(test_next_in_rank_reads_when_reader_is_silent),
+		cmocka_unit_test(
+			test_new_process_does_not_read_beside_active_reader),
+		cmocka_unit_test(test_compacted_history_causes_listing),
+		cmocka_unit_test(test_failed_page_does_not_restart_listing),
+		cmocka_unit_test(
+			test_lower_ranks_wait_when_processes_start_together),
+		cmocka_unit_test(test_failed_calls_back_off),
+		cmocka_unit_test(test_process_without_documents_backs_off_less),
+		cmocka_unit_test(test_repeatedly_compacted_history_backs_off),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
