--- a/cmd/cb-packet/clients.c
+++ b/cmd/cb-packet/clients.c
@@ -75,7 +75,7 @@
 {
 	uint32_t i = room(d);
 
-	d->out.to[i] = g->to;
+	d->out.to[i] = g->destination;
 	memcpy(d->out.head[i], g->head, g->head_bytes);
 	d->out.head_bytes[i] = g->head_bytes;
 	d->out.data[i] = g->data;
@@ -85,7 +85,7 @@
 static void hold(struct packet_daemon *d, enum pacer_class c,
 		 const struct datagram *g)
 {
-	int err = pacer_hold(d->node->pacer, c, g);
+	int err = pacer_enqueue(d->node->pacer, c, g);
 
 	d->counters.datagrams_paced += !err;
 	d->counters.datagrams_repeated += err == -EALREADY;
@@ -97,7 +97,7 @@
 {
 	uint32_t n_bytes = g->head_bytes + g->data_bytes;
 
-	if (pacer_passes(d->node->pacer, c, n_bytes, d->now_ns))
+	if (pacer_try_send(d->node->pacer, c, n_bytes, d->now_ns))
 		put(d, g);
 	else
 		hold(d, c, g);
@@ -110,8 +110,8 @@
 {
 	uint8_t head[ENVELOPE_MAX_BYTES];
 	struct datagram g = {
-		.to = t->news.addr,
-		.name = name,
+		.destination = t->news.addr,
+		.copy_id = name,
 		.head = head,
 		.head_bytes = d->platform->envelope(t, head),
 		.data = data,
@@ -148,10 +148,10 @@
 	struct datagram g;
 
 	clients_flush(d);
-	while (pacer_next(d->node->pacer, d->now_ns, &g)) {
+	while (pacer_dequeue(d->node->pacer, d->now_ns, &g)) {
 		uint32_t i = room(d);
 
-		d->out.to[i] = g.to;
+		d->out.to[i] = g.destination;
 		d->out.head_bytes[i] = 0;
 		d->out.data[i] = g.head;
 		d->out.data_bytes[i] = g.head_bytes;
@@ -171,8 +171,8 @@
 {
 	uint8_t head[RESET_MAX_BYTES];
 	struct datagram g = {
-		.to = ADDR(ADDR_IP(flow->caller),
-			   ADDR_PORT(d->settings.listen)),
+		.destination = ADDR(ADDR_IP(flow->caller),
+				    ADDR_PORT(d->settings.listen)),
 		.head = head,
 		.head_bytes = d->platform->write_reset(flow, ack, head),
 	};
@@ -196,7 +196,7 @@
 
 	if (d->platform->read_packet(bytes, n_bytes, &k))
 		return;
-	to_target(d, f->target, pacer_class_of(&k, f->kind), pacer_name(&k),
+	to_target(d, f->target, pacer_classify(&k, f->kind), pacer_copy_id(&k),
 		  bytes, n_bytes);
 	clients_flush(d); /* before @bytes go */
 }
@@ -233,8 +233,8 @@
 	} else if (v.action == PATH_FORWARD) {
 		if (k.flags & PACKET_SYN)
 			d->platform->pin(data, v.target->cookie);
-		to_target(d, v.target, pacer_class_of(&k, v.kind),
-			  pacer_name(&k), data, size_bytes);
+		to_target(d, v.target, pacer_classify(&k, v.kind),
+			  pacer_copy_id(&k), data, size_bytes);
 	}
 }
 
--- a/cmd/cb-packet/operators.c
+++ b/cmd/cb-packet/operators.c
@@ -81,7 +81,7 @@
 	write_times(d, out);
 	gauge(out, "flows", path_flows(d->node->path));
 	gauge(out, "waiting", path_waiting(d->node->path));
-	gauge(out, "link_waiting", pacer_waiting(d->node->pacer));
+	gauge(out, "link_waiting", pacer_queue_length(d->node->pacer));
 	gauge(out, "targets", directory_slots(d->node->directory));
 	gauge(out, "peers", peer_set_live(d->node->peers, now_ns));
 	gauge(out, "evacuated", directory_evacuations(d->node->directory)->n);
--- a/cmd/cb-packet/peers.c
+++ b/cmd/cb-packet/peers.c
@@ -19,7 +19,7 @@
 	/* Lost ones are made up for by the next. */
 	if (uv_udp_try_send(&d->peers, &buf, 1, (struct sockaddr *)&to) >= 0)
 		d->counters.hellos_sent++;
-	pacer_spent(d->node->pacer, size_bytes, d->now_ns);
+	pacer_charge(d->node->pacer, size_bytes, d->now_ns);
 }
 
 /**
--- a/core/packet/link/pacer.c
+++ b/core/packet/link/pacer.c
@@ -7,48 +7,74 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Of IP and UDP. */
-#define DATAGRAM_HEAD_BYTES 28
-#define NAME_SEED 0x70616365ULL
+/* Headers of IP and UDP. */
+#define HEADER_BYTES 28
+#define COPY_ID_SEED 0x70616365ULL
 #define PERCENT 100
-/* Places are numbered from 1; 0 is none. */
-#define NONE 0
+/* Numbers of slots start at 1. */
+#define NO_SLOT 0
 
-/* A datagram that waits; @next is of its queue, or of the free places. */
-struct place {
-	uint64_t to;
-	uint64_t name;
+/**
+ * struct slot - storage for a queued datagram
+ * @destination: as in struct datagram
+ * @copy_id: as in struct datagram
+ * @n_bytes: used length of @bytes
+ * @next: next slot of the same queue or of the free list, NO_SLOT at its end
+ * @bytes: both parts of the datagram
+ */
+struct slot {
+	uint64_t destination;
+	uint64_t copy_id;
 	uint32_t n_bytes;
 	uint32_t next;
-	uint8_t bytes[DATAGRAM_ROOM_BYTES];
+	uint8_t bytes[PACER_DATAGRAM_MAX_BYTES];
 };
 
-/* Datagrams of one class, in the order in which they came. */
+/**
+ * struct queue - datagrams of one class in order of arrival
+ * @first: slot of the oldest, NO_SLOT when empty
+ * @last: slot of the newest
+ * @bytes: total size, headers included
+ */
 struct queue {
 	uint32_t first;
 	uint32_t last;
 	uint64_t bytes;
 };
 
+/**
+ * struct pacer - state of the link
+ * @bytes_per_s: rate at which datagrams are sent; 0 for no pacing
+ * @ahead_ns: longest backlog handed to the link
+ * @link_free_ns: when the link has carried all that was handed to it
+ * @slots: storage for the queues, from index 1
+ * @slots_max: number of @slots
+ * @used: slots that were ever in use; those above have never been
+ * @free_slot: first of the free list, NO_SLOT when empty
+ * @queued: datagrams in all queues
+ * @by_copy_id: slots of queued datagrams with a copy id
+ * @queues: by enum pacer_class
+ */
 struct pacer {
 	uint64_t bytes_per_s;
 	uint64_t ahead_ns;
-	uint64_t free_ns; /* when the link has carried what it was handed */
-	struct place *places;
-	uint32_t places_max;
-	uint32_t used; /* places that were ever in use */
-	uint32_t spare;
-	uint32_t count;
-	struct index *by_name;
-	struct queue queues[PACER_CLASSES];
+	uint64_t link_free_ns;
+	struct slot *slots;
+	uint32_t slots_max;
+	uint32_t used;
+	uint32_t free_slot;
+	uint32_t queued;
+	struct index *by_copy_id;
+	struct queue queues[PACER_CLASS_COUNT];
 };
 
 /**
- * pacer_new() - nothing waits
- * @policy: figures to go by
- * @link_bytes_per_s: what the VM's link carries; 0 for unknown: nothing waits
+ * pacer_new() - create a pacer with empty queues
+ * @policy: limits and switches, not kept
+ * @link_bytes_per_s: capacity of the VM's link; 0 when unknown, then nothing is
+ *	queued
  *
- * Return: state, or NULL without memory.
+ * Return: pacer, to be freed with pacer_free(); NULL when out of memory.
  */
 struct pacer *pacer_new(const struct policy *policy, uint64_t link_bytes_per_s)
 {
@@ -58,10 +84,10 @@
 		return NULL;
 	p->bytes_per_s = link_bytes_per_s * policy->link_percent / PERCENT;
 	p->ahead_ns = policy->link_ahead_ns;
-	p->places_max = policy->link_waiting_max;
-	p->places = calloc(p->places_max + 1, sizeof(*p->places));
-	p->by_name = index_new(p->places_max + 1);
-	if (p->places && p->by_name)
+	p->slots_max = policy->link_waiting_max;
+	p->slots = calloc(p->slots_max + 1, sizeof(*p->slots));
+	p->by_copy_id = index_new(p->slots_max + 1);
+	if (p->slots && p->by_copy_id)
 		return p;
 	pacer_free(p);
 	return NULL;
@@ -71,19 +97,19 @@
 {
 	if (!p)
 		return;
-	index_free(p->by_name);
-	free(p->places);
+	index_free(p->by_copy_id);
+	free(p->slots);
 	free(p);
 }
 
 /**
- * pacer_class_of() - how urgent a client's packet is
+ * pacer_classify() - priority of a client's packet
  * @k: packet
- * @route_kind: enum route_kind
+ * @route_kind: enum route_kind of its flow
  *
- * Return: its class.
+ * Return: class.
  */
-enum pacer_class pacer_class_of(const struct packet *k, uint8_t route_kind)
+enum pacer_class pacer_classify(const struct packet *k, uint8_t route_kind)
 {
 	if (!k->size_bytes)
 		return PACER_CONTROL;
@@ -91,204 +117,213 @@
 }
 
 /**
- * pacer_name() - what all copies of a client's packet have in common
+ * pacer_copy_id() - hash that is the same for all repeats of a client's packet
  * @k: packet
  *
- * Return: name; 0 for one without data, whose copies say something new each.
+ * Return: hash of the flow and the sequence number, never 0; 0 for a packet
+ * without data, since each of those carries new information.
  */
-uint64_t pacer_name(const struct packet *k)
+uint64_t pacer_copy_id(const struct packet *k)
 {
-	uint64_t name;
+	uint64_t id;
 
 	if (!k->size_bytes)
 		return 0;
-	name = hash_u64(flow_hash(&k->flow), NAME_SEED ^ k->seq);
-	return name ? name : 1;
+	id = hash_u64(flow_hash(&k->flow), COPY_ID_SEED ^ k->seq);
+	return id ? id : 1;
 }
 
-static uint64_t takes_ns(const struct pacer *p, uint64_t n_bytes)
+static uint64_t transmit_ns(const struct pacer *p, uint64_t n_bytes)
 {
 	return n_bytes * NS_PER_S / p->bytes_per_s;
 }
 
-static bool room(const struct pacer *p, uint64_t now_ns)
+static bool link_accepts(const struct pacer *p, uint64_t now_ns)
 {
-	return p->free_ns <= now_ns + p->ahead_ns;
+	return p->link_free_ns <= now_ns + p->ahead_ns;
 }
 
 /**
- * pacer_spent() - the link was handed a datagram
- * @p: state
- * @n_bytes: its size
- * @now_ns: time
+ * pacer_charge() - account for a datagram handed to the link
+ * @p: pacer
+ * @n_bytes: size without IP and UDP headers
+ * @now_ns: current time
+ *
+ * For datagrams that bypass the pacer, such as heartbeats.
  */
-void pacer_spent(struct pacer *p, uint32_t n_bytes, uint64_t now_ns)
+void pacer_charge(struct pacer *p, uint32_t n_bytes, uint64_t now_ns)
 {
 	if (!p->bytes_per_s)
 		return;
-	if (p->free_ns < now_ns)
-		p->free_ns = now_ns;
-	p->free_ns += takes_ns(p, n_bytes + DATAGRAM_HEAD_BYTES);
+	if (p->link_free_ns < now_ns)
+		p->link_free_ns = now_ns;
+	p->link_free_ns += transmit_ns(p, n_bytes + HEADER_BYTES);
 }
 
 /**
- * pacer_passes() - whether a datagram may go at once
- * @p: state
- * @c: how urgent it is
- * @n_bytes: its size
- * @now_ns: time
+ * pacer_try_send() - ask to send a datagram at once, charge it if granted
+ * @p: pacer
+ * @c: class of the datagram
+ * @n_bytes: size without IP and UDP headers
+ * @now_ns: current time
  *
- * Return: whether; it counts as gone then.
+ * Return: true when the caller is to send it now; false when the link is busy
+ * or datagrams of the same or a more urgent class are queued.
  */
-bool pacer_passes(struct pacer *p, enum pacer_class c, uint32_t n_bytes,
-		  uint64_t now_ns)
+bool pacer_try_send(struct pacer *p, enum pacer_class c, uint32_t n_bytes,
+		    uint64_t now_ns)
 {
 	if (!p->bytes_per_s)
 		return true;
 	for (uint32_t i = 0; i <= c; i++)
-		if (p->queues[i].first != NONE)
+		if (p->queues[i].first != NO_SLOT)
 			return false;
-	if (!room(p, now_ns))
+	if (!link_accepts(p, now_ns))
 		return false;
-	pacer_spent(p, n_bytes, now_ns);
+	pacer_charge(p, n_bytes, now_ns);
 	return true;
 }
 
-static uint32_t take_place(struct pacer *p)
+static uint32_t allocate_slot(struct pacer *p)
 {
-	uint32_t i = p->spare;
+	uint32_t i = p->free_slot;
 
-	if (i != NONE) {
-		p->spare = p->places[i].next;
+	if (i != NO_SLOT) {
+		p->free_slot = p->slots[i].next;
 		return i;
 	}
-	return p->used < p->places_max ? ++p->used : NONE;
+	return p->used < p->slots_max ? ++p->used : NO_SLOT;
 }
 
 static void append(struct pacer *p, struct queue *q, uint32_t i)
 {
-	p->places[i].next = NONE;
-	if (q->first == NONE)
+	p->slots[i].next = NO_SLOT;
+	if (q->first == NO_SLOT)
 		q->first = i;
 	else
-		p->places[q->last].next = i;
+		p->slots[q->last].next = i;
 	q->last = i;
-	q->bytes += p->places[i].n_bytes + DATAGRAM_HEAD_BYTES;
-	p->count++;
+	q->bytes += p->slots[i].n_bytes + HEADER_BYTES;
+	p->queued++;
 }
 
 /**
- * pacer_hold() - keep a datagram until the link has room
- * @p: state
- * @c: how urgent it is
+ * pacer_enqueue() - queue a datagram until the link accepts it
+ * @p: pacer
+ * @c: class of the datagram
  * @d: datagram, copied
  *
- * Return: 0; -EALREADY when a copy of it waits, and -ENOBUFS or -EMSGSIZE when
- * there is no room: it is to be dropped, its sender repeats it.
+ * Return: 0; -EALREADY when a datagram with its copy id is queued; -ENOBUFS when
+ * the queues are full; -EMSGSIZE when it is too large. On error the caller drops
+ * it, and its sender repeats it.
  */
-int pacer_hold(struct pacer *p, enum pacer_class c, const struct datagram *d)
+int pacer_enqueue(struct pacer *p, enum pacer_class c, const struct datagram *d)
 {
 	uint32_t n_bytes = d->head_bytes + d->data_bytes;
-	struct place *at;
+	struct slot *s;
 	uint32_t i;
 
-	if (n_bytes > DATAGRAM_ROOM_BYTES)
+	if (n_bytes > PACER_DATAGRAM_MAX_BYTES)
 		return -EMSGSIZE;
-	if (d->name && index_get(p->by_name, d->name) != INDEX_NONE)
+	if (d->copy_id && index_get(p->by_copy_id, d->copy_id) != INDEX_NONE)
 		return -EALREADY;
-	i = take_place(p);
-	if (i == NONE)
+	i = allocate_slot(p);
+	if (i == NO_SLOT)
 		return -ENOBUFS;
-	at = &p->places[i];
-	at->to = d->to;
-	at->name = d->name;
-	at->n_bytes = n_bytes;
-	memcpy(at->bytes, d->head, d->head_bytes);
+	s = &p->slots[i];
+	s->destination = d->destination;
+	s->copy_id = d->copy_id;
+	s->n_bytes = n_bytes;
+	memcpy(s->bytes, d->head, d->head_bytes);
 	if (d->data_bytes)
-		memcpy(at->bytes + d->head_bytes, d->data, d->data_bytes);
-	if (d->name)
-		index_put(p->by_name, d->name, i);
+		memcpy(s->bytes + d->head_bytes, d->data, d->data_bytes);
+	if (d->copy_id)
+		index_put(p->by_copy_id, d->copy_id, i);
 	append(p, &p->queues[c], i);
 	return 0;
 }
 
-static struct queue *urgent(struct pacer *p)
+static struct queue *most_urgent_queue(struct pacer *p)
 {
-	for (uint32_t i = 0; i < PACER_CLASSES; i++)
-		if (p->queues[i].first != NONE)
+	for (uint32_t i = 0; i < PACER_CLASS_COUNT; i++)
+		if (p->queues[i].first != NO_SLOT)
 			return &p->queues[i];
 	return NULL;
 }
 
 /**
- * pacer_next() - the next datagram that may go
- * @p: state
- * @now_ns: time
- * @out: set to it, in one part that stays valid until the next one is held
+ * pacer_dequeue() - remove the next datagram that the link accepts, charge it
+ * @p: pacer
+ * @now_ns: current time
+ * @out: set to the datagram, all of it in @head; its bytes are owned by the
+ *	pacer and valid until the next pacer_enqueue()
  *
- * Return: whether there is one; it counts as gone then.
+ * Return: true when the caller is to send @out; false when the queues are empty
+ * or the link is busy.
  */
-bool pacer_next(struct pacer *p, uint64_t now_ns, struct datagram *out)
+bool pacer_dequeue(struct pacer *p, uint64_t now_ns, struct datagram *out)
 {
-	struct queue *q = urgent(p);
-	struct place *at;
+	struct queue *q = most_urgent_queue(p);
+	struct slot *s;
 	uint32_t i;
 
-	if (!q || !room(p, now_ns))
+	if (!q || !link_accepts(p, now_ns))
 		return false;
 	i = q->first;
-	at = &p->places[i];
-	q->first = at->next;
-	q->bytes -= at->n_bytes + DATAGRAM_HEAD_BYTES;
-	if (at->name)
-		index_del(p->by_name, at->name, i);
-	at->next = p->spare;
-	p->spare = i;
-	p->count--;
-	pacer_spent(p, at->n_bytes, now_ns);
-	*out = (struct datagram){ .to = at->to,
-				  .name = at->name,
-				  .head = at->bytes,
-				  .head_bytes = at->n_bytes };
+	s = &p->slots[i];
+	q->first = s->next;
+	q->bytes -= s->n_bytes + HEADER_BYTES;
+	if (s->copy_id)
+		index_del(p->by_copy_id, s->copy_id, i);
+	s->next = p->free_slot;
+	p->free_slot = i;
+	p->queued--;
+	pacer_charge(p, s->n_bytes, now_ns);
+	*out = (struct datagram){ .destination = s->destination,
+				  .copy_id = s->copy_id,
+				  .head = s->bytes,
+				  .head_bytes = s->n_bytes };
 	return true;
 }
 
 /**
- * pacer_due_ns() - when the next datagram may go
- * @p: state
+ * pacer_due_ns() - when the link accepts the next queued datagram
+ * @p: pacer
  *
- * Return: time; 0 when none waits.
+ * Return: time, possibly in the past; 0 when the queues are empty.
  */
 uint64_t pacer_due_ns(const struct pacer *p)
 {
-	if (!p->count)
+	if (!p->queued)
 		return 0;
-	return p->free_ns > p->ahead_ns ? p->free_ns - p->ahead_ns : 1;
+	return p->link_free_ns > p->ahead_ns ? p->link_free_ns - p->ahead_ns
+					     : 1;
 }
 
 /**
- * pacer_wait_ns() - how long a packet that came now would be on its way to the
- *	end of the link
- * @p: state
- * @c: how urgent it is
- * @now_ns: time
+ * pacer_delay_ns() - time that the link needs for all that goes before a datagram
+ *	which arrives now
+ * @p: pacer
+ * @c: class of the datagram
+ * @now_ns: current time
  *
- * Return: time, 0 on an empty link.
+ * Return: duration in nanoseconds; 0 on an idle link.
  */
-uint64_t pacer_wait_ns(const struct pacer *p, enum pacer_class c,
-		       uint64_t now_ns)
+uint64_t pacer_delay_ns(const struct pacer *p, enum pacer_class c,
+			uint64_t now_ns)
 {
-	uint64_t wait_ns = p->free_ns > now_ns ? p->free_ns - now_ns : 0;
-	uint64_t ahead = 0;
+	uint64_t backlog_ns =
+		p->link_free_ns > now_ns ? p->link_free_ns - now_ns : 0;
+	uint64_t queued_bytes = 0;
 
-	if (!p->count)
-		return wait_ns;
+	if (!p->queued)
+		return backlog_ns;
 	for (uint32_t i = 0; i <= c; i++)
-		ahead += p->queues[i].bytes;
-	return wait_ns + takes_ns(p, ahead);
+		queued_bytes += p->queues[i].bytes;
+	return backlog_ns + transmit_ns(p, queued_bytes);
 }
 
-uint32_t pacer_waiting(const struct pacer *p)
+uint32_t pacer_queue_length(const struct pacer *p)
 {
-	return p->count;
+	return p->queued;
 }
--- a/core/packet/link/pacer.h
+++ b/core/packet/link/pacer.h
@@ -1,12 +1,11 @@
 /*
- * What waits for this VM's own link.
+ * Pacing of the datagrams that this VM sends over its own link.
  *
- * The load that this is for: a client sends sixteen packets of an upload at
- * once, and a link of a few Mbit/s takes longer for them than it keeps packets:
- * most are lost, all are repeated, and the requests of others behind them wait
- * or are lost too. Here packets are handed to the link as fast as it carries
- * them, the urgent ones first, and a repeat whose first copy still waits goes
- * no further.
+ * A client sends sixteen packets of an upload in a burst. A link of a few Mbit/s
+ * takes longer to carry them than its buffer keeps them: most are lost, all are
+ * repeated, and requests of other clients behind them are delayed or lost too.
+ * The pacer hands datagrams to the link only as fast as it carries them, urgent
+ * ones first, and drops a repeat while the first copy is still queued.
  */
 #ifndef CB_PACER_H
 #define CB_PACER_H
@@ -14,29 +13,36 @@
 #include "packet.h"
 #include "policy.h"
 
-/* An envelope and the largest packet. */
-#define DATAGRAM_ROOM_BYTES 1280
+/* Size of an envelope and the largest packet. */
+#define PACER_DATAGRAM_MAX_BYTES 1280
 
 /**
- * enum pacer_class - which packets go first
- * @PACER_CONTROL: no data: handshakes, acknowledgements, resets
+ * enum pacer_class - priority of a datagram, most urgent first
+ * @PACER_CONTROL: packets without data: handshakes, acknowledgements, resets
  * @PACER_REQUEST: short requests
  * @PACER_BULK: uploads
+ * @PACER_CLASS_COUNT: number of classes
  */
-enum pacer_class { PACER_CONTROL, PACER_REQUEST, PACER_BULK, PACER_CLASSES };
+enum pacer_class {
+	PACER_CONTROL,
+	PACER_REQUEST,
+	PACER_BULK,
+	PACER_CLASS_COUNT
+};
 
 /**
- * struct datagram - one on its way out, in two parts
- * @to: its destination
- * @name: the same for each copy of it; 0 when it has none
+ * struct datagram - an outgoing datagram in two parts
+ * @destination: opaque to the pacer, returned by pacer_dequeue()
+ * @copy_id: identifies repeats of the same packet, see pacer_copy_id(); 0 when
+ *	it is never a repeat
  * @head: first part
- * @head_bytes: its size
- * @data: second part
- * @data_bytes: its size
+ * @head_bytes: size of @head
+ * @data: second part, NULL when @data_bytes is 0
+ * @data_bytes: size of @data
  */
 struct datagram {
-	uint64_t to;
-	uint64_t name;
+	uint64_t destination;
+	uint64_t copy_id;
 	const uint8_t *head;
 	uint32_t head_bytes;
 	const uint8_t *data;
@@ -47,16 +53,17 @@
 
 struct pacer *pacer_new(const struct policy *policy, uint64_t link_bytes_per_s);
 void pacer_free(struct pacer *p);
-enum pacer_class pacer_class_of(const struct packet *k, uint8_t route_kind);
-uint64_t pacer_name(const struct packet *k);
-bool pacer_passes(struct pacer *p, enum pacer_class c, uint32_t n_bytes,
-		  uint64_t now_ns);
-int pacer_hold(struct pacer *p, enum pacer_class c, const struct datagram *d);
-bool pacer_next(struct pacer *p, uint64_t now_ns, struct datagram *out);
-void pacer_spent(struct pacer *p, uint32_t n_bytes, uint64_t now_ns);
+enum pacer_class pacer_classify(const struct packet *k, uint8_t route_kind);
+uint64_t pacer_copy_id(const struct packet *k);
+bool pacer_try_send(struct pacer *p, enum pacer_class c, uint32_t n_bytes,
+		    uint64_t now_ns);
+int pacer_enqueue(struct pacer *p, enum pacer_class c,
+		  const struct datagram *d);
+bool pacer_dequeue(struct pacer *p, uint64_t now_ns, struct datagram *out);
+void pacer_charge(struct pacer *p, uint32_t n_bytes, uint64_t now_ns);
 uint64_t pacer_due_ns(const struct pacer *p);
-uint64_t pacer_wait_ns(const struct pacer *p, enum pacer_class c,
-		       uint64_t now_ns);
-uint32_t pacer_waiting(const struct pacer *p);
+uint64_t pacer_delay_ns(const struct pacer *p, enum pacer_class c,
+			uint64_t now_ns);
+uint32_t pacer_queue_length(const struct pacer *p);
 
 #endif
--- a/sim/sim-packets/entries.c
+++ b/sim/sim-packets/entries.c
@@ -100,7 +100,7 @@
 		uint64_t link = link_ns(c->w, c->e, HELLO_BYTES);
 		uint32_t zone;
 
-		pacer_spent(c->e->node->pacer, HELLO_BYTES, c->w->now_ns);
+		pacer_charge(c->e->node->pacer, HELLO_BYTES, c->w->now_ns);
 		if (at >= c->w->n_entries || link == UINT64_MAX)
 			continue;
 		zone = c->w->entries[at].zone;
@@ -264,9 +264,9 @@
 	s->pacing = false;
 	if (!runs(s) || s->boot != e->b)
 		return;
-	while (pacer_next(s->node->pacer, w->now_ns, &d)) {
+	while (pacer_dequeue(s->node->pacer, w->now_ns, &d)) {
 		const struct target *t =
-			directory_by_id(s->node->directory, d.to);
+			directory_by_id(s->node->directory, d.destination);
 		struct sim_packet k;
 
 		memcpy(&k, d.head, sizeof(k));
@@ -295,19 +295,19 @@
 			    .seq = k->seq,
 			    .size_bytes = k->size_bytes };
 	uint8_t kind = w->classes[w->users[k->user].class].kind;
-	enum pacer_class c = pacer_class_of(&p, kind);
+	enum pacer_class c = pacer_classify(&p, kind);
 	uint8_t bytes[HEAD_BYTES + SEGMENT_BYTES];
-	struct datagram d = { .to = t->news.id,
-			      .name = pacer_name(&p),
+	struct datagram d = { .destination = t->news.id,
+			      .copy_id = pacer_copy_id(&p),
 			      .head = bytes,
 			      .head_bytes = HEAD_BYTES + k->size_bytes };
 
-	if (pacer_passes(e->node->pacer, c, d.head_bytes, w->now_ns)) {
+	if (pacer_try_send(e->node->pacer, c, d.head_bytes, w->now_ns)) {
 		carry(w, e, t, k);
 		return;
 	}
 	memcpy(bytes, k, sizeof(*k));
-	pacer_hold(e->node->pacer, c, &d);
+	pacer_enqueue(e->node->pacer, c, &d);
 	pace(w, e);
 }
 
--- a/test/packet_pacer_test.c
+++ b/test/packet_pacer_test.c
@@ -48,16 +48,16 @@
 static int give(struct fixture *f, enum pacer_class c, uint64_t name,
 		uint32_t n_bytes)
 {
-	static const uint8_t bytes[DATAGRAM_ROOM_BYTES + 1];
+	static const uint8_t bytes[PACER_DATAGRAM_MAX_BYTES + 1];
 	struct datagram d = {
-		.to = 1, .name = name, .head = bytes, .head_bytes = n_bytes
+		.destination = 1, .copy_id = name, .head = bytes, .head_bytes = n_bytes
 	};
 
-	if (pacer_passes(f->pacer, c, n_bytes, f->now_ns)) {
+	if (pacer_try_send(f->pacer, c, n_bytes, f->now_ns)) {
 		f->sent++;
 		return 1;
 	}
-	return pacer_hold(f->pacer, c, &d);
+	return pacer_enqueue(f->pacer, c, &d);
 }
 
 /* Let all go that may, as time passes; returns how many went. */
@@ -68,7 +68,7 @@
 	uint32_t n = 0;
 
 	for (; f->now_ns < end_ns; f->now_ns += MS)
-		while (pacer_next(f->pacer, f->now_ns, &d))
+		while (pacer_dequeue(f->pacer, f->now_ns, &d))
 			n++;
 	return n;
 }
@@ -78,7 +78,7 @@
 	struct fixture *f = *state;
 
 	assert_int_equal(give(f, PACER_BULK, 1, SEGMENT_BYTES), 1);
-	assert_int_equal(pacer_waiting(f->pacer), 0);
+	assert_int_equal(pacer_queue_length(f->pacer), 0);
 	assert_int_equal(pacer_due_ns(f->pacer), 0);
 }
 
@@ -123,8 +123,8 @@
 	give(f, PACER_REQUEST, 11, 300);
 	give(f, PACER_CONTROL, 12, 40);
 	while (n < 4 && drain(f, 0) == 0) {
-		if (pacer_next(f->pacer, f->now_ns, &d))
-			names[n++] = d.name;
+		if (pacer_dequeue(f->pacer, f->now_ns, &d))
+			names[n++] = d.copy_id;
 		else
 			f->now_ns += MS;
 	}
@@ -146,7 +146,7 @@
 
 	for (uint64_t i = 1; i <= 6; i++)
 		give(f, PACER_BULK, i, SEGMENT_BYTES);
-	wait = pacer_waiting(f->pacer);
+	wait = pacer_queue_length(f->pacer);
 	assert_int_not_equal(wait, 0);
 	assert_int_equal(give(f, PACER_BULK, 6, SEGMENT_BYTES), -EALREADY);
 	assert_int_equal(drain(f, NS_PER_S), wait);
@@ -174,11 +174,12 @@
 		err = give(f, PACER_BULK, i++, SEGMENT_BYTES);
 	while (err >= 0);
 	assert_int_equal(err, -ENOBUFS);
-	assert_int_equal(pacer_waiting(f->pacer), f->policy.link_waiting_max);
-	assert_int_equal(give(f, PACER_BULK, i, DATAGRAM_ROOM_BYTES + 1),
+	assert_int_equal(pacer_queue_length(f->pacer),
+			 f->policy.link_waiting_max);
+	assert_int_equal(give(f, PACER_BULK, i, PACER_DATAGRAM_MAX_BYTES + 1),
 			 -EMSGSIZE);
 	drain(f, 10 * NS_PER_S);
-	assert_int_equal(pacer_waiting(f->pacer), 0);
+	assert_int_equal(pacer_queue_length(f->pacer), 0);
 	assert_int_equal(give(f, PACER_BULK, i, SEGMENT_BYTES), 1);
 }
 
@@ -187,7 +188,7 @@
 {
 	struct fixture *f = *state;
 
-	pacer_spent(f->pacer, 10 * SEGMENT_BYTES, f->now_ns);
+	pacer_charge(f->pacer, 10 * SEGMENT_BYTES, f->now_ns);
 	assert_int_equal(give(f, PACER_CONTROL, 0, 40), 0);
 	assert_true(pacer_due_ns(f->pacer) > f->now_ns + 30 * MS);
 }
@@ -196,13 +197,13 @@
 {
 	struct fixture *f = *state;
 
-	assert_int_equal(pacer_wait_ns(f->pacer, PACER_BULK, f->now_ns), 0);
+	assert_int_equal(pacer_delay_ns(f->pacer, PACER_BULK, f->now_ns), 0);
 	for (uint64_t i = 1; i <= WINDOW_PACKETS; i++)
 		give(f, PACER_BULK, i, SEGMENT_BYTES);
-	assert_in_range(pacer_wait_ns(f->pacer, PACER_BULK, f->now_ns),
+	assert_in_range(pacer_delay_ns(f->pacer, PACER_BULK, f->now_ns),
 			(WINDOW_PACKETS - 1) * SEGMENT_NS,
 			WINDOW_PACKETS * SEGMENT_NS);
-	assert_in_range(pacer_wait_ns(f->pacer, PACER_CONTROL, f->now_ns), 0,
+	assert_in_range(pacer_delay_ns(f->pacer, PACER_CONTROL, f->now_ns), 0,
 			f->policy.link_ahead_ns + SEGMENT_NS);
 }
 
@@ -212,9 +213,9 @@
 
 	(void)state;
 	for (uint32_t i = 0; i < 1000; i++)
-		assert_true(pacer_passes(p, PACER_BULK, SEGMENT_BYTES, 1));
-	pacer_spent(p, SEGMENT_BYTES, 1);
-	assert_int_equal(pacer_wait_ns(p, PACER_BULK, 1), 0);
+		assert_true(pacer_try_send(p, PACER_BULK, SEGMENT_BYTES, 1));
+	pacer_charge(p, SEGMENT_BYTES, 1);
+	assert_int_equal(pacer_delay_ns(p, PACER_BULK, 1), 0);
 	pacer_free(p);
 }
 
@@ -224,16 +225,16 @@
 	struct packet other = { .flow = { 1, 2 }, .seq = 8, .size_bytes = 1 };
 
 	(void)state;
-	assert_int_equal(pacer_class_of(&k, ROUTE_UPLOAD), PACER_CONTROL);
-	assert_int_equal(pacer_name(&k), 0);
+	assert_int_equal(pacer_classify(&k, ROUTE_UPLOAD), PACER_CONTROL);
+	assert_int_equal(pacer_copy_id(&k), 0);
 	k.size_bytes = 100;
-	assert_int_equal(pacer_class_of(&k, ROUTE_UPLOAD), PACER_BULK);
-	assert_int_equal(pacer_class_of(&k, ROUTE_REPORT), PACER_REQUEST);
-	assert_int_equal(pacer_class_of(&k, ROUTE_FEED), PACER_REQUEST);
-	assert_int_not_equal(pacer_name(&k), 0);
-	assert_true(pacer_name(&k) != pacer_name(&other));
+	assert_int_equal(pacer_classify(&k, ROUTE_UPLOAD), PACER_BULK);
+	assert_int_equal(pacer_classify(&k, ROUTE_REPORT), PACER_REQUEST);
+	assert_int_equal(pacer_classify(&k, ROUTE_FEED), PACER_REQUEST);
+	assert_int_not_equal(pacer_copy_id(&k), 0);
+	assert_true(pacer_copy_id(&k) != pacer_copy_id(&other));
 	other.seq = 7;
-	assert_true(pacer_name(&k) == pacer_name(&other));
+	assert_true(pacer_copy_id(&k) == pacer_copy_id(&other));
 }
 
 #define TEST(name) cmocka_unit_test_setup_teardown(name, setup, teardown)
