--- a/core/packet/link/pacer.c
+++ b/core/packet/link/pacer.c
@@ -117,8 +117,8 @@
 }
 
 /**
- * pacer_copy_id() - hash that is the same for all repeats of a client's packet
- * @k: packet
+ * pacer_copy_id() - hash that is the same for all transmissions of a packet
+ * @k: packet of a client
  *
  * Return: hash of the flow and the sequence number, never 0; 0 for a packet
  * without data, since each of those carries new information.
@@ -215,7 +215,7 @@
  *
  * Return: 0; -EALREADY when a datagram with its copy id is queued; -ENOBUFS when
  * the queues are full; -EMSGSIZE when it is too large. On error the caller drops
- * it, and its sender repeats it.
+ * it; its sender retransmits it.
  */
 int pacer_enqueue(struct pacer *p, enum pacer_class c, const struct datagram *d)
 {
--- a/core/packet/link/pacer.h
+++ b/core/packet/link/pacer.h
@@ -3,9 +3,10 @@
  *
  * A client sends sixteen packets of an upload in a burst. A link of a few Mbit/s
  * takes longer to carry them than its buffer keeps them: most are lost, all are
- * repeated, and requests of other clients behind them are delayed or lost too.
- * The pacer hands datagrams to the link only as fast as it carries them, urgent
- * ones first, and drops a repeat while the first copy is still queued.
+ * retransmitted, and requests of other clients behind them are delayed or lost
+ * too. The pacer hands datagrams to the link only as fast as it carries them,
+ * urgent ones first, and drops a retransmission while the first copy is still
+ * queued.
  */
 #ifndef CB_PACER_H
 #define CB_PACER_H
@@ -33,8 +34,8 @@
 /**
  * struct datagram - an outgoing datagram in two parts
  * @destination: opaque to the pacer, returned by pacer_dequeue()
- * @copy_id: identifies repeats of the same packet, see pacer_copy_id(); 0 when
- *	it is never a repeat
+ * @copy_id: the same for all transmissions of a packet, see pacer_copy_id(); 0
+ *	for a packet that is never taken for a retransmission
  * @head: first part
  * @head_bytes: size of @head
  * @data: second part, NULL when @data_bytes is 0
