--- a/core/packet/link/pacer.c
+++ b/core/packet/link/pacer.c
@@ -213,9 +213,9 @@
  * @c: class of the datagram
  * @d: datagram, copied
  *
- * Return: 0; -EALREADY when a datagram with its copy id is queued; -ENOBUFS when
- * the queues are full; -EMSGSIZE when it is too large. On error the caller drops
- * it; its sender retransmits it.
+ * Return: 0; -EALREADY when a datagram with its copy id is queued; -ENOBUFS
+ * when the queues are full; -EMSGSIZE when it is too large. On error the caller
+ * drops it; its sender retransmits it.
  */
 int pacer_enqueue(struct pacer *p, enum pacer_class c, const struct datagram *d)
 {
@@ -301,8 +301,8 @@
 }
 
 /**
- * pacer_delay_ns() - time that the link needs for all that goes before a datagram
- *	which arrives now
+ * pacer_delay_ns() - time that the link needs for all that goes before a
+ *	datagram which arrives now
  * @p: pacer
  * @c: class of the datagram
  * @now_ns: current time
--- a/core/packet/link/pacer.h
+++ b/core/packet/link/pacer.h
@@ -1,12 +1,12 @@
 /*
  * Pacing of the datagrams that this VM sends over its own link.
  *
- * A client sends sixteen packets of an upload in a burst. A link of a few Mbit/s
- * takes longer to carry them than its buffer keeps them: most are lost, all are
- * retransmitted, and requests of other clients behind them are delayed or lost
- * too. The pacer hands datagrams to the link only as fast as it carries them,
- * urgent ones first, and drops a retransmission while the first copy is still
- * queued.
+ * A client sends sixteen packets of an upload in a burst. A link of a few
+ * Mbit/s takes longer to carry them than its buffer keeps them: most are lost,
+ * all are retransmitted, and requests of other clients behind them are delayed
+ * or lost too. The pacer hands datagrams to the link only as fast as it carries
+ * them, urgent ones first, and drops a retransmission while the first copy is
+ * still queued.
  */
 #ifndef CB_PACER_H
 #define CB_PACER_H
