--- a/adapters/probe_outcome.c
+++ b/adapters/probe_outcome.c
@@ -10,7 +10,7 @@
  * somebody did, and closed again: a target that holds as many connections as it
  * may. Taken for ended, live targets of a fleet that wakes have their flows reset.
  *
- * Return: what is known of the target; PROBE_VOID for a shortage of this VM's
+ * Return: what is known of the target; PROBE_INCONCLUSIVE for a shortage of this VM's
  * own.
  */
 enum probe_outcome probe_outcome(int status)
@@ -18,7 +18,7 @@
 	switch (status) {
 	case 0:
 	case UV_ECONNRESET:
-		return PROBE_OPEN;
+		return PROBE_ACCEPTED;
 	case UV_ECONNREFUSED:
 		return PROBE_REFUSED;
 	case UV_ETIMEDOUT:
@@ -26,6 +26,6 @@
 	case UV_ENETUNREACH:
 		return PROBE_SILENT;
 	default:
-		return PROBE_VOID;
+		return PROBE_INCONCLUSIVE;
 	}
 }
--- a/bench/slopes-packets/main.c
+++ b/bench/slopes-packets/main.c
@@ -7,7 +7,7 @@
 #include "node.h"
 #include "loads.h"
 #include "path.h"
-#include "place.h"
+#include "assign.h"
 
 #include <stdio.h>
 #include <stdlib.h>
@@ -71,8 +71,9 @@
 	t->routes[0].vip = VIP;
 	t->routes[0].n_shares = 1;
 	t->routes[0].shares[0] =
-		(struct route_share){ directory_name(f->directory, "s"), 1 };
-	directory_routes(f->directory, t, f->now_ns);
+		(struct route_share){ directory_add_service(f->directory, "s"),
+				      1 };
+	directory_set_routes(f->directory, t, f->now_ns);
 }
 
 static void no_send(void *ctx, const struct flow_seen *f, const uint8_t *bytes,
@@ -108,17 +109,18 @@
 	f->directory = directory_new(&dir);
 	make_routes(f);
 	for (uint32_t i = 1; i <= targets; i++) {
-		struct target_news news = {
+		struct target_advertisement news = {
 			.id = i,
 			.addr = ADDR(i, 80),
-			.service = directory_name(f->directory, "s"),
+			.service = directory_add_service(f->directory, "s"),
 			.slots = 3,
 			.created = { 0, i },
 		};
 
 		enum target_change change;
 
-		directory_target(f->directory, &news, f->now_ns, &change);
+		directory_update_target(f->directory, &news, f->now_ns,
+					&change);
 	}
 	f->path = path_new(&conf, f->directory, port, (struct rng){ 7 });
 }
--- a/cmd/cb-packet/clients.c
+++ b/cmd/cb-packet/clients.c
@@ -110,7 +110,7 @@
 {
 	uint8_t head[ENVELOPE_MAX_BYTES];
 	struct datagram g = {
-		.destination = t->news.addr,
+		.destination = t->advertised.addr,
 		.copy_id = name,
 		.head = head,
 		.head_bytes = d->platform->envelope(t, head),
--- a/cmd/cb-packet/decisions.c
+++ b/cmd/cb-packet/decisions.c
@@ -32,7 +32,8 @@
 		 const struct flow_key *flow, const char *reason,
 		 const struct target *t)
 {
-	const struct route_table *table = directory_table(d->node->directory);
+	const struct route_table *table =
+		directory_route_table(d->node->directory);
 	char caller[32], vip[32], to[32];
 
 	log_line(LOG_INFO, step,
@@ -40,8 +41,8 @@
 		 "vip %s %s target %llx at %s health %s configuration %llu "
 		 "revision %llu contact %llu ms ago",
 		 addr_text(flow->vip, vip, sizeof(vip)), reason,
-		 t ? (unsigned long long)t->news.id : 0ULL,
-		 t ? addr_text(t->news.addr, to, sizeof(to)) : "none",
+		 t ? (unsigned long long)t->advertised.id : 0ULL,
+		 t ? addr_text(t->advertised.addr, to, sizeof(to)) : "none",
 		 t ? health_names[t->health] : "none",
 		 table ? (unsigned long long)table->version : 0ULL,
 		 (unsigned long long)documents_through(d->node->documents)
@@ -81,17 +82,18 @@
 	uint64_t now_ns = uv_hrtime();
 	char addr[32];
 
-	if (t->health <= HEALTH_DOUBTED && before <= HEALTH_DOUBTED &&
+	if (t->health <= HEALTH_SUSPECTED && before <= HEALTH_SUSPECTED &&
 	    !allowed(d))
 		return;
 	log_line(LOG_INFO, "target.health",
-		 addr_text(t->news.addr, addr, sizeof(addr)),
+		 addr_text(t->advertised.addr, addr, sizeof(addr)),
 		 "target %llx %s, was %s, last sign of life %lld ms ago, "
 		 "%u flows",
-		 (unsigned long long)t->news.id, health_names[t->health],
+		 (unsigned long long)t->advertised.id, health_names[t->health],
 		 health_names[before],
-		 t->alive_ns ? (long long)((now_ns - t->alive_ns) / NS_PER_MS)
-			     : -1LL,
+		 t->last_alive_ns
+			 ? (long long)((now_ns - t->last_alive_ns) / NS_PER_MS)
+			 : -1LL,
 		 t->flows);
 }
 
--- a/cmd/cb-packet/operators.c
+++ b/cmd/cb-packet/operators.c
@@ -82,7 +82,7 @@
 	gauge(out, "flows", path_flows(d->node->path));
 	gauge(out, "waiting", path_waiting(d->node->path));
 	gauge(out, "link_waiting", pacer_queue_length(d->node->pacer));
-	gauge(out, "targets", directory_slots(d->node->directory));
+	gauge(out, "targets", directory_target_count(d->node->directory));
 	gauge(out, "peers", peer_set_live(d->node->peers, now_ns));
 	gauge(out, "evacuated", directory_evacuations(d->node->directory)->n);
 	gauge(out, "revision",
@@ -109,26 +109,28 @@
 		"target %llx addr %s service %s stage %u health %u flows %u "
 		"feeds %u busy %u running %u short %.2f peers_feeds %.0f "
 		"peers_running %.2f peers_short %.2f cold_ms %llu seat %u\n",
-		(unsigned long long)t->news.id,
-		addr_text(t->news.addr, addr, sizeof(addr)),
-		directory_name_text(d->node->directory, t->news.service),
+		(unsigned long long)t->advertised.id,
+		addr_text(t->advertised.addr, addr, sizeof(addr)),
+		directory_service_name(d->node->directory,
+				       t->advertised.service),
 		t->stage, t->health, t->flows, t->feeds, t->busy, t->running,
 		t->short_mean, t->peers_feeds, t->peers_running, t->peers_short,
 		(unsigned long long)(cold_ns / NS_PER_MS),
-		cold_ns && t->cold_seat);
+		cold_ns && t->has_cold_permit);
 }
 
 /* What limits the requests that go to each service. */
 static void write_limits(const struct packet_daemon *d, GString *out)
 {
-	for (uint32_t i = 0; i < directory_names(d->node->directory); i++) {
+	for (uint32_t i = 0; i < directory_service_count(d->node->directory);
+	     i++) {
 		struct path_limits l = path_limits(d->node->path, i);
 
 		g_string_append_printf(
 			out,
 			"service %s work_us %llu running %u window %.1f "
 			"refused_percent %.1f\n",
-			directory_name_text(d->node->directory, i),
+			directory_service_name(d->node->directory, i),
 			(unsigned long long)(l.work_ns / NS_PER_US), l.running,
 			l.window, l.refused_percent);
 	}
@@ -144,7 +146,8 @@
 
 static void write_status(struct packet_daemon *d, GString *out)
 {
-	const struct route_table *table = directory_table(d->node->directory);
+	const struct route_table *table =
+		directory_route_table(d->node->directory);
 	struct position through = documents_through(d->node->documents);
 	char addr[32];
 
@@ -169,14 +172,15 @@
 static void write_targets(const struct packet_daemon *d, const char *query,
 			  GString *out)
 {
-	uint32_t n = directory_slots(d->node->directory);
+	uint32_t n = directory_target_count(d->node->directory);
 	char limit[32] = "";
 
 	if (http_query(query, "limit", limit, sizeof(limit)) &&
 	    g_ascii_strtoull(limit, NULL, 10) < n)
 		n = (uint32_t)g_ascii_strtoull(limit, NULL, 10);
 	for (uint32_t i = 0; i < n; i++)
-		write_target(d, directory_slot(d->node->directory, i), out);
+		write_target(d, directory_target_at(d->node->directory, i),
+			     out);
 }
 
 static void write_route(const struct packet_daemon *d, const struct route *r,
@@ -187,8 +191,8 @@
 	for (uint32_t i = 0; i < r->n_shares; i++)
 		g_string_append_printf(
 			out, " service %s weight %u",
-			directory_name_text(d->node->directory,
-					    r->shares[i].service),
+			directory_service_name(d->node->directory,
+					       r->shares[i].service),
 			r->shares[i].weight);
 	g_string_append_c(out, '\n');
 }
@@ -209,7 +213,8 @@
 		g_string_append(out, "expected caller=IP:PORT&vip=IP:PORT\n");
 		return BAD_REQUEST;
 	}
-	r = route_table_find(directory_table(d->node->directory), key.vip);
+	r = route_table_find(directory_route_table(d->node->directory),
+			     key.vip);
 	if (r)
 		write_route(d, r, out);
 	else
--- a/cmd/cb-packet/probes.c
+++ b/cmd/cb-packet/probes.c
@@ -97,14 +97,15 @@
 	struct probe *p = place < PROBES_MAX ? calloc(1, sizeof(*p)) : NULL;
 	struct sockaddr_in to = {
 		.sin_family = AF_INET,
-		.sin_port = htons(ADDR_PORT(t->news.addr)),
-		.sin_addr.s_addr = htonl(ADDR_IP(t->news.addr)),
+		.sin_port = htons(ADDR_PORT(t->advertised.addr)),
+		.sin_addr.s_addr = htonl(ADDR_IP(t->advertised.addr)),
 	};
 	struct incarnation who = target_incarnation(t);
 	int err;
 
 	if (!p) {
-		node_probed(d->node, &who, PROBE_VOID, d->now_ns, d->now_ns);
+		node_probed(d->node, &who, PROBE_INCONCLUSIVE, d->now_ns,
+			    d->now_ns);
 		return;
 	}
 	d->counters.probes++;
--- a/core/packet/flow/flow_cache.c
+++ b/core/packet/flow/flow_cache.c
@@ -126,7 +126,7 @@
 	if (f->sent == sent)
 		return;
 	if (sent)
-		f->service = f->target->news.service;
+		f->service = f->target->advertised.service;
 	f->sent = sent;
 	f->target->running += by;
 	c->running[f->service] += by;
@@ -196,9 +196,9 @@
 	flow_cache_busy(c, f, false);
 	if (f->stage != FLOW_CLOSED)
 		count(f, -1);
-	f->target->held--;
+	f->target->cached_flows--;
 	f->target = to;
-	to->held++;
+	to->cached_flows++;
 	if (f->stage != FLOW_CLOSED)
 		count(f, 1);
 }
@@ -211,7 +211,7 @@
 void flow_cache_remove(struct flow_cache *c, struct flow_seen *f)
 {
 	flow_cache_close(c, f);
-	f->target->held--;
+	f->target->cached_flows--;
 	unlink_flow(c, f);
 	index_del(c->by_key, flow_hash(&f->key), number(c, f));
 	f->older = c->spare;
@@ -258,7 +258,7 @@
 		.seen_ns = now_ns,
 		.opened_ns = now_ns,
 	};
-	target->held++;
+	target->cached_flows++;
 	count(f, 1);
 	link_newest(c, f);
 	index_put(c->by_key, flow_hash(key), number(c, f));
--- a/core/packet/flow/path.c
+++ b/core/packet/flow/path.c
@@ -1,6 +1,6 @@
 #include "path_impl.h"
 
-#include "place.h"
+#include "assign.h"
 
 #include <stdlib.h>
 #include <string.h>
@@ -68,10 +68,10 @@
 static bool better_witness(const struct path *p, const struct target *a,
 			   const struct target *b)
 {
-	bool a_near = a->news.zone == p->conf.zone;
-	bool b_near = b->news.zone == p->conf.zone;
+	bool a_near = a->advertised.zone == p->conf.zone;
+	bool b_near = b->advertised.zone == p->conf.zone;
 
-	return a_near != b_near ? a_near : a->alive_ns > b->alive_ns;
+	return a_near != b_near ? a_near : a->last_alive_ns > b->last_alive_ns;
 }
 
 /*
@@ -87,21 +87,21 @@
 	struct health_context c;
 	bool doubted = false;
 
-	for (uint32_t i = 0; i < directory_slots(p->directory); i++) {
-		struct target *t = directory_slot(p->directory, i);
+	for (uint32_t i = 0; i < directory_target_count(p->directory); i++) {
+		struct target *t = directory_target_at(p->directory, i);
 
 		if (t == about || t->stage == TARGET_ABSENT ||
-		    directory_evacuated(p->directory, t))
+		    directory_is_evacuated(p->directory, t))
 			continue;
-		doubted |= t->health == HEALTH_DOUBTED;
+		doubted |= t->health == HEALTH_SUSPECTED;
 		if (t->health == HEALTH_GOOD &&
 		    (!best || better_witness(p, t, best)))
 			best = t;
 	}
 	if (!best)
 		return doubted;
-	c = path_context(p, about->probed_ns);
-	health_probe(best, &c);
+	c = path_context(p, about->probe_sent_ns);
+	health_send_probe(best, &c);
 	return true;
 }
 
@@ -116,7 +116,7 @@
 {
 	struct health_context c = path_context(p, now_ns);
 
-	health_answered(t, &c);
+	health_record_answer(t, &c);
 }
 
 void path_doubt(struct path *p, struct target *t, uint64_t since_ns,
@@ -124,7 +124,7 @@
 {
 	struct health_context c = path_context(p, now_ns);
 
-	health_doubt(t, &c, since_ns);
+	health_suspect(t, &c, since_ns);
 }
 
 static void rule(struct path *p, struct path_verdict *out, uint8_t action,
@@ -167,7 +167,7 @@
 			  const struct route *r, const struct target *avoid,
 			  uint64_t now_ns)
 {
-	struct place_query q = {
+	struct assign_query q = {
 		.policy = p->policy,
 		.service = route_service(r, flow_hash(key)),
 		.zone = p->conf.zone,
@@ -177,7 +177,7 @@
 		.now_ns = now_ns,
 	};
 
-	return place_target(p->directory, &q, &p->rng);
+	return assign_target(p->directory, &q, &p->rng);
 }
 
 /* Keep a packet that may be sent again: it carries no data. */
@@ -242,14 +242,15 @@
 	if (!f->busy)
 		return;
 	histogram_add(&p->times[f->kind].answer_us, took_ns / NS_PER_US);
-	small = outlier_small(&p->sizes, p->policy, f->kind, size_bytes);
+	small = outlier_record_answer_size(&p->sizes, p->policy, f->kind,
+					   size_bytes);
 	if (small)
-		outlier_failed(f->target, p->policy, now_ns);
+		outlier_record_failure(f->target, p->policy, now_ns);
 	if (f->sent)
 		path_worked(p, f, small, now_ns);
 	*mean_ns += took_ns / ANSWER_WEIGHT - *mean_ns / ANSWER_WEIGHT;
 	flow_cache_busy(p->flows, f, false);
-	path_release(p, f->target->news.service, now_ns);
+	path_release(p, f->target->advertised.service, now_ns);
 }
 
 /*
@@ -338,7 +339,7 @@
 	}
 	if (k->flags & (PACKET_FIN | PACKET_RST)) {
 		flow_cache_close(p->flows, f);
-		path_release(p, f->target->news.service, now_ns);
+		path_release(p, f->target->advertised.service, now_ns);
 		return false;
 	}
 	keep(f, k);
@@ -389,7 +390,7 @@
 	 * doesn't know all services that the route had; the target itself then
 	 * turns a packet away that belongs to none of its flows.
 	 */
-	if (history_known && !route_allows(r, t->news.service, now_ns)) {
+	if (history_known && !route_allows(r, t->advertised.service, now_ns)) {
 		rule(p, out, PATH_DROP, PATH_foreign_cookie, t);
 		return;
 	}
@@ -421,7 +422,7 @@
 void path_packet(struct path *p, const struct packet *k, bool fresh,
 		 uint64_t now_ns, struct path_verdict *out)
 {
-	const struct route_table *table = directory_table(p->directory);
+	const struct route_table *table = directory_route_table(p->directory);
 	const struct route *r = route_table_find(table, k->flow.vip);
 
 	out->ack = k->ack;
--- a/core/packet/flow/path_impl.h
+++ b/core/packet/flow/path_impl.h
@@ -4,7 +4,7 @@
 
 #include "outlier.h"
 #include "path.h"
-#include "trips.h"
+#include "connect_rtt.h"
 #include "window.h"
 #include "work.h"
 
@@ -28,7 +28,7 @@
  * @loaded: some target has as much to do as it has slots
  * @stopping: nothing waits here any more
  * @held_up_ns: when this process last stood still
- * @trips: times that connection attempts took of late
+ * @connect_rtt: times that connection attempts took of late
  * @open_ns: mean time that a handshake takes, as seen here
  * @witnessed_ns: when the latest probe that was answered went out: this VM's own
  *	link carried it
@@ -47,12 +47,12 @@
 	uint64_t judged_ns;
 	float feed_load;
 	struct service_work work[DIRECTORY_SERVICES_MAX];
-	struct window windows[DIRECTORY_SERVICES_MAX];
+	struct request_window windows[DIRECTORY_SERVICES_MAX];
 	struct waiting *waiting;
 	bool loaded;
 	bool stopping;
 	uint64_t held_up_ns;
-	struct trips trips;
+	struct connect_rtt connect_rtt;
 	uint64_t open_ns;
 	uint64_t witnessed_ns;
 };
--- a/core/packet/flow/path_tick.c
+++ b/core/packet/flow/path_tick.c
@@ -48,7 +48,7 @@
  */
 uint64_t path_probe_wait_ns(const struct path *p, uint64_t now_ns)
 {
-	return trips_wait_ns(&p->trips, p->policy, now_ns);
+	return connect_rtt_timeout_ns(&p->connect_rtt, p->policy, now_ns);
 }
 
 /*
@@ -60,11 +60,11 @@
 {
 	uint64_t waited_ns = now_ns - since_ns;
 
-	if (t->alive_ns > since_ns)
-		return PROBE_VOID;
+	if (t->last_alive_ns > since_ns)
+		return PROBE_INCONCLUSIVE;
 	if (waited_ns >= p->policy->probe_wait_ns &&
 	    waited_ns < path_probe_wait_ns(p, now_ns))
-		return PROBE_EARLY;
+		return PROBE_WAIT_TOO_SHORT;
 	return PROBE_SILENT;
 }
 
@@ -83,20 +83,20 @@
 	struct target *t = directory_by_id(p->directory, who->id);
 	struct health_context c;
 
-	if (outcome == PROBE_OPEN || outcome == PROBE_REFUSED)
-		trips_heard(&p->trips, now_ns - since_ns, now_ns);
+	if (outcome == PROBE_ACCEPTED || outcome == PROBE_REFUSED)
+		connect_rtt_record(&p->connect_rtt, now_ns - since_ns, now_ns);
 	if (!t)
 		return;
 	if (outcome == PROBE_SILENT)
 		outcome = silence(p, t, since_ns, now_ns);
-	if (who->started_ms != t->news.started_ms)
-		outcome = PROBE_VOID;
+	if (who->started_ms != t->advertised.started_ms)
+		outcome = PROBE_INCONCLUSIVE;
 	if (outcome == PROBE_SILENT && p->held_up_ns + NS_PER_S > now_ns)
-		outcome = PROBE_VOID;
-	if (outcome == PROBE_OPEN && since_ns > p->witnessed_ns)
+		outcome = PROBE_INCONCLUSIVE;
+	if (outcome == PROBE_ACCEPTED && since_ns > p->witnessed_ns)
 		p->witnessed_ns = since_ns;
 	c = path_context(p, now_ns);
-	health_probed(t, &c, outcome);
+	health_record_probe(t, &c, outcome);
 	sweep_if_gone(p, t);
 }
 
@@ -111,9 +111,9 @@
 	struct target *t = directory_by_id(p->directory, who->id);
 	struct health_context c = path_context(p, 0);
 
-	if (!t || who->started_ms < t->news.started_ms)
+	if (!t || who->started_ms < t->advertised.started_ms)
 		return;
-	health_dead(t, &c);
+	health_mark_dead(t, &c);
 	sweep_if_gone(p, t);
 }
 
@@ -169,8 +169,8 @@
  */
 static void place_again(struct path *p, struct flow_seen *f, uint64_t now_ns)
 {
-	const struct route *r =
-		route_table_find(directory_table(p->directory), f->key.vip);
+	const struct route *r = route_table_find(
+		directory_route_table(p->directory), f->key.vip);
 	struct target *t;
 
 	path_doubt(p, f->target, f->opened_ns, now_ns);
@@ -202,7 +202,7 @@
 			continue;
 		}
 		path_doubt(p, f->target, f->request_ns, now_ns);
-		outlier_failed(f->target, p->policy, now_ns);
+		outlier_record_failure(f->target, p->policy, now_ns);
 		flow_cache_sent(p->flows, f, false);
 	}
 }
@@ -220,12 +220,12 @@
 static void average(struct target *t, const struct policy *policy,
 		    uint64_t now_ns)
 {
-	uint64_t since_ns = now_ns - t->mean_ns;
+	uint64_t since_ns = now_ns - t->means_updated_ns;
 
 	blend(&t->short_mean, t->busy_short, since_ns, LOAD_WINDOW_NS);
 	blend(&t->running_mean, t->running, since_ns,
 	      policy->running_window_ns);
-	t->mean_ns = now_ns;
+	t->means_updated_ns = now_ns;
 }
 
 static void measure_feeds(struct path *p, uint32_t feeds, uint32_t busy)
@@ -241,8 +241,8 @@
  */
 static bool at_rest(const struct target *t)
 {
-	return !t->held && t->health == HEALTH_GOOD && t->short_mean <= 0 &&
-	       t->running_mean <= 0;
+	return !t->cached_flows && t->health == HEALTH_GOOD &&
+	       t->short_mean <= 0 && t->running_mean <= 0;
 }
 
 static void judge(struct path *p, struct target *t, uint64_t now_ns)
@@ -251,7 +251,8 @@
 
 	if (t->failures <= 0 && t->peers_failures <= 0)
 		return;
-	if (outlier_judge(p->directory, t, p->policy, now_ns, &others))
+	if (outlier_eject_if_failing(p->directory, t, p->policy, now_ns,
+				     &others))
 		p->port.eject(p->port.ctx, t, others);
 }
 
@@ -262,7 +263,7 @@
  */
 void path_tick(struct path *p, uint64_t now_ns)
 {
-	uint32_t n = directory_slots(p->directory);
+	uint32_t n = directory_target_count(p->directory);
 	uint32_t feeds = 0, busy = 0;
 	struct health_context c = path_context(p, now_ns);
 	bool judging = now_ns >= p->judged_ns + JUDGE_NS;
@@ -272,16 +273,16 @@
 	check_due(p, now_ns);
 	p->loaded = false;
 	for (uint32_t i = 0; i < n; i++) {
-		struct target *t = directory_slot(p->directory, i);
+		struct target *t = directory_target_at(p->directory, i);
 
 		if (judging)
 			judge(p, t, now_ns);
 		if (at_rest(t)) {
-			t->mean_ns = now_ns;
+			t->means_updated_ns = now_ns;
 			continue;
 		}
 		average(t, p->policy, now_ns);
-		if (t->flows || !directory_evacuated(p->directory, t))
+		if (t->flows || !directory_is_evacuated(p->directory, t))
 			health_tick(t, &c);
 		sweep_if_gone(p, t);
 		path_expire(p, t, now_ns);
--- a/core/packet/flow/path_wait.c
+++ b/core/packet/flow/path_wait.c
@@ -33,21 +33,23 @@
 	const struct target *t = f->target;
 	struct work_query q = {
 		.kind = f->kind,
-		.slots = t->news.slots,
-		.aim_ns = (int64_t)(f->aim_by_ns - f->asked_ns),
-		.left_ns = left_ns(f, now_ns),
+		.slots = t->advertised.slots,
+		.objective_ns = (int64_t)(f->aim_by_ns - f->asked_ns),
+		.remaining_ns = left_ns(f, now_ns),
 	};
 
 	if (p->stopping || t->stage != TARGET_SERVING ||
-	    directory_evacuated(p->directory, t))
+	    directory_is_evacuated(p->directory, t))
 		return true;
-	if (!window_open(&p->windows[t->news.service],
-			 flow_cache_running(p->flows, t->news.service)))
+	if (!window_is_open(&p->windows[t->advertised.service],
+			    flow_cache_running(p->flows,
+					       t->advertised.service)))
 		return false;
 	if (!t->running)
 		return true;
 	return at_target(t) <
-	       work_limit(&p->work[t->news.service], p->policy, &q);
+	       work_request_limit(&p->work[t->advertised.service], p->policy,
+				  &q);
 }
 
 /**
@@ -78,7 +80,7 @@
 void path_sent(struct path *p, struct flow_seen *f, uint64_t now_ns)
 {
 	f->request_ns = now_ns;
-	f->alone = at_target(f->target) < f->target->news.slots;
+	f->alone = at_target(f->target) < f->target->advertised.slots;
 	f->due_ns = now_ns + path_request_due_ns(p, f->kind);
 	flow_cache_sent(p->flows, f, true);
 }
@@ -97,24 +99,24 @@
 void path_worked(struct path *p, struct flow_seen *f, bool small,
 		 uint64_t now_ns)
 {
-	uint32_t service = f->target->news.service;
+	uint32_t service = f->target->advertised.service;
 	uint32_t running = flow_cache_running(p->flows, service);
 	struct service_work *w = &p->work[service];
 	uint64_t took_ns = now_ns - f->request_ns;
-	uint64_t least_ns = w->kinds[f->kind].mean_ns *
+	uint64_t least_ns = w->by_kind[f->kind].mean_ns *
 			    p->policy->refused_percent / PERCENT;
 
 	if (small && took_ns < least_ns + f->trip_ns) {
-		if (at_target(f->target) >= f->target->news.slots) {
+		if (at_target(f->target) >= f->target->advertised.slots) {
 			p->counts[PATH_refused]++;
-			window_refused(&p->windows[service], p->policy, running,
-				       now_ns);
+			window_record_refusal(&p->windows[service], p->policy,
+					      running, now_ns);
 		}
 		return;
 	}
-	window_answered(&p->windows[service], running);
+	window_record_answer(&p->windows[service], running);
 	if (f->alone && f->trip_ns && took_ns > f->trip_ns)
-		work_measured(w, f->kind, took_ns - f->trip_ns);
+		work_record(w, f->kind, took_ns - f->trip_ns);
 }
 
 static void send(struct path *p, struct flow_seen *f, uint64_t now_ns)
@@ -140,9 +142,9 @@
 static bool before(const struct path *p, const struct flow_seen *a,
 		   const struct flow_seen *b, uint64_t now_ns)
 {
-	const struct service_work *w = &p->work[a->target->news.service];
-	bool a_in_time = work_in_time(w, a->kind, left_ns(a, now_ns));
-	bool b_in_time = work_in_time(w, b->kind, left_ns(b, now_ns));
+	const struct service_work *w = &p->work[a->target->advertised.service];
+	bool a_in_time = work_meets_objective(w, a->kind, left_ns(a, now_ns));
+	bool b_in_time = work_meets_objective(w, b->kind, left_ns(b, now_ns));
 
 	if (a_in_time != b_in_time)
 		return a_in_time;
@@ -171,11 +173,11 @@
 			      uint64_t now_ns)
 {
 	struct target *const *targets = NULL;
-	uint32_t n = directory_of_service(p->directory, service, &targets);
+	uint32_t n = directory_service_targets(p->directory, service, &targets);
 	struct flow_seen *best = NULL;
 
 	for (uint32_t i = 0; i < n; i++)
-		if (targets[i]->waiting)
+		if (targets[i]->queue_head)
 			best = next_of(p, targets[i], best, now_ns);
 	return best;
 }
@@ -201,7 +203,7 @@
  */
 void path_release_all(struct path *p, uint64_t now_ns)
 {
-	for (uint32_t i = 0; i < directory_names(p->directory); i++)
+	for (uint32_t i = 0; i < directory_service_count(p->directory); i++)
 		path_release(p, i, now_ns);
 }
 
@@ -234,7 +236,8 @@
  */
 bool path_loaded(const struct target *t)
 {
-	return t->waiting || (t->running && at_target(t) >= t->news.slots);
+	return t->queue_head ||
+	       (t->running && at_target(t) >= t->advertised.slots);
 }
 
 /**
@@ -246,13 +249,13 @@
  */
 struct path_limits path_limits(const struct path *p, uint32_t service)
 {
-	const struct window *w = &p->windows[service];
+	const struct request_window *w = &p->windows[service];
 
 	return (struct path_limits){
 		.work_ns = p->work[service].all.mean_ns,
 		.running = flow_cache_running(p->flows, service),
 		.window = w->size,
-		.refused_percent = w->refused * PERCENT,
+		.refused_percent = w->refused_ratio * PERCENT,
 	};
 }
 
--- a/core/packet/flow/waiting.c
+++ b/core/packet/flow/waiting.c
@@ -87,10 +87,10 @@
 	at->n_bytes = n_bytes;
 	memcpy(at->bytes, bytes, n_bytes);
 	at->previous = 0;
-	at->next = t->waiting;
-	if (t->waiting)
-		w->places[t->waiting].previous = i;
-	t->waiting = i;
+	at->next = t->queue_head;
+	if (t->queue_head)
+		w->places[t->queue_head].previous = i;
+	t->queue_head = i;
 	f->waiting = i;
 	return true;
 }
@@ -111,7 +111,7 @@
 	if (at->previous)
 		w->places[at->previous].next = at->next;
 	else
-		f->target->waiting = at->next;
+		f->target->queue_head = at->next;
 	at->next = w->spare;
 	w->spare = f->waiting;
 	f->waiting = 0;
@@ -142,7 +142,7 @@
  */
 struct flow_seen *waiting_first(const struct waiting *w, const struct target *t)
 {
-	return t->waiting ? w->places[t->waiting].flow : NULL;
+	return t->queue_head ? w->places[t->queue_head].flow : NULL;
 }
 
 /**
--- a/core/packet/node.c
+++ b/core/packet/node.c
@@ -177,11 +177,12 @@
 
 	n->counters.ejections++;
 	n->port.log(n->port.ctx, NODE_WARNING, "target.eject",
-		    directory_name_text(n->directory, t->news.service),
+		    directory_service_name(n->directory, t->advertised.service),
 		    "target %llx gets no new flows for %llu ms: %.1f requests "
 		    "failed of late here, %.1f at peers, %.1f at others of it",
-		    (unsigned long long)t->news.id, (unsigned long long)ms,
-		    (double)outlier_failures(t, n->policy, n->now_ns),
+		    (unsigned long long)t->advertised.id,
+		    (unsigned long long)ms,
+		    (double)outlier_failure_count(t, n->policy, n->now_ns),
 		    (double)t->peers_failures, (double)usual_failures);
 }
 
@@ -347,7 +348,7 @@
 		"%u peers",
 		ready ? "yes" : "no", (unsigned long long)node_version(n),
 		(unsigned long long)documents_through(n->documents).revision,
-		directory_slots(n->directory),
+		directory_target_count(n->directory),
 		peer_set_live(n->peers, n->now_ns));
 }
 
@@ -359,7 +360,7 @@
 void node_tick(struct node *n, uint64_t now_ns)
 {
 	uint64_t to[ROUND_MAX];
-	struct directory_clock clock;
+	struct directory_tick_times clock;
 	uint32_t count;
 
 	n->now_ns = now_ns;
@@ -372,7 +373,7 @@
 	}
 	node_call(n);
 	documents_tick(n->documents, now_ns);
-	clock = (struct directory_clock){
+	clock = (struct directory_tick_times){
 		now_ns,
 		peer_set_trouble_ns(n->peers),
 		peer_set_last_contact_ns(n->peers),
--- a/core/packet/node_cold.c
+++ b/core/packet/node_cold.c
@@ -23,46 +23,46 @@
 static void presume_start(const struct node *n, struct target *t,
 			  const struct service_cold *cold)
 {
-	uint64_t until_ns = t->returned_ns + cold->start_ms * NS_PER_MS;
+	uint64_t until_ns = t->recovered_ns + cold->start_ms * NS_PER_MS;
 
 	if (t->cold_presumed && n->now_ns >= t->cold_until_ns)
 		t->cold_presumed = false;
-	if (!t->returned_ns)
+	if (!t->recovered_ns)
 		return;
 	if (until_ns > t->cold_until_ns) {
-		cold_begin(t, until_ns, t->returned_ns);
+		cold_begin(t, until_ns, t->recovered_ns);
 		t->cold_presumed = true;
 	}
-	t->returned_ns = 0;
+	t->recovered_ns = 0;
 }
 
 static void share_out(struct node *n, struct target *t, bool may)
 {
 	struct service_cold cold =
-		directory_cold(n->directory, t->news.service);
-	struct cold_share share;
+		directory_cold_limits(n->directory, t->advertised.service);
+	struct cold_allocation share;
 	bool seat;
 
 	presume_start(n, t, &cold);
-	if (!cold_limited(t, cold.per_s, n->now_ns))
+	if (!cold_is_limited(t, cold.per_s, n->now_ns))
 		return;
-	share = cold_share(cold.per_s, &n->conf.cold);
-	seat = may && t->news.zone == node_zone(n) &&
-	       peer_set_seat(n->peers, t->news.id) < share.seats;
+	share = cold_allocate(cold.per_s, &n->conf.cold);
+	seat = may && t->advertised.zone == node_zone(n) &&
+	       peer_set_seat(n->peers, t->advertised.id) < share.permits;
 	cold_refill(t, seat, share.per_s, n->now_ns);
 }
 
 /* Bring up to date what may be opened at cold targets. */
 void node_cold_tick(struct node *n)
 {
-	uint32_t slots = directory_slots(n->directory);
+	uint32_t slots = directory_target_count(n->directory);
 	bool may;
 
-	if (!directory_any_cold(n->directory))
+	if (!directory_has_cold_limits(n->directory))
 		return;
 	may = settled(n);
 	for (uint32_t i = 0; i < slots; i++)
-		share_out(n, directory_slot(n->directory, i), may);
+		share_out(n, directory_target_at(n->directory, i), may);
 }
 
 /*
@@ -71,13 +71,13 @@
  */
 void node_cold_returned(struct node *n, uint32_t zone)
 {
-	uint32_t slots = directory_slots(n->directory);
+	uint32_t slots = directory_target_count(n->directory);
 
 	for (uint32_t i = 0; i < slots; i++) {
-		struct target *t = directory_slot(n->directory, i);
+		struct target *t = directory_target_at(n->directory, i);
 
-		if (t->news.zone == zone)
-			t->returned_ns = n->now_ns;
+		if (t->advertised.zone == zone)
+			t->recovered_ns = n->now_ns;
 	}
 	node_cold_tick(n);
 }
--- a/core/packet/node_published.c
+++ b/core/packet/node_published.c
@@ -11,7 +11,7 @@
 /* Version of the configuration in force, 0 for none. */
 uint64_t node_version(const struct node *n)
 {
-	const struct route_table *t = directory_table(n->directory);
+	const struct route_table *t = directory_route_table(n->directory);
 
 	return t ? t->version : 0;
 }
@@ -38,13 +38,13 @@
 {
 	uint64_t version = take->version;
 	uint32_t routes = take->n_routes;
-	int err = directory_routes(n->directory, take, n->now_ns);
+	int err = directory_set_routes(n->directory, take, n->now_ns);
 
 	log_routes(n, doc, err, version, routes);
 	/* Targets may have been published before their service was named. */
-	if (!err && directory_names(n->directory) > n->names_taken)
+	if (!err && directory_service_count(n->directory) > n->names_taken)
 		documents_again(n->documents);
-	n->names_taken = directory_names(n->directory);
+	n->names_taken = directory_service_count(n->directory);
 }
 
 static void log_target(struct node *n, const struct document *doc,
@@ -52,10 +52,10 @@
 {
 	n->port.log(n->port.ctx, NODE_INFO, "target", doc->key,
 		    "%s, service %s, started %llu, revision %llu%s", what,
-		    directory_name_text(n->directory, t->news.service),
-		    (unsigned long long)t->news.started_ms,
+		    directory_service_name(n->directory, t->advertised.service),
+		    (unsigned long long)t->advertised.started_ms,
 		    (unsigned long long)doc->revision,
-		    t->stage == TARGET_ABSENT && t->presumed
+		    t->stage == TARGET_ABSENT && t->presumed_alive
 			    ? ", presumed to live"
 			    : "");
 }
@@ -70,19 +70,19 @@
 }
 
 static void take_target(struct node *n, const struct document *doc,
-			const struct target_news *news)
+			const struct target_advertisement *news)
 {
 	static const char *const not_taken[] = {
-		[TARGET_NO_ROOM] = "not taken: no room for another target",
+		[TARGET_NO_CAPACITY] = "not taken: no room for another target",
 		[TARGET_OUTDATED] = "not taken: older than what is known",
-		[TARGET_FOREIGN] = "not taken: another key has this id",
+		[TARGET_ID_CONFLICT] = "not taken: another key has this id",
 	};
 	struct target *t = directory_by_id(n->directory, news->id);
 	uint8_t before = t ? t->stage : UINT8_MAX;
 	enum target_change change;
 
-	t = directory_target(n->directory, news, n->now_ns, &change);
-	if (change >= TARGET_NO_ROOM) {
+	t = directory_update_target(n->directory, news, n->now_ns, &change);
+	if (change >= TARGET_NO_CAPACITY) {
 		n->port.log(n->port.ctx, NODE_WARNING, "target", doc->key,
 			    "%s, revision %llu", not_taken[change],
 			    (unsigned long long)doc->revision);
@@ -98,7 +98,8 @@
 
 /* @trouble_ns: of the platform, when the entry may only have lapsed. */
 static void take_absent(struct node *n, const struct document *doc,
-			const struct target_news *news, uint64_t trouble_ns)
+			const struct target_advertisement *news,
+			uint64_t trouble_ns)
 {
 	struct target *t = directory_by_id(n->directory, news->id);
 	uint8_t before;
@@ -111,7 +112,7 @@
 	if (!t)
 		return;
 	before = t->stage;
-	directory_absent(n->directory, news, n->now_ns, trouble_ns);
+	directory_mark_absent(n->directory, news, n->now_ns, trouble_ns);
 	if (t->stage != before)
 		log_target(n, doc, t, stage_names[t->stage]);
 }
@@ -124,7 +125,7 @@
 static void refuse(struct node *n, const struct document *doc,
 		   const struct document_news *news, const char *problem)
 {
-	struct target_news named = { 0 };
+	struct target_advertisement named = { 0 };
 
 	n->counters.documents_refused++;
 	if (n->now_ns >= n->refusals_ns + NS_PER_S) {
@@ -138,14 +139,15 @@
 	if (news->kind != DOCUMENT_TARGET)
 		return;
 	named.id = news->target.id;
-	named.entry = news->target.entry;
+	named.key_hash = news->target.key_hash;
 	take_absent(n, doc, &named, 0);
 }
 
 static void take_evacuation(struct node *n, const struct document *doc,
 			    const char *data_centre)
 {
-	int err = directory_evacuate(n->directory, data_centre, !doc->deleted);
+	int err = directory_set_evacuated(n->directory, data_centre,
+					  !doc->deleted);
 
 	if (err == -EALREADY)
 		return;
@@ -186,7 +188,8 @@
 	if (n->port.decode(doc, n->directory, &news, &problem))
 		return 0;
 	if (news.kind == DOCUMENT_TARGET)
-		return directory_compare(n->directory, &news.target);
+		return directory_compare_advertisement(n->directory,
+						       &news.target);
 	if (news.kind != DOCUMENT_ROUTES || !news.routes)
 		return 0;
 	version = news.routes->version;
--- a/core/packet/peers/loads.c
+++ b/core/packet/peers/loads.c
@@ -24,11 +24,11 @@
  */
 void loads_fill(const struct directory *d, struct hello *h)
 {
-	uint32_t n = directory_slots(d);
+	uint32_t n = directory_target_count(d);
 
 	h->has_loads = true;
 	for (uint32_t i = 0; i < n && h->n_loads < HELLO_LOADS_MAX; i++) {
-		const struct target *t = directory_slot(d, i);
+		const struct target *t = directory_target_at(d, i);
 		struct hello_load l = {
 			.cookie = t->cookie,
 			.feeds = told((float)t->feeds),
@@ -71,11 +71,11 @@
 void loads_fill_failing(const struct directory *d, struct hello *h,
 			const struct policy *policy, uint64_t now_ns)
 {
-	uint32_t n = directory_slots(d);
+	uint32_t n = directory_target_count(d);
 
 	for (uint32_t i = 0; i < n; i++) {
-		const struct target *t = directory_slot(d, i);
-		float failures = outlier_failures(t, policy, now_ns);
+		const struct target *t = directory_target_at(d, i);
+		float failures = outlier_failure_count(t, policy, now_ns);
 
 		if (failures > FAILURES_TOLD_MIN)
 			add_failing(h, (struct hello_failing){
@@ -103,10 +103,10 @@
  */
 void loads_sum(struct directory *d, const struct peer_set *f, uint64_t now_ns)
 {
-	uint32_t n = directory_slots(d);
+	uint32_t n = directory_target_count(d);
 
 	for (uint32_t i = 0; i < n; i++) {
-		struct target *t = directory_slot(d, i);
+		struct target *t = directory_target_at(d, i);
 
 		t->peers_feeds = 0;
 		t->peers_short = 0;
--- a/core/packet/platform_port.h
+++ b/core/packet/platform_port.h
@@ -56,14 +56,14 @@
  * struct document_news - a decoded document
  * @kind: enum document_kind
  * @routes: the configuration, owned by the caller, or NULL
- * @target: the target; only @target.id and @target.entry when the document was
+ * @target: the target; only @target.id and @target.key_hash when the document was
  *	deleted without a value, or refused
  * @data_centre: name of the one that is evacuated
  */
 struct document_news {
 	uint8_t kind;
 	struct route_table *routes;
-	struct target_news target;
+	struct target_advertisement target;
 	char data_centre[NAME_MAX_BYTES];
 };
 
--- /dev/null
+++ b/core/packet/target/assign.h
@@ -0,0 +1,31 @@
+/* Selection of the target of a new flow. */
+#ifndef CB_ASSIGN_H
+#define CB_ASSIGN_H
+
+#include "directory.h"
+#include "policy.h"
+
+/**
+ * struct assign_query - a new flow
+ * @policy: limits and switches
+ * @service: number of the service that it goes to
+ * @zone: data centre of this VM, as in struct target_advertisement
+ * @kind: enum route_kind
+ * @avoid: target that did not answer an earlier SYN of the flow, or NULL
+ * @feed_load: mean number of slots that an open feed occupies
+ * @now_ns: current time
+ */
+struct assign_query {
+	const struct policy *policy;
+	uint32_t service;
+	uint32_t zone;
+	uint8_t kind;
+	const struct target *avoid;
+	float feed_load;
+	uint64_t now_ns;
+};
+
+struct target *assign_target(const struct directory *d,
+			     const struct assign_query *q, struct rng *rng);
+
+#endif
--- a/core/packet/target/directory.c
+++ b/core/packet/target/directory.c
@@ -10,10 +10,11 @@
 #define ADDR_SEED 0x61646472ULL
 
 /**
- * directory_new() - an empty directory
- * @conf: settings
+ * directory_new() - create an empty directory
+ * @conf: settings, copied
  *
- * Return: directory, or NULL without memory.
+ * Return: directory, to be freed with directory_free(); NULL when out of
+ * memory.
  */
 struct directory *directory_new(const struct directory_conf *conf)
 {
@@ -36,13 +37,13 @@
 {
 	if (!d)
 		return;
-	for (uint32_t i = 0; i < d->n_slots; i++)
-		free(d->slots[i]);
-	for (uint32_t i = 0; i < d->n_names; i++) {
+	for (uint32_t i = 0; i < d->n_targets; i++)
+		free(d->targets[i]);
+	for (uint32_t i = 0; i < d->n_services; i++) {
 		free(d->services[i].targets);
-		free(d->names[i]);
+		free(d->service_names[i]);
 	}
-	route_table_free(d->table);
+	route_table_free(d->routes);
 	index_free(d->by_cookie);
 	index_free(d->by_id);
 	index_free(d->by_addr);
@@ -50,7 +51,7 @@
 	free(d);
 }
 
-static int service_add(struct service *s, struct target *t)
+static int append_target(struct directory_service *s, struct target *t)
 {
 	struct target **grown = s->targets;
 
@@ -65,7 +66,7 @@
 	return 0;
 }
 
-static void service_remove(struct service *s, const struct target *t)
+static void remove_target(struct directory_service *s, const struct target *t)
 {
 	for (uint32_t i = 0; i < s->n; i++) {
 		if (s->targets[i] != t)
@@ -75,367 +76,401 @@
 	}
 }
 
-static void note_successor(struct target *t, uint64_t now_ns)
+static void mark_superseded(struct target *t, uint64_t now_ns)
 {
 	if (!t->successor_ns)
 		t->successor_ns = now_ns;
 }
 
-static struct target *latest_at(const struct directory *d, uint64_t addr)
+static struct target *latest_at_addr(const struct directory *d, uint64_t addr)
 {
-	uint32_t slot = index_get(d->by_addr, hash_u64(addr, ADDR_SEED));
+	uint32_t i = index_get(d->by_addr, hash_u64(addr, ADDR_SEED));
 
-	return slot == INDEX_NONE ? NULL : d->slots[slot];
+	return i == INDEX_NONE ? NULL : d->targets[i];
 }
 
-static void index_addr(struct directory *d, const struct target *t)
+static void addr_index_add(struct directory *d, const struct target *t)
 {
-	index_put(d->by_addr, hash_u64(t->news.addr, ADDR_SEED), t->slot);
+	index_put(d->by_addr, hash_u64(t->advertised.addr, ADDR_SEED),
+		  t->index);
 }
 
-static void unindex_addr(struct directory *d, const struct target *t)
+static void addr_index_remove(struct directory *d, const struct target *t)
 {
-	if (latest_at(d, t->news.addr) == t)
-		index_del(d->by_addr, hash_u64(t->news.addr, ADDR_SEED),
-			  t->slot);
+	if (latest_at_addr(d, t->advertised.addr) == t)
+		index_del(d->by_addr, hash_u64(t->advertised.addr, ADDR_SEED),
+			  t->index);
 }
 
 /*
+ * Makes @t the latest process at its address, unless a later one is known.
+ *
  * An address has one process at a time: when a later one is published there,
- * the earlier one has ended. It gets no new flows. That it is dead takes a
- * packet that goes unanswered, too: an entry by somebody else, who only names
- * the address of a target, would cut all flows of it. Entries are learned in
- * any order, so @t may be the earlier one.
+ * the earlier one has ended and gets no new flows. It counts as dead only after
+ * it also left a packet unanswered: otherwise a foreign entry that merely names
+ * the address of a target would reset all flows of that target. Entries arrive
+ * in any order, so @t may be the earlier process.
  */
-static void take_address(struct directory *d, struct target *t, uint64_t now_ns)
+static void claim_address(struct directory *d, struct target *t,
+			  uint64_t now_ns)
 {
-	struct target *o = latest_at(d, t->news.addr);
+	struct target *latest = latest_at_addr(d, t->advertised.addr);
 
-	if (o == t)
+	if (latest == t)
 		return;
-	if (o && o->stage != TARGET_ABSENT && target_older(t, o)) {
-		note_successor(t, now_ns);
+	if (latest && latest->stage != TARGET_ABSENT &&
+	    target_is_older(t, latest)) {
+		mark_superseded(t, now_ns);
 		return;
 	}
-	if (o) {
-		note_successor(o, now_ns);
-		unindex_addr(d, o);
+	if (latest) {
+		mark_superseded(latest, now_ns);
+		addr_index_remove(d, latest);
 	}
-	index_addr(d, t);
+	addr_index_add(d, t);
 }
 
-static struct target *add(struct directory *d, const struct target_news *news,
-			  uint64_t now_ns)
+static struct target *add_target(struct directory *d,
+				 const struct target_advertisement *a,
+				 uint64_t now_ns)
 {
 	struct target *t;
 
-	if (d->n_slots == DIRECTORY_TARGETS_MAX ||
-	    news->service >= DIRECTORY_SERVICES_MAX)
+	if (d->n_targets == DIRECTORY_TARGETS_MAX ||
+	    a->service >= DIRECTORY_SERVICES_MAX)
 		return NULL;
 	t = calloc(1, sizeof(*t));
-	if (!t || service_add(&d->services[news->service], t)) {
+	if (!t || append_target(&d->services[a->service], t)) {
 		free(t);
 		return NULL;
 	}
-	t->news = *news;
-	t->cookie = target_cookie(news->id);
-	t->slot = d->n_slots;
-	t->mean_ns = now_ns;
-	d->slots[d->n_slots++] = t;
-	index_put(d->by_id, news->id, t->slot);
+	t->advertised = *a;
+	t->cookie = target_cookie(a->id);
+	t->index = d->n_targets;
+	t->means_updated_ns = now_ns;
+	d->targets[d->n_targets++] = t;
+	index_put(d->by_id, a->id, t->index);
 	cookie_add(d, t);
 	return t;
 }
 
-static bool move_service(struct directory *d, struct target *t,
-			 uint32_t service)
+static bool change_service(struct directory *d, struct target *t,
+			   uint32_t service)
 {
-	if (service == t->news.service)
+	if (service == t->advertised.service)
 		return true;
 	if (service >= DIRECTORY_SERVICES_MAX ||
-	    service_add(&d->services[service], t))
+	    append_target(&d->services[service], t))
 		return false;
-	service_remove(&d->services[t->news.service], t);
+	remove_target(&d->services[t->advertised.service], t);
 	return true;
 }
 
-/* Nothing that was learned of the process before holds for the next one. */
-static void forget_process(struct target *t)
+/* Discards what was observed of the previous process of a target. */
+static void reset_process_state(struct target *t)
 {
 	t->health = HEALTH_GOOD;
-	t->alive_ns = 0;
+	t->last_alive_ns = 0;
 	t->successor_ns = 0;
-	t->probe_ns = 0;
-	t->refused_ns = 0;
-	t->misses = 0;
+	t->next_probe_ns = 0;
+	t->leaving_refused_ns = 0;
+	t->probe_misses = 0;
 	t->failures = 0;
 	t->ejected_until_ns = 0;
 	t->ejections = 0;
 	t->cold_until_ns = 0;
 	t->cold_presumed = false;
-	t->returned_ns = 0;
+	t->recovered_ns = 0;
 }
 
-/* Above 0 when @news is later than what is known of the target. */
-static int compare(const struct target *t, const struct target_news *news)
+/* Returns above 0 when @a is later than the known advertisement of @t. */
+static int compare_advertisement(const struct target *t,
+				 const struct target_advertisement *a)
 {
-	const struct target_news *known = &t->news;
+	const struct target_advertisement *known = &t->advertised;
 
-	if (news->started_ms != known->started_ms)
-		return news->started_ms > known->started_ms ? 1 : -1;
-	return (news->sequence > known->sequence) -
-	       (news->sequence < known->sequence);
+	if (a->started_ms != known->started_ms)
+		return a->started_ms > known->started_ms ? 1 : -1;
+	return (a->sequence > known->sequence) -
+	       (a->sequence < known->sequence);
 }
 
 /*
- * Whether an entry is older than what is known: a write that was held up may
- * be done after the one that followed it, by the same process or the next.
+ * A delayed write to the platform may complete after a later one by the same
+ * process or the next, and bring an older advertisement back.
  */
-static bool outdated(const struct target *t, const struct target_news *news)
+static bool is_outdated(const struct target *t,
+			const struct target_advertisement *a)
 {
-	return compare(t, news) < 0;
+	return compare_advertisement(t, a) < 0;
 }
 
-/* Two keys may name one id; the entry that was created first has it. */
-static bool foreign(const struct target *t, const struct target_news *news)
+/* Entries under two keys may have one id; the one created first owns it. */
+static bool id_is_taken(const struct target *t,
+			const struct target_advertisement *a)
 {
-	if (news->entry == t->news.entry || t->stage == TARGET_ABSENT)
+	if (a->key_hash == t->advertised.key_hash || t->stage == TARGET_ABSENT)
 		return false;
-	return position_after(news->created, t->news.created);
+	return position_after(a->created, t->advertised.created);
 }
 
-static enum target_change take(struct directory *d, struct target *t,
-			       const struct target_news *news)
+static enum target_change
+replace_advertisement(struct directory *d, struct target *t,
+		      const struct target_advertisement *a)
 {
-	bool restarted = news->started_ms != t->news.started_ms;
-	bool same_entry = news->entry == t->news.entry;
-	struct position created = t->news.created;
+	bool restarted = a->started_ms != t->advertised.started_ms;
+	bool same_entry = a->key_hash == t->advertised.key_hash;
+	struct position created = t->advertised.created;
 
-	if (!move_service(d, t, news->service))
-		return TARGET_NO_ROOM;
-	unindex_addr(d, t);
+	if (!change_service(d, t, a->service))
+		return TARGET_NO_CAPACITY;
+	addr_index_remove(d, t);
 	if (restarted)
 		cookie_remove(d, t);
-	t->news = *news;
+	t->advertised = *a;
 	if (restarted) {
-		forget_process(t);
+		reset_process_state(t);
 		cookie_add(d, t);
 		return TARGET_RESTARTED;
 	}
-	/* An entry that came back after a lapse is of the same process. */
+	/* An entry created again after a lapse is of the same process. */
 	if (same_entry)
-		t->news.created = created;
+		t->advertised.created = created;
 	return TARGET_UPDATED;
 }
 
 /**
- * directory_target() - take what was published of a target
+ * directory_update_target() - add a target or apply its latest advertisement
  * @d: directory
- * @news: its entry
- * @now_ns: time
- * @change: set to what it meant, enum target_change
+ * @a: advertisement, copied
+ * @now_ns: current time
+ * @change: set to the effect, also when the advertisement is rejected
  *
- * Return: the target, or NULL when there is no room for it.
+ * Return: the target with the id of @a, owned by the directory; NULL when a new
+ * one cannot be added.
  */
-struct target *directory_target(struct directory *d,
-				const struct target_news *news, uint64_t now_ns,
-				enum target_change *change)
+struct target *directory_update_target(struct directory *d,
+				       const struct target_advertisement *a,
+				       uint64_t now_ns,
+				       enum target_change *change)
 {
-	struct target *t = directory_by_id(d, news->id);
+	struct target *t = directory_by_id(d, a->id);
 
 	if (!t) {
-		t = add(d, news, now_ns);
-		*change = t ? TARGET_NEW : TARGET_NO_ROOM;
-	} else if (foreign(t, news)) {
-		*change = TARGET_FOREIGN;
-	} else if (news->entry == t->news.entry && outdated(t, news)) {
+		t = add_target(d, a, now_ns);
+		*change = t ? TARGET_NEW : TARGET_NO_CAPACITY;
+	} else if (id_is_taken(t, a)) {
+		*change = TARGET_ID_CONFLICT;
+	} else if (a->key_hash == t->advertised.key_hash && is_outdated(t, a)) {
 		*change = TARGET_OUTDATED;
 	} else {
-		*change = take(d, t, news);
+		*change = replace_advertisement(d, t, a);
 	}
-	if (*change >= TARGET_NO_ROOM)
+	if (*change >= TARGET_NO_CAPACITY)
 		return t;
-	t->stage = news->leaving ? TARGET_LEAVING : TARGET_SERVING;
+	t->stage = a->leaving ? TARGET_LEAVING : TARGET_SERVING;
 	if (!t->cold_presumed)
-		cold_begin(t, now_ns + news->cold_ms * NS_PER_MS, now_ns);
-	take_address(d, t, now_ns);
+		cold_begin(t, now_ns + a->cold_ms * NS_PER_MS, now_ns);
+	claim_address(d, t, now_ns);
 	return t;
 }
 
 /**
- * directory_compare() - the order of an entry and what is known of its target
+ * directory_compare_advertisement() - order an advertisement against the known
+ *	one of its target
  * @d: directory
- * @news: entry
+ * @a: advertisement
  *
- * Return: above 0 when @news is the later one, below 0 when it is the earlier
- * one, 0 for the same, an unknown target, and another key's entry.
+ * Return: above 0 when @a is later, below 0 when it is earlier; 0 when they are
+ * equal, the target is unknown or its entry has another key.
  */
-int directory_compare(const struct directory *d, const struct target_news *news)
+int directory_compare_advertisement(const struct directory *d,
+				    const struct target_advertisement *a)
 {
-	const struct target *t = directory_by_id(d, news->id);
+	const struct target *t = directory_by_id(d, a->id);
 
-	return t && t->news.entry == news->entry ? compare(t, news) : 0;
+	return t && t->advertised.key_hash == a->key_hash
+		       ? compare_advertisement(t, a)
+		       : 0;
 }
 
 /**
- * directory_absent() - a target's entry vanished from the platform, or names
- *	no target any more
+ * directory_mark_absent() - record that a target has no entry on the platform
+ *	any more, or only one that is not valid
  * @d: directory
- * @news: its id and key
- * @now_ns: time
- * @trouble_ns: when the platform was last seen in trouble; 0 for never, and for
- *	an entry that still stands
+ * @a: id and key hash of the entry, other members are unused
+ * @now_ns: current time
+ * @platform_failed_ns: when the platform last failed to answer; 0 for never,
+ *	and for an entry that exists but is not valid
  *
- * While the platform is away the entries of live targets run out. They are
- * presumed to live until it has answered after it was back for long enough to
- * renew them; taking them as gone would leave a service without targets.
+ * During an outage of the platform the entries of live targets lapse. Such
+ * targets are presumed alive until the platform answers at a time when it has
+ * been available for long enough that they could renew their entries. Treating
+ * them as gone would leave a service without targets.
  *
- * Return: the target, or NULL.
+ * Return: target with the id, NULL when unknown. It is unchanged when its entry
+ * has another key.
  */
-struct target *directory_absent(struct directory *d,
-				const struct target_news *news, uint64_t now_ns,
-				uint64_t trouble_ns)
+struct target *directory_mark_absent(struct directory *d,
+				     const struct target_advertisement *a,
+				     uint64_t now_ns,
+				     uint64_t platform_failed_ns)
 {
-	struct target *t = directory_by_id(d, news->id);
+	struct target *t = directory_by_id(d, a->id);
 
-	if (!t || t->news.entry != news->entry)
+	if (!t || t->advertised.key_hash != a->key_hash)
 		return t;
-	t->presumed = t->presumed && trouble_ns;
+	t->presumed_alive = t->presumed_alive && platform_failed_ns;
 	if (t->stage == TARGET_ABSENT)
 		return t;
 	t->absent_ns = now_ns;
 	t->forget_ns = now_ns + d->conf.flow_lifetime_ns;
-	t->presumed = trouble_ns && t->stage == TARGET_SERVING &&
-		      trouble_ns + d->conf.return_ns > now_ns;
-	t->presumed_until_ns = trouble_ns + d->conf.return_ns;
+	t->presumed_alive = platform_failed_ns && t->stage == TARGET_SERVING &&
+			    platform_failed_ns + d->conf.recovery_ns > now_ns;
+	t->presumed_until_ns = platform_failed_ns + d->conf.recovery_ns;
 	t->stage = TARGET_ABSENT;
 	return t;
 }
 
-static void forget(struct directory *d, struct target *t)
+static void delete_target(struct directory *d, struct target *t)
 {
-	struct target *last = d->slots[d->n_slots - 1];
+	struct target *last = d->targets[d->n_targets - 1];
 	bool latest;
 
 	cookie_remove(d, t);
-	unindex_addr(d, t);
-	index_del(d->by_id, t->news.id, t->slot);
-	service_remove(&d->services[t->news.service], t);
+	addr_index_remove(d, t);
+	index_del(d->by_id, t->advertised.id, t->index);
+	remove_target(&d->services[t->advertised.service], t);
 	if (last != t) {
-		index_del(d->by_id, last->news.id, last->slot);
-		index_put(d->by_id, last->news.id, t->slot);
-		cookie_renumber(d, last, t->slot);
-		latest = latest_at(d, last->news.addr) == last;
+		index_del(d->by_id, last->advertised.id, last->index);
+		index_put(d->by_id, last->advertised.id, t->index);
+		cookie_set_index(d, last, t->index);
+		latest = latest_at_addr(d, last->advertised.addr) == last;
 		if (latest)
-			unindex_addr(d, last);
-		last->slot = t->slot;
+			addr_index_remove(d, last);
+		last->index = t->index;
 		if (latest)
-			index_addr(d, last);
-		d->slots[t->slot] = last;
+			addr_index_add(d, last);
+		d->targets[t->index] = last;
 	}
-	d->n_slots--;
+	d->n_targets--;
 	free(t);
 }
 
 /*
- * Time alone ends no presumption: who is cut off from the platform in the
- * meantime can't see the entries that came back.
+ * Ends the presumption that an absent target is alive. Requires an answer of
+ * the platform, not only time: an entry that is partitioned from the platform
+ * cannot see the entries that were renewed.
  */
-static void presume(const struct directory *d, struct target *t,
-		    const struct directory_clock *c)
+static void update_presumption(const struct directory *d, struct target *t,
+			       const struct directory_tick_times *times)
 {
-	uint64_t until_ns = c->trouble_ns + d->conf.return_ns;
+	uint64_t until_ns = times->platform_failed_ns + d->conf.recovery_ns;
 
-	if (!t->presumed)
+	if (!t->presumed_alive)
 		return;
 	if (until_ns > t->presumed_until_ns)
 		t->presumed_until_ns = until_ns;
-	if (c->now_ns >= t->presumed_until_ns &&
-	    c->contact_ns >= t->presumed_until_ns)
-		t->presumed = false;
-	t->forget_ns = c->now_ns + d->conf.flow_lifetime_ns;
+	if (times->now_ns >= t->presumed_until_ns &&
+	    times->platform_answered_ns >= t->presumed_until_ns)
+		t->presumed_alive = false;
+	t->forget_ns = times->now_ns + d->conf.flow_lifetime_ns;
 }
 
 /**
- * directory_tick() - forget departed targets, end presumptions
+ * directory_tick() - delete absent targets whose time is over, update the state
+ *	of the others
  * @d: directory
- * @c: what they go by
+ * @times: current time and state of the platform
  *
- * A target that flows of the cache point at is kept.
+ * Keeps targets that flows of the cache refer to or that have a probe pending.
  */
-void directory_tick(struct directory *d, const struct directory_clock *c)
+void directory_tick(struct directory *d,
+		    const struct directory_tick_times *times)
 {
-	uint32_t present = 0, told = 0;
+	uint32_t present = 0, with_start = 0;
 
-	for (uint32_t i = d->n_slots; i-- > 0;) {
-		struct target *t = d->slots[i];
+	for (uint32_t i = d->n_targets; i-- > 0;) {
+		struct target *t = d->targets[i];
 
 		present += t->stage != TARGET_ABSENT;
-		told += t->stage != TARGET_ABSENT && t->news.started_ms;
+		with_start +=
+			t->stage != TARGET_ABSENT && t->advertised.started_ms;
 		if (t->stage != TARGET_ABSENT)
 			continue;
-		presume(d, t, c);
-		if (c->now_ns >= t->forget_ns && !t->held && !t->probing)
-			forget(d, t);
+		update_presumption(d, t, times);
+		if (times->now_ns >= t->forget_ns && !t->cached_flows &&
+		    !t->probe_pending)
+			delete_target(d, t);
 	}
-	d->starts_told = told * 2 > present;
+	d->start_times_published = with_start * 2 > present;
 }
 
 /**
- * directory_starts_told() - whether targets here tell when they started
+ * directory_start_times_published() - whether targets publish their start time
  * @d: directory
  *
- * Return: whether most do. Then an entry that does not is somebody else's.
+ * Return: true when most do. An entry without a start time is then foreign and
+ * gets no new flows.
  */
-bool directory_starts_told(const struct directory *d)
+bool directory_start_times_published(const struct directory *d)
 {
-	return d->starts_told;
+	return d->start_times_published;
 }
 
 struct target *directory_by_id(const struct directory *d, uint64_t id)
 {
-	uint32_t slot = index_get(d->by_id, id);
+	uint32_t i = index_get(d->by_id, id);
 
-	return slot == INDEX_NONE ? NULL : d->slots[slot];
+	return i == INDEX_NONE ? NULL : d->targets[i];
 }
 
-struct target *directory_slot(const struct directory *d, uint32_t slot)
+/**
+ * directory_target_at() - target by its position in the directory
+ * @d: directory
+ * @index: from 0 to directory_target_count() - 1; the index of a target changes
+ *	when another one is deleted
+ *
+ * Return: target, owned by the directory; NULL beyond the last one.
+ */
+struct target *directory_target_at(const struct directory *d, uint32_t index)
 {
-	return slot < d->n_slots ? d->slots[slot] : NULL;
+	return index < d->n_targets ? d->targets[index] : NULL;
 }
 
-uint32_t directory_slots(const struct directory *d)
+uint32_t directory_target_count(const struct directory *d)
 {
-	return d->n_slots;
+	return d->n_targets;
 }
 
 /**
- * directory_of_service() - targets of a service, departed ones too
+ * directory_service_targets() - targets of a service, absent ones included
  * @d: directory
- * @service: number of its name
- * @out: set to them
+ * @service: number of the service
+ * @targets: set to an array owned by the directory and valid until its next
+ *	change; not set for a number out of range
  *
- * Return: how many.
+ * Return: length of the array.
  */
-uint32_t directory_of_service(const struct directory *d, uint32_t service,
-			      struct target *const **out)
+uint32_t directory_service_targets(const struct directory *d, uint32_t service,
+				   struct target *const **targets)
 {
 	if (service >= DIRECTORY_SERVICES_MAX)
 		return 0;
-	*out = d->services[service].targets;
+	*targets = d->services[service].targets;
 	return d->services[service].n;
 }
 
 /**
- * directory_serving() - whether a target may be given new flows at all
+ * directory_is_serving() - whether a target may be given new flows
  * @d: directory
  * @t: target
  *
- * Return: whether it is published as serving, or presumed to be, nothing says
- * that its process has ended or that it never was one, and its data centre is
+ * Return: true when it is published as serving or presumed alive, its process
+ * is not known to have ended, its entry is not foreign and its data centre is
  * not evacuated.
  */
-bool directory_serving(const struct directory *d, const struct target *t)
+bool directory_is_serving(const struct directory *d, const struct target *t)
 {
-	return target_serving(d, t);
+	return target_is_serving(d, t);
 }
--- a/core/packet/target/directory_names.c
+++ b/core/packet/target/directory_names.c
@@ -1,4 +1,4 @@
-/* Names of services, the routes in force, data centres that are evacuated. */
+/* Service names, routes in force and evacuated data centres of a directory. */
 #include "directory_impl.h"
 
 #include "index.h"
@@ -7,53 +7,65 @@
 #include <string.h>
 
 /**
- * directory_known() - number of a service's name
+ * directory_find_service() - look up the number of a service
  * @d: directory
- * @name: name
+ * @name: name of the service
  *
- * Return: its number; DIRECTORY_NAME_NONE when no configuration named it.
+ * Return: number; DIRECTORY_SERVICE_NONE when directory_add_service() was never
+ * called with the name.
  */
-uint32_t directory_known(const struct directory *d, const char *name)
+uint32_t directory_find_service(const struct directory *d, const char *name)
 {
 	uint32_t i = index_get(d->by_name, hash_text(name));
 
-	return i == INDEX_NONE ? DIRECTORY_NAME_NONE : i;
+	return i == INDEX_NONE ? DIRECTORY_SERVICE_NONE : i;
 }
 
 /**
- * directory_name() - give a service's name a number
+ * directory_add_service() - look up the number of a service, add it if missing
  * @d: directory
- * @name: name that a configuration has; those of targets' entries are looked up
- *	only, or whoever writes entries could use up all numbers
+ * @name: name of the service, copied; from a configuration. Names in the
+ *	entries of targets are only looked up: otherwise whoever can write
+ *	entries could use up all numbers.
  *
- * Return: its number, new when the name is; DIRECTORY_NAME_NONE when there
- * are too many names.
+ * Return: number; DIRECTORY_SERVICE_NONE when DIRECTORY_SERVICES_MAX names are
+ * known.
  */
-uint32_t directory_name(struct directory *d, const char *name)
+uint32_t directory_add_service(struct directory *d, const char *name)
 {
-	uint32_t i = directory_known(d, name);
+	uint32_t i = directory_find_service(d, name);
 
-	if (i != DIRECTORY_NAME_NONE || d->n_names == DIRECTORY_SERVICES_MAX)
+	if (i != DIRECTORY_SERVICE_NONE ||
+	    d->n_services == DIRECTORY_SERVICES_MAX)
 		return i;
-	d->names[d->n_names] = strdup(name);
-	index_put(d->by_name, hash_text(name), d->n_names);
-	return d->n_names++;
+	d->service_names[d->n_services] = strdup(name);
+	index_put(d->by_name, hash_text(name), d->n_services);
+	return d->n_services++;
 }
 
-uint32_t directory_names(const struct directory *d)
+uint32_t directory_service_count(const struct directory *d)
 {
-	return d->n_names;
+	return d->n_services;
 }
 
-const char *directory_name_text(const struct directory *d, uint32_t name)
+/**
+ * directory_service_name() - name of a service
+ * @d: directory
+ * @service: number of the service
+ *
+ * Return: name, owned by the directory; "" for an unknown number.
+ */
+const char *directory_service_name(const struct directory *d, uint32_t service)
 {
-	return name < d->n_names && d->names[name] ? d->names[name] : "";
+	return service < d->n_services && d->service_names[service]
+		       ? d->service_names[service]
+		       : "";
 }
 
-/* What services bear after a start holds as the configuration has it. */
-static void take_cold(struct directory *d, const struct route_table *t)
+/* Replaces the rate limits of all services by those of a configuration. */
+static void set_cold_limits(struct directory *d, const struct route_table *t)
 {
-	d->any_cold = false;
+	d->has_cold_limits = false;
 	for (uint32_t i = 0; i < DIRECTORY_SERVICES_MAX; i++)
 		d->services[i].cold = (struct service_cold){ .service = i };
 	for (uint32_t i = 0; i < t->n_cold; i++) {
@@ -62,18 +74,19 @@
 		if (c->service >= DIRECTORY_SERVICES_MAX)
 			continue;
 		d->services[c->service].cold = *c;
-		d->any_cold |= c->per_s > 0;
+		d->has_cold_limits |= c->per_s > 0;
 	}
 }
 
 /**
- * directory_cold() - what a service's targets bear after a start
+ * directory_cold_limits() - rate limit of a service's cold targets
  * @d: directory
- * @service: number of its name
+ * @service: number of the service
  *
- * Return: as the configuration in force has it; no rate without.
+ * Return: limit in the configuration in force; a rate of 0 when there is none.
  */
-struct service_cold directory_cold(const struct directory *d, uint32_t service)
+struct service_cold directory_cold_limits(const struct directory *d,
+					  uint32_t service)
 {
 	return service < DIRECTORY_SERVICES_MAX
 		       ? d->services[service].cold
@@ -81,64 +94,73 @@
 }
 
 /**
- * directory_any_cold() - whether any service tells a rate for cold targets
+ * directory_has_cold_limits() - whether a service limits flows to cold targets
  * @d: directory
  *
- * Return: whether.
+ * Return: true when the configuration in force has a rate for any service.
  */
-bool directory_any_cold(const struct directory *d)
+bool directory_has_cold_limits(const struct directory *d)
 {
-	return d->any_cold;
+	return d->has_cold_limits;
 }
 
 /**
- * directory_routes() - put a configuration in force
+ * directory_set_routes() - put a configuration in force
  * @d: directory
- * @take: table; taken in any case
- * @now_ns: time
+ * @routes: configuration; the directory takes ownership, also on error
+ * @now_ns: current time
  *
- * Return: 0; -EALREADY when a version as high is in force; -ENOMEM.
+ * Return: 0; -EALREADY when the same or a later version is in force; -ENOMEM.
  */
-int directory_routes(struct directory *d, struct route_table *take,
-		     uint64_t now_ns)
+int directory_set_routes(struct directory *d, struct route_table *routes,
+			 uint64_t now_ns)
 {
 	int err;
 
-	if (d->table && take->version <= d->table->version) {
-		route_table_free(take);
+	if (d->routes && routes->version <= d->routes->version) {
+		route_table_free(routes);
 		return -EALREADY;
 	}
-	err = route_table_index(take);
+	err = route_table_index(routes);
 	if (err) {
-		route_table_free(take);
+		route_table_free(routes);
 		return err;
 	}
-	route_table_inherit(take, d->table, now_ns, d->conf.flow_lifetime_ns);
-	route_table_free(d->table);
-	take_cold(d, take);
-	d->table = take;
+	route_table_inherit(routes, d->routes, now_ns,
+			    d->conf.flow_lifetime_ns);
+	route_table_free(d->routes);
+	set_cold_limits(d, routes);
+	d->routes = routes;
 	return 0;
 }
 
-const struct route_table *directory_table(const struct directory *d)
+/**
+ * directory_route_table() - routes in force
+ * @d: directory
+ *
+ * Return: routes, owned by the directory and valid until the next call of
+ * directory_set_routes(); NULL before the first configuration.
+ */
+const struct route_table *directory_route_table(const struct directory *d)
 {
-	return d->table;
+	return d->routes;
 }
 
 /**
- * directory_evacuate() - the targets of a data centre get no new flows, or get
- *	them again
+ * directory_set_evacuated() - begin or end the evacuation of a data centre
  * @d: directory
- * @data_centre: its name
- * @on: which
+ * @data_centre: name of the data centre
+ * @evacuated: true to give its targets no new flows, false to give them flows
+ *	again
  *
- * Return: 0, -EALREADY when it was so, or a negative error of
+ * Return: 0, -EALREADY when nothing changes, or a negative error of
  * evacuations_begin().
  */
-int directory_evacuate(struct directory *d, const char *data_centre, bool on)
+int directory_set_evacuated(struct directory *d, const char *data_centre,
+			    bool evacuated)
 {
-	return on ? evacuations_begin(&d->evacuations, data_centre)
-		  : evacuations_end(&d->evacuations, data_centre);
+	return evacuated ? evacuations_begin(&d->evacuations, data_centre)
+			 : evacuations_end(&d->evacuations, data_centre);
 }
 
 const struct evacuations *directory_evacuations(const struct directory *d)
@@ -147,13 +169,13 @@
 }
 
 /**
- * directory_evacuated() - whether a target's data centre is evacuated
+ * directory_is_evacuated() - whether the data centre of a target is evacuated
  * @d: directory
  * @t: target
  *
- * Return: whether.
+ * Return: true while it is.
  */
-bool directory_evacuated(const struct directory *d, const struct target *t)
+bool directory_is_evacuated(const struct directory *d, const struct target *t)
 {
-	return evacuations_has(&d->evacuations, t->news.zone);
+	return evacuations_has(&d->evacuations, t->advertised.zone);
 }
--- a/core/packet/target/health.c
+++ b/core/packet/target/health.c
@@ -1,7 +1,7 @@
 #include "health.h"
 
-static void set(struct target *t, const struct health_context *c,
-		uint8_t health)
+static void set_health(struct target *t, const struct health_context *c,
+		       uint8_t health)
 {
 	uint8_t before = t->health;
 
@@ -12,174 +12,184 @@
 }
 
 /**
- * health_probe() - send a probe to a target, if none is out
+ * health_send_probe() - probe a target, unless a probe is pending
  * @t: target
  * @c: context
  */
-void health_probe(struct target *t, const struct health_context *c)
+void health_send_probe(struct target *t, const struct health_context *c)
 {
-	if (t->probing)
+	if (t->probe_pending)
 		return;
-	t->probing = true;
-	t->probed_ns = c->now_ns;
+	t->probe_pending = true;
+	t->probe_sent_ns = c->now_ns;
 	c->port->probe(c->port->ctx, t);
 }
 
-static void alive(struct target *t, const struct health_context *c)
+static void set_alive(struct target *t, const struct health_context *c)
 {
-	t->alive_ns = c->now_ns;
-	t->misses = 0;
-	t->refused_ns = 0;
+	t->last_alive_ns = c->now_ns;
+	t->probe_misses = 0;
+	t->leaving_refused_ns = 0;
 	if (t->health >= HEALTH_SILENT)
-		t->returned_ns = c->now_ns;
-	set(t, c, HEALTH_GOOD);
+		t->recovered_ns = c->now_ns;
+	set_health(t, c, HEALTH_GOOD);
 }
 
 /**
- * health_answered() - a packet showed that a target lives
+ * health_record_answer() - record that a packet proved a target alive
  * @t: target
  * @c: context
  *
- * Only the target that a packet is meant for answers it. So whoever else was
- * published at its address is not there.
+ * A packet is answered only by the target that it was sent to, so a later
+ * process that was published at the same address is not running there.
  */
-void health_answered(struct target *t, const struct health_context *c)
+void health_record_answer(struct target *t, const struct health_context *c)
 {
 	t->successor_ns = 0;
-	alive(t, c);
+	set_alive(t, c);
 }
 
 /**
- * health_doubt() - a packet to a target went unanswered
+ * health_suspect() - record that a packet to a target was not answered
  * @t: target
  * @c: context
- * @since_ns: when that packet went out; a later sign of life answers the doubt
+ * @since_ns: when the packet was sent; ignored if the target has been alive
+ *	since
  *
- * Without it each flow of a dead target waits out its client's deadline. Where
- * a later process has the address a connection attempt would be answered by
- * that one, and say nothing.
+ * Probes the target. Otherwise every flow of a dead target would wait until its
+ * client's deadline. When a later process was published at the address, the
+ * target counts as dead without a probe: the later process would accept the
+ * connection.
  */
-void health_doubt(struct target *t, const struct health_context *c,
-		  uint64_t since_ns)
+void health_suspect(struct target *t, const struct health_context *c,
+		    uint64_t since_ns)
 {
-	if (t->health != HEALTH_GOOD || t->alive_ns > since_ns)
+	if (t->health != HEALTH_GOOD || t->last_alive_ns > since_ns)
 		return;
 	if (t->successor_ns) {
-		set(t, c, HEALTH_DEAD);
+		set_health(t, c, HEALTH_DEAD);
 		return;
 	}
-	if (c->now_ns < t->probe_ns || !c->policy->probe)
+	if (c->now_ns < t->next_probe_ns || !c->policy->probe)
 		return;
-	set(t, c, HEALTH_DOUBTED);
-	health_probe(t, c);
+	set_health(t, c, HEALTH_SUSPECTED);
+	health_send_probe(t, c);
 }
 
 /**
- * health_dead() - a target's process is known to have ended
+ * health_mark_dead() - record that the process of a target has ended
  * @t: target
  * @c: context
+ *
+ * Does not notify peers.
  */
-void health_dead(struct target *t, const struct health_context *c)
+void health_mark_dead(struct target *t, const struct health_context *c)
 {
-	set(t, c, HEALTH_DEAD);
+	set_health(t, c, HEALTH_DEAD);
 }
 
 /*
- * A probe went unanswered. That may be this VM's own link, full for a moment:
- * resets of live flows would follow. Another target is asked at the same time
- * as the second try; only while that one answers is @t the one that is silent.
+ * Handles a probe without an answer. It may have been lost on this VM's own
+ * link, full for a moment, and then a silent target would mean resets of live
+ * flows. So the second attempt also probes another target, the witness, and @t
+ * is marked silent only when that one answers, or after more misses when there
+ * is no witness.
  */
-static void missed(struct target *t, const struct health_context *c)
+static void record_miss(struct target *t, const struct health_context *c)
 {
 	if (t->health >= HEALTH_SILENT) {
-		t->probe_ns = c->now_ns + c->policy->look_again_ns;
+		t->next_probe_ns = c->now_ns + c->policy->look_again_ns;
 		return;
 	}
-	if (t->misses < UINT8_MAX)
-		t->misses++;
-	if (t->misses >= c->policy->silent_misses &&
-	    (c->witnessed_ns >= t->probed_ns || !c->policy->witness) &&
-	    t->alive_ns + c->policy->silent_least_ns <= c->now_ns) {
-		t->probe_ns = c->now_ns + c->policy->look_again_ns;
-		set(t, c, HEALTH_SILENT);
+	if (t->probe_misses < UINT8_MAX)
+		t->probe_misses++;
+	if (t->probe_misses >= c->policy->silent_misses &&
+	    (c->witness_answered_ns >= t->probe_sent_ns ||
+	     !c->policy->witness) &&
+	    t->last_alive_ns + c->policy->silent_least_ns <= c->now_ns) {
+		t->next_probe_ns = c->now_ns + c->policy->look_again_ns;
+		set_health(t, c, HEALTH_SILENT);
 		return;
 	}
-	health_probe(t, c);
-	if (!c->witness(c->witness_ctx, t) &&
-	    t->misses >= c->policy->silent_misses_alone)
-		set(t, c, HEALTH_SILENT);
+	health_send_probe(t, c);
+	if (!c->probe_witness(c->witness_ctx, t) &&
+	    t->probe_misses >= c->policy->silent_misses_alone)
+		set_health(t, c, HEALTH_SILENT);
 }
 
 /*
- * A target that leaves listens no more some moments before it ends, and serves
- * the flows that it has, which a reset would break. So it has to refuse once
- * more, when its end is over.
+ * Whether a refused connection may come from a target that still runs. A
+ * leaving target closes its listening socket shortly before it ends and serves
+ * the flows it has until then; a reset would break them. So it counts as dead
+ * only when it refuses again after policy's look_again_ns.
  */
-static bool about_to_end(struct target *t, const struct health_context *c)
+static bool may_still_serve(struct target *t, const struct health_context *c)
 {
 	if (t->stage != TARGET_LEAVING)
 		return false;
-	if (!t->refused_ns)
-		t->refused_ns = c->now_ns;
-	return c->now_ns < t->refused_ns + c->policy->look_again_ns;
+	if (!t->leaving_refused_ns)
+		t->leaving_refused_ns = c->now_ns;
+	return c->now_ns < t->leaving_refused_ns + c->policy->look_again_ns;
 }
 
 /**
- * health_probed() - outcome of a connection attempt
+ * health_record_probe() - apply the outcome of a connection attempt
  * @t: target
  * @c: context
- * @outcome: what it showed
+ * @outcome: result of the attempt
+ *
+ * May send the next probe.
  */
-void health_probed(struct target *t, const struct health_context *c,
-		   enum probe_outcome outcome)
+void health_record_probe(struct target *t, const struct health_context *c,
+			 enum probe_outcome outcome)
 {
-	t->probing = false;
+	t->probe_pending = false;
 	switch (outcome) {
-	case PROBE_OPEN:
-		t->probe_ns = c->now_ns + c->policy->probe_pause_ns;
+	case PROBE_ACCEPTED:
+		t->next_probe_ns = c->now_ns + c->policy->probe_pause_ns;
 		if (!t->successor_ns)
-			alive(t, c);
+			set_alive(t, c);
 		break;
 	case PROBE_REFUSED:
-		t->probe_ns = c->now_ns + c->policy->look_again_ns;
+		t->next_probe_ns = c->now_ns + c->policy->look_again_ns;
 		if (t->health == HEALTH_DEAD)
 			break;
-		if (about_to_end(t, c)) {
-			set(t, c, HEALTH_GOOD);
+		if (may_still_serve(t, c)) {
+			set_health(t, c, HEALTH_GOOD);
 			break;
 		}
-		set(t, c, HEALTH_DEAD);
+		set_health(t, c, HEALTH_DEAD);
 		c->port->dead(c->port->ctx, t);
 		break;
 	case PROBE_SILENT:
-		missed(t, c);
+		record_miss(t, c);
 		break;
-	case PROBE_EARLY:
+	case PROBE_WAIT_TOO_SHORT:
 		if (t->health < HEALTH_SILENT)
-			health_probe(t, c);
+			health_send_probe(t, c);
 		else
-			t->probe_ns = c->now_ns + c->policy->look_again_ns;
+			t->next_probe_ns = c->now_ns + c->policy->look_again_ns;
 		break;
-	case PROBE_VOID:
-		if (t->health == HEALTH_DOUBTED)
-			set(t, c, HEALTH_GOOD);
+	case PROBE_INCONCLUSIVE:
+		if (t->health == HEALTH_SUSPECTED)
+			set_health(t, c, HEALTH_GOOD);
 		break;
 	}
 }
 
-static bool published(const struct target *t)
+static bool is_published(const struct target *t)
 {
-	return t->stage != TARGET_ABSENT || t->presumed;
+	return t->stage != TARGET_ABSENT || t->presumed_alive;
 }
 
 /**
- * health_tick() - probe a silent or dead target again
+ * health_tick() - probe a silent or dead target again when due
  * @t: target
  * @c: context
  */
 void health_tick(struct target *t, const struct health_context *c)
 {
-	if (t->health >= HEALTH_SILENT && published(t) && !t->successor_ns &&
-	    c->now_ns >= t->probe_ns)
-		health_probe(t, c);
+	if (t->health >= HEALTH_SILENT && is_published(t) && !t->successor_ns &&
+	    c->now_ns >= t->next_probe_ns)
+		health_send_probe(t, c);
 }
--- a/core/packet/target/outlier.c
+++ b/core/packet/target/outlier.c
@@ -3,177 +3,194 @@
 #include <math.h>
 
 #define PERCENT 100.0f
-/* Weight of one answer in the mean size. */
+/* Weight of one answer in the moving average of sizes. */
 #define SIZE_WEIGHT 0.03f
 
 /**
- * outlier_small() - take the size of an answer
- * @s: sizes so far
- * @policy: figures to go by
+ * outlier_record_answer_size() - compare the size of an answer with the mean of
+ *	its kind, then add it to the mean
+ * @s: averages
+ * @policy: limits and switches
  * @kind: enum route_kind
- * @size_bytes: what the client acknowledged first of it
+ * @size_bytes: number of bytes in the client's first acknowledgement of the
+ *	answer
  *
- * Return: whether it is far smaller than usual.
+ * Return: true when the answer is smaller than policy's small_percent of the
+ * mean.
  */
-bool outlier_small(struct answer_sizes *s, const struct policy *policy,
-		   uint8_t kind, uint32_t size_bytes)
+bool outlier_record_answer_size(struct answer_sizes *s,
+				const struct policy *policy, uint8_t kind,
+				uint32_t size_bytes)
 {
-	float part = (float)policy->small_percent / PERCENT;
+	float fraction = (float)policy->small_percent / PERCENT;
 	float *mean_bytes = &s->mean_bytes[kind];
-	bool small = (float)size_bytes < part * *mean_bytes;
+	bool is_small = (float)size_bytes < fraction * *mean_bytes;
 
 	if (*mean_bytes <= 0)
 		*mean_bytes = (float)size_bytes;
 	*mean_bytes += ((float)size_bytes - *mean_bytes) * SIZE_WEIGHT;
-	return small;
+	return is_small;
 }
 
-static float decayed(const struct target *t, const struct policy *policy,
-		     uint64_t now_ns)
+static float decayed_failures(const struct target *t,
+			      const struct policy *policy, uint64_t now_ns)
 {
-	float age_ns = (float)(now_ns - t->failures_ns);
+	float age_ns = (float)(now_ns - t->failures_updated_ns);
 
 	return t->failures * expf(-age_ns / (float)policy->failures_window_ns);
 }
 
 /**
- * outlier_failed() - a request failed
+ * outlier_record_failure() - count a failed request
  * @t: its target
- * @policy: figures to go by
- * @now_ns: time
+ * @policy: limits and switches
+ * @now_ns: current time
  */
-void outlier_failed(struct target *t, const struct policy *policy,
-		    uint64_t now_ns)
+void outlier_record_failure(struct target *t, const struct policy *policy,
+			    uint64_t now_ns)
 {
-	t->failures = decayed(t, policy, now_ns) + 1;
-	t->failures_ns = now_ns;
+	t->failures = decayed_failures(t, policy, now_ns) + 1;
+	t->failures_updated_ns = now_ns;
 }
 
 /**
- * outlier_failures() - requests that failed of late, as seen here
+ * outlier_failure_count() - recent failed requests of a target at this entry
  * @t: target
- * @policy: figures to go by
- * @now_ns: time
+ * @policy: limits and switches
+ * @now_ns: current time
  *
- * Return: number, older ones counting less.
+ * Return: number of failures, each weighted by exponential decay over policy's
+ * failures_window_ns.
  */
-float outlier_failures(const struct target *t, const struct policy *policy,
-		       uint64_t now_ns)
+float outlier_failure_count(const struct target *t, const struct policy *policy,
+			    uint64_t now_ns)
 {
-	return t->failures > 0 ? decayed(t, policy, now_ns) : 0;
+	return t->failures > 0 ? decayed_failures(t, policy, now_ns) : 0;
 }
 
 /**
- * outlier_ejected() - whether a target gets no new flows for its failures
+ * outlier_is_ejected() - whether a target gets no new flows because of failures
  * @t: target
- * @now_ns: time
+ * @now_ns: current time
  *
- * Return: that.
+ * Return: true until its ejection ends.
  */
-bool outlier_ejected(const struct target *t, uint64_t now_ns)
+bool outlier_is_ejected(const struct target *t, uint64_t now_ns)
 {
 	return now_ns < t->ejected_until_ns;
 }
 
 /**
- * outlier_on_trial() - whether a target was ejected until lately
+ * outlier_is_on_trial() - whether the ejection of a target ended recently
  * @t: target
- * @policy: figures to go by
- * @now_ns: time
+ * @policy: limits and switches
+ * @now_ns: current time
  *
- * Return: that.
+ * Return: true for policy's trial_ns after the end.
  */
-bool outlier_on_trial(const struct target *t, const struct policy *policy,
-		      uint64_t now_ns)
+bool outlier_is_on_trial(const struct target *t, const struct policy *policy,
+			 uint64_t now_ns)
 {
-	return t->ejected_until_ns && !outlier_ejected(t, now_ns) &&
+	return t->ejected_until_ns && !outlier_is_ejected(t, now_ns) &&
 	       now_ns < t->ejected_until_ns + policy->trial_ns;
 }
 
-static float failures(const struct target *t, const struct policy *policy,
-		      uint64_t now_ns)
+/* Recent failures at all entries. */
+static float total_failures(const struct target *t, const struct policy *policy,
+			    uint64_t now_ns)
 {
-	return outlier_failures(t, policy, now_ns) + t->peers_failures;
+	return outlier_failure_count(t, policy, now_ns) + t->peers_failures;
 }
 
-/* Mean of the failures of the service's other targets that take flows. */
-static float usual(const struct directory *d, const struct target *t,
-		   const struct policy *policy, uint64_t now_ns)
+/* Mean failures of the other targets of the service that take flows. */
+static float mean_failures_of_others(const struct directory *d,
+				     const struct target *t,
+				     const struct policy *policy,
+				     uint64_t now_ns)
 {
 	struct target *const *all = NULL;
-	uint32_t n = directory_of_service(d, t->news.service, &all);
+	uint32_t n = directory_service_targets(d, t->advertised.service, &all);
 	uint32_t others = 0;
 	float sum = 0;
 
 	for (uint32_t i = 0; i < n; i++) {
-		if (all[i] == t || !directory_serving(d, all[i]) ||
-		    outlier_ejected(all[i], now_ns))
+		if (all[i] == t || !directory_is_serving(d, all[i]) ||
+		    outlier_is_ejected(all[i], now_ns))
 			continue;
-		sum += failures(all[i], policy, now_ns);
+		sum += total_failures(all[i], policy, now_ns);
 		others++;
 	}
 	return others ? sum / (float)others : 0;
 }
 
-/* So many failures are no chance any more. */
-static float limit(const struct target *t, const struct policy *policy,
-		   float others, uint64_t now_ns)
+/*
+ * Number of failures from which a target counts as failing. Fewer may be
+ * random: it lies above the mean of the others by some standard deviations of a
+ * Poisson distribution.
+ */
+static float ejection_threshold(const struct target *t,
+				const struct policy *policy, float others_mean,
+				uint64_t now_ns)
 {
-	bool trial = outlier_on_trial(t, policy, now_ns);
-	float deviations =
-		(float)(trial ? policy->deviations_trial : policy->deviations);
-	float least = (float)(trial ? policy->failures_min_trial
-				    : policy->failures_min);
-	float spare = trial ? 0 : (float)policy->failures_spare;
-	float chance = others + deviations * sqrtf(others) + spare;
-
-	return chance > least ? chance : least;
+	bool on_trial = outlier_is_on_trial(t, policy, now_ns);
+	float deviations = (float)(on_trial ? policy->deviations_trial
+					    : policy->deviations);
+	float minimum = (float)(on_trial ? policy->failures_min_trial
+					 : policy->failures_min);
+	float spare = on_trial ? 0 : (float)policy->failures_spare;
+	float random_max =
+		others_mean + deviations * sqrtf(others_mean) + spare;
+
+	return random_max > minimum ? random_max : minimum;
 }
 
-/* Whether one more may be ejected. */
-static bool room(const struct directory *d, const struct target *t,
-		 const struct policy *policy, uint64_t now_ns)
+/* Whether the limit of ejected targets allows one more in the service of @t. */
+static bool may_eject_another(const struct directory *d, const struct target *t,
+			      const struct policy *policy, uint64_t now_ns)
 {
 	struct target *const *all = NULL;
-	uint32_t n = directory_of_service(d, t->news.service, &all);
+	uint32_t n = directory_service_targets(d, t->advertised.service, &all);
 	uint32_t serving = 0, ejected = 0;
 
 	for (uint32_t i = 0; i < n; i++) {
-		serving += directory_serving(d, all[i]);
-		ejected += directory_serving(d, all[i]) &&
-			   outlier_ejected(all[i], now_ns);
+		serving += directory_is_serving(d, all[i]);
+		ejected += directory_is_serving(d, all[i]) &&
+			   outlier_is_ejected(all[i], now_ns);
 	}
 	return (ejected + 1) * policy->eject_part <= serving;
 }
 
 /**
- * outlier_judge() - eject a target if it fails far more than the others
+ * outlier_eject_if_failing() - eject a target that fails far more requests than
+ *	the others of its service
  * @d: directory
  * @t: target
- * @policy: figures to go by
- * @now_ns: time
- * @others: set to the mean failures of the others when it was ejected
+ * @policy: limits and switches
+ * @now_ns: current time
+ * @others_mean: set to the mean failures of the others when @t is ejected,
+ *	otherwise unspecified
  *
- * Without it a target that answers every request with an error is given more
- * flows than any other, since it is always idle, and a request that is not
- * idempotent is lost there each time.
+ * Without ejection a target that answers every request with an error gets more
+ * flows than any other, since it is always idle, and every request there that
+ * is not idempotent is lost.
  *
- * Return: whether it was ejected now.
+ * Return: true when @t was ejected by this call.
  */
-bool outlier_judge(const struct directory *d, struct target *t,
-		   const struct policy *policy, uint64_t now_ns, float *others)
+bool outlier_eject_if_failing(const struct directory *d, struct target *t,
+			      const struct policy *policy, uint64_t now_ns,
+			      float *others_mean)
 {
-	float sum = failures(t, policy, now_ns);
-	uint64_t last_ns = policy->eject_ns << t->ejections;
+	float failures = total_failures(t, policy, now_ns);
+	uint64_t last_ejection_ns = policy->eject_ns << t->ejections;
 
-	if (!policy->eject || sum < (float)policy->failures_min_trial ||
-	    !directory_serving(d, t) || outlier_ejected(t, now_ns))
+	if (!policy->eject || failures < (float)policy->failures_min_trial ||
+	    !directory_is_serving(d, t) || outlier_is_ejected(t, now_ns))
 		return false;
-	*others = usual(d, t, policy, now_ns);
-	if (sum < limit(t, policy, *others, now_ns) ||
-	    !room(d, t, policy, now_ns))
+	*others_mean = mean_failures_of_others(d, t, policy, now_ns);
+	if (failures < ejection_threshold(t, policy, *others_mean, now_ns) ||
+	    !may_eject_another(d, t, policy, now_ns))
 		return false;
-	if (now_ns > t->ejected_until_ns + last_ns)
+	if (now_ns > t->ejected_until_ns + last_ejection_ns)
 		t->ejections = 0;
 	else if (t->ejections < policy->eject_steps)
 		t->ejections++;
--- a/core/packet/target/outlier.h
+++ b/core/packet/target/outlier.h
@@ -1,9 +1,9 @@
 /*
- * Targets that open flows and fail their requests: such a target looks idle,
- * so it is given more flows than others. What shows of a failed request in the
- * client's packets is an answer much smaller than usual, or none in time. A
- * target that has far more of them than the others of its service gets no new
- * flows for a while.
+ * Ejection of targets that accept flows but fail their requests. Such a target
+ * looks idle, so it would get more flows than the others. In the client's
+ * packets a failed request shows as an answer much smaller than the mean or as
+ * none in time. A target with far more of these than the others of its service
+ * gets no new flows for a while.
  */
 #ifndef CB_OUTLIER_H
 #define CB_OUTLIER_H
@@ -12,23 +12,25 @@
 #include "policy.h"
 
 /**
- * struct answer_sizes - how large answers are, by kind of route
- * @mean_bytes: mean, 0 before the first
+ * struct answer_sizes - moving averages of answer sizes
+ * @mean_bytes: mean by enum route_kind, 0 before the first answer
  */
 struct answer_sizes {
 	float mean_bytes[ROUTE_KINDS];
 };
 
-bool outlier_small(struct answer_sizes *s, const struct policy *policy,
-		   uint8_t kind, uint32_t size_bytes);
-void outlier_failed(struct target *t, const struct policy *policy,
-		    uint64_t now_ns);
-float outlier_failures(const struct target *t, const struct policy *policy,
-		       uint64_t now_ns);
-bool outlier_ejected(const struct target *t, uint64_t now_ns);
-bool outlier_on_trial(const struct target *t, const struct policy *policy,
-		      uint64_t now_ns);
-bool outlier_judge(const struct directory *d, struct target *t,
-		   const struct policy *policy, uint64_t now_ns, float *others);
+bool outlier_record_answer_size(struct answer_sizes *s,
+				const struct policy *policy, uint8_t kind,
+				uint32_t size_bytes);
+void outlier_record_failure(struct target *t, const struct policy *policy,
+			    uint64_t now_ns);
+float outlier_failure_count(const struct target *t, const struct policy *policy,
+			    uint64_t now_ns);
+bool outlier_is_ejected(const struct target *t, uint64_t now_ns);
+bool outlier_is_on_trial(const struct target *t, const struct policy *policy,
+			 uint64_t now_ns);
+bool outlier_eject_if_failing(const struct directory *d, struct target *t,
+			      const struct policy *policy, uint64_t now_ns,
+			      float *others_mean);
 
 #endif
--- a/core/packet/target/target.h
+++ b/core/packet/target/target.h
@@ -1,31 +1,41 @@
-/* One target of an opaque-packet service, and what this entry knows of it. */
+/* A target of an opaque-packet service and what this entry knows about it. */
 #ifndef CB_TARGET_H
 #define CB_TARGET_H
 
 #include "position.h"
 
 /**
- * enum target_stage - what was published of a target
+ * enum target_stage - state of a target as published on the platform
  * @TARGET_SERVING: takes new flows
  * @TARGET_LEAVING: keeps its flows, takes no new ones
- * @TARGET_ABSENT: its entry is gone from the platform
+ * @TARGET_ABSENT: has no entry on the platform any more
  */
 enum target_stage { TARGET_SERVING, TARGET_LEAVING, TARGET_ABSENT };
 
 /**
- * enum target_health - what packets and probes say of a target
- * @HEALTH_GOOD: nothing speaks against it
- * @HEALTH_DOUBTED: a packet went unanswered, a probe is out
- * @HEALTH_SILENT: probes go unanswered: paused, cut off or without power
- * @HEALTH_DEAD: its process has ended; another may start under its id
+ * enum target_health - state of a target as seen from packets and probes
+ * @HEALTH_GOOD: no sign of a failure
+ * @HEALTH_SUSPECTED: a packet was not answered, a probe is pending
+ * @HEALTH_SILENT: probes time out: the target is paused, partitioned or without
+ *	power
+ * @HEALTH_DEAD: its process has ended; another one may start under its id
+ *
+ * Ordered from best to worst: assign_target() prefers lower values, and from
+ * HEALTH_SILENT on a target is probed periodically.
  */
-enum target_health { HEALTH_GOOD, HEALTH_DOUBTED, HEALTH_SILENT, HEALTH_DEAD };
+enum target_health {
+	HEALTH_GOOD,
+	HEALTH_SUSPECTED,
+	HEALTH_SILENT,
+	HEALTH_DEAD
+};
 
 /**
  * struct incarnation - one process of a target
- * @id: the target's id; the next process may have the same
- * @started_ms: its start, Unix milliseconds by its own clock; 0 when it is not
- *	told. Compared only with starts of the same target or address.
+ * @id: id of the target; the next process may have the same
+ * @started_ms: start of the process, Unix time in milliseconds by the target's
+ *	clock; 0 when not published. Comparable only with starts of the same
+ *	target or address.
  */
 struct incarnation {
 	uint64_t id;
@@ -33,25 +43,26 @@
 };
 
 /**
- * struct target_news - what the platform's entry of a target says
- * @id: target's id
+ * struct target_advertisement - a target's entry on the platform
+ * @id: id of the target
  * @started_ms: start of its process, as in struct incarnation
- * @sequence: number of the entry among those of this process
- * @entry: hash of the key that the entry stands under
+ * @sequence: number of this version among those that the process wrote
+ * @key_hash: hash of the entry's key
  * @addr: address and port
- * @service: number of its service's name
+ * @service: number of its service, see directory_find_service()
  * @zone: hash of its data centre's name
- * @slots: requests it runs at once
- * @cold_ms: how much longer it is slow after its start
+ * @slots: requests that it runs concurrently
+ * @cold_ms: remaining time in which it serves slowly after its start,
+ *	milliseconds
  * @leaving: takes no new flows
- * @created: position of the entry's creation; what is created later is later
- *	at every reader
+ * @created: position at which the entry was created; orders creations the same
+ *	way at every reader
  */
-struct target_news {
+struct target_advertisement {
 	uint64_t id;
 	uint64_t started_ms;
 	uint64_t sequence;
-	uint64_t entry;
+	uint64_t key_hash;
 	uint64_t addr;
 	uint32_t service;
 	uint32_t zone;
@@ -63,99 +74,105 @@
 
 /**
  * struct target - one target
- * @news: what was published last
+ * @advertised: its latest entry on the platform
  * @cookie: routing cookie of its flows
  * @stage: enum target_stage
- * @absent_ns: when its entry vanished; valid when @stage is TARGET_ABSENT
- * @presumed: its entry vanished while the platform was in trouble: it counts
- *	as lapsed, not as gone
- * @presumed_until_ns: an answer of the platform after this ends that
- * @forget_ns: when an absent one is forgotten
+ * @absent_ns: when its entry disappeared; valid when @stage is TARGET_ABSENT
+ * @presumed_alive: its entry disappeared during a platform outage, so it
+ *	probably lapsed while the target lives
+ * @presumed_until_ns: @presumed_alive ends when the platform answers after this
+ * @forget_ns: when an absent target may be deleted
  * @health: enum target_health
- * @alive_ns: last sign of life
+ * @last_alive_ns: latest proof that its process lives
  * @successor_ns: when a later process at its address was published; 0 for never
- * @refused_ns: when it first refused a connection while it was leaving; 0 for
- *	not
- * @probe_ns: earliest time of the next probe
- * @probing: a probe is out
- * @probed_ns: when it, or the last one, went out
- * @misses: probes in a row without an answer
- * @held: flows of the cache that point here, closed ones too
- * @flows: of them, open or opening
- * @feeds: of these, feeds
+ * @leaving_refused_ns: when it first refused a connection after it began to
+ *	leave; 0 for never
+ * @next_probe_ns: earliest time of the next probe
+ * @probe_pending: a probe was sent and has no outcome yet
+ * @probe_sent_ns: when the latest probe was sent
+ * @probe_misses: consecutive probes without an answer
+ * @cached_flows: flows in the flow cache that refer to it, closed ones included
+ * @flows: of @cached_flows, those that are open or opening
+ * @feeds: of @flows, the feeds
  * @busy: flows with a request in progress
- * @busy_short: of these, no feeds
- * @running: of @busy, those that went to it and are neither answered nor
- *	overdue; the rest wait here, or are taken for lost
- * @waiting: where the latest of those that wait here is, see struct waiting
+ * @busy_short: of @busy, those that are no feeds
+ * @running: of @busy, those whose request was sent to the target and is neither
+ *	answered nor overdue; the others are queued at this entry or presumed
+ *	lost
+ * @queue_head: latest of its requests that are queued at this entry, 0 for
+ *	none, see struct waiting
  * @short_mean: @busy_short, averaged over LOAD_WINDOW_NS
- * @mean_ns: when the means were brought up to date
- * @peers_feeds: sum of the peers' @feeds
  * @running_mean: @running, averaged over struct policy's running_window_ns
+ * @means_updated_ns: when the two means were last updated
+ * @peers_feeds: sum of the peers' @feeds
  * @peers_short: sum of the peers' @short_mean
  * @peers_running: sum of the peers' @running_mean
- * @failures: requests that failed of late, as seen here
- * @failures_ns: when @failures was brought up to date
+ * @failures: failed requests seen by this entry, decaying over time
+ * @failures_updated_ns: when @failures was last updated
  * @peers_failures: sum of the peers' @failures
- * @ejected_until_ns: gets no new flows until then, for its failures
- * @ejections: how often in a row it was ejected, less one
- * @cold_until_ns: it has started lately, and is slow until then
- * @cold_presumed: what it published last says nothing of that
- * @cold_seat: this entry may open flows there all the same
- * @cold_credit: so many
- * @credit_ns: when @cold_credit was brought up to date
- * @returned_ns: when it answered again after it was taken for silent or dead;
- *	0 for never. It may have started anew.
- * @twin: next target with this cookie, oldest first
- * @slot: its index in the directory
+ * @ejected_until_ns: gets no new flows until then because of its failures; 0
+ *	when it was never ejected
+ * @ejections: consecutive ejections after the first one
+ * @cold_until_ns: end of the period after its start in which it serves slowly
+ * @cold_presumed: that period was inferred from a recovery, its entry does not
+ *	have it
+ * @has_cold_permit: this entry may open flows at it while it is cold
+ * @cold_credit: flows that this entry may open there now
+ * @cold_credit_ns: when @cold_credit was last updated
+ * @recovered_ns: when it answered again after HEALTH_SILENT or HEALTH_DEAD; 0
+ *	for never. It may be a new process.
+ * @next_same_cookie: next target in the list of those with the same cookie,
+ *	sorted oldest first
+ * @index: its index in the directory
  */
 struct target {
-	struct target_news news;
+	struct target_advertisement advertised;
 	uint32_t cookie;
 	uint8_t stage;
 	uint64_t absent_ns;
-	bool presumed;
+	bool presumed_alive;
 	uint64_t presumed_until_ns;
 	uint64_t forget_ns;
 	uint8_t health;
-	uint64_t alive_ns;
+	uint64_t last_alive_ns;
 	uint64_t successor_ns;
-	uint64_t refused_ns;
-	uint64_t probe_ns;
-	bool probing;
-	uint64_t probed_ns;
-	uint8_t misses;
-	uint32_t held;
+	uint64_t leaving_refused_ns;
+	uint64_t next_probe_ns;
+	bool probe_pending;
+	uint64_t probe_sent_ns;
+	uint8_t probe_misses;
+	uint32_t cached_flows;
 	uint32_t flows;
 	uint32_t feeds;
 	uint32_t busy;
 	uint32_t busy_short;
 	uint32_t running;
-	uint32_t waiting;
+	uint32_t queue_head;
 	float short_mean;
 	float running_mean;
-	uint64_t mean_ns;
+	uint64_t means_updated_ns;
 	float peers_feeds;
 	float peers_short;
 	float peers_running;
 	float failures;
-	uint64_t failures_ns;
+	uint64_t failures_updated_ns;
 	float peers_failures;
 	uint64_t ejected_until_ns;
 	uint8_t ejections;
 	uint64_t cold_until_ns;
 	bool cold_presumed;
-	bool cold_seat;
+	bool has_cold_permit;
 	float cold_credit;
-	uint64_t credit_ns;
-	uint64_t returned_ns;
-	struct target *twin;
-	uint32_t slot;
+	uint64_t cold_credit_ns;
+	uint64_t recovered_ns;
+	struct target *next_same_cookie;
+	uint32_t index;
 };
 
 static inline struct incarnation target_incarnation(const struct target *t)
 {
-	return (struct incarnation){ t->news.id, t->news.started_ms };
+	return (struct incarnation){ t->advertised.id,
+				     t->advertised.started_ms };
 }
 
 #endif
--- a/core/packet/target/window.c
+++ b/core/packet/target/window.c
@@ -3,57 +3,61 @@
 #include <math.h>
 
 #define PERCENT 100.0f
-/* Weight of one request in the part that was refused. */
+/* Weight of one request in the moving average of refusals. */
 #define REFUSED_WEIGHT (1 / 32.0f)
 
 /**
- * window_open() - whether another request may go
- * @w: service's window
- * @running: requests of this entry at its targets
+ * window_is_open() - whether another request may be sent
+ * @w: window of the service
+ * @running: requests of this entry at the service's targets
  *
- * Return: whether; always with none there, so that the window is tried again.
+ * Return: true below the limit. Always true when @running is 0, so that the
+ * window can grow again.
  */
-bool window_open(const struct window *w, uint32_t running)
+bool window_is_open(const struct request_window *w, uint32_t running)
 {
 	return w->size <= 0 || !running || (float)running < w->size;
 }
 
 /**
- * window_refused() - a target had no room for a request
- * @w: service's window
- * @policy: figures to go by
- * @running: requests of this entry at the service's targets, this one too
- * @now_ns: time
+ * window_record_refusal() - record that a target refused a request because its
+ *	queue was full
+ * @w: window of the service
+ * @policy: limits and switches
+ * @running: requests of this entry at the service's targets, this one included
+ * @now_ns: current time
  *
- * Refusals that come together are one sign: the requests were on their way
- * before the first was heard of.
+ * Refusals in quick succession reduce the window once: their requests were
+ * already sent when the first refusal arrived.
  */
-void window_refused(struct window *w, const struct policy *policy,
-		    uint32_t running, uint64_t now_ns)
+void window_record_refusal(struct request_window *w,
+			   const struct policy *policy, uint32_t running,
+			   uint64_t now_ns)
 {
-	float most = (float)running;
+	float base = (float)running;
 
-	w->refused += (1 - w->refused) * REFUSED_WEIGHT;
+	w->refused_ratio += (1 - w->refused_ratio) * REFUSED_WEIGHT;
 	if (!policy->window_percent ||
-	    w->refused * PERCENT < (float)policy->window_refused_percent ||
-	    now_ns < w->cut_ns + policy->window_pause_ns)
+	    w->refused_ratio * PERCENT <
+		    (float)policy->window_refused_percent ||
+	    now_ns < w->reduced_ns + policy->window_pause_ns)
 		return;
-	if (w->size > 0 && w->size < most)
-		most = w->size;
-	w->size = fmaxf(1, most * (float)policy->window_percent / PERCENT);
-	w->cut_ns = now_ns;
+	if (w->size > 0 && w->size < base)
+		base = w->size;
+	w->size = fmaxf(1, base * (float)policy->window_percent / PERCENT);
+	w->reduced_ns = now_ns;
 }
 
 /**
- * window_answered() - a request was worked off
- * @w: service's window
- * @running: requests of this entry at the service's targets, this one too
+ * window_record_answer() - record that a request was served
+ * @w: window of the service
+ * @running: requests of this entry at the service's targets, this one included
  *
- * A window that is in use grows by one with each of its requests answered.
+ * A window that is fully used grows by one for each window of answers.
  */
-void window_answered(struct window *w, uint32_t running)
+void window_record_answer(struct request_window *w, uint32_t running)
 {
-	w->refused -= w->refused * REFUSED_WEIGHT;
+	w->refused_ratio -= w->refused_ratio * REFUSED_WEIGHT;
 	if (w->size > 0 && (float)running + 1 > w->size)
 		w->size += 1 / w->size;
 }
--- a/core/packet/target/window.h
+++ b/core/packet/target/window.h
@@ -1,11 +1,12 @@
 /*
- * How many requests one entry has at the targets of a service at a time, as
- * their refusals taught it.
+ * Limit of the concurrent requests that one entry has at the targets of a
+ * service, adapted to their refusals.
  *
- * The load that this is for: a fleet wakes before more entries than a target
- * has places in its queue. Each entry sees one request or none of its own at a
- * target, and the peers' figures are a second old; together they overrun the
- * queues, targets refuse a third of all, and clients use up their tries.
+ * When a load spike arrives through more entries than a target has places in
+ * its queue, each entry sees one request or none of its own at a target, and
+ * the peers' figures are a second old. Together the entries overflow the
+ * queues: targets refuse a third of all requests, and clients use up their
+ * retries.
  */
 #ifndef CB_WINDOW_H
 #define CB_WINDOW_H
@@ -13,20 +14,22 @@
 #include "policy.h"
 
 /**
- * struct window - what one entry knows of a service's room
- * @size: requests that it may have there; 0 for no limit, until one is refused
- * @refused: part of the requests that were refused of late
- * @cut_ns: when it was last made smaller
+ * struct request_window - request limit of one entry at one service
+ * @size: limit of concurrent requests; 0 for none, until one is refused
+ * @refused_ratio: moving average of the part of requests that were refused, 0
+ *	to 1
+ * @reduced_ns: when @size was last reduced
  */
-struct window {
+struct request_window {
 	float size;
-	float refused;
-	uint64_t cut_ns;
+	float refused_ratio;
+	uint64_t reduced_ns;
 };
 
-bool window_open(const struct window *w, uint32_t running);
-void window_refused(struct window *w, const struct policy *policy,
-		    uint32_t running, uint64_t now_ns);
-void window_answered(struct window *w, uint32_t running);
+bool window_is_open(const struct request_window *w, uint32_t running);
+void window_record_refusal(struct request_window *w,
+			   const struct policy *policy, uint32_t running,
+			   uint64_t now_ns);
+void window_record_answer(struct request_window *w, uint32_t running);
 
 #endif
--- a/core/packet/target/work.c
+++ b/core/packet/target/work.c
@@ -4,74 +4,84 @@
 
 #define PERCENT 100.0f
 /*
- * Answers that the means go over: soon enough for a release of another version,
- * enough for answers that differ by chance.
+ * Samples in the moving averages: few enough to follow a release of another
+ * version, enough to level out random differences.
  */
-#define ANSWERS 32
+#define SAMPLES_MAX 32
 
-static void add(struct mean_time *m, uint64_t took_ns)
+static void add_sample(struct mean_time *m, uint64_t sample_ns)
 {
-	if (m->n < ANSWERS)
+	if (m->n < SAMPLES_MAX)
 		m->n++;
-	m->mean_ns += took_ns / m->n - m->mean_ns / m->n;
+	m->mean_ns += sample_ns / m->n - m->mean_ns / m->n;
 }
 
 /**
- * work_measured() - an answer came that had not waited at its target
- * @w: its service
- * @kind: enum route_kind of its request
- * @took_ns: time that the target took, without the packets' ways
+ * work_record() - record the service time of a request that was not queued at
+ *	its target
+ * @w: service times of its service
+ * @kind: enum route_kind
+ * @service_ns: time that the target took, without the packets' transit times
  */
-void work_measured(struct service_work *w, uint8_t kind, uint64_t took_ns)
+void work_record(struct service_work *w, uint8_t kind, uint64_t service_ns)
 {
-	add(&w->kinds[kind], took_ns);
-	add(&w->all, took_ns);
+	add_sample(&w->by_kind[kind], service_ns);
+	add_sample(&w->all, service_ns);
 }
 
 /**
- * work_in_time() - whether a request can be answered in time if it goes now
- * @w: its service
+ * work_meets_objective() - whether a request sent now meets its latency
+ *	objective
+ * @w: service times of its service
  * @kind: enum route_kind
- * @left_ns: what is left of its target latency
+ * @remaining_ns: rest of its latency objective
  *
- * Return: whether; true while nothing is known.
+ * Return: true when the mean service time fits in the rest; before the first
+ * answer that is taken as 0.
  */
-bool work_in_time(const struct service_work *w, uint8_t kind, int64_t left_ns)
+bool work_meets_objective(const struct service_work *w, uint8_t kind,
+			  int64_t remaining_ns)
 {
-	return left_ns >= (int64_t)w->kinds[kind].mean_ns;
+	return remaining_ns >= (int64_t)w->by_kind[kind].mean_ns;
 }
 
 /**
- * work_limit() - up to how many requests may be at a target before another
- * @w: its service
- * @policy: figures to go by
- * @q: the other
+ * work_request_limit() - number of requests at a target below which another may
+ *	be sent there
+ * @w: service times of the service
+ * @policy: limits and switches
+ * @q: the other request
  *
- * A target answers as many requests as it has slots in the mean time of one,
- * whoever is next. The target latency, less the request's own time, is what it
- * may wait for that: with each mean time that fits in, as many others may be
- * there as there are slots, beside those that fill the slots. The ways of the
- * packets drop out: they take from the target latency what they add to the time
- * for which a request counts as being there.
+ * In the mean service time of all kinds a target serves as many requests as it
+ * has slots. The request may wait for as long as its latency objective allows
+ * beyond its own service time. So beside the requests that fill the slots,
+ * another set of as many may be there for each mean service time in that wait.
+ * Transit times of packets cancel out: they shorten the time left of the
+ * objective and lengthen the time for which a request counts as running by the
+ * same amount.
  *
- * Return: limit, at least the slots.
+ * Return: limit, at least the slots; INFINITY before the first answer when
+ * policy's guess_percent is 0.
  */
-float work_limit(const struct service_work *w, const struct policy *policy,
-		 const struct work_query *q)
+float work_request_limit(const struct service_work *w,
+			 const struct policy *policy,
+			 const struct work_query *q)
 {
-	const struct mean_time *own = &w->kinds[q->kind];
-	int64_t guess_ns = q->aim_ns * policy->guess_percent / (int64_t)PERCENT;
+	const struct mean_time *own = &w->by_kind[q->kind];
+	int64_t guess_ns =
+		q->objective_ns * policy->guess_percent / (int64_t)PERCENT;
 	int64_t own_ns = own->n ? (int64_t)own->mean_ns : guess_ns;
 	int64_t all_ns = w->all.n ? (int64_t)w->all.mean_ns : guess_ns;
-	bool late = !work_in_time(w, q->kind, q->left_ns);
+	bool is_late = !work_meets_objective(w, q->kind, q->remaining_ns);
 	float percent = (float)policy->limit_percent;
-	int64_t spare_ns = (late ? q->aim_ns : q->left_ns) - own_ns;
+	int64_t spare_ns =
+		(is_late ? q->objective_ns : q->remaining_ns) - own_ns;
 
 	if (!own->n && !policy->guess_percent)
 		return INFINITY;
 	if (spare_ns <= 0)
 		return q->slots;
-	if (late)
+	if (is_late)
 		percent *= (float)policy->late_percent / PERCENT;
 	return q->slots *
 	       (1 + (float)spare_ns / (float)all_ns * percent / PERCENT);
--- a/core/packet/target/work.h
+++ b/core/packet/target/work.h
@@ -1,6 +1,6 @@
 /*
- * How long a service's requests take at its targets, and how many a target may
- * be given at once so that the last of them is still answered in time.
+ * Service times of requests, and how many requests a target may have at a time
+ * so that the last of them still meets its latency objective.
  */
 #ifndef CB_WORK_H
 #define CB_WORK_H
@@ -9,9 +9,9 @@
 #include "route_table.h"
 
 /**
- * struct mean_time - mean of durations
- * @mean_ns: mean; 0 before the first
- * @n: how many, up to the weight of the oldest
+ * struct mean_time - moving average of a duration
+ * @mean_ns: mean; 0 before the first sample
+ * @n: number of samples, up to the length of the average
  */
 struct mean_time {
 	uint64_t mean_ns;
@@ -19,32 +19,34 @@
 };
 
 /**
- * struct service_work - what requests of a service take
- * @kinds: by enum route_kind
- * @all: of all kinds, as they come
+ * struct service_work - service times of one service's requests
+ * @by_kind: by enum route_kind
+ * @all: over all kinds, in the mix in which they arrive
  */
 struct service_work {
-	struct mean_time kinds[ROUTE_KINDS];
+	struct mean_time by_kind[ROUTE_KINDS];
 	struct mean_time all;
 };
 
 /**
- * struct work_query - a request that is to go to a target
+ * struct work_query - a request that may be sent to a target
  * @kind: enum route_kind
- * @slots: requests that the target works on at a time
- * @aim_ns: target latency
- * @left_ns: what is left of it; negative when it is over
+ * @slots: requests that the target runs concurrently
+ * @objective_ns: latency objective of the request
+ * @remaining_ns: rest of @objective_ns; negative when it has been missed
  */
 struct work_query {
 	uint8_t kind;
 	uint16_t slots;
-	int64_t aim_ns;
-	int64_t left_ns;
+	int64_t objective_ns;
+	int64_t remaining_ns;
 };
 
-void work_measured(struct service_work *w, uint8_t kind, uint64_t took_ns);
-bool work_in_time(const struct service_work *w, uint8_t kind, int64_t left_ns);
-float work_limit(const struct service_work *w, const struct policy *policy,
-		 const struct work_query *q);
+void work_record(struct service_work *w, uint8_t kind, uint64_t service_ns);
+bool work_meets_objective(const struct service_work *w, uint8_t kind,
+			  int64_t remaining_ns);
+float work_request_limit(const struct service_work *w,
+			 const struct policy *policy,
+			 const struct work_query *q);
 
 #endif
--- a/fuzz/users_fuzz.c
+++ b/fuzz/users_fuzz.c
@@ -20,9 +20,9 @@
 	int err = users_read_document(d, names, &news, &problem);
 
 	if (news.kind == DOCUMENT_TARGET && (err || d->deleted))
-		directory_absent(names, &news.target, 1, 0);
+		directory_mark_absent(names, &news.target, 1, 0);
 	else if (news.kind == DOCUMENT_TARGET)
-		directory_target(names, &news.target, 1, &change);
+		directory_update_target(names, &news.target, 1, &change);
 	if (!err)
 		route_table_free(news.routes);
 }
@@ -118,7 +118,7 @@
 
 	if (!names) {
 		names = directory_new(&conf);
-		directory_name(names, "s");
+		directory_add_service(names, "s");
 	}
 	if (size)
 		choose(data[0], data + 1, (uint32_t)size - 1, names);
--- a/sim/sim-packets/entries.c
+++ b/sim/sim-packets/entries.c
@@ -188,9 +188,9 @@
 static void probe(void *ctx, const struct target *t)
 {
 	struct port_ctx *c = ctx;
-	uint32_t at = targets_at(c->w, t->news.addr);
+	uint32_t at = targets_at(c->w, t->advertised.addr);
 	const struct sim_target *s = &c->w->targets[at];
-	enum probe_outcome outcome = PROBE_OPEN;
+	enum probe_outcome outcome = PROBE_ACCEPTED;
 	uint64_t way_ns = 2 * world_way_ns(c->w, c->e->zone, s->zone);
 	uint64_t wait_ns = path_probe_wait_ns(c->e->node->path, c->w->now_ns);
 	uint64_t link = link_ns(c->w, c->e, SYN_BYTES);
@@ -236,14 +236,14 @@
 static void carry(struct world *w, struct sim_entry *e, const struct target *t,
 		  const struct sim_packet *k)
 {
-	uint32_t at = targets_at(w, t->news.addr);
+	uint32_t at = targets_at(w, t->advertised.addr);
 	const struct sim_target *s = &w->targets[at];
 	uint32_t bytes = k->size_bytes + HEAD_BYTES;
 	uint64_t link = link_ns(w, e, bytes + OUTER_BYTES);
 
 	if (s->zone != e->zone)
 		w->report.far_bytes += bytes;
-	if (link == UINT64_MAX || s->news.id != t->news.id || !s->alive ||
+	if (link == UINT64_MAX || s->news.id != t->advertised.id || !s->alive ||
 	    world_cut(w, e->zone, s->zone)) {
 		w->users[k->user].gone = true;
 		return;
@@ -297,7 +297,7 @@
 	uint8_t kind = w->classes[w->users[k->user].class].kind;
 	enum pacer_class c = pacer_classify(&p, kind);
 	uint8_t bytes[HEAD_BYTES + SEGMENT_BYTES];
-	struct datagram d = { .destination = t->news.id,
+	struct datagram d = { .destination = t->advertised.id,
 			      .copy_id = pacer_copy_id(&p),
 			      .head = bytes,
 			      .head_bytes = HEAD_BYTES + k->size_bytes };
--- a/sim/sim-packets/store.c
+++ b/sim/sim-packets/store.c
@@ -418,8 +418,8 @@
 	t->cold = calloc(t->n_cold, sizeof(*t->cold));
 	for (uint32_t i = 0; i < v->n_services; i++)
 		t->cold[i] = (struct service_cold){
-			directory_name(names, v->services[i]), v->cold_ms[i],
-			(float)v->cold_per_s[i]
+			directory_add_service(names, v->services[i]),
+			v->cold_ms[i], (float)v->cold_per_s[i]
 		};
 	for (uint32_t i = 0; i < t->n_routes; i++) {
 		struct route *r = &t->routes[i];
@@ -431,8 +431,8 @@
 		r->aim_ms = v->routes[i].aim_ms;
 		r->n_shares = 1;
 		r->shares[0] = (struct route_share){
-			directory_known(names,
-					v->services[v->routes[i].service]),
+			directory_find_service(
+				names, v->services[v->routes[i].service]),
 			1
 		};
 	}
@@ -459,7 +459,7 @@
 	}
 	out->kind = DOCUMENT_TARGET;
 	out->target.id = strtoull(strchr(d->key, '/') + 1, NULL, 10);
-	out->target.entry = hash_text(d->key);
+	out->target.key_hash = hash_text(d->key);
 	if (!d->value)
 		return 0;
 	memcpy(&v, d->value, sizeof(v));
@@ -467,9 +467,9 @@
 	if (v.foreign && v.foreign != FOREIGN_UNBORN)
 		return v.foreign == FOREIGN_SERVICE ? -ENOENT : -EPROTO;
 	v.news.id = out->target.id;
-	v.news.entry = out->target.entry;
+	v.news.key_hash = out->target.key_hash;
 	out->target = v.news;
-	out->target.service = directory_known(names, v.service);
+	out->target.service = directory_find_service(names, v.service);
 	out->target.zone = (uint32_t)hash_text(v.zone);
 	out->target.created = (struct position){ d->epoch, d->created };
 	return 0;
--- a/sim/sim-packets/world_state.h
+++ b/sim/sim-packets/world_state.h
@@ -106,7 +106,7 @@
 enum sim_answer { ANSWER_DONE, ANSWER_REFUSED, ANSWER_FAILED };
 
 struct sim_target {
-	struct target_news news;
+	struct target_advertisement news;
 	uint32_t process;
 	uint64_t restarted_ns;
 	uint64_t cold_until_ns;
@@ -201,7 +201,7 @@
 
 /* A target's entry and a configuration, as values of the store. */
 struct target_value {
-	struct target_news news;
+	struct target_advertisement news;
 	enum world_foreign foreign;
 	char service[SITE_NAME_BYTES];
 	char zone[SITE_NAME_BYTES];
--- a/test/documents_prop.cc
+++ b/test/documents_prop.cc
@@ -12,7 +12,7 @@
 extern "C" {
 #include "directory.h"
 #include "documents.h"
-#include "place.h"
+#include "assign.h"
 }
 
 namespace
@@ -213,22 +213,23 @@
 			std::swap(ids[i - 1],
 				  ids[*rc::gen::inRange<size_t>(0, i)]);
 		for (uint64_t id : ids) {
-			target_news news = {};
+			target_advertisement news = {};
 
 			news.id = id;
-			news.entry = id;
+			news.key_hash = id;
 			news.addr = ADDR(7, 7);
-			news.service = directory_name(d, "s");
+			news.service = directory_add_service(d, "s");
 			news.slots = 1;
 			news.created.revision = id;
 			target_change change;
 
-			directory_target(d, &news, 1, &change);
+			directory_update_target(d, &news, 1, &change);
 		}
-		for (uint32_t i = 0; i < directory_slots(d); i++)
-			serving += directory_serving(d, directory_slot(d, i));
+		for (uint32_t i = 0; i < directory_target_count(d); i++)
+			serving += directory_is_serving(
+				d, directory_target_at(d, i));
 		RC_ASSERT(serving == 1u);
-		RC_ASSERT(directory_serving(d, directory_by_id(d, n)));
+		RC_ASSERT(directory_is_serving(d, directory_by_id(d, n)));
 		directory_free(d);
 	});
 }
--- a/test/entries_prop.cc
+++ b/test/entries_prop.cc
@@ -13,7 +13,7 @@
 
 extern "C" {
 #include "node.h"
-#include "place.h"
+#include "assign.h"
 #include "users_platform.h"
 }
 
@@ -184,14 +184,16 @@
 	{
 		std::map<uint64_t, std::pair<uint64_t, bool>> out;
 
-		for (uint32_t i = 0; i < directory_slots(node->directory);
-		     i++) {
-			const target *t = directory_slot(node->directory, i);
+		for (uint32_t i = 0;
+		     i < directory_target_count(node->directory); i++) {
+			const target *t =
+				directory_target_at(node->directory, i);
 
 			if (t->stage != TARGET_ABSENT)
-				out[t->news.id] = { t->news.started_ms,
-						    t->stage ==
-							    TARGET_LEAVING };
+				out[t->advertised.id] = {
+					t->advertised.started_ms,
+					t->stage == TARGET_LEAVING
+				};
 		}
 		return out;
 	}
--- a/test/packet_place_test.c
+++ b/test/packet_assign_test.c
@@ -1,7 +1,7 @@
 /* Which target a new flow gets: load, data centres, targets that just came. */
 #include "packet_bed.h"
 
-#include "place.h"
+#include "assign.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -12,16 +12,16 @@
 
 static struct target *place(struct bed *b, uint8_t kind, struct rng *rng)
 {
-	struct place_query q = {
+	struct assign_query q = {
 		.policy = &policy_usual,
-		.service = directory_name(b->directory, SERVICE),
+		.service = directory_add_service(b->directory, SERVICE),
 		.zone = (uint32_t)hash_text(ZONE),
 		.kind = kind,
 		.feed_load = 0.05f,
 		.now_ns = b->now_ns,
 	};
 
-	return place_target(b->directory, &q, rng);
+	return assign_target(b->directory, &q, rng);
 }
 
 /* Two targets of this data centre. */
@@ -60,7 +60,7 @@
 	for (uint32_t i = 2; i < 12; i++)
 		bed_target(&b, i, SERVICE, OTHER_ZONE);
 	for (uint32_t i = 0; i < 32; i++)
-		assert_int_equal(place(&b, ROUTE_FEED, &rng)->news.id, 1);
+		assert_int_equal(place(&b, ROUTE_FEED, &rng)->advertised.id, 1);
 	bed_close(&b);
 }
 
@@ -75,7 +75,7 @@
 	own = bed_target(&b, 1, SERVICE, ZONE);
 	bed_target(&b, 2, SERVICE, OTHER_ZONE);
 	own->peers_running = 3;
-	assert_int_equal(place(&b, ROUTE_REPORT, &rng)->news.id, 2);
+	assert_int_equal(place(&b, ROUTE_REPORT, &rng)->advertised.id, 2);
 	bed_close(&b);
 }
 
@@ -134,7 +134,7 @@
 	for (uint32_t i = 1; i <= 6; i++)
 		bed_target(&b, i, SERVICE, ZONE);
 	for (uint32_t i = 0; i < 6000; i++)
-		got[place(&b, ROUTE_REPORT, &rng)->news.id]++;
+		got[place(&b, ROUTE_REPORT, &rng)->advertised.id]++;
 	for (uint32_t i = 1; i <= 6; i++)
 		assert_in_range(got[i], 850, 1150);
 	bed_close(&b);
@@ -160,7 +160,9 @@
 			bed_target(&b, i, SERVICE, ZONE)->peers_feeds = 10;
 		bed_target(&b, 41, SERVICE, ZONE);
 		for (uint32_t i = 0; i < 5; i++)
-			to_new += place(&b, ROUTE_REPORT, &rng)->news.id == 41;
+			to_new +=
+				place(&b, ROUTE_REPORT, &rng)->advertised.id ==
+				41;
 		bed_close(&b);
 	}
 	/* 130 flows; an even share is 3. */
@@ -175,12 +177,12 @@
 
 	(void)state;
 	bed_open(&b);
-	bed_target(&b, 1, SERVICE, ZONE)->health = HEALTH_DOUBTED;
+	bed_target(&b, 1, SERVICE, ZONE)->health = HEALTH_SUSPECTED;
 	t = bed_target(&b, 2, SERVICE, OTHER_ZONE);
-	assert_int_equal(place(&b, ROUTE_FEED, &rng)->news.id, 2);
+	assert_int_equal(place(&b, ROUTE_FEED, &rng)->advertised.id, 2);
 	t->health = HEALTH_DEAD;
-	assert_int_equal(place(&b, ROUTE_FEED, &rng)->news.id, 1);
-	directory_slot(b.directory, 0)->health = HEALTH_SILENT;
+	assert_int_equal(place(&b, ROUTE_FEED, &rng)->advertised.id, 1);
+	directory_target_at(b.directory, 0)->health = HEALTH_SILENT;
 	assert_null(place(&b, ROUTE_FEED, &rng));
 	bed_close(&b);
 }
@@ -226,8 +228,9 @@
 		bed_target(&b, order ? one : other, SERVICE, ZONE);
 		bed_target(&b, order ? other : one, SERVICE, ZONE);
 		for (uint32_t i = 0; i < 16; i++)
-			assert_int_equal(place(&b, ROUTE_FEED, &rng)->news.id,
-					 one);
+			assert_int_equal(
+				place(&b, ROUTE_FEED, &rng)->advertised.id,
+				one);
 		bed_close(&b);
 	}
 }
--- a/test/packet_bed.c
+++ b/test/packet_bed.c
@@ -23,7 +23,7 @@
 	struct bed *b = ctx;
 
 	(void)reason;
-	b->again[b->n_again++ % BED_EVENTS_MAX] = f->target->news.id;
+	b->again[b->n_again++ % BED_EVENTS_MAX] = f->target->advertised.id;
 }
 
 static void on_send(void *ctx, const struct flow_seen *f, const uint8_t *bytes,
@@ -46,7 +46,7 @@
 {
 	struct bed *b = ctx;
 
-	b->dead[b->n_dead++ % BED_EVENTS_MAX] = t->news.id;
+	b->dead[b->n_dead++ % BED_EVENTS_MAX] = t->advertised.id;
 }
 
 static void on_health(void *ctx, const struct target *t, uint8_t before)
@@ -61,7 +61,7 @@
 	struct bed *b = ctx;
 
 	(void)usual_failures;
-	b->ejected[b->n_ejected++ % BED_EVENTS_MAX] = t->news.id;
+	b->ejected[b->n_ejected++ % BED_EVENTS_MAX] = t->advertised.id;
 }
 
 void bed_open(struct bed *b)
@@ -92,7 +92,7 @@
 	b->directory = directory_new(&dir);
 	conf.zone = (uint32_t)hash_text(ZONE);
 	b->path = path_new(&conf, b->directory, port, (struct rng){ 7 });
-	directory_routes(b->directory, bed_table(b, 1), b->now_ns);
+	directory_set_routes(b->directory, bed_table(b, 1), b->now_ns);
 }
 
 void bed_close(struct bed *b)
@@ -105,14 +105,14 @@
 void bed_times(struct bed *b, uint32_t aim_ms, uint32_t timeout_ms)
 {
 	struct route_table *t =
-		bed_table(b, directory_table(b->directory)->version + 1);
+		bed_table(b, directory_route_table(b->directory)->version + 1);
 
 	for (uint32_t i = 0; i < t->n_routes; i++) {
 		t->routes[i].aim_ms = aim_ms;
 		t->routes[i].timeout_ms = timeout_ms;
 		t->routes[i].priority = t->routes[i].kind == ROUTE_FEED;
 	}
-	directory_routes(b->directory, t, b->now_ns);
+	directory_set_routes(b->directory, t, b->now_ns);
 }
 
 static void route(struct bed *b, struct route *r, uint64_t vip, uint8_t kind,
@@ -121,9 +121,9 @@
 	r->vip = vip;
 	r->kind = kind;
 	r->n_shares = 1;
-	r->shares[0] =
-		(struct route_share){ directory_name(b->directory, service),
-				      1 };
+	r->shares[0] = (struct route_share){
+		directory_add_service(b->directory, service), 1
+	};
 }
 
 /* Three routes: feeds and reports of one service, uploads of another. */
@@ -143,11 +143,11 @@
 struct target *bed_target(struct bed *b, uint64_t id, const char *service,
 			  const char *zone)
 {
-	struct target_news news = {
+	struct target_advertisement news = {
 		.id = id,
-		.entry = id,
+		.key_hash = id,
 		.addr = ADDR(0x0a000000 + id, 8000),
-		.service = directory_name(b->directory, service),
+		.service = directory_add_service(b->directory, service),
 		.zone = (uint32_t)hash_text(zone),
 		.slots = 3,
 		.created = { 0, id },
@@ -156,10 +156,11 @@
 	return bed_publish(b, &news);
 }
 
-struct target *bed_publish(struct bed *b, const struct target_news *news)
+struct target *bed_publish(struct bed *b,
+			   const struct target_advertisement *news)
 {
-	struct target *t =
-		directory_target(b->directory, news, b->now_ns, &b->change);
+	struct target *t = directory_update_target(b->directory, news,
+						   b->now_ns, &b->change);
 
 	if (b->change == TARGET_RESTARTED)
 		path_restarted(b->path, t);
@@ -168,9 +169,9 @@
 
 void bed_absent(struct bed *b, uint64_t id, uint64_t trouble_ns)
 {
-	struct target_news news = { .id = id, .entry = id };
+	struct target_advertisement news = { .id = id, .key_hash = id };
 
-	directory_absent(b->directory, &news, b->now_ns, trouble_ns);
+	directory_mark_absent(b->directory, &news, b->now_ns, trouble_ns);
 }
 
 struct path_verdict bed_syn(struct bed *b, uint64_t caller, uint64_t vip,
--- a/test/packet_bed.h
+++ b/test/packet_bed.h
@@ -56,7 +56,8 @@
 struct route_table *bed_table(struct bed *b, uint64_t version);
 struct target *bed_target(struct bed *b, uint64_t id, const char *service,
 			  const char *zone);
-struct target *bed_publish(struct bed *b, const struct target_news *news);
+struct target *bed_publish(struct bed *b,
+			   const struct target_advertisement *news);
 void bed_absent(struct bed *b, uint64_t id, uint64_t trouble_ns);
 struct path_verdict bed_syn(struct bed *b, uint64_t caller, uint64_t vip,
 			    uint32_t copies);
--- a/test/packet_cold_test.c
+++ b/test/packet_cold_test.c
@@ -13,7 +13,7 @@
 #define PER_S 4.0f
 
 /* What all seats open in a second at most, one of them too many. */
-static float most(const struct cold_share *s, uint32_t seats)
+static float most(const struct cold_allocation *s, uint32_t seats)
 {
 	return (float)seats * floorf(1 + s->per_s + 0.001f);
 }
@@ -29,13 +29,15 @@
 		for (float per_s = 0.25f; per_s < 200; per_s *= 1.3f) {
 			float in_a_second =
 				per_s * bounds[b].overrun + bounds[b].slack;
-			struct cold_share s = cold_share(per_s, &bounds[b]);
+			struct cold_allocation s =
+				cold_allocate(per_s, &bounds[b]);
 
-			assert_true(most(&s, s.seats) <= in_a_second);
+			assert_true(most(&s, s.permits) <= in_a_second);
 			if (in_a_second >= 2)
-				assert_true(most(&s, s.seats + 1) <=
+				assert_true(most(&s, s.permits + 1) <=
 					    in_a_second + 0.01f);
-			assert_true((float)s.seats * s.per_s <= per_s + 0.01f);
+			assert_true((float)s.permits * s.per_s <=
+				    per_s + 0.01f);
 		}
 }
 
@@ -43,12 +45,12 @@
 static void test_no_seat_below_one_flow(void **state)
 {
 	struct cold_bound strict = { 1, 0 };
-	struct cold_share s = cold_share(0.5f, &strict);
+	struct cold_allocation s = cold_allocate(0.5f, &strict);
 
 	(void)state;
-	assert_int_equal(s.seats, 0);
-	s = cold_share(1, &strict);
-	assert_int_equal(s.seats, 1);
+	assert_int_equal(s.permits, 0);
+	s = cold_allocate(1, &strict);
+	assert_int_equal(s.permits, 1);
 }
 
 static void tell_rate(struct bed *b, float per_s)
@@ -57,16 +59,16 @@
 
 	t->n_cold = 1;
 	t->cold = calloc(1, sizeof(*t->cold));
-	t->cold[0] =
-		(struct service_cold){ directory_name(b->directory, SERVICE),
-				       2000, per_s };
-	directory_routes(b->directory, t, b->now_ns);
+	t->cold[0] = (struct service_cold){
+		directory_add_service(b->directory, SERVICE), 2000, per_s
+	};
+	directory_set_routes(b->directory, t, b->now_ns);
 }
 
 static struct target *start(struct bed *b, uint64_t id, uint32_t cold_ms)
 {
 	struct target *t = bed_target(b, id, SERVICE, ZONE);
-	struct target_news news = t->news;
+	struct target_advertisement news = t->advertised;
 
 	news.cold_ms = cold_ms;
 	news.sequence++;
@@ -81,7 +83,7 @@
 	for (uint32_t i = 0; i < flows; i++) {
 		struct path_verdict v = bed_syn(b, CALLER + caller++, VIP, 0);
 
-		n += v.target && v.target->news.id == id;
+		n += v.target && v.target->advertised.id == id;
 	}
 	return n;
 }
@@ -157,9 +159,9 @@
 	t = bed_target(&b, 1, SERVICE, ZONE);
 	t->health = HEALTH_DEAD;
 	bed_pass(&b, 20 * MS);
-	bed_answer(&b, 1, PROBE_OPEN);
+	bed_answer(&b, 1, PROBE_ACCEPTED);
 	assert_int_equal(t->health, HEALTH_GOOD);
-	assert_int_equal(t->returned_ns, b.now_ns);
+	assert_int_equal(t->recovered_ns, b.now_ns);
 	bed_close(&b);
 }
 
--- a/test/packet_trips_test.c
+++ b/test/packet_connect_rtt_test.c
@@ -1,5 +1,5 @@
 /* How long to wait for the answer to a connection attempt. */
-#include "trips.h"
+#include "connect_rtt.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -11,13 +11,13 @@
 
 static void test_usual_wait(void **state)
 {
-	struct trips t = { 0 };
+	struct connect_rtt t = { 0 };
 
 	(void)state;
-	assert_int_equal(trips_wait_ns(&t, &policy_usual, NOW_NS),
+	assert_int_equal(connect_rtt_timeout_ns(&t, &policy_usual, NOW_NS),
 			 policy_usual.probe_wait_ns);
-	trips_heard(&t, 2 * MS, NOW_NS);
-	assert_int_equal(trips_wait_ns(&t, &policy_usual, NOW_NS),
+	connect_rtt_record(&t, 2 * MS, NOW_NS);
+	assert_int_equal(connect_rtt_timeout_ns(&t, &policy_usual, NOW_NS),
 			 policy_usual.probe_wait_ns);
 }
 
@@ -28,40 +28,42 @@
  */
 static void test_waits_as_long_as_answers_take(void **state)
 {
-	struct trips t = { 0 };
+	struct connect_rtt t = { 0 };
 
 	(void)state;
-	trips_heard(&t, 120 * MS, NOW_NS);
-	trips_heard(&t, 3 * MS, NOW_NS + 10 * MS);
-	assert_int_equal(trips_wait_ns(&t, &policy_usual, NOW_NS + 20 * MS),
+	connect_rtt_record(&t, 120 * MS, NOW_NS);
+	connect_rtt_record(&t, 3 * MS, NOW_NS + 10 * MS);
+	assert_int_equal(connect_rtt_timeout_ns(&t, &policy_usual,
+						NOW_NS + 20 * MS),
 			 240 * MS);
-	trips_heard(&t, 300 * MS, NOW_NS + 30 * MS);
-	assert_int_equal(trips_wait_ns(&t, &policy_usual, NOW_NS + 40 * MS),
+	connect_rtt_record(&t, 300 * MS, NOW_NS + 30 * MS);
+	assert_int_equal(connect_rtt_timeout_ns(&t, &policy_usual,
+						NOW_NS + 40 * MS),
 			 600 * MS);
 }
 
 static void test_forgets_a_slow_link(void **state)
 {
-	struct trips t = { 0 };
+	struct connect_rtt t = { 0 };
 
 	(void)state;
-	trips_heard(&t, 300 * MS, NOW_NS);
-	assert_int_equal(trips_wait_ns(&t, &policy_usual,
-				       NOW_NS + 3 * NS_PER_S),
+	connect_rtt_record(&t, 300 * MS, NOW_NS);
+	assert_int_equal(connect_rtt_timeout_ns(&t, &policy_usual,
+						NOW_NS + 3 * NS_PER_S),
 			 policy_usual.probe_wait_ns);
-	trips_heard(&t, 40 * MS, NOW_NS + 3 * NS_PER_S);
-	assert_int_equal(trips_wait_ns(&t, &policy_usual,
-				       NOW_NS + 3 * NS_PER_S),
+	connect_rtt_record(&t, 40 * MS, NOW_NS + 3 * NS_PER_S);
+	assert_int_equal(connect_rtt_timeout_ns(&t, &policy_usual,
+						NOW_NS + 3 * NS_PER_S),
 			 80 * MS);
 }
 
 static void test_never_waits_too_long(void **state)
 {
-	struct trips t = { 0 };
+	struct connect_rtt t = { 0 };
 
 	(void)state;
-	trips_heard(&t, 5 * NS_PER_S, NOW_NS);
-	assert_int_equal(trips_wait_ns(&t, &policy_usual, NOW_NS),
+	connect_rtt_record(&t, 5 * NS_PER_S, NOW_NS);
+	assert_int_equal(connect_rtt_timeout_ns(&t, &policy_usual, NOW_NS),
 			 policy_usual.probe_wait_max_ns);
 }
 
--- a/test/packet_evacuation_test.c
+++ b/test/packet_evacuation_test.c
@@ -40,15 +40,16 @@
 
 	bed_target(b, 1, SERVICE, ZONE);
 	bed_target(b, 2, SERVICE, OTHER_ZONE);
-	assert_int_equal(directory_evacuate(b->directory, ZONE, true), 0);
-	for (uint32_t i = 0; i < FLOWS; i++)
-		assert_int_equal(bed_syn(b, CALLER + i, VIP, 0).target->news.id,
-				 2);
-	assert_int_equal(directory_evacuate(b->directory, ZONE, false), 0);
+	assert_int_equal(directory_set_evacuated(b->directory, ZONE, true), 0);
 	for (uint32_t i = 0; i < FLOWS; i++)
 		assert_int_equal(
-			bed_syn(b, CALLER + FLOWS + i, VIP, 0).target->news.id,
-			1);
+			bed_syn(b, CALLER + i, VIP, 0).target->advertised.id,
+			2);
+	assert_int_equal(directory_set_evacuated(b->directory, ZONE, false), 0);
+	for (uint32_t i = 0; i < FLOWS; i++)
+		assert_int_equal(bed_syn(b, CALLER + FLOWS + i, VIP, 0)
+					 .target->advertised.id,
+				 1);
 }
 
 /* A reset would break a live flow: it ends where it is. */
@@ -60,7 +61,7 @@
 
 	bed_target(b, 2, SERVICE, OTHER_ZONE);
 	bed_open_flow(b, CALLER, VIP);
-	directory_evacuate(b->directory, ZONE, true);
+	directory_set_evacuated(b->directory, ZONE, true);
 	v = bed_data(b, CALLER, VIP, t->cookie, 2, 2, 100);
 	assert_int_equal(v.action, PATH_FORWARD);
 	assert_ptr_equal(v.target, t);
@@ -78,11 +79,12 @@
 	struct bed *b = *state;
 
 	bed_target(b, 1, SERVICE, ZONE);
-	assert_int_equal(bed_syn(b, CALLER, VIP, 0).target->news.id, 1);
-	assert_int_equal(bed_syn(b, CALLER + 1, VIP, 0).target->news.id, 1);
+	assert_int_equal(bed_syn(b, CALLER, VIP, 0).target->advertised.id, 1);
+	assert_int_equal(bed_syn(b, CALLER + 1, VIP, 0).target->advertised.id,
+			 1);
 	bed_target(b, 2, SERVICE, OTHER_ZONE);
-	directory_evacuate(b->directory, ZONE, true);
-	assert_int_equal(bed_syn(b, CALLER, VIP, 1).target->news.id, 2);
+	directory_set_evacuated(b->directory, ZONE, true);
+	assert_int_equal(bed_syn(b, CALLER, VIP, 1).target->advertised.id, 2);
 	bed_pass(b, 100 * MS);
 	assert_int_equal(b->n_again, 1);
 	assert_int_equal(b->again[0], 2);
@@ -95,8 +97,8 @@
 
 	bed_target(b, 1, SERVICE, ZONE);
 	bed_target(b, 2, SERVICE, OTHER_ZONE);
-	directory_evacuate(b->directory, ZONE, true);
-	directory_evacuate(b->directory, OTHER_ZONE, true);
+	directory_set_evacuated(b->directory, ZONE, true);
+	directory_set_evacuated(b->directory, OTHER_ZONE, true);
 	v = bed_syn(b, CALLER, VIP, 0);
 	assert_int_equal(v.action, PATH_RESET);
 	assert_int_equal(v.reason, PATH_no_target);
@@ -109,10 +111,10 @@
 	struct target *t = bed_target(b, 1, SERVICE, ZONE);
 
 	t->health = HEALTH_DEAD;
-	directory_evacuate(b->directory, ZONE, true);
+	directory_set_evacuated(b->directory, ZONE, true);
 	bed_pass(b, 2 * NS_PER_S);
 	assert_int_equal(b->n_probes, 0);
-	directory_evacuate(b->directory, ZONE, false);
+	directory_set_evacuated(b->directory, ZONE, false);
 	bed_pass(b, NS_PER_S);
 	assert_int_not_equal(b->n_probes, 0);
 }
@@ -134,7 +136,7 @@
 		bed_data(b, CALLER + asked, VIP, t->cookie, 2, 1, 100);
 	}
 	assert_int_not_equal(path_waiting(b->path), 0);
-	directory_evacuate(b->directory, ZONE, true);
+	directory_set_evacuated(b->directory, ZONE, true);
 	bed_pass(b, 20 * MS);
 	assert_int_equal(path_waiting(b->path), 0);
 	assert_int_equal(b->n_resets, 0);
--- a/test/packet_incarnation_test.c
+++ b/test/packet_incarnation_test.c
@@ -5,7 +5,7 @@
 #include "packet_bed.h"
 
 #include "outlier.h"
-#include "place.h"
+#include "assign.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -16,16 +16,16 @@
 #define CALLER ADDR(0x64400001, 1000)
 #define STARTED_MS 1785000000000ULL
 
-static struct target_news entry(struct bed *b, uint64_t id, uint64_t started_ms,
-				uint64_t sequence)
+static struct target_advertisement entry(struct bed *b, uint64_t id,
+					 uint64_t started_ms, uint64_t sequence)
 {
-	return (struct target_news){
+	return (struct target_advertisement){
 		.id = id,
-		.entry = id,
+		.key_hash = id,
 		.started_ms = started_ms,
 		.sequence = sequence,
 		.addr = ADDR(0x0a000000 + id, 8000),
-		.service = directory_name(b->directory, SERVICE),
+		.service = directory_add_service(b->directory, SERVICE),
 		.zone = (uint32_t)hash_text(ZONE),
 		.slots = 3,
 		.created = { 0, id },
@@ -35,15 +35,15 @@
 static struct target *publish(struct bed *b, uint64_t id, uint64_t started_ms,
 			      uint64_t sequence)
 {
-	struct target_news news = entry(b, id, started_ms, sequence);
+	struct target_advertisement news = entry(b, id, started_ms, sequence);
 
 	return bed_publish(b, &news);
 }
 
 static void tick(struct bed *b)
 {
-	directory_tick(b->directory,
-		       &(struct directory_clock){ b->now_ns, 0, b->now_ns });
+	directory_tick(b->directory, &(struct directory_tick_times){
+					     b->now_ns, 0, b->now_ns });
 }
 
 /*
@@ -66,8 +66,8 @@
 	publish(&b, 1, STARTED_MS + 900, 1);
 	assert_int_equal(b.change, TARGET_RESTARTED);
 	assert_int_equal(bed_syn(&b, CALLER + 1, VIP, 0).action, PATH_FORWARD);
-	assert_false(outlier_ejected(t, b.now_ns));
-	assert_true(outlier_failures(t, &policy_usual, b.now_ns) == 0);
+	assert_false(outlier_is_ejected(t, b.now_ns));
+	assert_true(outlier_failure_count(t, &policy_usual, b.now_ns) == 0);
 	bed_close(&b);
 }
 
@@ -89,7 +89,7 @@
 	bed_answer(&b, 1, PROBE_REFUSED);
 	assert_int_equal(t->health, HEALTH_DEAD);
 	bed_pass(&b, 600 * MS);
-	bed_answer(&b, 1, PROBE_OPEN);
+	bed_answer(&b, 1, PROBE_ACCEPTED);
 	assert_int_equal(bed_syn(&b, CALLER, VIP, 0).action, PATH_FORWARD);
 	bed_close(&b);
 }
@@ -105,7 +105,7 @@
 	bed_absent(&b, 1, b.now_ns);
 	path_told_dead(b.path, &(struct incarnation){ 1, STARTED_MS });
 	bed_pass(&b, 600 * MS);
-	bed_answer(&b, 1, PROBE_OPEN);
+	bed_answer(&b, 1, PROBE_ACCEPTED);
 	assert_int_equal(bed_syn(&b, CALLER, VIP, 0).action, PATH_FORWARD);
 	bed_close(&b);
 }
@@ -188,7 +188,7 @@
  */
 static void test_late_write_changes_nothing(void **state)
 {
-	struct target_news leaving, late;
+	struct target_advertisement leaving, late;
 	struct target *t;
 	struct bed b;
 
@@ -206,8 +206,8 @@
 	late.addr = ADDR(1, 1);
 	bed_publish(&b, &late);
 	assert_int_equal(b.change, TARGET_OUTDATED);
-	assert_int_equal(t->news.started_ms, STARTED_MS + 900);
-	assert_int_not_equal(t->news.addr, ADDR(1, 1));
+	assert_int_equal(t->advertised.started_ms, STARTED_MS + 900);
+	assert_int_not_equal(t->advertised.addr, ADDR(1, 1));
 	bed_close(&b);
 }
 
@@ -215,7 +215,7 @@
 static void test_next_process_has_its_own_place(void **state)
 {
 	struct target *const *all = NULL;
-	struct target_news news;
+	struct target_advertisement news;
 	struct target *t;
 	struct bed b;
 
@@ -223,16 +223,16 @@
 	bed_open(&b);
 	t = publish(&b, 1, STARTED_MS, 7);
 	news = entry(&b, 1, STARTED_MS + 900, 1);
-	news.service = directory_name(b.directory, OTHER_SERVICE);
+	news.service = directory_add_service(b.directory, OTHER_SERVICE);
 	news.addr = ADDR(7, 7);
 	news.slots = 5;
 	bed_publish(&b, &news);
 	assert_int_equal(bed_syn(&b, CALLER, VIP, 0).action, PATH_RESET);
 	assert_int_equal(bed_syn(&b, CALLER, OTHER_VIP, 0).action,
 			 PATH_FORWARD);
-	assert_int_equal(t->news.addr, ADDR(7, 7));
-	assert_int_equal(directory_of_service(b.directory, news.service, &all),
-			 1);
+	assert_int_equal(t->advertised.addr, ADDR(7, 7));
+	assert_int_equal(
+		directory_service_targets(b.directory, news.service, &all), 1);
 	assert_ptr_equal(all[0], t);
 	bed_close(&b);
 }
@@ -244,7 +244,7 @@
  */
 static void test_entry_with_its_address_ends_no_target(void **state)
 {
-	struct target_news other;
+	struct target_advertisement other;
 	struct target *t;
 	struct bed b;
 
@@ -253,15 +253,15 @@
 	t = publish(&b, 1, STARTED_MS, 7);
 	bed_open_flow(&b, CALLER, VIP);
 	other = entry(&b, 2, STARTED_MS + 5000, 1);
-	other.addr = t->news.addr;
+	other.addr = t->advertised.addr;
 	bed_publish(&b, &other);
-	assert_false(directory_serving(b.directory, t));
+	assert_false(directory_is_serving(b.directory, t));
 	/* It answers: whoever was published at its address is not there. */
 	b.now_ns += 10 * MS;
 	bed_data(&b, CALLER, VIP, t->cookie, 2, 2, 100);
 	b.now_ns += 10 * MS;
 	bed_data(&b, CALLER, VIP, t->cookie, 102, 300, 0);
-	assert_true(directory_serving(b.directory, t));
+	assert_true(directory_is_serving(b.directory, t));
 	bed_pass(&b, NS_PER_S);
 	assert_int_equal(b.n_resets, 0);
 	assert_int_equal(t->health, HEALTH_GOOD);
@@ -271,7 +271,7 @@
 /* An earlier process than the one that has the address takes nothing from it. */
 static void test_earlier_entry_takes_no_address(void **state)
 {
-	struct target_news other;
+	struct target_advertisement other;
 	struct target *t;
 	struct bed b;
 
@@ -279,12 +279,13 @@
 	bed_open(&b);
 	t = publish(&b, 1, STARTED_MS, 7);
 	other = entry(&b, 2, STARTED_MS - 5000, 1);
-	other.addr = t->news.addr;
+	other.addr = t->advertised.addr;
 	bed_publish(&b, &other);
-	assert_true(directory_serving(b.directory, t));
+	assert_true(directory_is_serving(b.directory, t));
 	for (uint32_t i = 0; i < 16; i++)
 		assert_int_equal(
-			bed_syn(&b, CALLER + i, VIP, 0).target->news.id, 1);
+			bed_syn(&b, CALLER + i, VIP, 0).target->advertised.id,
+			1);
 	bed_close(&b);
 }
 
@@ -301,7 +302,8 @@
 	tick(&b);
 	for (uint32_t i = 0; i < 32; i++)
 		assert_int_not_equal(
-			bed_syn(&b, CALLER + i, VIP, 0).target->news.id, 3);
+			bed_syn(&b, CALLER + i, VIP, 0).target->advertised.id,
+			3);
 	bed_close(&b);
 }
 
@@ -318,7 +320,9 @@
 	publish(&b, 3, STARTED_MS, 7);
 	tick(&b);
 	for (uint32_t i = 0; i < 32; i++)
-		others += bed_syn(&b, CALLER + i, VIP, 0).target->news.id != 3;
+		others +=
+			bed_syn(&b, CALLER + i, VIP, 0).target->advertised.id !=
+			3;
 	assert_in_range(others, 8, 32);
 	bed_close(&b);
 }
@@ -328,21 +332,22 @@
 {
 	(void)state;
 	for (uint32_t order = 0; order < 2; order++) {
-		struct target_news first, second;
+		struct target_advertisement first, second;
 		struct bed b;
 
 		bed_open(&b);
 		first = entry(&b, 1, STARTED_MS, 7);
 		second = entry(&b, 1, STARTED_MS + 900, 1);
-		second.entry = 2;
+		second.key_hash = 2;
 		second.created.revision = 50;
 		second.addr = ADDR(9, 9);
 		bed_publish(&b, order ? &first : &second);
 		bed_publish(&b, order ? &second : &first);
-		assert_int_equal(directory_by_id(b.directory, 1)->news.addr,
-				 first.addr);
+		assert_int_equal(
+			directory_by_id(b.directory, 1)->advertised.addr,
+			first.addr);
 		/* Nor does its end end the target. */
-		directory_absent(b.directory, &second, b.now_ns, 0);
+		directory_mark_absent(b.directory, &second, b.now_ns, 0);
 		assert_int_equal(bed_syn(&b, CALLER, VIP, 0).action,
 				 PATH_FORWARD);
 		bed_close(&b);
@@ -353,7 +358,7 @@
  * a lower revision when the store has come back from an older copy. */
 static void test_successor_created_in_a_later_epoch(void **state)
 {
-	struct target_news first, second;
+	struct target_advertisement first, second;
 	struct bed b;
 
 	(void)state;
@@ -365,7 +370,7 @@
 	second.created = (struct position){ 2, 26 };
 	bed_publish(&b, &first);
 	bed_publish(&b, &second);
-	assert_int_equal(bed_syn(&b, CALLER, VIP, 0).target->news.id, 2);
+	assert_int_equal(bed_syn(&b, CALLER, VIP, 0).target->advertised.id, 2);
 	bed_close(&b);
 }
 
@@ -373,7 +378,7 @@
  * revision, of a later epoch. */
 static void test_second_key_of_an_id_in_a_later_epoch(void **state)
 {
-	struct target_news first, second;
+	struct target_advertisement first, second;
 	struct bed b;
 
 	(void)state;
@@ -381,38 +386,41 @@
 	first = entry(&b, 1, STARTED_MS, 7);
 	first.created = (struct position){ 1, 30 };
 	second = entry(&b, 1, STARTED_MS + 900, 1);
-	second.entry = 2;
+	second.key_hash = 2;
 	second.created = (struct position){ 2, 26 };
 	second.addr = ADDR(9, 9);
 	bed_publish(&b, &first);
 	bed_publish(&b, &second);
-	assert_int_equal(b.change, TARGET_FOREIGN);
+	assert_int_equal(b.change, TARGET_ID_CONFLICT);
 	bed_close(&b);
 }
 
 /* Guards against an older copy's entry that ends a target's leaving. */
 static void test_entries_are_ordered_by_start_and_number(void **state)
 {
-	struct target_news news, other;
+	struct target_advertisement news, other;
 	struct bed b;
 
 	(void)state;
 	bed_open(&b);
 	publish(&b, 1, STARTED_MS, 7);
 	news = entry(&b, 1, STARTED_MS, 6);
-	assert_true(directory_compare(b.directory, &news) < 0);
+	assert_true(directory_compare_advertisement(b.directory, &news) < 0);
 	news.sequence = 7;
-	assert_int_equal(directory_compare(b.directory, &news), 0);
+	assert_int_equal(directory_compare_advertisement(b.directory, &news),
+			 0);
 	news.sequence = 8;
-	assert_true(directory_compare(b.directory, &news) > 0);
+	assert_true(directory_compare_advertisement(b.directory, &news) > 0);
 	news = entry(&b, 1, STARTED_MS - 1, 9);
-	assert_true(directory_compare(b.directory, &news) < 0);
+	assert_true(directory_compare_advertisement(b.directory, &news) < 0);
 	/* Nothing orders another key's entry, nor an unknown target's. */
 	other = entry(&b, 1, STARTED_MS + 1, 1);
-	other.entry = 2;
-	assert_int_equal(directory_compare(b.directory, &other), 0);
+	other.key_hash = 2;
+	assert_int_equal(directory_compare_advertisement(b.directory, &other),
+			 0);
 	other = entry(&b, 5, STARTED_MS, 1);
-	assert_int_equal(directory_compare(b.directory, &other), 0);
+	assert_int_equal(directory_compare_advertisement(b.directory, &other),
+			 0);
 	bed_close(&b);
 }
 
--- a/test/packet_node_test.c
+++ b/test/packet_node_test.c
@@ -149,11 +149,11 @@
 		out->kind = DOCUMENT_TARGET;
 		out->target.id = strtoull(d->key + 2, NULL, 10);
 		out->target.addr = ADDR(0x0b000000 + out->target.id, 80);
-		out->target.entry = out->target.id;
+		out->target.key_hash = out->target.id;
 		if (d->value && !strcmp((char *)d->value, "bad"))
 			return -EPROTO;
-		out->target.service = directory_known(names, "service");
-		if (d->value && out->target.service == DIRECTORY_NAME_NONE)
+		out->target.service = directory_find_service(names, "service");
+		if (d->value && out->target.service == DIRECTORY_SERVICE_NONE)
 			return -ENOENT;
 		out->target.zone = (uint32_t)hash_text("garda");
 		out->target.slots = 1;
@@ -174,7 +174,8 @@
 	t->routes[0].aim_ms = (uint32_t)strtoul(rest, NULL, 10);
 	t->routes[0].timeout_ms = 2000;
 	t->routes[0].n_shares = 1;
-	t->routes[0].shares[0].service = directory_name(names, "service");
+	t->routes[0].shares[0].service =
+		directory_add_service(names, "service");
 	out->kind = DOCUMENT_ROUTES;
 	out->routes = t;
 	return 0;
@@ -321,7 +322,7 @@
 	fact(f, node_changed, "routes", 50, "9");
 	node_fetched(f->node, &head, f->now_ns);
 	assert_true(f->node->ready);
-	assert_int_equal(directory_table(f->node->directory)->version, 9);
+	assert_int_equal(directory_route_table(f->node->directory)->version, 9);
 	/* A peer that is ahead later is no reason to leave; but what is missing
 	 * here may be there. */
 	assert_int_equal(opening(f, NO_VIP), PATH_RESET);
@@ -596,10 +597,10 @@
 
 	listed(f);
 	fact(f, node_changed, "routes", 12, "bad");
-	assert_int_equal(directory_table(f->node->directory)->version, 3);
+	assert_int_equal(directory_route_table(f->node->directory)->version, 3);
 	assert_int_equal(f->node->counters.documents_refused, 1);
 	fact(f, node_changed, "routes", 13, "4");
-	assert_int_equal(directory_table(f->node->directory)->version, 4);
+	assert_int_equal(directory_route_table(f->node->directory)->version, 4);
 }
 
 static void test_news_are_told_at_once(void **state)
@@ -744,7 +745,7 @@
 	for (uint32_t second = 0; second < 10; second++) {
 		for (uint32_t i = 0; i < targets && i < 20; i++)
 			for (uint32_t k = 0; k < 100; k++)
-				outlier_failed(
+				outlier_record_failure(
 					directory_by_id(f->node->directory,
 							100 + i),
 					&policy_usual, f->now_ns);
@@ -828,9 +829,9 @@
 
 	fact(f, node_changed, "t/1", 6, "x");
 	fact(f, node_changed, "t/2", 7, "bad");
-	assert_int_equal(directory_slots(f->node->directory), 0);
+	assert_int_equal(directory_target_count(f->node->directory), 0);
 	fact(f, node_changed, "routes", 5, "3");
-	assert_int_equal(directory_slots(f->node->directory), 1);
+	assert_int_equal(directory_target_count(f->node->directory), 1);
 	assert_int_equal(f->node->counters.documents_refused, 2);
 }
 
@@ -848,7 +849,7 @@
 	assert_int_equal(t->stage, TARGET_SERVING);
 	fact(f, node_changed, "t/1", 20, "bad");
 	assert_int_equal(t->stage, TARGET_ABSENT);
-	assert_false(t->presumed);
+	assert_false(t->presumed_alive);
 	fact(f, node_changed, "t/1", 21, "x");
 	assert_int_equal(t->stage, TARGET_SERVING);
 }
@@ -871,7 +872,7 @@
 
 static uint64_t version_of(const struct fixture *f)
 {
-	return directory_table(f->node->directory)->version;
+	return directory_route_table(f->node->directory)->version;
 }
 
 /* It knows version 24 at revision 26 of epoch 1, and watches. */
@@ -995,7 +996,7 @@
 	fact(f, node_changed, "t/1", 13, NULL);
 	assert_int_equal(directory_by_id(f->node->directory, 1)->stage,
 			 TARGET_ABSENT);
-	assert_true(directory_by_id(f->node->directory, 1)->presumed);
+	assert_true(directory_by_id(f->node->directory, 1)->presumed_alive);
 }
 
 /* Guards against a newcomer that serves what only the older copy says. */
--- a/test/packet_outlier_test.c
+++ b/test/packet_outlier_test.c
@@ -2,7 +2,7 @@
 #include "packet_bed.h"
 
 #include "outlier.h"
-#include "place.h"
+#include "assign.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -31,7 +31,7 @@
 	for (uint32_t i = first; i < first + n; i++) {
 		struct path_verdict v =
 			bed_open_flow(b, CALLER + i, REPORT_VIP);
-		bool here = v.target->news.id == fails;
+		bool here = v.target->advertised.id == fails;
 
 		got += here;
 		bed_data(b, CALLER + i, REPORT_VIP, v.target->cookie, 2, 1,
@@ -81,7 +81,7 @@
 			 900);
 	bed_pass(&b, 500 * MS);
 	assert_int_equal(b.n_probes, 1);
-	bed_answer(&b, 1, PROBE_OPEN);
+	bed_answer(&b, 1, PROBE_ACCEPTED);
 	assert_int_equal(directory_by_id(b.directory, 1)->health, HEALTH_GOOD);
 	assert_int_equal(b.n_ejected, 1);
 	assert_int_equal(b.ejected[0], 1);
@@ -97,8 +97,8 @@
 	open_bed(&b);
 	for (uint32_t round = 0; round < 20; round++) {
 		for (uint32_t i = 1; i <= TARGETS; i++)
-			outlier_failed(directory_by_id(b.directory, i),
-				       &policy_usual, b.now_ns);
+			outlier_record_failure(directory_by_id(b.directory, i),
+					       &policy_usual, b.now_ns);
 		bed_pass(&b, 100 * MS);
 	}
 	assert_int_equal(b.n_ejected, 0);
@@ -130,8 +130,8 @@
 static void fail_much(struct bed *b, uint64_t id)
 {
 	for (uint32_t i = 0; i < 20; i++)
-		outlier_failed(directory_by_id(b->directory, id), &policy_usual,
-			       b->now_ns);
+		outlier_record_failure(directory_by_id(b->directory, id),
+				       &policy_usual, b->now_ns);
 }
 
 /*
@@ -155,10 +155,10 @@
 /* Of @n flows, how many @t gets; load apart. */
 static uint32_t placed(struct bed *b, uint32_t n, const struct target *t)
 {
-	struct place_query q = {
+	struct assign_query q = {
 		.policy = &policy_usual,
-		.service = t->news.service,
-		.zone = t->news.zone,
+		.service = t->advertised.service,
+		.zone = t->advertised.zone,
 		.kind = ROUTE_REPORT,
 		.now_ns = b->now_ns,
 	};
@@ -166,7 +166,7 @@
 	uint32_t got = 0;
 
 	for (uint32_t i = 0; i < n; i++)
-		got += place_target(b->directory, &q, &rng) == t;
+		got += assign_target(b->directory, &q, &rng) == t;
 	return got;
 }
 
@@ -187,11 +187,11 @@
 	bed_pass(&b, 200 * MS);
 	assert_int_equal(b.n_ejected, 1);
 	b.now_ns = t->ejected_until_ns + MS;
-	assert_true(outlier_on_trial(t, &policy_usual, b.now_ns));
+	assert_true(outlier_is_on_trial(t, &policy_usual, b.now_ns));
 	/* Of 1,200 an even share is 200. */
 	assert_in_range(placed(&b, 1200, t), 20, 60);
 	b.now_ns += 3 * NS_PER_S;
-	assert_false(outlier_on_trial(t, &policy_usual, b.now_ns));
+	assert_false(outlier_is_on_trial(t, &policy_usual, b.now_ns));
 	assert_in_range(placed(&b, 1200, t), 140, 260);
 	bed_close(&b);
 }
@@ -210,9 +210,9 @@
 	bed_pass(&b, 200 * MS);
 	first_ns = t->ejected_until_ns - b.now_ns;
 	b.now_ns = t->ejected_until_ns + MS;
-	outlier_failed(t, &policy_usual, b.now_ns);
-	outlier_failed(t, &policy_usual, b.now_ns);
-	outlier_failed(t, &policy_usual, b.now_ns);
+	outlier_record_failure(t, &policy_usual, b.now_ns);
+	outlier_record_failure(t, &policy_usual, b.now_ns);
+	outlier_record_failure(t, &policy_usual, b.now_ns);
 	bed_pass(&b, 100 * MS);
 	assert_int_equal(b.n_ejected, 2);
 	second_ns = t->ejected_until_ns - b.now_ns;
@@ -241,15 +241,19 @@
 
 	(void)state;
 	for (uint32_t i = 0; i < 50; i++) {
-		assert_false(
-			outlier_small(&s, &policy_usual, ROUTE_FEED, 2400));
-		assert_false(
-			outlier_small(&s, &policy_usual, ROUTE_UPLOAD, 500));
+		assert_false(outlier_record_answer_size(&s, &policy_usual,
+							ROUTE_FEED, 2400));
+		assert_false(outlier_record_answer_size(&s, &policy_usual,
+							ROUTE_UPLOAD, 500));
 	}
-	assert_true(outlier_small(&s, &policy_usual, ROUTE_FEED, 500));
-	assert_true(outlier_small(&s, &policy_usual, ROUTE_UPLOAD, 211));
-	assert_false(outlier_small(&s, &policy_usual, ROUTE_UPLOAD, 500));
-	assert_true(outlier_small(&s, &policy_usual, ROUTE_UPLOAD, 190));
+	assert_true(
+		outlier_record_answer_size(&s, &policy_usual, ROUTE_FEED, 500));
+	assert_true(outlier_record_answer_size(&s, &policy_usual, ROUTE_UPLOAD,
+					       211));
+	assert_false(outlier_record_answer_size(&s, &policy_usual, ROUTE_UPLOAD,
+						500));
+	assert_true(outlier_record_answer_size(&s, &policy_usual, ROUTE_UPLOAD,
+					       190));
 }
 
 static void test_failures_are_forgotten(void **state)
@@ -261,9 +265,9 @@
 	open_bed(&b);
 	t = directory_by_id(b.directory, 1);
 	fail_much(&b, 1);
-	assert_true(outlier_failures(t, &policy_usual, b.now_ns) > 19.9f);
-	assert_true(outlier_failures(t, &policy_usual,
-				     b.now_ns + 10 * NS_PER_S) < 0.2f);
+	assert_true(outlier_failure_count(t, &policy_usual, b.now_ns) > 19.9f);
+	assert_true(outlier_failure_count(t, &policy_usual,
+					  b.now_ns + 10 * NS_PER_S) < 0.2f);
 	bed_close(&b);
 }
 
--- a/test/packet_pacer_test.c
+++ b/test/packet_pacer_test.c
@@ -49,9 +49,10 @@
 		uint32_t n_bytes)
 {
 	static const uint8_t bytes[PACER_DATAGRAM_MAX_BYTES + 1];
-	struct datagram d = {
-		.destination = 1, .copy_id = name, .head = bytes, .head_bytes = n_bytes
-	};
+	struct datagram d = { .destination = 1,
+			      .copy_id = name,
+			      .head = bytes,
+			      .head_bytes = n_bytes };
 
 	if (pacer_try_send(f->pacer, c, n_bytes, f->now_ns)) {
 		f->sent++;
--- a/test/packet_path_test.c
+++ b/test/packet_path_test.c
@@ -27,8 +27,8 @@
 		assert_int_equal(v.action, PATH_FORWARD);
 		assert_int_equal(bed_data(&b, CALLER + i, VIP, v.target->cookie,
 					  1, 1, 100)
-					 .target->news.id,
-				 v.target->news.id);
+					 .target->advertised.id,
+				 v.target->advertised.id);
 	}
 	bed_close(&a);
 	bed_close(&b);
@@ -87,15 +87,16 @@
 	bed_target(&b, 2, OTHER_SERVICE, ZONE);
 	b.now_ns += 61 * NS_PER_S;
 	v = bed_open_flow(&b, CALLER, VIP);
-	assert_int_equal(v.target->news.id, 1);
+	assert_int_equal(v.target->advertised.id, 1);
 	next = bed_table(&b, 2);
 	next->routes[0].shares[0].service =
-		directory_name(b.directory, OTHER_SERVICE);
-	assert_int_equal(directory_routes(b.directory, next, b.now_ns), 0);
+		directory_add_service(b.directory, OTHER_SERVICE);
+	assert_int_equal(directory_set_routes(b.directory, next, b.now_ns), 0);
 	v = bed_data(&b, CALLER, VIP, v.target->cookie, 2, 2, 100);
 	assert_int_equal(v.action, PATH_FORWARD);
-	assert_int_equal(v.target->news.id, 1);
-	assert_int_equal(bed_syn(&b, CALLER + 1, VIP, 0).target->news.id, 2);
+	assert_int_equal(v.target->advertised.id, 1);
+	assert_int_equal(bed_syn(&b, CALLER + 1, VIP, 0).target->advertised.id,
+			 2);
 	bed_close(&b);
 }
 
@@ -111,7 +112,7 @@
 	v = bed_open_flow(&b, CALLER, VIP);
 	next = bed_table(&b, 2);
 	next->routes[0].vip = NO_VIP;
-	directory_routes(b.directory, next, b.now_ns);
+	directory_set_routes(b.directory, next, b.now_ns);
 	v = bed_data(&b, CALLER, VIP, v.target->cookie, 2, 99, 100);
 	assert_int_equal(v.action, PATH_RESET);
 	assert_int_equal(v.ack, 99);
@@ -125,12 +126,13 @@
 
 	(void)state;
 	bed_open(&b);
-	assert_int_equal(
-		directory_routes(b.directory, bed_table(&b, 5), b.now_ns), 0);
-	assert_int_equal(directory_routes(b.directory, bed_table(&b, 4),
-					  b.now_ns),
+	assert_int_equal(directory_set_routes(b.directory, bed_table(&b, 5),
+					      b.now_ns),
+			 0);
+	assert_int_equal(directory_set_routes(b.directory, bed_table(&b, 4),
+					      b.now_ns),
 			 -EALREADY);
-	assert_int_equal(directory_table(b.directory)->version, 5);
+	assert_int_equal(directory_route_table(b.directory)->version, 5);
 	bed_close(&b);
 }
 
@@ -148,7 +150,7 @@
 	bed_open(&b);
 	bed_target(&b, 1, SERVICE, ZONE);
 	bed_target(&b, 2, SERVICE, ZONE);
-	first = bed_syn(&b, CALLER, VIP, 0).target->news.id;
+	first = bed_syn(&b, CALLER, VIP, 0).target->advertised.id;
 	bed_pass(&b, 60 * MS);
 	assert_int_equal(b.n_again, 1);
 	assert_int_not_equal(b.again[0], first);
@@ -156,7 +158,8 @@
 	/* New flows avoid it while the probe is out. */
 	for (uint32_t i = 1; i < 8; i++)
 		assert_int_not_equal(
-			bed_syn(&b, CALLER + i, VIP, 0).target->news.id, first);
+			bed_syn(&b, CALLER + i, VIP, 0).target->advertised.id,
+			first);
 	bed_close(&b);
 }
 
@@ -192,9 +195,9 @@
 	bed_open(&b);
 	bed_target(&b, 1, SERVICE, ZONE);
 	bed_target(&b, 2, SERVICE, ZONE);
-	first = bed_syn(&b, CALLER, VIP, 0).target->news.id;
+	first = bed_syn(&b, CALLER, VIP, 0).target->advertised.id;
 	b.now_ns += 10 * MS;
-	assert_int_not_equal(bed_syn(&b, CALLER, VIP, 1).target->news.id,
+	assert_int_not_equal(bed_syn(&b, CALLER, VIP, 1).target->advertised.id,
 			     first);
 	bed_close(&b);
 }
@@ -238,13 +241,13 @@
 static void test_leaving_target_refuses_before_it_ends(void **state)
 {
 	struct bed b;
-	struct target_news news;
+	struct target_advertisement news;
 	struct path_verdict v;
 	uint32_t cookie;
 
 	(void)state;
 	bed_open(&b);
-	news = bed_target(&b, 1, SERVICE, ZONE)->news;
+	news = bed_target(&b, 1, SERVICE, ZONE)->advertised;
 	v = bed_open_flow(&b, CALLER, VIP);
 	cookie = v.target->cookie;
 	news.leaving = true;
@@ -325,20 +328,20 @@
 	bed_target(&b, 1, SERVICE, ZONE);
 	bed_target(&b, 2, SERVICE, ZONE);
 	v = bed_open_flow(&b, CALLER, VIP);
-	witness = 3 - v.target->news.id;
+	witness = 3 - v.target->advertised.id;
 	b.now_ns += 100 * MS;
 	bed_data(&b, CALLER, VIP, v.target->cookie, 2, 2, 100);
 	bed_pass(&b, 500 * MS);
 	b.now_ns += 60 * MS;
-	bed_answer(&b, v.target->news.id, PROBE_SILENT);
-	bed_answer(&b, witness, PROBE_OPEN);
+	bed_answer(&b, v.target->advertised.id, PROBE_SILENT);
+	bed_answer(&b, witness, PROBE_ACCEPTED);
 	b.now_ns += 60 * MS;
-	bed_answer(&b, v.target->news.id, PROBE_SILENT);
+	bed_answer(&b, v.target->advertised.id, PROBE_SILENT);
 	assert_int_equal(v.target->health, HEALTH_SILENT);
 	assert_int_equal(b.n_resets, 1);
 	/* It was only paused. */
 	bed_pass(&b, 600 * MS);
-	bed_answer(&b, v.target->news.id, PROBE_OPEN);
+	bed_answer(&b, v.target->advertised.id, PROBE_ACCEPTED);
 	assert_int_equal(v.target->health, HEALTH_GOOD);
 	bed_close(&b);
 }
@@ -360,7 +363,7 @@
 	bed_target(&b, 1, SERVICE, ZONE);
 	bed_target(&b, 2, SERVICE, ZONE);
 	v = bed_open_flow(&b, CALLER, VIP);
-	target = v.target->news.id;
+	target = v.target->advertised.id;
 	witness = 3 - target;
 	b.now_ns += 100 * MS;
 	bed_data(&b, CALLER, VIP, v.target->cookie, 2, 2, 100);
@@ -369,8 +372,8 @@
 		b.now_ns += 60 * MS;
 		bed_answer(&b, target, PROBE_SILENT);
 		b.now_ns += 2 * MS;
-		bed_answer_late(&b, target, PROBE_OPEN);
-		bed_answer(&b, witness, PROBE_OPEN);
+		bed_answer_late(&b, target, PROBE_ACCEPTED);
+		bed_answer(&b, witness, PROBE_ACCEPTED);
 	}
 	assert_int_not_equal(v.target->health, HEALTH_SILENT);
 	assert_int_equal(b.n_resets, 0);
@@ -394,7 +397,7 @@
 	bed_target(&b, 1, SERVICE, ZONE);
 	bed_target(&b, 2, SERVICE, ZONE);
 	v = bed_open_flow(&b, CALLER, VIP);
-	target = v.target->news.id;
+	target = v.target->advertised.id;
 	witness = 3 - target;
 	b.now_ns += 100 * MS;
 	bed_data(&b, CALLER, VIP, v.target->cookie, 2, 2, 100);
@@ -404,7 +407,7 @@
 	for (uint32_t i = 0; i < 3; i++) {
 		b.now_ns += 60 * MS;
 		bed_answer(&b, witness, PROBE_SILENT);
-		bed_answer_late(&b, witness, PROBE_OPEN);
+		bed_answer_late(&b, witness, PROBE_ACCEPTED);
 		bed_answer(&b, target, PROBE_SILENT);
 	}
 	assert_int_not_equal(v.target->health, HEALTH_SILENT);
@@ -428,14 +431,15 @@
 	bed_target(&b, 1, SERVICE, ZONE);
 	v[0] = bed_open_flow(&b, CALLER, VIP);
 	bed_target(&b, 2, SERVICE, ZONE);
-	while ((v[1] = bed_open_flow(&b, CALLER + 1, VIP)).target->news.id != 2)
+	while ((v[1] = bed_open_flow(&b, CALLER + 1, VIP))
+		       .target->advertised.id != 2)
 		;
 	b.now_ns += 100 * MS;
 	for (uint32_t i = 0; i < 2; i++)
 		bed_data(&b, CALLER + i, VIP, v[i].target->cookie, 2, 2, 100);
 	bed_pass(&b, 500 * MS);
-	assert_int_equal(v[0].target->health, HEALTH_DOUBTED);
-	assert_int_equal(v[1].target->health, HEALTH_DOUBTED);
+	assert_int_equal(v[0].target->health, HEALTH_SUSPECTED);
+	assert_int_equal(v[1].target->health, HEALTH_SUSPECTED);
 	for (uint32_t i = 0; i < 8; i++) {
 		b.now_ns += 60 * MS;
 		bed_answer(&b, 1, PROBE_SILENT);
@@ -457,14 +461,14 @@
 	bed_target(&b, 1, SERVICE, ZONE);
 	bed_target(&b, 2, SERVICE, ZONE);
 	v = bed_open_flow(&b, CALLER, VIP);
-	target = v.target->news.id;
+	target = v.target->advertised.id;
 	b.now_ns += 100 * MS;
 	bed_data(&b, CALLER, VIP, v.target->cookie, 2, 2, 100);
 	bed_pass(&b, 500 * MS);
 	bed_data(&b, CALLER, VIP, v.target->cookie, 102, 50, 0);
 	b.now_ns += 10 * MS;
 	bed_answer(&b, target, PROBE_SILENT);
-	assert_int_equal(v.target->misses, 0);
+	assert_int_equal(v.target->probe_misses, 0);
 	assert_int_equal(v.target->health, HEALTH_GOOD);
 	bed_close(&b);
 }
@@ -557,22 +561,23 @@
 	struct bed b;
 	struct target *t;
 	struct path_verdict v;
-	struct target_news news;
+	struct target_advertisement news;
 
 	(void)state;
 	bed_open(&b);
 	t = bed_target(&b, 1, SERVICE, ZONE);
 	v = bed_open_flow(&b, CALLER, VIP);
 	bed_target(&b, 2, SERVICE, ZONE);
-	news = t->news;
+	news = t->advertised;
 	news.leaving = true;
 	bed_publish(&b, &news);
 	for (uint32_t i = 1; i < 16; i++)
 		assert_int_equal(
-			bed_syn(&b, CALLER + i, VIP, 0).target->news.id, 2);
+			bed_syn(&b, CALLER + i, VIP, 0).target->advertised.id,
+			2);
 	v = bed_data(&b, CALLER, VIP, t->cookie, 2, 2, 100);
 	assert_int_equal(v.action, PATH_FORWARD);
-	assert_int_equal(v.target->news.id, 1);
+	assert_int_equal(v.target->advertised.id, 1);
 	bed_close(&b);
 }
 
@@ -592,7 +597,7 @@
 	assert_int_equal(bed_syn(&b, CALLER, VIP, 0).action, PATH_FORWARD);
 	b.now_ns += 2600 * MS;
 	directory_tick(b.directory,
-		       &(struct directory_clock){
+		       &(struct directory_tick_times){
 			       b.now_ns, b.now_ns - 2600 * MS, b.now_ns });
 	assert_int_equal(bed_syn(&b, CALLER + 1, VIP, 0).action, PATH_RESET);
 	bed_close(&b);
@@ -616,11 +621,11 @@
 	bed_absent(&b, 1, back_ns);
 	b.now_ns += 10 * NS_PER_S;
 	directory_tick(b.directory,
-		       &(struct directory_clock){ b.now_ns, back_ns,
-						  back_ns + 100 * MS });
+		       &(struct directory_tick_times){ b.now_ns, back_ns,
+						       back_ns + 100 * MS });
 	assert_int_equal(bed_syn(&b, CALLER, VIP, 0).action, PATH_FORWARD);
 	/* Answered again, and the entry is still missing. */
-	directory_tick(b.directory, &(struct directory_clock){
+	directory_tick(b.directory, &(struct directory_tick_times){
 					    b.now_ns, back_ns, b.now_ns });
 	assert_int_equal(bed_syn(&b, CALLER + 1, VIP, 0).action, PATH_RESET);
 	bed_close(&b);
@@ -647,7 +652,7 @@
 {
 	struct bed b;
 	struct target *t;
-	struct target_news news;
+	struct target_advertisement news;
 	uint32_t cookie;
 
 	(void)state;
@@ -656,10 +661,10 @@
 	bed_open_flow(&b, CALLER, VIP);
 	bed_open_flow(&b, CALLER + 1, VIP);
 	cookie = t->cookie;
-	news = t->news;
-	news.id = news.entry = 9;
+	news = t->advertised;
+	news.id = news.key_hash = 9;
 	news.created.revision = 9;
-	news.service = directory_name(b.directory, OTHER_SERVICE);
+	news.service = directory_add_service(b.directory, OTHER_SERVICE);
 	bed_publish(&b, &news);
 	assert_int_equal(bed_syn(&b, CALLER + 2, VIP, 0).action, PATH_RESET);
 	/* The first request that is not answered shows it, at once for all. */
--- a/test/packet_wait_prop.cc
+++ b/test/packet_wait_prop.cc
@@ -189,7 +189,7 @@
 
 	void leave(struct target *t)
 	{
-		struct target_news news = t->news;
+		struct target_advertisement news = t->advertised;
 
 		news.leaving = true;
 		news.sequence++;
--- a/test/packet_wait_test.c
+++ b/test/packet_wait_test.c
@@ -296,7 +296,7 @@
 static void test_goes_at_once_to_a_target_that_leaves(void **state)
 {
 	struct fixture *f = *state;
-	struct target_news news = f->target->news;
+	struct target_advertisement news = f->target->advertised;
 
 	fill(f, LIMIT);
 	for (uint32_t i = 0; i < 5; i++)
--- a/test/packet_window_test.c
+++ b/test/packet_window_test.c
@@ -16,12 +16,12 @@
 
 static void test_no_limit_before_a_refusal(void **state)
 {
-	struct window w = { 0 };
+	struct request_window w = { 0 };
 
 	(void)state;
-	assert_true(window_open(&w, 1000000));
-	window_answered(&w, 50);
-	assert_true(window_open(&w, 1000000));
+	assert_true(window_is_open(&w, 1000000));
+	window_record_answer(&w, 50);
+	assert_true(window_is_open(&w, 1000000));
 }
 
 /*
@@ -31,87 +31,87 @@
  */
 static void test_single_refusals_are_no_sign(void **state)
 {
-	struct window w = { 0 };
+	struct request_window w = { 0 };
 
 	(void)state;
 	for (uint32_t i = 0; i < 1000; i++) {
 		if (i % 100 == 0)
-			window_refused(&w, &policy, 50, i * 100 * MS);
+			window_record_refusal(&w, &policy, 50, i * 100 * MS);
 		else
-			window_answered(&w, 50);
+			window_record_answer(&w, 50);
 	}
-	assert_true(window_open(&w, 1000000));
+	assert_true(window_is_open(&w, 1000000));
 }
 
 /* Leaves a window of nine tenths of @running. */
-static void cut(struct window *w, uint32_t running, uint64_t now_ns)
+static void cut(struct request_window *w, uint32_t running, uint64_t now_ns)
 {
-	window_refused(w, &policy, running, now_ns);
-	window_refused(w, &policy, running, now_ns);
+	window_record_refusal(w, &policy, running, now_ns);
+	window_record_refusal(w, &policy, running, now_ns);
 }
 
 static void test_refusals_close_it(void **state)
 {
-	struct window w = { 0 };
+	struct request_window w = { 0 };
 
 	(void)state;
 	cut(&w, 50, NS_PER_S);
-	assert_true(window_open(&w, 44));
-	assert_false(window_open(&w, 45));
+	assert_true(window_is_open(&w, 44));
+	assert_false(window_is_open(&w, 45));
 }
 
 /* Requests that were on their way with the first refused one say nothing new. */
 static void test_refusals_together_are_one(void **state)
 {
-	struct window w = { 0 };
+	struct request_window w = { 0 };
 
 	(void)state;
 	cut(&w, 50, NS_PER_S);
 	for (uint32_t i = 0; i < 30; i++)
-		window_refused(&w, &policy, 50, NS_PER_S + 99 * MS);
-	assert_true(window_open(&w, 44));
-	window_refused(&w, &policy, 50, NS_PER_S + 100 * MS);
-	assert_false(window_open(&w, 44));
-	assert_true(window_open(&w, 40));
+		window_record_refusal(&w, &policy, 50, NS_PER_S + 99 * MS);
+	assert_true(window_is_open(&w, 44));
+	window_record_refusal(&w, &policy, 50, NS_PER_S + 100 * MS);
+	assert_false(window_is_open(&w, 44));
+	assert_true(window_is_open(&w, 40));
 }
 
 /* One more with each of its requests answered, when it was in use. */
 static void test_answers_open_it_again(void **state)
 {
-	struct window w = { 0 };
+	struct request_window w = { 0 };
 
 	(void)state;
 	cut(&w, 50, NS_PER_S);
 	for (uint32_t i = 0; i < 100; i++)
-		window_answered(&w, 20);
-	assert_false(window_open(&w, 45));
+		window_record_answer(&w, 20);
+	assert_false(window_is_open(&w, 45));
 	for (uint32_t i = 0; i < 44; i++)
-		window_answered(&w, 45);
-	assert_true(window_open(&w, 45));
-	assert_false(window_open(&w, 46));
+		window_record_answer(&w, 45);
+	assert_true(window_is_open(&w, 45));
+	assert_false(window_is_open(&w, 46));
 }
 
 static void test_one_always_goes(void **state)
 {
-	struct window w = { 0 };
+	struct request_window w = { 0 };
 
 	(void)state;
 	for (uint32_t i = 0; i < 100; i++)
-		window_refused(&w, &policy, 1, i * NS_PER_S);
-	assert_true(window_open(&w, 0));
-	assert_false(window_open(&w, 1));
+		window_record_refusal(&w, &policy, 1, i * NS_PER_S);
+	assert_true(window_is_open(&w, 0));
+	assert_false(window_is_open(&w, 1));
 }
 
 static void test_switched_off(void **state)
 {
 	struct policy none = policy;
-	struct window w = { 0 };
+	struct request_window w = { 0 };
 
 	(void)state;
 	none.window_percent = 0;
 	for (uint32_t i = 0; i < 100; i++)
-		window_refused(&w, &none, 50, i * NS_PER_S);
-	assert_true(window_open(&w, 1000000));
+		window_record_refusal(&w, &none, 50, i * NS_PER_S);
+	assert_true(window_is_open(&w, 1000000));
 }
 
 int main(void)
--- a/test/packet_work_test.c
+++ b/test/packet_work_test.c
@@ -14,14 +14,14 @@
 	struct policy policy = { .limit_percent = 100, .late_percent = 50 };
 	struct work_query q = { kind, 3, 300 * MS, left_ns };
 
-	return work_limit(w, &policy, &q);
+	return work_request_limit(w, &policy, &q);
 }
 
 static void measure(struct service_work *w, uint8_t kind, int64_t took_ns,
 		    uint32_t times)
 {
 	for (uint32_t i = 0; i < times; i++)
-		work_measured(w, kind, (uint64_t)took_ns);
+		work_record(w, kind, (uint64_t)took_ns);
 }
 
 /* Nothing is held back on a guess. */
@@ -44,9 +44,9 @@
 	struct service_work w = { 0 };
 
 	(void)state;
-	assert_int_equal((int)work_limit(&w, &policy, &q), 12);
-	q.aim_ns = q.left_ns = 0;
-	assert_int_equal((int)work_limit(&w, &policy, &q), 3);
+	assert_int_equal((int)work_request_limit(&w, &policy, &q), 12);
+	q.objective_ns = q.remaining_ns = 0;
+	assert_int_equal((int)work_request_limit(&w, &policy, &q), 3);
 }
 
 /* 300 ms less its own 50 are five times 50; three slots each, and the first. */
--- a/test/probe_outcome_test.c
+++ b/test/probe_outcome_test.c
@@ -16,7 +16,7 @@
 static void test_reset_after_the_handshake_is_a_sign_of_life(void **state)
 {
 	(void)state;
-	assert_int_equal(probe_outcome(UV_ECONNRESET), PROBE_OPEN);
+	assert_int_equal(probe_outcome(UV_ECONNRESET), PROBE_ACCEPTED);
 }
 
 static void test_nobody_listens(void **state)
@@ -36,8 +36,8 @@
 static void test_own_shortage_says_nothing(void **state)
 {
 	(void)state;
-	assert_int_equal(probe_outcome(UV_EMFILE), PROBE_VOID);
-	assert_int_equal(probe_outcome(UV_ENOMEM), PROBE_VOID);
+	assert_int_equal(probe_outcome(UV_EMFILE), PROBE_INCONCLUSIVE);
+	assert_int_equal(probe_outcome(UV_ENOMEM), PROBE_INCONCLUSIVE);
 }
 
 int main(void)
--- a/test/users_platform_test.c
+++ b/test/users_platform_test.c
@@ -73,7 +73,7 @@
 	static const uint8_t expected[8] = {
 		0, 0, 0, 0, 0x7f, 0x3a, 0x91, 0xc2
 	};
-	struct target t = { .news.id = 0x7f3a91c2 };
+	struct target t = { .advertised.id = 0x7f3a91c2 };
 	uint8_t out[ENVELOPE_MAX_BYTES];
 
 	(void)state;
@@ -311,7 +311,7 @@
 	struct document_news n;
 
 	(void)state;
-	directory_name(names, "s");
+	directory_add_service(names, "s");
 	assert_int_equal(read("servers/i-7f3a91c2", ENTRY "}", names, &n), 0);
 	assert_int_equal(n.kind, DOCUMENT_TARGET);
 	assert_int_equal(n.target.id, 0x7f3a91c2);
@@ -329,7 +329,7 @@
 	assert_int_equal(n.target.started_ms, 1785000000123);
 	assert_int_equal(read("servers/i-7f3a91c2", NULL, names, &n), 0);
 	assert_int_equal(n.target.id, 0x7f3a91c2);
-	assert_int_equal(n.target.entry, hash_text("servers/i-7f3a91c2"));
+	assert_int_equal(n.target.key_hash, hash_text("servers/i-7f3a91c2"));
 	directory_free(names);
 }
 
@@ -399,7 +399,7 @@
 	struct document_news n;
 
 	(void)state;
-	directory_name(names, "s");
+	directory_add_service(names, "s");
 	for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
 		char *text = entry_with(bad[i][0], bad[i][1]);
 
@@ -428,7 +428,7 @@
 	struct document_news n;
 
 	(void)state;
-	directory_name(names, "s");
+	directory_add_service(names, "s");
 	for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
 		assert_int_equal(read(bad[i], ENTRY "}", names, &n), -EPROTO);
 		assert_int_equal(n.kind, DOCUMENT_OTHER);
@@ -445,8 +445,8 @@
 	(void)state;
 	assert_int_equal(read("servers/i-7f3a91c2", ENTRY "}", names, &n),
 			 -ENOENT);
-	assert_int_equal(directory_names(names), 0);
-	directory_name(names, "s");
+	assert_int_equal(directory_service_count(names), 0);
+	directory_add_service(names, "s");
 	assert_int_equal(read("servers/i-7f3a91c2", ENTRY "}", names, &n), 0);
 	directory_free(names);
 }
@@ -462,7 +462,7 @@
 	const char *problem;
 
 	(void)state;
-	directory_name(names, "s");
+	directory_add_service(names, "s");
 	d.value = (uint8_t *)ENTRY "}";
 	d.size_bytes = (uint32_t)strlen((char *)d.value);
 	assert_int_equal(users_read_document(&d, names, &n, &problem), 0);
@@ -493,7 +493,8 @@
 			      "\"limits\":{\"idle-timeout-ms\":15000}}",
 			      names, &n),
 			 0);
-	assert_int_not_equal(directory_known(names, "t"), DIRECTORY_NAME_NONE);
+	assert_int_not_equal(directory_find_service(names, "t"),
+			     DIRECTORY_SERVICE_NONE);
 	assert_int_equal(n.kind, DOCUMENT_ROUTES);
 	assert_int_equal(n.routes->version, 7);
 	assert_int_equal(n.routes->n_routes, 1);
@@ -503,7 +504,7 @@
 	assert_int_equal(n.routes->n_cold, 2);
 	assert_true(n.routes->cold[0].per_s == 0);
 	assert_int_equal(n.routes->cold[1].service,
-			 directory_known(names, "t"));
+			 directory_find_service(names, "t"));
 	assert_int_equal(n.routes->cold[1].start_ms, 2500);
 	assert_true(n.routes->cold[1].per_s == 4.5f);
 	route_table_free(n.routes);
