--- a/test/packet_cold_test.c
+++ b/test/packet_cold_test.c
@@ -1,4 +1,4 @@
-/* What targets get that have just started. */
+/* Rate limit of new flows to targets that have just started. */
 #include "world_bed.h"
 
 #include "cold.h"
@@ -12,13 +12,13 @@
 #define RUN_NS (14 * NS_PER_S)
 #define PER_S 4.0f
 
-/* What all seats open in a second at most, one of them too many. */
-static float most(const struct cold_allocation *s, uint32_t seats)
+/* Maximum of flows that the holders of @permits open in a second. */
+static float flows_max(const struct cold_allocation *s, uint32_t permits)
 {
-	return (float)seats * floorf(1 + s->per_s + 0.001f);
+	return (float)permits * floorf(1 + s->per_s + 0.001f);
 }
 
-static void test_shares_keep_the_bound(void **state)
+static void test_allocation_keeps_the_bound(void **state)
 {
 	static const struct cold_bound bounds[] = {
 		{ 1.5f, 5 }, { 1, 0 }, { 1.2f, 1 }, { 2, 0 }, { 1, 20 }
@@ -32,17 +32,16 @@
 			struct cold_allocation s =
 				cold_allocate(per_s, &bounds[b]);
 
-			assert_true(most(&s, s.permits) <= in_a_second);
+			assert_true(flows_max(&s, s.permits) <= in_a_second);
 			if (in_a_second >= 2)
-				assert_true(most(&s, s.permits + 1) <=
+				assert_true(flows_max(&s, s.permits + 1) <=
 					    in_a_second + 0.01f);
 			assert_true((float)s.permits * s.per_s <=
 				    per_s + 0.01f);
 		}
 }
 
-/* A flow would be too many: none. */
-static void test_no_seat_below_one_flow(void **state)
+static void test_no_permit_when_bound_is_below_one_flow(void **state)
 {
 	struct cold_bound strict = { 1, 0 };
 	struct cold_allocation s = cold_allocate(0.5f, &strict);
@@ -53,7 +52,7 @@
 	assert_int_equal(s.permits, 1);
 }
 
-static void tell_rate(struct bed *b, float per_s)
+static void configure_rate(struct bed *b, float per_s)
 {
 	struct route_table *t = bed_table(b, 2);
 
@@ -65,7 +64,7 @@
 	directory_set_routes(b->directory, t, b->now_ns);
 }
 
-static struct target *start(struct bed *b, uint64_t id, uint32_t cold_ms)
+static struct target *start_target(struct bed *b, uint64_t id, uint32_t cold_ms)
 {
 	struct target *t = bed_target(b, id, SERVICE, ZONE);
 	struct target_advertisement news = t->advertised;
@@ -75,7 +74,7 @@
 	return bed_publish(b, &news);
 }
 
-static uint32_t opened(struct bed *b, uint32_t flows, uint64_t id)
+static uint32_t open_flows(struct bed *b, uint32_t flows, uint64_t id)
 {
 	static uint32_t caller;
 	uint32_t n = 0;
@@ -88,11 +87,8 @@
 	return n;
 }
 
-/*
- * Symptom: a target that has just started is overrun. Sequence: it is idle, and
- * every entry sees that. Cause: that it is slow at first did not count.
- */
-static void test_cold_target_gets_its_share(void **state)
+/* Guards against overload of a started target that all entries see idle. */
+static void test_cold_target_is_not_overloaded(void **state)
 {
 	struct bed b;
 	struct target *t;
@@ -100,44 +96,44 @@
 
 	(void)state;
 	bed_open(&b);
-	tell_rate(&b, PER_S);
+	configure_rate(&b, PER_S);
 	bed_target(&b, 1, SERVICE, ZONE);
-	t = start(&b, 2, 2000);
-	/* Without a seat none. */
-	assert_int_equal(opened(&b, 32, 2), 0);
+	t = start_target(&b, 2, 2000);
+	/* Without a permit it gets none. */
+	assert_int_equal(open_flows(&b, 32, 2), 0);
 	for (uint32_t i = 0; i < 50; i++) {
 		cold_refill(t, true, 1, b.now_ns);
-		n += opened(&b, 8, 2);
+		n += open_flows(&b, 8, 2);
 		b.now_ns += 20 * MS;
 	}
-	/* One at once, one a second. */
+	/* One at once, then one per second. */
 	assert_in_range(n, 1, 2);
 	b.now_ns += NS_PER_S;
-	assert_true(opened(&b, 32, 2) > 4);
+	assert_true(open_flows(&b, 32, 2) > 4);
 	bed_close(&b);
 }
 
-static void test_without_a_rate_nothing_is_held_back(void **state)
+static void test_no_limit_without_a_rate(void **state)
 {
 	struct bed b;
 
 	(void)state;
 	bed_open(&b);
-	start(&b, 2, 2000);
-	assert_int_equal(opened(&b, 16, 2), 16);
+	start_target(&b, 2, 2000);
+	assert_int_equal(open_flows(&b, 16, 2), 16);
 	bed_close(&b);
 }
 
-/* All of a service are cold: over the bound nobody goes, nor waits. */
-static void test_refused_at_once_when_all_are_cold(void **state)
+/* Beyond the bound a flow is neither assigned nor queued. */
+static void test_flow_is_reset_at_once_when_all_targets_are_cold(void **state)
 {
 	struct bed b;
 	struct path_verdict v;
 
 	(void)state;
 	bed_open(&b);
-	tell_rate(&b, PER_S);
-	start(&b, 1, 2000);
+	configure_rate(&b, PER_S);
+	start_target(&b, 1, 2000);
 	v = bed_syn(&b, CALLER, VIP, 0);
 	assert_int_equal(v.action, PATH_RESET);
 	assert_int_equal(v.reason, PATH_no_target);
@@ -145,11 +141,10 @@
 }
 
 /*
- * Symptom: a target that came back from the dead is overrun before it has
- * published itself. Sequence: its process ends and another starts; a connection
- * attempt is answered. Cause: it counted as the one before.
+ * Guards against overload of a new process that accepts connections before it
+ * has published itself and is taken for the previous, warm one.
  */
-static void test_answering_again_is_a_start(void **state)
+static void test_recovered_target_counts_as_started(void **state)
 {
 	struct bed b;
 	struct target *t;
@@ -166,12 +161,12 @@
 }
 
 /*
- * Symptom: targets that have just started are overrun, by entries that do not
- * know of each other. Sequence: entries start, end, and are cut from each other
- * while targets are replaced, evacuated and taken back. Cause: each counted
- * what it opened itself, or divided by those that it heard.
+ * Guards against overload of started targets by entries that do not know each
+ * other: entries start, end and are partitioned while targets are
+ * replaced, evacuated and returned to service. Each entry would count only its
+ * own flows, or divide the bound among the entries that it sees.
  */
-static void test_never_over_the_bound(void **state)
+static void test_no_fault_exceeds_the_bound(void **state)
 {
 	static const char *const faults[] = {
 		"none",
@@ -228,13 +223,14 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_shares_keep_the_bound),
-		cmocka_unit_test(test_no_seat_below_one_flow),
-		cmocka_unit_test(test_cold_target_gets_its_share),
-		cmocka_unit_test(test_without_a_rate_nothing_is_held_back),
-		cmocka_unit_test(test_refused_at_once_when_all_are_cold),
-		cmocka_unit_test(test_answering_again_is_a_start),
-		cmocka_unit_test(test_never_over_the_bound),
+		cmocka_unit_test(test_allocation_keeps_the_bound),
+		cmocka_unit_test(test_no_permit_when_bound_is_below_one_flow),
+		cmocka_unit_test(test_cold_target_is_not_overloaded),
+		cmocka_unit_test(test_no_limit_without_a_rate),
+		cmocka_unit_test(
+			test_flow_is_reset_at_once_when_all_targets_are_cold),
+		cmocka_unit_test(test_recovered_target_counts_as_started),
+		cmocka_unit_test(test_no_fault_exceeds_the_bound),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/packet_connect_rtt_test.c
+++ b/test/packet_connect_rtt_test.c
@@ -1,4 +1,4 @@
-/* How long to wait for the answer to a connection attempt. */
+/* Timeout of connection attempts. */
 #include "connect_rtt.h"
 
 #include <setjmp.h>
@@ -9,7 +9,7 @@
 #define MS NS_PER_MS
 #define NOW_NS (100 * NS_PER_S)
 
-static void test_usual_wait(void **state)
+static void test_default_timeout_on_a_fast_link(void **state)
 {
 	struct connect_rtt t = { 0 };
 
@@ -22,11 +22,11 @@
 }
 
 /*
- * Symptom: half of the targets look silent by turns. Sequence: a large document
- * comes over the VM's link, and answers wait behind it for 100 to 300 ms. Cause:
- * each attempt was given up after the same time.
+ * Guards against half of the targets looking silent in turn: a large document
+ * arrives over the VM's link, answers queue behind it for 100 to 300 ms, and
+ * a fixed timeout would give up each attempt.
  */
-static void test_waits_as_long_as_answers_take(void **state)
+static void test_timeout_follows_slow_answers(void **state)
 {
 	struct connect_rtt t = { 0 };
 
@@ -42,7 +42,7 @@
 			 600 * MS);
 }
 
-static void test_forgets_a_slow_link(void **state)
+static void test_old_round_trip_is_discarded(void **state)
 {
 	struct connect_rtt t = { 0 };
 
@@ -57,7 +57,7 @@
 			 80 * MS);
 }
 
-static void test_never_waits_too_long(void **state)
+static void test_timeout_has_a_maximum(void **state)
 {
 	struct connect_rtt t = { 0 };
 
@@ -70,10 +70,10 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_usual_wait),
-		cmocka_unit_test(test_waits_as_long_as_answers_take),
-		cmocka_unit_test(test_forgets_a_slow_link),
-		cmocka_unit_test(test_never_waits_too_long),
+		cmocka_unit_test(test_default_timeout_on_a_fast_link),
+		cmocka_unit_test(test_timeout_follows_slow_answers),
+		cmocka_unit_test(test_old_round_trip_is_discarded),
+		cmocka_unit_test(test_timeout_has_a_maximum),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/packet_link_test.c
+++ b/test/packet_link_test.c
@@ -1,4 +1,4 @@
-/* Loads replayed on entries whose links are narrow. */
+/* Simulated load on entries with narrow links. */
 #include "world_bed.h"
 
 #include "route_table.h"
@@ -7,14 +7,14 @@
 
 #define SEEDS 3
 #define RUN_NS (20 * NS_PER_S)
-/* Of 2 Mbit/s. */
+/* 2 Mbit/s. */
 #define LINK_BYTES_PER_S 250000
 #define PERCENT 100
 
 enum class_number { FEED, REPORT, UPLOAD };
 
-/* Fifteen targets, six entries, uploads of 40 KB in the mean. */
-static void narrow(struct site *s)
+/* Fifteen targets, six entries, uploads of 40 KB on average. */
+static void fill_narrow_site(struct site *s)
 {
 	struct site_size size = { 3, 2, 5, 60, 40, 20 };
 	static const struct site_class upload = {
@@ -40,12 +40,12 @@
 	s->link_told = true;
 }
 
-static struct world *play(uint64_t seed)
+static struct world *run_world(uint64_t seed)
 {
 	struct world_conf conf = { .seed = seed };
 	struct world *w;
 
-	narrow(&conf.site);
+	fill_narrow_site(&conf.site);
 	w = world_new(&conf);
 	assert_non_null(w);
 	world_run(w, RUN_NS);
@@ -59,7 +59,10 @@
 	return (x > y) - (x < y);
 }
 
-/* Time in which so many hundredths of the requests of a kind were answered. */
+/*
+ * Percentile of the answer times of a class; UINT64_MAX when that many were not
+ * answered.
+ */
 static uint64_t took_ns(const struct world *w, uint8_t class, uint32_t percent)
 {
 	uint32_t n, of = 0;
@@ -78,17 +81,17 @@
 }
 
 /*
- * Symptom: half of the uploads miss their target latency on a calm day, and
- * feeds and reports take a second and more. Sequence: sixteen packets of an
- * upload come at once; the link loses what it can't carry within 50 ms, and
- * requests of others with it; all is repeated after 200 ms, the whole window of
- * it. Cause: packets were handed to the link as they came.
+ * Guards against packets handed to the link as they arrive. Clients send
+ * sixteen packets of an upload in a burst; the link loses what it cannot carry
+ * within 50 ms, other clients' requests included, and after 200 ms the whole
+ * burst is retransmitted. At normal load half of the uploads missed their
+ * latency objective, and feeds and reports took a second and more.
  */
-static void test_uploads_leave_room_for_others(void **state)
+static void test_uploads_do_not_delay_feeds_and_reports(void **state)
 {
 	(void)state;
 	for (uint64_t seed = 1; seed <= SEEDS; seed++) {
-		struct world *w = play(seed);
+		struct world *w = run_world(seed);
 
 		assert_in_range(took_ns(w, UPLOAD, 75), 1, 1200 * NS_PER_MS);
 		assert_in_range(took_ns(w, FEED, 99), 1, 500 * NS_PER_MS);
@@ -98,9 +101,9 @@
 }
 
 /*
- * Symptom: open flows are reset while their targets serve. Sequence: the link
- * is full; packets to a target go unanswered, and so do connection attempts.
- * Cause: what was lost on the entry's own link was taken for a target's silence.
+ * Guards against resets of flows whose targets serve. On a full link packets
+ * and probes to a target are lost, and the loss would be taken for a silent
+ * target.
  */
 static void test_full_link_breaks_no_flow(void **state)
 {
@@ -108,7 +111,7 @@
 
 	(void)state;
 	for (uint64_t seed = 1; seed <= SEEDS; seed++) {
-		struct world *w = play(seed);
+		struct world *w = run_world(seed);
 
 		world_report(w, &r);
 		assert_int_equal(world_broken_rules(&r), 0);
@@ -119,7 +122,7 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_uploads_leave_room_for_others),
+		cmocka_unit_test(test_uploads_do_not_delay_feeds_and_reports),
 		cmocka_unit_test(test_full_link_breaks_no_flow),
 	};
 
--- a/test/packet_load_test.c
+++ b/test/packet_load_test.c
@@ -1,6 +1,6 @@
 /*
- * Loads at their worst, replayed on the emulator: what each way of deciding
- * earns of the worth that clients asked for, beside the same seeds without it.
+ * Simulated load experiments: the part of the requested value that a policy
+ * serves, compared with the same seeds when one of its mechanisms is off.
  */
 #include "experiment.h"
 
@@ -12,7 +12,7 @@
 
 #define SEEDS 2
 
-/* Part of the worth that a policy earns, the mean over seeds. */
+/* Part of the requested value that a policy serves, the mean over seeds. */
 static double earned(const char *experiment, const struct policy *policy)
 {
 	static struct experiment x;
@@ -38,93 +38,92 @@
 }
 
 static void assert_gain(const char *experiment, const struct policy *without,
-			double least)
+			double gain_min)
 {
 	double with = earned(experiment, &policy_usual);
-	double before = earned(experiment, without);
+	double baseline = earned(experiment, without);
 
-	if (with < before + least)
-		fail_msg("%s: %.4f, without %.4f", experiment, with, before);
+	if (with < baseline + gain_min)
+		fail_msg("%s: %.4f, without %.4f", experiment, with, baseline);
 }
 
 /*
- * Symptom: while the fleet asks for more than targets can do, nearly none of it
- * is served in time. Sequence: every target has a queue of requests, as old as
- * their clients' patience. Cause: the queue was theirs, first come first
- * served.
+ * Guards against an overload in which nearly no request is served in time: with
+ * first-come first-served queues at the targets every request waits about as
+ * long as its client's timeout.
  */
-static void test_more_asked_than_can_be_done(void **state)
+static void test_overload_is_served_in_time(void **state)
 {
-	struct policy none = policy_usual;
+	struct policy without = policy_usual;
 
 	(void)state;
-	none.waiting_max = 0;
-	assert_gain("load-2.0-forecast", &none, 0.08);
-	assert_gain("load-2.8-lift", &none, 0.02);
+	without.waiting_max = 0;
+	assert_gain("load-2.0-forecast", &without, 0.08);
+	assert_gain("load-2.8-lift", &without, 0.02);
 }
 
 /*
- * Symptom: clients of a large fleet that wakes use up their tries, while
- * targets refuse half of all requests. Sequence: 64 entries each see one request
- * or none of their own at a target. Cause: one always goes, so nothing limited
- * their sum.
+ * Guards against targets that refuse half of all requests in a load spike,
+ * until clients use up their retries. Each of 64 entries has one request or
+ * none at a target; one is always allowed, so without a window nothing
+ * limits their sum.
  */
-static void test_many_entries_overrun_the_queues(void **state)
+static void test_many_entries_do_not_overflow_target_queues(void **state)
 {
-	struct policy none = policy_usual;
+	struct policy without = policy_usual;
 
 	(void)state;
-	none.window_percent = 0;
-	assert_gain("load-5.2-lift-grown", &none, 0.05);
+	without.window_percent = 0;
+	assert_gain("load-5.2-lift-grown", &without, 0.05);
 }
 
-/* Targets that start again are cold, and hold nothing of what was asked. */
-static void test_most_targets_restart(void **state)
+/* Restarted targets are cold and have lost their queues. */
+static void test_restart_of_most_targets(void **state)
 {
-	struct policy none = policy_usual;
+	struct policy without = policy_usual;
 
 	(void)state;
-	none.waiting_max = 0;
-	assert_gain("restarts-forecast", &none, 0.02);
+	without.waiting_max = 0;
+	assert_gain("restarts-forecast", &without, 0.02);
 }
 
 /*
- * Symptom: for two seconds after all entries lost power nearly every answer is
- * late, also to requests that came after their return. Sequence: clients repeat
- * together what they had sent; the new processes know no limit and give it all
- * to the targets. Cause: whoever comes next waits there behind all of it.
+ * Guards against two seconds in which nearly every answer is late after all
+ * entries lost power. Clients retransmit together, and new processes without a
+ * limit would forward it all to the targets, where later requests queue behind.
  */
-static void test_all_entries_were_away(void **state)
+static void test_outage_of_all_entries(void **state)
 {
-	struct policy none = policy_usual;
+	struct policy without = policy_usual;
 
 	(void)state;
-	none.young_ns = 0;
-	none.guess_percent = 0;
-	assert_gain("outage-forecast", &none, 0.008);
-	assert_gain("outage-lift", &none, -0.005);
+	without.young_ns = 0;
+	without.guess_percent = 0;
+	assert_gain("outage-forecast", &without, 0.008);
+	assert_gain("outage-lift", &without, -0.005);
 }
 
-/* Where targets keep up, waiting here must cost next to nothing. */
-static void test_targets_keep_up(void **state)
+/* While targets keep up, queueing at the entry must cost next to nothing. */
+static void test_queueing_costs_nothing_below_full_load(void **state)
 {
-	struct policy none = policy_usual;
+	struct policy without = policy_usual;
 
 	(void)state;
-	none.waiting_max = 0;
-	assert_gain("load-1.6-forecast", &none, -0.005);
-	assert_gain("load-2.2-lift", &none, -0.005);
-	assert_gain("load-3.5-pipe", &none, -0.005);
+	without.waiting_max = 0;
+	assert_gain("load-1.6-forecast", &without, -0.005);
+	assert_gain("load-2.2-lift", &without, -0.005);
+	assert_gain("load-3.5-pipe", &without, -0.005);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_more_asked_than_can_be_done),
-		cmocka_unit_test(test_many_entries_overrun_the_queues),
-		cmocka_unit_test(test_most_targets_restart),
-		cmocka_unit_test(test_all_entries_were_away),
-		cmocka_unit_test(test_targets_keep_up),
+		cmocka_unit_test(test_overload_is_served_in_time),
+		cmocka_unit_test(
+			test_many_entries_do_not_overflow_target_queues),
+		cmocka_unit_test(test_restart_of_most_targets),
+		cmocka_unit_test(test_outage_of_all_entries),
+		cmocka_unit_test(test_queueing_costs_nothing_below_full_load),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/packet_outlier_test.c
+++ b/test/packet_outlier_test.c
@@ -1,4 +1,4 @@
-/* Targets that open flows and fail their requests. */
+/* Ejection of targets that accept flows and fail their requests. */
 #include "packet_bed.h"
 
 #include "outlier.h"
@@ -21,56 +21,56 @@
 		bed_target(b, i, SERVICE, ZONE);
 }
 
-/* Reports on flows of their own, 30 ms apart. Target @fails answers with
- * @error_bytes. Return: how many it got. */
-static uint32_t reports(struct bed *b, uint32_t first, uint32_t n,
-			uint64_t fails, uint32_t error_bytes)
+/*
+ * Sends @n reports 30 ms apart, each on a new flow. Target @fails answers
+ * with @error_bytes. Returns the number of reports that it got.
+ */
+static uint32_t send_reports(struct bed *b, uint32_t first, uint32_t n,
+			     uint64_t fails, uint32_t error_bytes)
 {
 	uint32_t got = 0;
 
 	for (uint32_t i = first; i < first + n; i++) {
 		struct path_verdict v =
 			bed_open_flow(b, CALLER + i, REPORT_VIP);
-		bool here = v.target->advertised.id == fails;
+		bool is_failing = v.target->advertised.id == fails;
 
-		got += here;
+		got += is_failing;
 		bed_data(b, CALLER + i, REPORT_VIP, v.target->cookie, 2, 1,
 			 900);
 		b->now_ns += 10 * MS;
 		bed_data(b, CALLER + i, REPORT_VIP, v.target->cookie, 3,
-			 1 + (here ? error_bytes : ANSWER_BYTES), 0);
+			 1 + (is_failing ? error_bytes : ANSWER_BYTES), 0);
 		bed_pass(b, 20 * MS);
 	}
 	return got;
 }
 
 /*
- * Symptom: every sixth report fails for as long as one of six targets does, and
- * more than every sixth where requests are many. Sequence: a target answers
- * each request at once with an error; its connections and its health are good.
- * Cause: only silence counted against a target, and one that fails fast is
- * always the least loaded.
+ * Guards against a target that accepts connections and answers each request at
+ * once with an error: it is always the least loaded, so it would get a sixth of
+ * the reports of six targets, and more when requests are many.
  */
-static void test_target_that_answers_with_errors_gets_no_new_flows(void **state)
+static void test_target_that_answers_with_errors_is_ejected(void **state)
 {
 	struct bed b;
 
 	(void)state;
 	open_bed(&b);
-	reports(&b, 0, 60, 1, ANSWER_BYTES);
-	reports(&b, 60, 60, 1, ERROR_BYTES);
+	send_reports(&b, 0, 60, 1, ANSWER_BYTES);
+	send_reports(&b, 60, 60, 1, ERROR_BYTES);
 	assert_int_equal(b.n_ejected, 1);
 	assert_int_equal(b.ejected[0], 1);
-	assert_int_equal(reports(&b, 120, 60, 1, ERROR_BYTES), 0);
+	assert_int_equal(send_reports(&b, 120, 60, 1, ERROR_BYTES), 0);
 	bed_close(&b);
 }
 
 /*
- * Symptom: reports wait out their deadlines. Sequence: a target takes requests
- * and does not answer, or resets their flows; a connection attempt finds it
- * alive. Cause: the connection attempt cleared the doubt each time.
+ * Guards against reports that wait until their deadlines. A target accepts
+ * requests and does not answer, or resets their flows; probes succeed each time
+ * and clear the suspicion.
  */
-static void test_target_that_does_not_answer_gets_no_new_flows(void **state)
+static void test_target_that_accepts_but_never_answers_is_ejected(void **state)
 {
 	struct bed b;
 
@@ -88,8 +88,8 @@
 	bed_close(&b);
 }
 
-/* Under overload all are late: nobody stands out. */
-static void test_overload_ejects_nobody(void **state)
+/* Under overload all targets are late, so none is an outlier. */
+static void test_overload_of_all_targets_ejects_none(void **state)
 {
 	struct bed b;
 
@@ -106,11 +106,10 @@
 }
 
 /*
- * Symptom: on a calm day a few good targets are out of use for seconds.
- * Sequence: feeds have small answers now and then; one target happens to have
- * five in two seconds. Cause: chance was not told from failure.
+ * Guards against the ejection of healthy targets at normal load: feeds have
+ * small answers now and then, and one target has five in two seconds by chance.
  */
-static void test_chance_ejects_nobody(void **state)
+static void test_random_failures_eject_none(void **state)
 {
 	struct bed b;
 
@@ -127,33 +126,31 @@
 	bed_close(&b);
 }
 
-static void fail_much(struct bed *b, uint64_t id)
+static void record_many_failures(struct bed *b, uint64_t id)
 {
 	for (uint32_t i = 0; i < 20; i++)
 		outlier_record_failure(directory_by_id(b->directory, id),
 				       &policy_usual, b->now_ns);
 }
 
-/*
- * Symptom: the last good targets are refused work and then overloaded.
- * Sequence: one after the other is ejected. Cause: no bound on their number.
- */
-static void test_a_third_is_ejected_at_most(void **state)
+/* Guards against overload of the targets that remain after many ejections. */
+static void test_at_most_a_third_of_targets_is_ejected(void **state)
 {
 	struct bed b;
 
 	(void)state;
 	open_bed(&b);
 	for (uint64_t id = 1; id <= 4; id++) {
-		fail_much(&b, id);
+		record_many_failures(&b, id);
 		bed_pass(&b, 200 * MS);
 	}
 	assert_int_equal(b.n_ejected, TARGETS / 3);
 	bed_close(&b);
 }
 
-/* Of @n flows, how many @t gets; load apart. */
-static uint32_t placed(struct bed *b, uint32_t n, const struct target *t)
+/* Assigns @n flows without load. Returns the number that @t gets. */
+static uint32_t count_assigned(struct bed *b, uint32_t n,
+			       const struct target *t)
 {
 	struct assign_query q = {
 		.policy = &policy_usual,
@@ -171,11 +168,11 @@
 }
 
 /*
- * Symptom: each time that a failing target is tried again, dozens of reports
- * fail. Sequence: all entries' ejections end together, and the target is idle.
- * Cause: it got its whole share, and more, before its failures showed again.
+ * Guards against dozens of failed reports at the end of each ejection. It
+ * ends at all entries together, the target is idle, and it would get its whole
+ * share and more before its failures are seen again.
  */
-static void test_on_trial_it_gets_few_flows(void **state)
+static void test_target_on_trial_gets_few_flows(void **state)
 {
 	struct bed b;
 	struct target *t;
@@ -183,21 +180,21 @@
 	(void)state;
 	open_bed(&b);
 	t = directory_by_id(b.directory, 1);
-	fail_much(&b, 1);
+	record_many_failures(&b, 1);
 	bed_pass(&b, 200 * MS);
 	assert_int_equal(b.n_ejected, 1);
 	b.now_ns = t->ejected_until_ns + MS;
 	assert_true(outlier_is_on_trial(t, &policy_usual, b.now_ns));
-	/* Of 1,200 an even share is 200. */
-	assert_in_range(placed(&b, 1200, t), 20, 60);
+	/* An even share of 1,200 flows is 200. */
+	assert_in_range(count_assigned(&b, 1200, t), 20, 60);
 	b.now_ns += 3 * NS_PER_S;
 	assert_false(outlier_is_on_trial(t, &policy_usual, b.now_ns));
-	assert_in_range(placed(&b, 1200, t), 140, 260);
+	assert_in_range(count_assigned(&b, 1200, t), 140, 260);
 	bed_close(&b);
 }
 
-/* Two failures are enough on trial, and it stays away for twice as long. */
-static void test_failing_again_ejects_for_longer(void **state)
+/* On trial few failures are enough, and the next ejection is longer. */
+static void test_second_ejection_lasts_longer(void **state)
 {
 	struct bed b;
 	struct target *t;
@@ -206,7 +203,7 @@
 	(void)state;
 	open_bed(&b);
 	t = directory_by_id(b.directory, 1);
-	fail_much(&b, 1);
+	record_many_failures(&b, 1);
 	bed_pass(&b, 200 * MS);
 	first_ns = t->ejected_until_ns - b.now_ns;
 	b.now_ns = t->ejected_until_ns + MS;
@@ -220,8 +217,8 @@
 	bed_close(&b);
 }
 
-/* One entry of many sees a request in seconds at each target. */
-static void test_what_peers_saw_counts(void **state)
+/* With many entries, each sees only a request in seconds at a target. */
+static void test_failures_seen_by_peers_count(void **state)
 {
 	struct bed b;
 
@@ -234,8 +231,8 @@
 	bed_close(&b);
 }
 
-/* Kinds are told apart: the usual answer to an upload is small. */
-static void test_small_is_small_for_its_kind(void **state)
+/* The normal answer to an upload is small. */
+static void test_answer_size_is_compared_within_its_kind(void **state)
 {
 	struct answer_sizes s = { 0 };
 
@@ -256,7 +253,7 @@
 					       190));
 }
 
-static void test_failures_are_forgotten(void **state)
+static void test_failures_decay(void **state)
 {
 	struct bed b;
 	struct target *t;
@@ -264,7 +261,7 @@
 	(void)state;
 	open_bed(&b);
 	t = directory_by_id(b.directory, 1);
-	fail_much(&b, 1);
+	record_many_failures(&b, 1);
 	assert_true(outlier_failure_count(t, &policy_usual, b.now_ns) > 19.9f);
 	assert_true(outlier_failure_count(t, &policy_usual,
 					  b.now_ns + 10 * NS_PER_S) < 0.2f);
@@ -275,17 +272,17 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(
-			test_target_that_answers_with_errors_gets_no_new_flows),
+			test_target_that_answers_with_errors_is_ejected),
 		cmocka_unit_test(
-			test_target_that_does_not_answer_gets_no_new_flows),
-		cmocka_unit_test(test_overload_ejects_nobody),
-		cmocka_unit_test(test_chance_ejects_nobody),
-		cmocka_unit_test(test_a_third_is_ejected_at_most),
-		cmocka_unit_test(test_on_trial_it_gets_few_flows),
-		cmocka_unit_test(test_failing_again_ejects_for_longer),
-		cmocka_unit_test(test_what_peers_saw_counts),
-		cmocka_unit_test(test_small_is_small_for_its_kind),
-		cmocka_unit_test(test_failures_are_forgotten),
+			test_target_that_accepts_but_never_answers_is_ejected),
+		cmocka_unit_test(test_overload_of_all_targets_ejects_none),
+		cmocka_unit_test(test_random_failures_eject_none),
+		cmocka_unit_test(test_at_most_a_third_of_targets_is_ejected),
+		cmocka_unit_test(test_target_on_trial_gets_few_flows),
+		cmocka_unit_test(test_second_ejection_lasts_longer),
+		cmocka_unit_test(test_failures_seen_by_peers_count),
+		cmocka_unit_test(test_answer_size_is_compared_within_its_kind),
+		cmocka_unit_test(test_failures_decay),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/packet_window_test.c
+++ b/test/packet_window_test.c
@@ -1,4 +1,4 @@
-/* How many requests an entry has at a service, as refusals taught it. */
+/* Limit of an entry's concurrent requests at a service after refusals. */
 #include "window.h"
 
 #include <setjmp.h>
@@ -25,11 +25,11 @@
 }
 
 /*
- * Symptom: an entry of a small fleet holds requests back though targets have
- * room. Sequence: one answer in a hundred is a refusal. Cause: each of them made
- * the window smaller.
+ * Guards against requests that are queued although targets have capacity: with
+ * few entries, one answer in a hundred is a refusal, and each would reduce the
+ * window.
  */
-static void test_single_refusals_are_no_sign(void **state)
+static void test_rare_refusals_do_not_limit(void **state)
 {
 	struct request_window w = { 0 };
 
@@ -43,30 +43,30 @@
 	assert_true(window_is_open(&w, 1000000));
 }
 
-/* Leaves a window of nine tenths of @running. */
-static void cut(struct request_window *w, uint32_t running, uint64_t now_ns)
+/* Reduces a window without limit to nine tenths of @running. */
+static void reduce(struct request_window *w, uint32_t running, uint64_t now_ns)
 {
 	window_record_refusal(w, &policy, running, now_ns);
 	window_record_refusal(w, &policy, running, now_ns);
 }
 
-static void test_refusals_close_it(void **state)
+static void test_refusals_reduce_the_window(void **state)
 {
 	struct request_window w = { 0 };
 
 	(void)state;
-	cut(&w, 50, NS_PER_S);
+	reduce(&w, 50, NS_PER_S);
 	assert_true(window_is_open(&w, 44));
 	assert_false(window_is_open(&w, 45));
 }
 
-/* Requests that were on their way with the first refused one say nothing new. */
-static void test_refusals_together_are_one(void **state)
+/* Requests sent before the first refusal arrived carry no new information. */
+static void test_simultaneous_refusals_reduce_it_once(void **state)
 {
 	struct request_window w = { 0 };
 
 	(void)state;
-	cut(&w, 50, NS_PER_S);
+	reduce(&w, 50, NS_PER_S);
 	for (uint32_t i = 0; i < 30; i++)
 		window_record_refusal(&w, &policy, 50, NS_PER_S + 99 * MS);
 	assert_true(window_is_open(&w, 44));
@@ -75,13 +75,13 @@
 	assert_true(window_is_open(&w, 40));
 }
 
-/* One more with each of its requests answered, when it was in use. */
-static void test_answers_open_it_again(void **state)
+/* It grows by one for each window of answers, only while fully used. */
+static void test_answers_grow_a_fully_used_window(void **state)
 {
 	struct request_window w = { 0 };
 
 	(void)state;
-	cut(&w, 50, NS_PER_S);
+	reduce(&w, 50, NS_PER_S);
 	for (uint32_t i = 0; i < 100; i++)
 		window_record_answer(&w, 20);
 	assert_false(window_is_open(&w, 45));
@@ -91,7 +91,7 @@
 	assert_false(window_is_open(&w, 46));
 }
 
-static void test_one_always_goes(void **state)
+static void test_one_request_is_always_allowed(void **state)
 {
 	struct request_window w = { 0 };
 
@@ -102,15 +102,15 @@
 	assert_false(window_is_open(&w, 1));
 }
 
-static void test_switched_off(void **state)
+static void test_no_limit_when_switched_off(void **state)
 {
-	struct policy none = policy;
+	struct policy off = policy;
 	struct request_window w = { 0 };
 
 	(void)state;
-	none.window_percent = 0;
+	off.window_percent = 0;
 	for (uint32_t i = 0; i < 100; i++)
-		window_record_refusal(&w, &none, 50, i * NS_PER_S);
+		window_record_refusal(&w, &off, 50, i * NS_PER_S);
 	assert_true(window_is_open(&w, 1000000));
 }
 
@@ -118,12 +118,12 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_no_limit_before_a_refusal),
-		cmocka_unit_test(test_single_refusals_are_no_sign),
-		cmocka_unit_test(test_refusals_close_it),
-		cmocka_unit_test(test_refusals_together_are_one),
-		cmocka_unit_test(test_answers_open_it_again),
-		cmocka_unit_test(test_one_always_goes),
-		cmocka_unit_test(test_switched_off),
+		cmocka_unit_test(test_rare_refusals_do_not_limit),
+		cmocka_unit_test(test_refusals_reduce_the_window),
+		cmocka_unit_test(test_simultaneous_refusals_reduce_it_once),
+		cmocka_unit_test(test_answers_grow_a_fully_used_window),
+		cmocka_unit_test(test_one_request_is_always_allowed),
+		cmocka_unit_test(test_no_limit_when_switched_off),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
