--- a/core/packet/peers/loads.c
+++ b/core/packet/peers/loads.c
@@ -24,11 +24,11 @@
  */
 void loads_fill_hello(const struct directory *directory, struct hello *hello)
 {
-	uint32_t n = directory_slots(directory);
+	uint32_t n = directory_target_count(directory);
 
 	hello->has_loads = true;
 	for (uint32_t i = 0; i < n && hello->n_loads < HELLO_LOADS_MAX; i++) {
-		const struct target *t = directory_slot(directory, i);
+		const struct target *t = directory_target_at(directory, i);
 		struct hello_load l = {
 			.cookie = t->cookie,
 			.feeds = to_advertised((float)t->feeds),
@@ -74,11 +74,11 @@
 			      struct hello *hello, const struct policy *policy,
 			      uint64_t now_ns)
 {
-	uint32_t n = directory_slots(directory);
+	uint32_t n = directory_target_count(directory);
 
 	for (uint32_t i = 0; i < n; i++) {
-		const struct target *t = directory_slot(directory, i);
-		float failures = outlier_failures(t, policy, now_ns);
+		const struct target *t = directory_target_at(directory, i);
+		float failures = outlier_failure_count(t, policy, now_ns);
 
 		if (failures > FAILURES_ADVERTISED_MIN)
 			add_failing(hello,
@@ -111,10 +111,10 @@
 void loads_sum_peers(struct directory *directory, const struct peer_set *peers,
 		     uint64_t now_ns)
 {
-	uint32_t n = directory_slots(directory);
+	uint32_t n = directory_target_count(directory);
 
 	for (uint32_t i = 0; i < n; i++) {
-		struct target *t = directory_slot(directory, i);
+		struct target *t = directory_target_at(directory, i);
 
 		t->peers_feeds = 0;
 		t->peers_short = 0;
--- a/test/packet_evacuation_test.c
+++ b/test/packet_evacuation_test.c
@@ -40,15 +40,16 @@
 
 	bed_target(b, 1, SERVICE, ZONE);
 	bed_target(b, 2, SERVICE, OTHER_ZONE);
-	assert_int_equal(directory_evacuate(b->directory, ZONE, true), 0);
-	for (uint32_t i = 0; i < FLOWS; i++)
-		assert_int_equal(bed_syn(b, CLIENT + i, VIP, 0).target->news.id,
-				 2);
-	assert_int_equal(directory_evacuate(b->directory, ZONE, false), 0);
+	assert_int_equal(directory_set_evacuated(b->directory, ZONE, true), 0);
 	for (uint32_t i = 0; i < FLOWS; i++)
 		assert_int_equal(
-			bed_syn(b, CLIENT + FLOWS + i, VIP, 0).target->news.id,
-			1);
+			bed_syn(b, CLIENT + i, VIP, 0).target->advertised.id,
+			2);
+	assert_int_equal(directory_set_evacuated(b->directory, ZONE, false), 0);
+	for (uint32_t i = 0; i < FLOWS; i++)
+		assert_int_equal(bed_syn(b, CLIENT + FLOWS + i, VIP, 0)
+					 .target->advertised.id,
+				 1);
 }
 
 /* A reset would break a live flow; it ends at its target. */
@@ -60,7 +61,7 @@
 
 	bed_target(b, 2, SERVICE, OTHER_ZONE);
 	bed_open_flow(b, CLIENT, VIP);
-	directory_evacuate(b->directory, ZONE, true);
+	directory_set_evacuated(b->directory, ZONE, true);
 	v = bed_data(b, CLIENT, VIP, t->cookie, 2, 2, 100);
 	assert_int_equal(v.action, PATH_FORWARD);
 	assert_ptr_equal(v.target, t);
@@ -78,11 +79,12 @@
 	struct bed *b = *state;
 
 	bed_target(b, 1, SERVICE, ZONE);
-	assert_int_equal(bed_syn(b, CLIENT, VIP, 0).target->news.id, 1);
-	assert_int_equal(bed_syn(b, CLIENT + 1, VIP, 0).target->news.id, 1);
+	assert_int_equal(bed_syn(b, CLIENT, VIP, 0).target->advertised.id, 1);
+	assert_int_equal(bed_syn(b, CLIENT + 1, VIP, 0).target->advertised.id,
+			 1);
 	bed_target(b, 2, SERVICE, OTHER_ZONE);
-	directory_evacuate(b->directory, ZONE, true);
-	assert_int_equal(bed_syn(b, CLIENT, VIP, 1).target->news.id, 2);
+	directory_set_evacuated(b->directory, ZONE, true);
+	assert_int_equal(bed_syn(b, CLIENT, VIP, 1).target->advertised.id, 2);
 	bed_pass(b, 100 * MS);
 	assert_int_equal(b->n_again, 1);
 	assert_int_equal(b->again[0], 2);
@@ -95,8 +97,8 @@
 
 	bed_target(b, 1, SERVICE, ZONE);
 	bed_target(b, 2, SERVICE, OTHER_ZONE);
-	directory_evacuate(b->directory, ZONE, true);
-	directory_evacuate(b->directory, OTHER_ZONE, true);
+	directory_set_evacuated(b->directory, ZONE, true);
+	directory_set_evacuated(b->directory, OTHER_ZONE, true);
 	v = bed_syn(b, CLIENT, VIP, 0);
 	assert_int_equal(v.action, PATH_RESET);
 	assert_int_equal(v.reason, PATH_no_target);
@@ -109,10 +111,10 @@
 	struct target *t = bed_target(b, 1, SERVICE, ZONE);
 
 	t->health = HEALTH_DEAD;
-	directory_evacuate(b->directory, ZONE, true);
+	directory_set_evacuated(b->directory, ZONE, true);
 	bed_pass(b, 2 * NS_PER_S);
 	assert_int_equal(b->n_probes, 0);
-	directory_evacuate(b->directory, ZONE, false);
+	directory_set_evacuated(b->directory, ZONE, false);
 	bed_pass(b, NS_PER_S);
 	assert_int_not_equal(b->n_probes, 0);
 }
@@ -134,7 +136,7 @@
 		bed_data(b, CLIENT + sent, VIP, t->cookie, 2, 1, 100);
 	}
 	assert_int_not_equal(path_waiting(b->path), 0);
-	directory_evacuate(b->directory, ZONE, true);
+	directory_set_evacuated(b->directory, ZONE, true);
 	bed_pass(b, 20 * MS);
 	assert_int_equal(path_waiting(b->path), 0);
 	assert_int_equal(b->n_resets, 0);
