--- a/adapters/link.c
+++ b/adapters/link.c
@@ -54,7 +54,8 @@
 static void on_hello(uv_timer_t *timer)
 {
 	struct entry_link *l = timer->data;
-	struct spread_msg m = { .kind = SPREAD_HELLO, .root = held_root(l) };
+	struct spread_msg m = { .kind = SPREAD_HELLO,
+				.store_digest = held_root(l) };
 
 	link_send(l, &m);
 }
@@ -62,7 +63,7 @@
 static void send_held(struct entry_link *l)
 {
 	struct spread_msg m = {
-		.kind = SPREAD_HELD,
+		.kind = SPREAD_VERSIONS,
 		.offers = l->held,
 		.n_offers = l->n_held,
 	};
@@ -111,7 +112,8 @@
 static int take_content(struct entry_link *l, const struct spread_msg *m)
 {
 	const struct spread_offer *o = m->offers;
-	struct content *c = m->base ? NULL : content_patch(NULL, &m->delta);
+	struct content *c =
+		m->base_hash ? NULL : content_patch(NULL, &m->delta);
 	int err = -EPROTO;
 
 	if (c && c->hash == o->version.hash) {
@@ -146,14 +148,14 @@
 
 	if (!held)
 		return;
-	if (!version_newer(&o->version, &held->version)) {
+	if (!version_adds_to(&o->version, &held->version)) {
 		l->counters.link_stale_refused +=
-			version_newer(&held->version, &o->version);
+			version_adds_to(&held->version, &o->version);
 		return;
 	}
 	joined = held->version;
 	version_join(&joined, &o->version);
-	if (version_withdrawn(&joined))
+	if (version_is_withdrawn(&joined))
 		err = take_withdrawal(l, o);
 	else if (joined.hash != held->version.hash)
 		err = take_content(l, m);
@@ -186,7 +188,7 @@
 		return;
 	if (m.kind == SPREAD_DATA)
 		take_data(l, &m);
-	else if (m.kind == SPREAD_LIST)
+	else if (m.kind == SPREAD_VERSIONS_QUERY)
 		send_held(l);
 	spread_msg_clear(&m);
 }
--- a/adapters/link_watch.c
+++ b/adapters/link_watch.c
@@ -120,14 +120,14 @@
 	const char *key;
 	uint32_t next = 0;
 
-	while ((next = spread_each(l->spread, next, &key, &version,
-				   &content))) {
+	while ((next = spread_next_key(l->spread, next, &key, &version,
+				       &content))) {
 		const struct version *held = held_version(m, key);
 
 		if (!held)
 			held = &nothing;
-		l->counters.entry_ahead += version_newer(held, version);
-		if (version_newer(version, held))
+		l->counters.entry_ahead += version_adds_to(held, version);
+		if (version_adds_to(version, held))
 			entry_data(l, route, key, version, content);
 	}
 }
@@ -156,26 +156,26 @@
 			  const struct spread_msg *m)
 {
 	struct spread_msg list = {
-		.kind = SPREAD_LIST,
+		.kind = SPREAD_VERSIONS_QUERY,
 		.from = l->self,
 		.bucket = -1,
 	};
 
-	if (!l->spread || !spread_serving(l->spread))
+	if (!l->spread || !spread_is_serving(l->spread))
 		return;
 	entry_note(l, route);
-	if (m->kind == SPREAD_HELD) {
+	if (m->kind == SPREAD_VERSIONS) {
 		entry_held(l, route, m);
 		return;
 	}
 	l->counters.entry_hellos++;
-	if (m->root != spread_root(l->spread))
+	if (m->store_digest != spread_store_digest(l->spread))
 		entry_send(l, route, &list);
 }
 
 static bool from_entry(const struct spread_msg *m)
 {
-	return m->kind == SPREAD_HELLO || m->kind == SPREAD_HELD;
+	return m->kind == SPREAD_HELLO || m->kind == SPREAD_VERSIONS;
 }
 
 static void on_frame(void *ctx, const struct zroute *route, const uint8_t *data,
--- a/adapters/spread_codec.c
+++ b/adapters/spread_codec.c
@@ -62,22 +62,22 @@
 
 static void put_digest(msgpack_packer *p, const struct spread_msg *m)
 {
-	msgpack_pack_uint64(p, m->root);
-	msgpack_pack_uint64(p, m->ask);
-	msgpack_pack_uint64(p, m->reader);
-	msgpack_pack_uint64(p, m->reader_age_ms);
+	msgpack_pack_uint64(p, m->store_digest);
+	msgpack_pack_uint64(p, m->wants_reply);
+	msgpack_pack_uint64(p, m->live_reader);
+	msgpack_pack_uint64(p, m->live_reader_age_ms);
 }
 
 static void put_buckets(msgpack_packer *p, const struct spread_msg *m)
 {
 	msgpack_pack_array(p, SPREAD_BUCKETS);
 	for (uint32_t i = 0; i < SPREAD_BUCKETS; i++)
-		msgpack_pack_uint64(p, m->buckets[i]);
+		msgpack_pack_uint64(p, m->bucket_digests[i]);
 }
 
 static void put_offer(msgpack_packer *p, const struct spread_msg *m)
 {
-	msgpack_pack_uint64(p, m->ask);
+	msgpack_pack_uint64(p, m->wants_reply);
 	msgpack_pack_uint64(p, m->bucket < 0 ? SPREAD_BUCKETS
 					     : (uint64_t)m->bucket);
 	put_offers(p, m);
@@ -88,7 +88,7 @@
 	const struct delta *d = &m->delta;
 
 	put_offers(p, m);
-	msgpack_pack_uint64(p, m->base);
+	msgpack_pack_uint64(p, m->base_hash);
 	msgpack_pack_array(p, d->n_removed);
 	for (uint32_t i = 0; i < d->n_removed; i++)
 		msgpack_pack_uint64(p, d->removed[i]);
@@ -105,7 +105,7 @@
 
 static void put_hello(msgpack_packer *p, const struct spread_msg *m)
 {
-	msgpack_pack_uint64(p, m->root);
+	msgpack_pack_uint64(p, m->store_digest);
 }
 
 /* Fields of a message under reading; @at moves past each. */
@@ -215,10 +215,11 @@
 
 static int get_digest(struct fields *f, struct spread_msg *m)
 {
-	if (get_u64(f, UINT64_MAX, &m->root) || get_bool(f, &m->ask) ||
-	    get_u64(f, UINT64_MAX, &m->reader))
+	if (get_u64(f, UINT64_MAX, &m->store_digest) ||
+	    get_bool(f, &m->wants_reply) ||
+	    get_u64(f, UINT64_MAX, &m->live_reader))
 		return -EPROTO;
-	return get_u64(f, UINT64_MAX / NS_PER_MS, &m->reader_age_ms);
+	return get_u64(f, UINT64_MAX / NS_PER_MS, &m->live_reader_age_ms);
 }
 
 static int get_buckets(struct fields *f, struct spread_msg *m)
@@ -228,7 +229,7 @@
 	if (get_array(f, SPREAD_BUCKETS, &in))
 		return -EPROTO;
 	for (uint32_t i = 0; i < SPREAD_BUCKETS; i++)
-		if (get_u64(&in, UINT64_MAX, &m->buckets[i]))
+		if (get_u64(&in, UINT64_MAX, &m->bucket_digests[i]))
 			return -EPROTO;
 	return 0;
 }
@@ -238,7 +239,7 @@
 	uint64_t bucket;
 	int err;
 
-	if (get_bool(f, &m->ask) || get_u64(f, SPREAD_BUCKETS, &bucket))
+	if (get_bool(f, &m->wants_reply) || get_u64(f, SPREAD_BUCKETS, &bucket))
 		return -EPROTO;
 	m->bucket = bucket == SPREAD_BUCKETS ? -1 : (int32_t)bucket;
 	err = get_offers(f, m);
@@ -296,7 +297,7 @@
 	if (!err)
 		err = check_versions(m);
 	if (!err)
-		err = get_u64(f, UINT64_MAX, &m->base);
+		err = get_u64(f, UINT64_MAX, &m->base_hash);
 	if (!err)
 		err = get_removed(f, &m->delta);
 	return err ? err : get_added(f, &m->delta);
@@ -309,7 +310,7 @@
 
 static int get_hello(struct fields *f, struct spread_msg *m)
 {
-	return get_u64(f, UINT64_MAX, &m->root);
+	return get_u64(f, UINT64_MAX, &m->store_digest);
 }
 
 static const struct {
@@ -318,14 +319,14 @@
 	int (*get)(struct fields *f, struct spread_msg *m);
 } kinds[SPREAD_KIND_COUNT] = {
 	[SPREAD_DIGEST] = { 4, put_digest, get_digest },
-	[SPREAD_BUCKETS_DIFFER] = { 1, put_buckets, get_buckets },
+	[SPREAD_BUCKET_DIGESTS] = { 1, put_buckets, get_buckets },
 	[SPREAD_OFFER] = { 3, put_offer, get_offer },
 	[SPREAD_WANT] = { 1, put_offers, get_offers },
 	[SPREAD_DATA] = { 4, put_data, get_data },
-	[SPREAD_BEAT] = { 1, put_beat, get_beat },
+	[SPREAD_HEARTBEAT] = { 1, put_beat, get_beat },
 	[SPREAD_HELLO] = { 1, put_hello, get_hello },
-	[SPREAD_LIST] = { 0, put_nothing, get_nothing },
-	[SPREAD_HELD] = { 1, put_offers, get_offers },
+	[SPREAD_VERSIONS_QUERY] = { 0, put_nothing, get_nothing },
+	[SPREAD_VERSIONS] = { 1, put_offers, get_offers },
 };
 
 #define COMMON_FIELDS 2
--- a/cmd/cb-watch/documents.c
+++ b/cmd/cb-watch/documents.c
@@ -103,7 +103,7 @@
 		return;
 	}
 	w->roster_known = true;
-	spread_roster(w->spread, w->vms, (uint32_t)n, uv_hrtime());
+	spread_set_roster(w->spread, w->vms, (uint32_t)n, uv_hrtime());
 }
 
 static int take_roster(struct watch *w, const char *key, const char *text,
@@ -266,7 +266,7 @@
 	const struct version *version;
 	const char *key;
 
-	if (!spread_each(w->spread, index, &key, &version, &content))
+	if (!spread_next_key(w->spread, index, &key, &version, &content))
 		return NULL;
 	return key;
 }
@@ -279,7 +279,7 @@
 		log_line(LOG_INFO, "platform", w->settings.platform_url, "%s",
 			 ok ? "answers" : "not read");
 	w->platform_ok = ok;
-	spread_platform_state(w->spread, ok, caught_up, uv_hrtime());
+	spread_set_platform_state(w->spread, ok, caught_up, uv_hrtime());
 }
 
 /* Whether this process can read a content; only what all can read spreads. */
@@ -328,14 +328,14 @@
 {
 	return (struct reader_port){
 		.ctx = w,
-		.call = start_call,
-		.cancel = cancel_call,
-		.known = known,
-		.document = take_document,
-		.template_text = take_template,
-		.gone = gone,
-		.each = each_known,
-		.state = platform_state,
+		.start_call = start_call,
+		.cancel_call = cancel_call,
+		.find_version = known,
+		.accept_document = take_document,
+		.accept_template = take_template,
+		.report_missing = gone,
+		.key_at = each_known,
+		.report_state = platform_state,
 	};
 }
 
--- a/cmd/cb-watch/operators.c
+++ b/cmd/cb-watch/operators.c
@@ -30,7 +30,7 @@
 	const struct watch_link_counters *l = watch_link_counters(w->link);
 	struct usage u;
 
-	gauge(out, "serving", spread_serving(w->spread));
+	gauge(out, "serving", spread_is_serving(w->spread));
 	gauge(out, "reader", spread_is_reader(w->spread));
 	gauge(out, "platform_ok", w->platform_ok);
 	gauge(out, "entries", watch_link_entry_count(w->link));
@@ -54,9 +54,9 @@
 /* Until it serves, what is held is not in force at the entry beside. */
 static const char *state_word(const struct watch *w, const struct version *v)
 {
-	if (version_withdrawn(v))
+	if (version_is_withdrawn(v))
 		return "withdrawn";
-	return spread_serving(w->spread) ? "live" : "held";
+	return spread_is_serving(w->spread) ? "live" : "held";
 }
 
 static void write_generations(const struct watch *w, GString *out)
@@ -66,9 +66,9 @@
 	const char *key;
 	uint32_t next = 0;
 
-	while ((next = spread_each(w->spread, next, &key, &version,
-				   &content))) {
-		if (version_empty(version))
+	while ((next = spread_next_key(w->spread, next, &key, &version,
+				       &content))) {
+		if (version_is_empty(version))
 			continue;
 		g_string_append_printf(out, "%s %lu %lu %016lx %s\n", key,
 				       version->generation, version->revision,
@@ -91,7 +91,7 @@
 	g_string_append_printf(out, "data_centre %s\n",
 			       w->settings.data_centre);
 	g_string_append_printf(out, "serving %s\n",
-			       spread_serving(w->spread) ? "yes" : "no");
+			       spread_is_serving(w->spread) ? "yes" : "no");
 	g_string_append_printf(out, "reader %s\n",
 			       spread_is_reader(w->spread) ? "yes" : "no");
 	g_string_append_printf(out, "platform %s\n",
@@ -99,7 +99,8 @@
 	g_string_append_printf(out, "entries %u\n",
 			       watch_link_entry_count(w->link));
 	g_string_append_printf(out, "vips_doubled %u\n", vips_doubled(w->vips));
-	g_string_append_printf(out, "digest %016lx\n", spread_root(w->spread));
+	g_string_append_printf(out, "digest %016lx\n",
+			       spread_store_digest(w->spread));
 	g_hash_table_foreach(w->refused, write_refused, out);
 }
 
--- a/cmd/cb-watch/watch.c
+++ b/cmd/cb-watch/watch.c
@@ -22,7 +22,7 @@
 		mode = READER_ALL;
 	else if (!w->roster_known)
 		mode = READER_ROSTER;
-	reader_mode(w->reader, mode, now_ns);
+	reader_set_mode(w->reader, mode, now_ns);
 	reader_tick(w->reader, now_ns);
 	arm(w);
 }
@@ -68,7 +68,7 @@
 {
 	struct watch *w = ctx;
 
-	reader_answer(w->reader, a, uv_hrtime());
+	reader_handle_answer(w->reader, a, uv_hrtime());
 	arm(w);
 }
 
--- a/core/spread/content.c
+++ b/core/spread/content.c
@@ -17,7 +17,7 @@
 	       (a->size_bytes < b->size_bytes);
 }
 
-static int compare(const void *a, const void *b)
+static int compare_items(const void *a, const void *b)
 {
 	return item_compare(a, b);
 }
@@ -33,11 +33,11 @@
 }
 
 /**
- * content_new() - copy items into a content
- * @items: in any order; a repeated one counts once
- * @n: how many
+ * content_new() - make a content of copies of items
+ * @items: items in any order; duplicates are dropped
+ * @n: their number
  *
- * Return: content, to be freed with content_free(); NULL without memory.
+ * Return: content, to be freed with content_free(); NULL when memory is short.
  */
 struct content *content_new(const struct item *items, uint32_t n)
 {
@@ -50,7 +50,7 @@
 		return NULL;
 	if (n)
 		memcpy(sorted, items, n * sizeof(*sorted));
-	qsort(sorted, n, sizeof(*sorted), compare);
+	qsort(sorted, n, sizeof(*sorted), compare_items);
 	for (uint32_t i = 0; i < n; i++)
 		size_bytes += sorted[i].size_bytes;
 	c = malloc(sizeof(*c) + n * sizeof(*sorted) + size_bytes);
@@ -81,10 +81,10 @@
 }
 
 /**
- * content_diff() - what turns one content into another
+ * content_diff() - compute the delta from one content to another
  * @from: base; NULL is the empty content
- * @to: result; the delta's items point into it
- * @out: filled, to be cleared with delta_clear()
+ * @to: new content; must outlive @out, whose added items point into it
+ * @out: delta, to be cleared with delta_clear()
  *
  * Return: 0 or -ENOMEM.
  */
@@ -127,10 +127,11 @@
 /**
  * content_patch() - apply a delta
  * @from: base; NULL is the empty content
- * @d: delta, perhaps from a hostile or confused peer
+ * @d: delta, possibly malformed or for another base
  *
- * Return: new content, whose hash the caller compares with the expected one;
- * NULL without memory or when the delta does not fit the base.
+ * The caller compares the hash of the result with the expected one.
+ *
+ * Return: new content; NULL when memory is short or @d does not fit the base.
  */
 struct content *content_patch(const struct content *from, const struct delta *d)
 {
--- a/core/spread/content.h
+++ b/core/spread/content.h
@@ -1,6 +1,6 @@
 /*
- * Content of a relayed key: a sorted set of opaque items, so that a change
- * travels as the items that differ and not as the whole.
+ * Content of a published key: a sorted set of opaque items, so that a change is
+ * sent as the items that differ and not as the whole content.
  */
 #ifndef CB_CONTENT_H
 #define CB_CONTENT_H
@@ -11,8 +11,8 @@
 
 /**
  * struct item - one element of a content
- * @data: its bytes; contents don't look into them
- * @size_bytes: how many
+ * @data: opaque bytes
+ * @size_bytes: size of @data
  */
 struct item {
 	const uint8_t *data;
@@ -21,10 +21,11 @@
 
 /**
  * struct content - immutable sorted set of items
- * @hash: of all items; equal sets have equal hashes on every VM
- * @size_bytes: sum of the items' sizes
- * @n: how many
- * @items: ascending by bytes, each once
+ * @hash: hash of all items; equal sets have equal hashes on every VM
+ * @size_bytes: sum of the sizes of @items
+ * @n: number of items
+ * @items: in ascending order of their bytes, without duplicates; their data is
+ *	in the same allocation
  */
 struct content {
 	uint64_t hash;
@@ -34,11 +35,11 @@
 };
 
 /**
- * struct delta - what turns one content into another
- * @removed: indexes into the base's items, ascending
- * @n_removed: how many
- * @added: items that the base lacks
- * @n_added: how many
+ * struct delta - difference between a base content and a new one
+ * @removed: indexes of the base's items that the new content lacks, ascending
+ * @n_removed: their number
+ * @added: items that the base lacks; their data belongs to the new content
+ * @n_added: their number
  */
 struct delta {
 	uint32_t *removed;
--- a/core/spread/reader_lines.h
+++ b/core/spread/reader_lines.h
@@ -1,11 +1,11 @@
-/* Lines "REVISION KEY" of the platform's answers. */
+/* Parser for the lines "REVISION KEY" of the platform's answers. */
 #ifndef CB_READER_LINES_H
 #define CB_READER_LINES_H
 
 #include "reader.h"
 
-bool lines_next(const char **at, const char *end, uint64_t *revision,
-		char key[PUBLISHED_KEY_MAX_BYTES], uint64_t *malformed);
-uint64_t lines_highest(const struct reader_answer *a);
+bool lines_read_next(const char **cursor, const char *end, uint64_t *revision,
+		     char key[PUBLISHED_KEY_MAX_BYTES], uint64_t *malformed);
+uint64_t lines_highest_revision(const struct reader_answer *a);
 
 #endif
--- a/core/spread/spread.c
+++ b/core/spread/spread.c
@@ -1,4 +1,4 @@
-/* Publications that are read from the platform, and what is held. */
+/* Versions read from the platform, and access to the records. */
 #include "spread_internal.h"
 
 #include <errno.h>
@@ -6,13 +6,13 @@
 #include <string.h>
 
 /**
- * spread_new() - a cb-watch that knows nothing yet
- * @conf: settings
- * @port: what it needs from outside
- * @rng: random source
- * @now_ns: time
+ * spread_new() - make the state of a cb-watch that has no records yet
+ * @conf: settings, copied
+ * @port: callbacks of the owner
+ * @rng: random source of its own
+ * @now_ns: current time
  *
- * Return: spread, to be freed with spread_free(); NULL without memory.
+ * Return: spread, to be freed with spread_free(); NULL when memory is short.
  */
 struct spread *spread_new(const struct spread_conf *conf,
 			  struct spread_port port, struct rng rng,
@@ -27,14 +27,14 @@
 	s->rng = rng;
 	s->records = calloc(SPREAD_KEYS_MAX + 1, sizeof(*s->records));
 	s->peers = calloc(SPREAD_PEERS_MAX, sizeof(*s->peers));
-	s->scratch = calloc(SPREAD_OFFERS_MAX, sizeof(*s->scratch));
-	if (!s->records || !s->peers || !s->scratch) {
+	s->offer_buffer = calloc(SPREAD_OFFERS_MAX, sizeof(*s->offer_buffer));
+	if (!s->records || !s->peers || !s->offer_buffer) {
 		spread_free(s);
 		return NULL;
 	}
-	s->best_heard_ns = now_ns;
+	s->best_reader_heard_ns = now_ns;
 	s->digest_deadline_ns = now_ns;
-	s->beat_deadline_ns = now_ns;
+	s->heartbeat_deadline_ns = now_ns;
 	return s;
 }
 
@@ -45,13 +45,13 @@
 	if (s->records)
 		store_free(s);
 	free(s->peers);
-	free(s->scratch);
+	free(s->offer_buffer);
 	free(s);
 }
 
-/* Why the platform's document can't be taken, or 0. */
-static int publish_check(struct spread *s, const struct record *r,
-			 uint64_t generation, uint64_t hash)
+/* 0 or the reason for which a document of the platform is refused. */
+static int check_publication(struct spread *s, const struct record *r,
+			     uint64_t generation, uint64_t hash)
 {
 	if (generation < r->version.generation) {
 		s->counters.stale_refused++;
@@ -59,7 +59,7 @@
 	}
 	if (generation > r->version.generation)
 		return 0;
-	if (version_withdrawn(&r->version)) {
+	if (version_is_withdrawn(&r->version)) {
 		s->counters.returns_refused++;
 		return -EPERM;
 	}
@@ -71,19 +71,20 @@
 }
 
 /**
- * spread_publish() - a document that was read from the platform and rendered
+ * spread_publish() - accept a document that was read from the platform
  * @s: spread
  * @key: key
- * @generation: its generation, at least 1
- * @revision: platform's revision of it
+ * @generation: generation of the document, at least 1
+ * @revision: platform's revision of the document
  * @content: rendered content, copied
- * @now_ns: time
+ * @now_ns: current time
  *
- * Return: 0 when it is accepted; -EALREADY when it is known; -ESTALE for an
- * older generation; -EEXIST for the generation in force with another content;
- * -EPERM for a withdrawn key that comes back without a higher generation, or
- * for one whose deletion is newer than @revision; -EPROTO when it can't be
- * read here; -EINVAL, -ENOSPC, -ENOMEM.
+ * Return: 0 when the version is put in force and offered to peers; -EALREADY when
+ * it is known; -ESTALE for an older generation; -EEXIST for the generation in
+ * force with another content; -EPERM for a withdrawn key that is published again
+ * without a higher generation, or whose deletion is newer than @revision; -EPROTO
+ * when this process cannot parse @content; -EINVAL for generation 0; -ENOSPC when
+ * the table is full or @key too long; -ENOMEM.
  */
 int spread_publish(struct spread *s, const char *key, uint64_t generation,
 		   uint64_t revision, const struct content *content,
@@ -96,14 +97,14 @@
 
 	if (!generation)
 		return -EINVAL;
-	if (s->port.check(s->port.ctx, key, content)) {
+	if (s->port.check_content(s->port.ctx, key, content)) {
 		s->counters.contents_unreadable++;
 		return -EPROTO;
 	}
-	r = store_get(s, key);
+	r = store_find_or_create(s, key);
 	if (!r)
 		return -ENOSPC;
-	err = publish_check(s, r, generation, content->hash);
+	err = check_publication(s, r, generation, content->hash);
 	if (err)
 		return err;
 	if (revision < r->version.withdrawn_revision) {
@@ -113,24 +114,24 @@
 	copy = content_new(content->items, content->n);
 	if (!copy)
 		return -ENOMEM;
-	store_take(r, copy);
+	store_replace_content(r, copy);
 	store_join(s, r, &v);
-	relay_accepted(s, r, ADDR_NONE, now_ns);
+	relay_version(s, r, ADDR_NONE, now_ns);
 	return 0;
 }
 
 /**
- * spread_withdraw() - the platform does not have a key any more
+ * spread_withdraw() - withdraw a key that the platform does not have any more
  * @s: spread
  * @key: key
- * @revision: platform's revision when it was asked
- * @now_ns: time
+ * @revision: platform's revision at which the key was missing
+ * @now_ns: current time
  *
- * A stale platform lacks keys that were made after its view; it must not
- * withdraw them, so its revision has to be past the publication's.
+ * A stale platform lacks keys that were created after its state. It must not
+ * withdraw them, so @revision has to be higher than the publication's.
  *
- * Return: 0; -ENOENT for an unknown key; -EALREADY; -ESTALE when the platform
- * is behind the publication.
+ * Return: 0; -ENOENT for an unknown key; -EALREADY for a withdrawn one; -ESTALE
+ * when the platform is behind the publication.
  */
 int spread_withdraw(struct spread *s, const char *key, uint64_t revision,
 		    uint64_t now_ns)
@@ -140,28 +141,35 @@
 
 	if (!r || !r->version.generation)
 		return -ENOENT;
-	if (version_withdrawn(&r->version))
+	if (version_is_withdrawn(&r->version))
 		return -EALREADY;
 	if (revision <= r->version.revision) {
 		s->counters.stale_refused++;
 		return -ESTALE;
 	}
 	store_join(s, r, &v);
-	relay_accepted(s, r, ADDR_NONE, now_ns);
+	relay_version(s, r, ADDR_NONE, now_ns);
 	return 0;
 }
 
-uint64_t spread_root(const struct spread *s)
+/**
+ * spread_store_digest() - digest of all records
+ * @s: spread
+ *
+ * Return: hash; equal on VMs that have the same versions.
+ */
+uint64_t spread_store_digest(const struct spread *s)
 {
-	return s->root;
+	return s->store_digest;
 }
 
 /**
- * spread_version() - the version of a key held here
+ * spread_version() - version of a key
  * @s: spread
  * @key: key
  *
- * Return: version, or NULL for an unknown key.
+ * Return: version, valid until the next call that changes @s; NULL for an unknown
+ * key.
  */
 const struct version *spread_version(const struct spread *s, const char *key)
 {
@@ -170,6 +178,14 @@
 	return r ? &r->version : NULL;
 }
 
+/**
+ * spread_content() - content of a key
+ * @s: spread
+ * @key: key
+ *
+ * Return: content, valid until the next call that changes @s; NULL when the key is
+ * unknown, withdrawn or only requested.
+ */
 const struct content *spread_content(const struct spread *s, const char *key)
 {
 	const struct record *r = store_find(s, key);
@@ -178,18 +194,18 @@
 }
 
 /**
- * spread_each() - walk all keys in order
+ * spread_next_key() - iterate over the records in ascending order of their keys
  * @s: spread
- * @index: from 0
- * @key: set
- * @version: set
- * @content: set, NULL when withdrawn
+ * @index: 0, then the value returned last
+ * @key: set to the key
+ * @version: set to its version
+ * @content: set to its content; NULL when it is withdrawn or only requested
  *
- * Return: next index, or 0 at the end.
+ * Return: index for the next call; 0 past the last record, with nothing set.
  */
-uint32_t spread_each(const struct spread *s, uint32_t index, const char **key,
-		     const struct version **version,
-		     const struct content **content)
+uint32_t spread_next_key(const struct spread *s, uint32_t index,
+			 const char **key, const struct version **version,
+			 const struct content **content)
 {
 	if (index >= s->n_records)
 		return 0;
--- a/core/spread/spread_relay.c
+++ b/core/spread/spread_relay.c
@@ -1,18 +1,19 @@
-/* Messages that carry publications from one cb-watch to another. */
+/* Messages that relay versions from one cb-watch to another. */
 #include "spread_internal.h"
 
 #include <string.h>
 
-/* A version was taken: put it in force and tell others. */
-void relay_accepted(struct spread *s, struct record *r, uint64_t from,
-		    uint64_t now_ns)
+/* Put an accepted version in force and offer it to peers other than @from. */
+void relay_version(struct spread *s, struct record *r, uint64_t from,
+		   uint64_t now_ns)
 {
 	s->counters.accepted++;
-	store_announce(s, r);
+	store_put_in_force(s, r);
 	peers_offer(s, r, from, now_ns);
 }
 
-static struct spread_msg reply(const struct spread *s, enum spread_kind kind)
+static struct spread_msg new_message(const struct spread *s,
+				     enum spread_kind kind)
 {
 	return (struct spread_msg){
 		.kind = kind,
@@ -21,40 +22,42 @@
 	};
 }
 
-static void offer_add(struct spread *s, struct spread_msg *m, const char *key,
+static void add_offer(struct spread *s, struct spread_msg *m, const char *key,
 		      const struct version *v)
 {
 	if (m->n_offers == SPREAD_OFFERS_MAX)
 		return;
-	memcpy(s->scratch[m->n_offers].key, key, PUBLISHED_KEY_MAX_BYTES);
-	s->scratch[m->n_offers].version = *v;
-	m->offers = s->scratch;
+	memcpy(s->offer_buffer[m->n_offers].key, key, PUBLISHED_KEY_MAX_BYTES);
+	s->offer_buffer[m->n_offers].version = *v;
+	m->offers = s->offer_buffer;
 	m->n_offers++;
 }
 
-static void send_some(struct spread *s, uint64_t vm, const struct spread_msg *m)
+static void send_if_any(struct spread *s, uint64_t vm,
+			const struct spread_msg *m)
 {
 	if (m->n_offers)
 		s->port.send(s->port.ctx, vm, m);
 }
 
-/* Offer a bucket whole and ask for what the other has newer. */
-static void offer_bucket(struct spread *s, uint64_t vm, uint32_t bucket)
+/* Offer all versions of a bucket and request newer ones in reply. */
+static void send_bucket_offer(struct spread *s, uint64_t vm, uint32_t bucket)
 {
-	struct spread_msg m = reply(s, SPREAD_OFFER);
+	struct spread_msg m = new_message(s, SPREAD_OFFER);
 
-	m.ask = true;
+	m.wants_reply = true;
 	m.bucket = (int32_t)bucket;
 	for (uint32_t i = 0; i < s->n_records; i++) {
 		const struct record *r = &s->records[i];
 
-		if (key_bucket(r->key) == bucket && !version_empty(&r->version))
-			offer_add(s, &m, r->key, &r->version);
+		if (key_bucket(r->key) == bucket &&
+		    !version_is_empty(&r->version))
+			add_offer(s, &m, r->key, &r->version);
 	}
 	s->port.send(s->port.ctx, vm, &m);
 }
 
-static const struct spread_offer *offer_find(const struct spread_msg *msg,
+static const struct spread_offer *find_offer(const struct spread_msg *msg,
 					     const char *key)
 {
 	for (uint32_t i = 0; i < msg->n_offers; i++)
@@ -63,30 +66,31 @@
 	return NULL;
 }
 
-/* Answer a whole bucket's offer with what is newer here. */
-static void offer_back(struct spread *s, const struct spread_msg *msg)
+/* Reply to the offer of a whole bucket with the versions newer than in it. */
+static void answer_bucket_offer(struct spread *s, const struct spread_msg *msg)
 {
-	struct spread_msg m = reply(s, SPREAD_OFFER);
+	struct spread_msg m = new_message(s, SPREAD_OFFER);
 
 	for (uint32_t i = 0; i < s->n_records; i++) {
 		const struct record *r = &s->records[i];
 		const struct spread_offer *o;
 
 		if (key_bucket(r->key) != (uint32_t)msg->bucket ||
-		    version_empty(&r->version))
+		    version_is_empty(&r->version))
 			continue;
-		o = offer_find(msg, r->key);
-		if (!o || version_newer(&r->version, &o->version))
-			offer_add(s, &m, r->key, &r->version);
+		o = find_offer(msg, r->key);
+		if (!o || version_adds_to(&r->version, &o->version))
+			add_offer(s, &m, r->key, &r->version);
 	}
-	send_some(s, msg->from, &m);
+	send_if_any(s, msg->from, &m);
 }
 
 /*
- * Learn from an offered version what needs no content: a withdrawal, or an
- * order of revisions under the content held. True when the content is lacking.
+ * Join the parts of an offered version that need no content: a withdrawal, or
+ * another revision with the content that is stored. Returns true when the content
+ * has to be requested.
  */
-static bool offer_learn(struct spread *s, struct record *r,
+static bool apply_offer(struct spread *s, struct record *r,
 			const struct spread_offer *o, uint64_t from,
 			uint64_t now_ns)
 {
@@ -95,51 +99,51 @@
 				     o->version.withdrawn_revision };
 
 	version_join(&joined, &o->version);
-	if (version_withdrawn(&joined) ||
+	if (version_is_withdrawn(&joined) ||
 	    (r->content && r->content->hash == joined.hash))
 		v = o->version;
-	if (version_newer(&v, &r->version)) {
+	if (version_adds_to(&v, &r->version)) {
 		store_join(s, r, &v);
-		relay_accepted(s, r, from, now_ns);
+		relay_version(s, r, from, now_ns);
 	}
-	return version_beats(&o->version, &r->version);
+	return version_supersedes(&o->version, &r->version);
 }
 
 static void receive_offer(struct spread *s, const struct spread_msg *msg,
 			  uint64_t now_ns)
 {
-	struct spread_msg want = reply(s, SPREAD_WANT);
+	struct spread_msg queue_if_newer = new_message(s, SPREAD_WANT);
 
-	if (msg->ask && msg->bucket >= 0)
-		offer_back(s, msg);
+	if (msg->wants_reply && msg->bucket >= 0)
+		answer_bucket_offer(s, msg);
 	for (uint32_t i = 0; i < msg->n_offers; i++) {
 		const struct spread_offer *o = &msg->offers[i];
-		struct record *r = store_get(s, o->key);
+		struct record *r = store_find_or_create(s, o->key);
 		struct version base = { 0 };
 
-		if (!r || !offer_learn(s, r, o, msg->from, now_ns))
+		if (!r || !apply_offer(s, r, o, msg->from, now_ns))
 			continue;
-		if (now_ns < r->asked_deadline_ns)
+		if (now_ns < r->request_deadline_ns)
 			continue;
-		r->asked_deadline_ns = now_ns + WANT_TIMEOUT_NS;
+		r->request_deadline_ns = now_ns + WANT_TIMEOUT_NS;
 		base.hash = r->content ? r->content->hash : 0;
-		offer_add(s, &want, o->key, &base);
+		add_offer(s, &queue_if_newer, o->key, &base);
 	}
-	s->counters.wants += want.n_offers;
-	send_some(s, msg->from, &want);
+	s->counters.wants += queue_if_newer.n_offers;
+	send_if_any(s, msg->from, &queue_if_newer);
 }
 
 static void send_data(struct spread *s, uint64_t vm, const struct record *r,
 		      uint64_t base_hash)
 {
-	struct spread_msg m = reply(s, SPREAD_DATA);
-	const struct content *base = store_base(r, base_hash);
+	struct spread_msg m = new_message(s, SPREAD_DATA);
+	const struct content *base = store_find_content(r, base_hash);
 	struct spread_offer one = { .version = r->version };
 
 	memcpy(one.key, r->key, sizeof(one.key));
 	m.offers = &one;
 	m.n_offers = 1;
-	m.base = base ? base->hash : 0;
+	m.base_hash = base ? base->hash : 0;
 	if (content_diff(base, r->content, &m.delta))
 		return;
 	if (base)
@@ -163,14 +167,15 @@
 	}
 }
 
-static void want_whole(struct spread *s, uint64_t vm, const char *key)
+static void request_whole_content(struct spread *s, uint64_t vm,
+				  const char *key)
 {
-	struct spread_msg want = reply(s, SPREAD_WANT);
+	struct spread_msg queue_if_newer = new_message(s, SPREAD_WANT);
 	struct version none = { 0 };
 
-	offer_add(s, &want, key, &none);
+	add_offer(s, &queue_if_newer, key, &none);
 	s->counters.wants++;
-	send_some(s, vm, &want);
+	send_if_any(s, vm, &queue_if_newer);
 }
 
 static void receive_data(struct spread *s, const struct spread_msg *msg,
@@ -181,29 +186,29 @@
 	struct content *c;
 	struct record *r;
 
-	r = msg->n_offers == 1 ? store_get(s, o->key) : NULL;
-	if (!r || !version_beats(&o->version, &r->version))
+	r = msg->n_offers == 1 ? store_find_or_create(s, o->key) : NULL;
+	if (!r || !version_supersedes(&o->version, &r->version))
 		return;
-	base = msg->base ? store_base(r, msg->base) : NULL;
-	c = msg->base && !base ? NULL : content_patch(base, &msg->delta);
+	base = msg->base_hash ? store_find_content(r, msg->base_hash) : NULL;
+	c = msg->base_hash && !base ? NULL : content_patch(base, &msg->delta);
 	if (!c || c->hash != o->version.hash) {
 		content_free(c);
 		s->counters.deltas_unusable++;
-		if (msg->base)
-			want_whole(s, msg->from, o->key);
+		if (msg->base_hash)
+			request_whole_content(s, msg->from, o->key);
 		return;
 	}
-	if (s->port.check(s->port.ctx, o->key, c)) {
+	if (s->port.check_content(s->port.ctx, o->key, c)) {
 		content_free(c);
 		s->counters.contents_unreadable++;
 		return;
 	}
 	if (o->version.generation == r->version.generation)
 		s->counters.conflicts++;
-	store_take(r, c);
+	store_replace_content(r, c);
 	store_join(s, r, &o->version);
-	r->asked_deadline_ns = 0;
-	relay_accepted(s, r, msg->from, now_ns);
+	r->request_deadline_ns = 0;
+	relay_version(s, r, msg->from, now_ns);
 }
 
 static void receive_digest(struct spread *s, const struct spread_msg *msg,
@@ -212,16 +217,16 @@
 	struct spread_msg m;
 
 	s->counters.digests++;
-	if (msg->root == s->root)
-		peers_agreed(s, msg->from, now_ns);
-	if (msg->root == s->root || !msg->ask) {
-		if (msg->ask)
-			peers_digest(s, msg->from, false, now_ns);
+	if (msg->store_digest == s->store_digest)
+		peers_record_agreement(s, msg->from, now_ns);
+	if (msg->store_digest == s->store_digest || !msg->wants_reply) {
+		if (msg->wants_reply)
+			peers_send_digest(s, msg->from, false, now_ns);
 		return;
 	}
-	m = reply(s, SPREAD_BUCKETS_DIFFER);
-	m.root = s->root;
-	memcpy(m.buckets, s->buckets, sizeof(m.buckets));
+	m = new_message(s, SPREAD_BUCKET_DIGESTS);
+	m.store_digest = s->store_digest;
+	memcpy(m.bucket_digests, s->bucket_digests, sizeof(m.bucket_digests));
 	s->port.send(s->port.ctx, msg->from, &m);
 }
 
@@ -230,23 +235,23 @@
 {
 	(void)now_ns;
 	for (uint32_t i = 0; i < SPREAD_BUCKETS; i++)
-		if (msg->buckets[i] != s->buckets[i])
-			offer_bucket(s, msg->from, i);
+		if (msg->bucket_digests[i] != s->bucket_digests[i])
+			send_bucket_offer(s, msg->from, i);
 }
 
 /**
- * spread_receive() - a message from another cb-watch
+ * spread_receive() - handle a message from another cb-watch
  * @s: spread
- * @msg: message, authenticated and well formed
- * @now_ns: time
+ * @msg: message, authenticated and decoded without errors
+ * @now_ns: current time
  */
 void spread_receive(struct spread *s, const struct spread_msg *msg,
 		    uint64_t now_ns)
 {
-	static void (*const receive[SPREAD_KIND_COUNT])(
+	static void (*const handlers[SPREAD_KIND_COUNT])(
 		struct spread *, const struct spread_msg *, uint64_t) = {
 		[SPREAD_DIGEST] = receive_digest,
-		[SPREAD_BUCKETS_DIFFER] = receive_buckets,
+		[SPREAD_BUCKET_DIGESTS] = receive_buckets,
 		[SPREAD_OFFER] = receive_offer,
 		[SPREAD_WANT] = receive_want,
 		[SPREAD_DATA] = receive_data,
@@ -254,7 +259,7 @@
 
 	if (msg->from == s->conf.self || msg->kind >= SPREAD_KIND_COUNT)
 		return;
-	peers_heard(s, msg, now_ns);
-	if (receive[msg->kind])
-		receive[msg->kind](s, msg, now_ns);
+	peers_record_message(s, msg, now_ns);
+	if (handlers[msg->kind])
+		handlers[msg->kind](s, msg, now_ns);
 }
--- a/core/spread/spread_store.c
+++ b/core/spread/spread_store.c
@@ -1,4 +1,4 @@
-/* Records of published keys and their digests. */
+/* Sorted table of the records, and its digests. */
 #include "spread_internal.h"
 
 #include <stdlib.h>
@@ -7,7 +7,7 @@
 
 #define BUCKET_SEED 0x6275636bULL
 
-/* Index of @key, or of the place where it belongs with *found false. */
+/* Index of @key; with *found false, index at which it is to be inserted. */
 static uint32_t store_index(const struct spread *s, const char *key,
 			    bool *found)
 {
@@ -33,17 +33,17 @@
 struct record *store_find(const struct spread *s, const char *key)
 {
 	bool found;
-	uint32_t at = store_index(s, key, &found);
+	uint32_t index = store_index(s, key, &found);
 
-	return found ? &s->records[at] : NULL;
+	return found ? &s->records[index] : NULL;
 }
 
-/* Find or make a record; NULL when the table is full or the key too long. */
-struct record *store_get(struct spread *s, const char *key)
+/* Find or insert a record; NULL when the table is full or the key too long. */
+struct record *store_find_or_create(struct spread *s, const char *key)
 {
 	bool found;
-	uint32_t at = store_index(s, key, &found);
-	struct record *r = &s->records[at];
+	uint32_t index = store_index(s, key, &found);
+	struct record *r = &s->records[index];
 
 	if (found)
 		return r;
@@ -52,7 +52,7 @@
 		s->counters.table_full++;
 		return NULL;
 	}
-	memmove(r + 1, r, (s->n_records - at) * sizeof(*r));
+	memmove(r + 1, r, (s->n_records - index) * sizeof(*r));
 	*r = (struct record){ 0 };
 	strcpy(r->key, key);
 	s->n_records++;
@@ -65,15 +65,16 @@
 	       SPREAD_BUCKETS;
 }
 
-static void store_toggle(struct spread *s, const struct record *r)
+/* Exclusive or with the digests adds a record to them or removes it. */
+static void toggle_digest(struct spread *s, const struct record *r)
 {
 	uint64_t digest;
 
-	if (version_empty(&r->version))
+	if (version_is_empty(&r->version))
 		return;
 	digest = version_digest(r->key, &r->version);
-	s->root ^= digest;
-	s->buckets[key_bucket(r->key)] ^= digest;
+	s->store_digest ^= digest;
+	s->bucket_digests[key_bucket(r->key)] ^= digest;
 }
 
 static void record_clear(struct record *r)
@@ -86,20 +87,20 @@
 	}
 }
 
-/* Join a version whose content, if it needs one, is already in place. */
+/* Join a version. The content that it may need has been stored before. */
 void store_join(struct spread *s, struct record *r, const struct version *v)
 {
-	store_toggle(s, r);
+	toggle_digest(s, r);
 	version_join(&r->version, v);
-	store_toggle(s, r);
-	if (version_withdrawn(&r->version) && r->content) {
+	toggle_digest(s, r);
+	if (version_is_withdrawn(&r->version) && r->content) {
 		record_clear(r);
 		s->counters.withdrawn++;
 	}
 }
 
-/* Replace the content; the old one is kept as a base for deltas. */
-void store_take(struct record *r, struct content *take)
+/* Replace the content; older ones are kept as bases for deltas. */
+void store_replace_content(struct record *r, struct content *new_content)
 {
 	if (r->content) {
 		content_free(r->history[CONTENT_HISTORY - 1]);
@@ -107,11 +108,11 @@
 			(CONTENT_HISTORY - 1) * sizeof(r->history[0]));
 		r->history[0] = r->content;
 	}
-	r->content = take;
+	r->content = new_content;
 }
 
-/* The content with @hash, now or earlier; NULL when it is not held. */
-const struct content *store_base(const struct record *r, uint64_t hash)
+/* Current or earlier content with this hash; NULL when there is none. */
+const struct content *store_find_content(const struct record *r, uint64_t hash)
 {
 	if (r->content && r->content->hash == hash)
 		return r->content;
@@ -121,14 +122,14 @@
 	return NULL;
 }
 
-/* Tell the owner of this store what is in force. */
-void store_announce(struct spread *s, const struct record *r)
+/* Report a version to the owner, once joining has ended. */
+void store_put_in_force(struct spread *s, const struct record *r)
 {
-	bool early = !strcmp(r->key, s->conf.roster_key);
+	bool is_roster = !strcmp(r->key, s->conf.roster_key);
 
-	if (!(s->serving || early) || version_empty(&r->version))
+	if (!(s->serving || is_roster) || version_is_empty(&r->version))
 		return;
-	s->port.in_force(s->port.ctx, r->key, &r->version, r->content);
+	s->port.put_in_force(s->port.ctx, r->key, &r->version, r->content);
 }
 
 void store_free(struct spread *s)
--- a/core/spread/version.c
+++ b/core/spread/version.c
@@ -6,17 +6,17 @@
 #define DIGEST_SEED 0x76657273ULL
 
 /**
- * version_beats() - whether a publication replaces another at all VMs
- * @a: one
- * @b: other
+ * version_supersedes() - whether one publication replaces another
+ * @a: candidate
+ * @b: current publication
  *
- * A higher generation wins. Two contents under one generation are an
- * operator's mistake that two readers may see in different order; the first
- * to be published wins then, and the hash decides what is left.
+ * A higher generation wins. Two contents under one generation are an operator's
+ * mistake, which two readers may see in different order: the one with the lower
+ * revision, which was published first, wins; then the higher hash.
  *
  * Return: true when @a replaces @b.
  */
-bool version_beats(const struct version *a, const struct version *b)
+bool version_supersedes(const struct version *a, const struct version *b)
 {
 	if (a->generation != b->generation)
 		return a->generation > b->generation;
@@ -26,43 +26,43 @@
 }
 
 /**
- * version_newer() - whether a version says something that another does not
- * @a: one
- * @b: other
+ * version_adds_to() - whether joining a version would change another
+ * @a: version received
+ * @b: version held
  *
  * Return: true when joining @a into @b would change @b.
  */
-bool version_newer(const struct version *a, const struct version *b)
+bool version_adds_to(const struct version *a, const struct version *b)
 {
-	return version_beats(a, b) ||
+	return version_supersedes(a, b) ||
 	       a->withdrawn_revision > b->withdrawn_revision;
 }
 
 /**
- * version_withdrawn() - whether the key was deleted after its publication
+ * version_is_withdrawn() - whether the key was deleted after its publication
  * @v: version
  *
- * Return: true when the key is not in force.
+ * Return: true when the key is withdrawn.
  */
-bool version_withdrawn(const struct version *v)
+bool version_is_withdrawn(const struct version *v)
 {
 	return v->withdrawn_revision > v->revision;
 }
 
-/* Nothing is known of the key yet: it was only asked for. */
-bool version_empty(const struct version *v)
+/* Only requested so far: neither a publication nor a withdrawal is known. */
+bool version_is_empty(const struct version *v)
 {
 	return !v->generation && !v->withdrawn_revision;
 }
 
 /**
- * version_join() - learn what another VM knows
- * @to: changed
- * @from: the other's version
+ * version_join() - replace a version by its join with another
+ * @to: version to be changed
+ * @from: version of another VM
  */
 void version_join(struct version *to, const struct version *from)
 {
-	if (version_beats(from, to)) {
+	if (version_supersedes(from, to)) {
 		to->generation = from->generation;
 		to->revision = from->revision;
 		to->hash = from->hash;
@@ -72,15 +72,16 @@
 }
 
 /**
- * version_digest() - a key's share in the digest of a whole store
+ * version_digest() - hash of a key and its version
  * @key: key
- * @v: its version
+ * @v: version of @key
  *
- * Return: 64-bit hash; a store's digest is the exclusive or of its keys'.
+ * Return: 64-bit hash; the digest of a store is the exclusive or of the hashes
+ * of all its keys.
  */
 uint64_t version_digest(const char *key, const struct version *v)
 {
-	uint64_t name = XXH3_64bits_withSeed(key, strlen(key), DIGEST_SEED);
+	uint64_t key_hash = XXH3_64bits_withSeed(key, strlen(key), DIGEST_SEED);
 
-	return XXH3_64bits_withSeed(v, sizeof(*v), name);
+	return XXH3_64bits_withSeed(v, sizeof(*v), key_hash);
 }
--- a/test/codec_case.c
+++ b/test/codec_case.c
@@ -119,12 +119,12 @@
 	struct spread_msg m = {
 		.kind = kind,
 		.from = rng_next(&rng) >> 16 | 1,
-		.root = rng_next(&rng),
-		.ask = seed % 2,
+		.store_digest = rng_next(&rng),
+		.wants_reply = seed % 2,
 		.bucket = (int32_t)(seed % (SPREAD_BUCKETS + 1)) - 1,
 		.offers = offers,
 		.n_offers = kind == SPREAD_DATA ? 1 : 3,
-		.base = rng_next(&rng),
+		.base_hash = rng_next(&rng),
 		.delta = { removed, 3, added, 2 },
 	};
 	uint32_t size_bytes;
--- a/test/content_prop.cc
+++ b/test/content_prop.cc
@@ -90,8 +90,8 @@
 
 		RC_ASSERT(j.generation >= a.generation);
 		RC_ASSERT(j.generation >= b.generation);
-		RC_ASSERT(!version_newer(&a, &j) && !version_newer(&b, &j));
-		RC_ASSERT(version_newer(&b, &a) == !same(j, a));
+		RC_ASSERT(!version_adds_to(&a, &j) && !version_adds_to(&b, &j));
+		RC_ASSERT(version_adds_to(&b, &a) == !same(j, a));
 	});
 	return ok;
 }
--- a/test/link_test.c
+++ b/test/link_test.c
@@ -147,10 +147,10 @@
 			 0);
 	watch_link_spread(w->link, w->spread);
 	publish_account(f, generation);
-	spread_platform_state(w->spread, true, true, 1);
-	spread_roster(w->spread, NULL, 0, 1);
+	spread_set_platform_state(w->spread, true, true, 1);
+	spread_set_roster(w->spread, NULL, 0, 1);
 	spread_tick(w->spread, 1);
-	assert_true(spread_serving(w->spread));
+	assert_true(spread_is_serving(w->spread));
 }
 
 static void watch_stop(struct fixture *f)
--- a/test/reader_test.c
+++ b/test/reader_test.c
@@ -39,16 +39,17 @@
 static void test_a_reader_that_stops_waits(void **unused)
 {
 	uint32_t calls = 0;
-	struct reader_port port = {
-		.ctx = &calls, .call = call, .cancel = cancel, .state = state
-	};
+	struct reader_port port = { .ctx = &calls,
+				    .start_call = call,
+				    .cancel_call = cancel,
+				    .report_state = state };
 	struct reader *r = reader_new("garda", port, (struct rng){ 7 }, 1);
 
 	(void)unused;
-	reader_mode(r, READER_ALL, 10);
+	reader_set_mode(r, READER_ALL, 10);
 	reader_tick(r, 10);
 	assert_int_equal(calls, 1);
-	reader_mode(r, READER_OFF, 20);
+	reader_set_mode(r, READER_OFF, 20);
 	reader_tick(r, 20);
 	assert_int_equal(calls, 1);
 	assert_true(reader_next_ns(r) > 20);
@@ -107,22 +108,22 @@
 {
 	struct reader_answer a = { 200, 6, body, strlen(body) };
 
-	reader_answer(b->reader, &a, now_ns);
+	reader_handle_answer(b->reader, &a, now_ns);
 }
 
 static void open_book(struct platform_book *b, const char *list)
 {
 	struct reader_port port = { .ctx = b,
-				    .call = note_call,
-				    .cancel = cancel,
-				    .known = known,
-				    .document = document,
-				    .each = each,
-				    .state = state };
+				    .start_call = note_call,
+				    .cancel_call = cancel,
+				    .find_version = known,
+				    .accept_document = document,
+				    .key_at = each,
+				    .report_state = state };
 
 	*b = (struct platform_book){ 0 };
 	b->reader = reader_new("garda", port, (struct rng){ 7 }, 1);
-	reader_mode(b->reader, READER_ALL, 10);
+	reader_set_mode(b->reader, READER_ALL, 10);
 	reader_tick(b->reader, 10);
 	answer(b, list, 20);
 }
@@ -186,17 +187,17 @@
 {
 	struct platform_book b;
 	struct reader_port port = { .ctx = &b,
-				    .call = note_call,
-				    .cancel = cancel,
-				    .known = known_at_26,
-				    .document = document,
-				    .each = each,
-				    .state = state };
+				    .start_call = note_call,
+				    .cancel_call = cancel,
+				    .find_version = known_at_26,
+				    .accept_document = document,
+				    .key_at = each,
+				    .report_state = state };
 
 	(void)unused;
 	b = (struct platform_book){ 0 };
 	b.reader = reader_new("garda", port, (struct rng){ 7 }, 1);
-	reader_mode(b.reader, READER_ALL, 10);
+	reader_set_mode(b.reader, READER_ALL, 10);
 	reader_tick(b.reader, 10);
 	answer(&b, "24 account/a\n26 account/b\n30 template/t\n", 20);
 	assert_int_equal(b.last, CALL_GET);
--- a/test/spread_net.c
+++ b/test/spread_net.c
@@ -246,7 +246,7 @@
 		vms[n++] = vm_addr((uint32_t)atoi(text));
 	}
 	vm->roster_known = true;
-	spread_roster(vm->spread, vms, n, vm->net->now_ns);
+	spread_set_roster(vm->spread, vms, n, vm->net->now_ns);
 }
 
 static uint32_t split(char *text, struct item *items, uint32_t n)
@@ -342,15 +342,16 @@
 	const struct version *version;
 	const char *key;
 
-	return spread_each(vm->spread, index, &key, &version, &content) ? key
-									: NULL;
+	return spread_next_key(vm->spread, index, &key, &version, &content)
+		       ? key
+		       : NULL;
 }
 
 static void port_state(void *ctx, bool ok, bool caught_up)
 {
 	struct vm *vm = ctx;
 
-	spread_platform_state(vm->spread, ok, caught_up, vm->net->now_ns);
+	spread_set_platform_state(vm->spread, ok, caught_up, vm->net->now_ns);
 }
 
 /* Ports of the spread. */
@@ -420,7 +421,8 @@
 	bool same = v->generation == old->generation;
 
 	net->falls += v->generation < old->generation;
-	net->falls += same && version_withdrawn(old) && !version_withdrawn(v);
+	net->falls +=
+		same && version_is_withdrawn(old) && !version_is_withdrawn(v);
 	net->rewrites += same && v->generation && v->hash != old->hash;
 	f->version = *v;
 }
@@ -435,7 +437,7 @@
 	struct version joined = forced_get(vm->entry, key)->version;
 
 	note(vm->net, vm->watch, key, version);
-	if (version_newer(version, &joined)) {
+	if (version_adds_to(version, &joined)) {
 		version_join(&joined, version);
 		note(vm->net, vm->entry, key, &joined);
 	}
@@ -489,7 +491,7 @@
 		mode = READER_ALL;
 	else if (!vm->roster_known)
 		mode = READER_ROSTER;
-	reader_mode(vm->reader, mode, now_ns);
+	reader_set_mode(vm->reader, mode, now_ns);
 	reader_tick(vm->reader, now_ns);
 }
 
@@ -556,7 +558,7 @@
 		answer_list(v, &a, body);
 	else if (reached)
 		answer_get(v, call.key, &a);
-	reader_answer(vm->reader, &a, net->now_ns);
+	reader_handle_answer(vm->reader, &a, net->now_ns);
 }
 
 static void deliver(struct net *net, struct frame *f)
@@ -694,7 +696,7 @@
 {
 	const struct forced *f = forced_find(net->vms[vm].entry, key);
 
-	return f && version_withdrawn(&f->version);
+	return f && version_is_withdrawn(&f->version);
 }
 
 bool net_alive(const struct net *net, uint32_t vm)
@@ -704,7 +706,7 @@
 
 bool net_serving(const struct net *net, uint32_t vm)
 {
-	return net->vms[vm].spread && spread_serving(net->vms[vm].spread);
+	return net->vms[vm].spread && spread_is_serving(net->vms[vm].spread);
 }
 
 bool net_reader(const struct net *net, uint32_t vm)
@@ -723,7 +725,7 @@
 
 uint64_t net_root(const struct net *net, uint32_t vm)
 {
-	return spread_root(net->vms[vm].spread);
+	return spread_store_digest(net->vms[vm].spread);
 }
 
 bool net_converged(const struct net *net)
