--- a/core/spread/spread.c
+++ b/core/spread/spread.c
@@ -79,12 +79,12 @@
  * @content: rendered content, copied
  * @now_ns: current time
  *
- * Return: 0 when the version is put in force and offered to peers; -EALREADY when
- * it is known; -ESTALE for an older generation; -EEXIST for the generation in
- * force with another content; -EPERM for a withdrawn key that is published again
- * without a higher generation, or whose deletion is newer than @revision; -EPROTO
- * when this process cannot parse @content; -EINVAL for generation 0; -ENOSPC when
- * the table is full or @key too long; -ENOMEM.
+ * Return: 0 when the version is put in force and offered to peers; -EALREADY
+ * when it is known; -ESTALE for an older generation; -EEXIST for the generation
+ * in force with another content; -EPERM for a withdrawn key that is published
+ * again without a higher generation, or whose deletion is newer than @revision;
+ * -EPROTO when this process cannot parse @content; -EINVAL for generation 0;
+ * -ENOSPC when the table is full or @key too long; -ENOMEM.
  */
 int spread_publish(struct spread *s, const char *key, uint64_t generation,
 		   uint64_t revision, const struct content *content,
@@ -168,8 +168,8 @@
  * @s: spread
  * @key: key
  *
- * Return: version, valid until the next call that changes @s; NULL for an unknown
- * key.
+ * Return: version, valid until the next call that changes @s; NULL for an
+ * unknown key.
  */
 const struct version *spread_version(const struct spread *s, const char *key)
 {
@@ -183,8 +183,8 @@
  * @s: spread
  * @key: key
  *
- * Return: content, valid until the next call that changes @s; NULL when the key is
- * unknown, withdrawn or only requested.
+ * Return: content, valid until the next call that changes @s; NULL when the key
+ * is unknown, withdrawn or only requested.
  */
 const struct content *spread_content(const struct spread *s, const char *key)
 {
--- a/core/spread/spread.h
+++ b/core/spread/spread.h
@@ -1,8 +1,8 @@
 /*
  * Relay of published configuration between the cb-watch processes of a data
- * centre. A few read the platform; they offer new versions to their peers, which
- * request what they lack and receive the items that changed. Periodic digests
- * repair what was missed. See docs/design/spread.md.
+ * centre. A few read the platform; they offer new versions to their peers,
+ * which request what they lack and receive the items that changed. Periodic
+ * digests repair what was missed. See docs/design/spread.md.
  */
 #ifndef CB_SPREAD_H
 #define CB_SPREAD_H
@@ -20,8 +20,8 @@
  * @SPREAD_DIGEST: digest of the sender's store
  * @SPREAD_BUCKET_DIGESTS: digests by bucket, sent when the store digests differ
  * @SPREAD_OFFER: versions that the sender has
- * @SPREAD_WANT: request for keys; @offers[].version.hash is the content that the
- *	sender has, 0 for none
+ * @SPREAD_WANT: request for keys; @offers[].version.hash is the content that
+ *	the sender has, 0 for none
  * @SPREAD_DATA: version of a key, with a delta to its content
  * @SPREAD_HEARTBEAT: heartbeat between candidates for reading
  * @SPREAD_HELLO: from cb-entry: digest of its versions in force
--- a/core/spread/spread_peers.c
+++ b/core/spread/spread_peers.c
@@ -219,9 +219,9 @@
 
 /*
  * A VM starts without stored state. The platform's documents may be older than
- * what is in force at its peers, so the peers are asked first. When none answers
- * in time, the platform's documents are put in force. A newer generation that a
- * peer sends later still wins.
+ * what is in force at its peers, so the peers are asked first. When none
+ * answers in time, the platform's documents are put in force. A newer
+ * generation that a peer sends later still wins.
  */
 static void finish_join_if_due(struct spread *s, uint64_t now_ns)
 {
--- a/core/spread/spread_readers.c
+++ b/core/spread/spread_readers.c
@@ -83,8 +83,9 @@
 /*
  * Ranks below the candidates read only when no sign of life of a candidate has
  * reached this VM for READER_TIMEOUT_NS: all candidates died at once, or are on
- * the other side of a partition. The number of ranks that read doubles with each
- * further timeout. Once a sign of life of one of them arrives, the others stop.
+ * the other side of a partition. The number of ranks that read doubles with
+ * each further timeout. Once a sign of life of one of them arrives, the others
+ * stop.
  */
 static bool should_read_as_fallback(const struct spread *s, uint64_t now_ns)
 {
--- a/core/spread/spread_relay.c
+++ b/core/spread/spread_relay.c
@@ -87,8 +87,8 @@
 
 /*
  * Join the parts of an offered version that need no content: a withdrawal, or
- * another revision with the content that is stored. Returns true when the content
- * has to be requested.
+ * another revision with the content that is stored. Returns true when the
+ * content has to be requested.
  */
 static bool apply_offer(struct spread *s, struct record *r,
 			const struct spread_offer *o, uint64_t from,
--- a/core/spread/version.h
+++ b/core/spread/version.h
@@ -8,14 +8,15 @@
 
 /**
  * struct version - publication of a key, and whether it was withdrawn
- * @generation: generation set by the operator; for vms/DC the platform's revision
+ * @generation: generation set by the operator; for vms/DC the platform's
+ *	revision
  * @revision: platform's revision of the document
  * @hash: hash of the content
  * @withdrawn_revision: highest revision at which the platform lacked the key
  *
  * Versions form a join semilattice: (generation, revision, hash) only grows in
- * the order of version_supersedes(), and @withdrawn_revision only grows. VMs that
- * have received the same versions hold the same join, whatever the order.
+ * the order of version_supersedes(), and @withdrawn_revision only grows. VMs
+ * that have received the same versions hold the same join, whatever the order.
  */
 struct version {
 	uint64_t generation;
