--- a/adapters/wire.c
+++ b/adapters/wire.c
@@ -62,7 +62,7 @@
 
 	f |= m->view ? FIELD_VIEW : 0;
 	f |= m->seq ? FIELD_SEQ : 0;
-	f |= m->about ? FIELD_ABOUT : 0;
+	f |= m->subject ? FIELD_ABOUT : 0;
 	f |= m->hops ? FIELD_HOPS : 0;
 	f |= m->key.caller || m->key.vip ? FIELD_KEY : 0;
 	f |= m->target ? FIELD_TARGET : 0;
@@ -135,7 +135,7 @@
 	if (f & FIELD_SEQ)
 		err |= msgpack_pack_uint64(pk, m->seq);
 	if (f & FIELD_ABOUT)
-		err |= msgpack_pack_uint64(pk, m->about);
+		err |= msgpack_pack_uint64(pk, m->subject);
 	if (f & FIELD_HOPS)
 		err |= msgpack_pack_uint8(pk, m->hops);
 	if (f & FIELD_KEY)
@@ -160,7 +160,7 @@
 		return false;
 	if (m->token_len > TOKEN_MAX_BYTES)
 		return false;
-	return m->n_gossip <= GOSSIP_MAX && m->n_claims <= CLAIMS_MAX;
+	return m->n_gossip <= GOSSIP_UPDATES_MAX && m->n_claims <= CLAIMS_MAX;
 }
 
 /*
@@ -262,7 +262,7 @@
 
 static void read_gossip(struct reader *r, struct peer_msg *m)
 {
-	m->n_gossip = read_uint(r, GOSSIP_MAX);
+	m->n_gossip = read_uint(r, GOSSIP_UPDATES_MAX);
 	for (uint32_t i = 0; i < m->n_gossip && !r->err; i++) {
 		m->gossip[i].vm = read_uint(r, UINT64_MAX);
 		m->gossip[i].incarnation = read_uint(r, UINT64_MAX);
@@ -314,7 +314,7 @@
 	if (f & FIELD_SEQ)
 		m->seq = read_uint(r, UINT64_MAX);
 	if (f & FIELD_ABOUT)
-		m->about = read_uint(r, UINT64_MAX);
+		m->subject = read_uint(r, UINT64_MAX);
 	if (f & FIELD_HOPS)
 		m->hops = read_uint(r, UINT8_MAX);
 	if (f & FIELD_KEY) {
--- a/bench/bench-packet/main.c
+++ b/bench/bench-packet/main.c
@@ -253,7 +253,7 @@
 		struct peer_msg m;
 	} rows[] = {
 		{ "ping", with_gossip(PEER_PING, 0) },
-		{ "ping_8_news", with_gossip(PEER_PING, GOSSIP_MAX) },
+		{ "ping_8_news", with_gossip(PEER_PING, GOSSIP_UPDATES_MAX) },
 		{ "ack", with_gossip(PEER_ACK, 0) },
 		{ "forward_overhead", with_data(of_flow(PEER_FORWARD, 0), 0) },
 		{ "claim_1", with_claims(PEER_CLAIM, 1) },
--- a/bench/slopes-member/main.c
+++ b/bench/slopes-member/main.c
@@ -133,7 +133,7 @@
 		if (s[i].last_ms - s[i].first_ms > apart)
 			apart = s[i].last_ms - s[i].first_ms;
 	}
-	printf("member_deaths %u dead %u loss_percent %u first_ms %u "
+	printf("member_self_deaths %u dead %u loss_percent %u first_ms %u "
 	       "all_know_ms %u apart_ms %u bytes_per_s %.0f\n",
 	       n, count, loss_percent, s[0].first_ms, last, apart,
 	       (double)(b1 - b0) / 3 / (n - count));
@@ -162,13 +162,13 @@
 	m = member_new(&f->conf, out, rng);
 	for (i = 0; i < n; i++) {
 		msg.from = fleet_vm(i);
-		member_message(m, &msg, now_ns);
+		member_receive(m, &msg, now_ns);
 	}
 	start_ns = clock_ns();
 	for (i = 0; i < CALLS; i++) {
 		msg.from = fleet_vm(i % n);
 		msg.seq = i;
-		member_message(m, &msg, now_ns);
+		member_receive(m, &msg, now_ns);
 	}
 	ping_ns = (clock_ns() - start_ns) / CALLS;
 	start_ns = clock_ns();
@@ -188,7 +188,7 @@
 	uint32_t i, at, most = 0, *owned = calloc(n, sizeof(*owned));
 
 	for (i = 0; i < RING_BUCKETS; i++) {
-		at = ADDR_IP(ring_at(r, i).owner) - ADDR_IP(fleet_vm(0));
+		at = ADDR_IP(ring_current_pair(r, i).owner) - ADDR_IP(fleet_vm(0));
 		if (++owned[at] > most)
 			most = owned[at];
 	}
@@ -207,7 +207,7 @@
 
 static void ring(uint32_t n)
 {
-	struct ring_watch none = { 0 };
+	struct ring_observer none = { 0 };
 	struct ring *r = ring_new(RING_BUCKETS, fleet_vm(0), 500 * NS_PER_MS,
 				  93 * NS_PER_S, none);
 	uint64_t vms[FLEET_MAX], now_ns = NS_PER_S;
@@ -222,7 +222,7 @@
 	idle = update_us(r, vms, n, now_ns += NS_PER_S);
 	printf("ring_update_us %u first %.0f leave %.0f join %.0f same %.1f "
 	       "bytes %llu owner_max_over_mean %.3f\n",
-	       n, first, leave, join, idle, (unsigned long long)ring_bytes(r),
+	       n, first, leave, join, idle, (unsigned long long)ring_memory_bytes(r),
 	       imbalance(r, n));
 	ring_free(r);
 }
--- a/cmd/cb-entry/daemon.c
+++ b/cmd/cb-entry/daemon.c
@@ -43,8 +43,8 @@
 		.probe_timeout_ns = ms(s->probe_timeout_ms),
 		.suspect_timeout_ns = ms(s->suspect_timeout_ms),
 		.lease_ns = ms(s->lease_ms),
-		.probes = PROBES,
-		.indirect = INDIRECT_PROBES,
+		.probes_per_period = PROBES,
+		.indirect_probes = INDIRECT_PROBES,
 	};
 }
 
--- a/core/member/member.c
+++ b/core/member/member.c
@@ -1,35 +1,37 @@
 /*
- * Membership: each entry probes a few others a period, suspects before it
- * declares dead, and passes news on with its probes. See
+ * SWIM-like membership: each entry probes a few others per period, suspects one
+ * before it declares it dead, and sends updates along with its probes. See
  * docs/design/membership.md.
  */
 #include "member_impl.h"
 
 #include <stdlib.h>
 
-/* Probes under way: some rounds of our own, and those for others. */
+/* Slots for probes: some rounds of this entry, and probes for others. */
 #define PROBE_ROUNDS 8
 #define PROBES_FOR_OTHERS 64
 
 /**
- * member_due() - wake no later than a deadline
+ * member_schedule_tick() - make the next tick due no later than a deadline
  * @m: membership
  * @deadline_ns: deadline
  */
-void member_due(struct membership *m, uint64_t deadline_ns)
+void member_schedule_tick(struct membership *m, uint64_t deadline_ns)
 {
 	if (deadline_ns < m->next_ns)
 		m->next_ns = deadline_ns;
 }
 
 /**
- * member_new() - membership of a process that knows only itself
- * @conf: settings; the incarnation has to be larger than that of any earlier
- *	process at this address, so take the time of its start
+ * member_new() - make a membership that contains only this entry
+ * @conf: settings, copied; the time of the process's start is a good
+ *	incarnation, since it has to be higher than that of any earlier process
+ *	at this address
  * @out: port for messages to other entries
  * @rng: random source of its own
  *
- * Return: membership, or NULL when memory is short.
+ * Return: membership, to be freed with member_free(); NULL when memory is
+ * short.
  */
 struct membership *member_new(const struct member_conf *conf,
 			      struct peer_out out, struct rng rng)
@@ -44,61 +46,58 @@
 	m->rng = rng;
 	m->incarnation = conf->incarnation;
 	m->seq = rng_next(&m->rng) >> 40;
-	m->push_deadline_ns = NEVER;
-	m->n_probes = PROBE_ROUNDS * (conf->probes + 1) + PROBES_FOR_OTHERS;
+	m->push_deadline_ns = DEADLINE_NEVER_NS;
+	m->n_probes = PROBE_ROUNDS * (conf->probes_per_period + 1) +
+		      PROBES_FOR_OTHERS;
 	m->probe = calloc(m->n_probes, sizeof(*m->probe));
-	m->cap = MEMBERS_SPARE;
-	m->all = calloc(m->cap, sizeof(*m->all));
-	m->trait = calloc(m->cap, sizeof(*m->trait));
-	m->order = calloc(m->cap, sizeof(*m->order));
-	if (!m->probe || !m->all || !m->trait || !m->order) {
+	m->cap = MEMBERS_HEADROOM;
+	m->members = calloc(m->cap, sizeof(*m->members));
+	m->priv = calloc(m->cap, sizeof(*m->priv));
+	m->probe_order = calloc(m->cap, sizeof(*m->probe_order));
+	if (!m->probe || !m->members || !m->priv || !m->probe_order) {
 		member_free(m);
 		return NULL;
 	}
-	i = member_insert(m, conf->self);
+	i = member_find_or_insert(m, conf->self);
 	m->leaving = conf->joining;
-	m->trait[i].left = conf->joining;
-	m->all[i].state = conf->joining ? MEMBER_LEAVING : MEMBER_ALIVE;
-	m->all[i].incarnation = conf->incarnation;
-	member_recount(m);
-	m->had_majority = m->majority;
+	m->priv[i].has_left = conf->joining;
+	m->members[i].state = conf->joining ? MEMBER_LEAVING : MEMBER_ALIVE;
+	m->members[i].incarnation = conf->incarnation;
+	member_update_totals(m);
+	m->majority_before = m->majority;
 	return m;
 }
 
-/**
- * member_free() - give back a membership
- * @m: membership, or NULL
- */
 void member_free(struct membership *m)
 {
 	if (!m)
 		return;
 	free(m->probe);
-	free(m->all);
-	free(m->trait);
-	free(m->order);
+	free(m->members);
+	free(m->priv);
+	free(m->probe_order);
 	free(m);
 }
 
-static void put_off(struct membership *m, uint64_t by_ns)
+static void postpone_deadlines(struct membership *m, uint64_t by_ns)
 {
 	uint32_t i;
 
 	for (i = 0; i < m->n; i++)
-		if (m->all[i].deadline_ns)
-			m->all[i].deadline_ns += by_ns;
+		if (m->members[i].deadline_ns)
+			m->members[i].deadline_ns += by_ns;
 	for (i = 0; i < m->n_probes; i++)
 		m->probe[i].deadline_ns += by_ns;
 }
 
-/* First run, or a process that was paused: what it believes is old. */
-static void wake(struct membership *m, uint64_t now_ns)
+/* After the start or a pause the view is outdated and needs validation. */
+static void reset_after_pause(struct membership *m, uint64_t now_ns)
 {
 	uint32_t i;
 
 	for (i = 0; i < m->n_probes; i++)
 		m->probe[i].seq = 0;
-	member_revalidate(m);
+	member_require_validation(m);
 	m->n_outcomes = 0;
 	m->round_deadline_ns = now_ns;
 	m->sync_deadline_ns = now_ns;
@@ -106,91 +105,93 @@
 }
 
 /*
- * Time that this process did not run proves nothing against others: answers
- * may wait unread in the socket. A process that wakes late and lets its
- * timers run first would declare the whole fleet dead; one would see as many
- * suspicions as there were probes under way. So deadlines move by the delay.
+ * Time during which this process did not run is no evidence against others, as
+ * their answers may be unread in the socket. If the timers of a process that
+ * was paused ran first, it would declare all members dead, or suspect as many
+ * as it had probes in progress. So deadlines are postponed by the delay.
  */
-static void catch_up(struct membership *m, uint64_t now_ns)
+static void handle_late_run(struct membership *m, uint64_t now_ns)
 {
 	bool ran_before = m->run_deadline_ns > 0;
 
 	if (ran_before && now_ns > m->next_ns + m->conf.probe_timeout_ns) {
-		put_off(m, now_ns - m->next_ns);
+		postpone_deadlines(m, now_ns - m->next_ns);
 		m->next_ns = now_ns;
 	}
 	if (now_ns >= m->run_deadline_ns)
-		wake(m, now_ns);
+		reset_after_pause(m, now_ns);
 }
 
-static void member_died(struct membership *m, uint32_t i, uint64_t now_ns)
+static void declare_dead(struct membership *m, uint32_t i, uint64_t now_ns)
 {
-	struct gossip g = { .vm = m->all[i].vm,
-			    .incarnation = m->all[i].incarnation,
+	struct gossip g = { .vm = m->members[i].vm,
+			    .incarnation = m->members[i].incarnation,
 			    .state = MEMBER_DEAD };
 
-	member_learn(m, &g, true, now_ns);
+	member_apply_update(m, &g, true, now_ns);
 }
 
-static void members_due(struct membership *m, uint64_t now_ns)
+static void expire_members(struct membership *m, uint64_t now_ns)
 {
 	struct member *e;
 	uint32_t i;
 
 	for (i = m->n; i--;) {
-		e = &m->all[i];
+		e = &m->members[i];
 		if (!e->deadline_ns || e->deadline_ns > now_ns)
 			continue;
 		if (e->state != MEMBER_DEAD) {
-			member_died(m, i, now_ns);
+			declare_dead(m, i, now_ns);
 		} else {
-			m->n_hot -= m->trait[i].news_left > 0;
-			m->n_untold -= m->trait[i].death > 0;
+			m->n_retransmitting -= m->priv[i].transmits_left > 0;
+			m->n_unreported_deaths -=
+				m->priv[i].unreported_death > 0;
 			member_remove(m, i);
-			member_recount(m);
+			member_update_totals(m);
 		}
 	}
 }
 
-static void find_next(struct membership *m)
+static void update_next_ns(struct membership *m)
 {
 	uint32_t i;
 
 	m->next_ns = m->round_deadline_ns;
-	member_due(m, m->push_deadline_ns);
+	member_schedule_tick(m, m->push_deadline_ns);
 	for (i = 0; i < m->n; i++)
-		if (m->all[i].deadline_ns)
-			member_due(m, m->all[i].deadline_ns);
+		if (m->members[i].deadline_ns)
+			member_schedule_tick(m, m->members[i].deadline_ns);
 	for (i = 0; i < m->n_probes; i++)
 		if (m->probe[i].seq)
-			member_due(m, m->probe[i].deadline_ns);
+			member_schedule_tick(m, m->probe[i].deadline_ns);
 }
 
 /**
- * member_tick() - do what is due
+ * member_tick() - send due probes and updates, apply expired deadlines
  * @m: membership
- * @now_ns: now
+ * @now_ns: current time
  */
 void member_tick(struct membership *m, uint64_t now_ns)
 {
-	catch_up(m, now_ns);
+	handle_late_run(m, now_ns);
 	m->run_deadline_ns = now_ns + m->conf.lease_ns;
-	member_probes_due(m, now_ns);
-	members_due(m, now_ns);
-	member_round(m, now_ns);
-	member_push_due(m, now_ns);
-	member_watch_majority(m, now_ns);
-	find_next(m);
+	member_expire_probes(m, now_ns);
+	expire_members(m, now_ns);
+	member_probe_round(m, now_ns);
+	member_push_updates(m, now_ns);
+	member_track_majority(m, now_ns);
+	update_next_ns(m);
 }
 
 /*
- * Whom a message is from; false when a newer process has its address. Only
- * messages of this module say whether their sender leaves or has yet to join:
- * taking a forwarded datagram for a join would give buckets to a process that
- * knows nobody. Other messages may carry the incarnation it started with.
+ * Record a sign of life of the sender; false when a newer process has its
+ * address. Only messages of this module carry updates that say whether the
+ * sender leaves or has yet to join: treating a forwarded datagram as a join
+ * would give buckets to a process without a view. Other messages may carry the
+ * incarnation with which the sender started.
  */
-static bool heard_from(struct membership *m, const struct peer_msg *msg,
-		       uint64_t now_ns)
+static bool record_sender(struct membership *m, const struct peer_msg *msg,
+			  uint64_t now_ns)
 {
 	struct gossip g = { .vm = msg->from,
 			    .incarnation = msg->incarnation,
@@ -199,11 +200,11 @@
 	int32_t i;
 
 	if (msg->kind <= PEER_GOSSIP)
-		member_learn(m, &g, true, now_ns);
-	i = member_index(m, msg->from);
+		member_apply_update(m, &g, true, now_ns);
+	i = member_find_index(m, msg->from);
 	if (i < 0)
 		return false;
-	e = &m->all[i];
+	e = &m->members[i];
 	if (msg->incarnation > e->incarnation ||
 	    e->incarnation - msg->incarnation > REFUTATIONS_MAX)
 		return false;
@@ -212,31 +213,31 @@
 		e->deadline_ns = 0;
 	if (msg->kind != PEER_PING &&
 	    (e->state == MEMBER_SUSPECT || e->state == MEMBER_DEAD))
-		member_tell(m, i, now_ns);
+		member_notify_suspicion(m, i, now_ns);
 	return true;
 }
 
 /**
- * member_message() - a message came from another entry
+ * member_receive() - handle a message from another entry
  * @m: membership
- * @msg: message, authenticated; one that isn't about membership is a sign of
- *	life all the same
- * @now_ns: now
+ * @msg: message of any kind, authenticated; those of other modules count as a
+ *	sign of life of the sender
+ * @now_ns: current time
  */
-void member_message(struct membership *m, const struct peer_msg *msg,
+void member_receive(struct membership *m, const struct peer_msg *msg,
 		    uint64_t now_ns)
 {
-	bool view = msg->kind == PEER_GOSSIP && msg->about == msg->from;
+	bool view = msg->kind == PEER_GOSSIP && msg->subject == msg->from;
 	bool current;
 	uint32_t k;
 
 	if (msg->from == m->conf.self || msg->from == ADDR_NONE)
 		return;
-	catch_up(m, now_ns);
-	for (k = 0; k < msg->n_gossip && k < GOSSIP_MAX; k++)
-		member_learn(m, &msg->gossip[k], !view, now_ns);
-	current = heard_from(m, msg, now_ns);
-	member_watch_majority(m, now_ns);
+	handle_late_run(m, now_ns);
+	for (k = 0; k < msg->n_gossip && k < GOSSIP_UPDATES_MAX; k++)
+		member_apply_update(m, &msg->gossip[k], !view, now_ns);
+	current = record_sender(m, msg, now_ns);
+	member_track_majority(m, now_ns);
 	if (msg->kind == PEER_PING)
 		member_on_ping(m, msg);
 	if (!current)
@@ -247,58 +248,58 @@
 		member_on_ack(m, msg, now_ns);
 }
 
-/* Take a new state and tell all who may hear it, without waiting for probes. */
-static void announce(struct membership *m, bool leaving, uint64_t now_ns)
+/* Set the own state and send it to all members that are not dead at once. */
+static void announce_state(struct membership *m, bool leaving, uint64_t now_ns)
 {
-	int32_t self = member_index(m, m->conf.self);
+	int32_t self = member_find_index(m, m->conf.self);
 	struct peer_msg msg;
 	uint32_t i;
 
 	m->leaving = leaving;
-	m->all[self].state = leaving ? MEMBER_LEAVING : MEMBER_ALIVE;
-	m->all[self].incarnation = m->incarnation;
-	m->trait[self].left = leaving;
-	member_recount(m);
+	m->members[self].state = leaving ? MEMBER_LEAVING : MEMBER_ALIVE;
+	m->members[self].incarnation = m->incarnation;
+	m->priv[self].has_left = leaving;
+	member_update_totals(m);
 	for (i = 0; i < m->n; i++) {
-		if (m->all[i].state == MEMBER_DEAD || i == (uint32_t)self)
+		if (m->members[i].state == MEMBER_DEAD || i == (uint32_t)self)
 			continue;
 		msg = (struct peer_msg){ .kind = PEER_GOSSIP };
-		member_add_item(m, &msg, self);
-		member_send(m, m->all[i].vm, &msg);
+		member_add_update(m, &msg, self);
+		member_send(m, m->members[i].vm, &msg);
 	}
-	member_due(m, now_ns);
+	member_schedule_tick(m, now_ns);
 }
 
 /**
- * member_join() - tell everyone that this entry may own buckets now
- * @m: membership that was made joining
- * @now_ns: now
+ * member_join() - announce that this entry may own buckets now
+ * @m: membership, created with conf.joining
+ * @now_ns: current time
  *
- * A process that has just started knows next to nobody. Taken for alive at
- * its first answer it would be given flows, and would place and claim them by
- * a view that no one shares.
+ * A process that has just started has an incomplete view. Were it considered
+ * alive from its first answer, it would get flows, and assign and claim them by
+ * a view that no other entry shares.
  */
 void member_join(struct membership *m, uint64_t now_ns)
 {
 	if (!m->leaving)
 		return;
 	m->incarnation++;
-	announce(m, false, now_ns);
+	announce_state(m, false, now_ns);
 }
 
 /**
- * member_leave() - tell everyone that this entry goes
+ * member_leave() - announce that this entry leaves
  * @m: membership
- * @now_ns: now
+ * @now_ns: current time
  */
 void member_leave(struct membership *m, uint64_t now_ns)
 {
 	if (!m->leaving)
-		announce(m, true, now_ns);
+		announce_state(m, true, now_ns);
 }
 
 /**
- * member_next_ns() - when member_tick() has to be called next
+ * member_next_ns() - when member_tick() is due
  * @m: membership
  *
  * Return: deadline.
@@ -309,65 +310,66 @@
 }
 
 /**
- * member_view() - number of the set of live members
+ * member_view_hash() - hash of the set of live members
  * @m: membership
  *
- * Return: hash of the set; equal on entries that believe the same.
+ * Return: hash; equal on entries with the same set.
  */
-uint64_t member_view(const struct membership *m)
+uint64_t member_view_hash(const struct membership *m)
 {
 	return m->view;
 }
 
 /**
- * member_all() - everyone known, self included, sorted by address
+ * member_all() - all members with this entry among them, sorted by address
  * @m: membership
- * @out: set to the members, good until the next call into @m
+ * @out: set to the members, valid until the next call that changes @m
  *
- * A listed VM that was never heard is there as MEMBER_DEAD, incarnation 0.
+ * A listed VM that was never heard is MEMBER_DEAD with incarnation 0.
  *
- * Return: how many.
+ * Return: number of members.
  */
 uint32_t member_all(const struct membership *m, const struct member **out)
 {
-	*out = m->all;
+	*out = m->members;
 	return m->n;
 }
 
 /**
- * member_find() - one member
+ * member_find() - find a member by its address
  * @m: membership
- * @vm: its address
+ * @vm: address
  *
- * Return: member, good until the next call into @m, or NULL.
+ * Return: member, valid until the next call that changes @m; NULL when unknown.
  */
 const struct member *member_find(const struct membership *m, uint64_t vm)
 {
-	int32_t i = member_index(m, vm);
+	int32_t i = member_find_index(m, vm);
 
-	return i < 0 ? NULL : &m->all[i];
+	return i < 0 ? NULL : &m->members[i];
 }
 
 /**
- * member_majority() - whether this side of a partition may go on alone
+ * member_has_majority() - whether this side of a partition has a majority
  * @m: membership
  *
- * Return: true when more than half of the VMs listed and not leaving are live
- * here, or half with the lowest address; true without a list.
+ * Return: true when more than half of the VMs that are listed and not leaving
+ * are alive, or exactly half with the lowest address among them; true without a
+ * list.
  */
-bool member_majority(const struct membership *m)
+bool member_has_majority(const struct membership *m)
 {
 	return m->majority;
 }
 
 /**
- * member_deaths() - how often this process heard itself declared dead
+ * member_self_deaths() - how often this entry was declared dead
  * @m: membership
  *
- * Return: count; when it grows, buckets were held by others meanwhile and
- * ring_uncover() is due.
+ * Return: number of updates that said so. When it grows, other entries have
+ * held this entry's buckets meanwhile, and ring_reset_cover() has to be called.
  */
-uint64_t member_deaths(const struct membership *m)
+uint64_t member_self_deaths(const struct membership *m)
 {
 	return m->deaths;
 }
--- a/core/member/member.h
+++ b/core/member/member.h
@@ -1,6 +1,7 @@
 /*
- * Membership of the entries of one data centre: the platform's lagging list
- * joined with direct probes. Constant load a node, whatever the fleet's size.
+ * Membership of the entries of one data centre: the platform's list of VMs,
+ * which lags, combined with direct probes. The load of a node does not depend
+ * on the number of members.
  */
 #ifndef CB_MEMBER_H
 #define CB_MEMBER_H
@@ -9,15 +10,17 @@
 
 /**
  * struct member_conf - settings of membership
- * @self: this VM
- * @incarnation: larger than that of any earlier process at this address
- * @probe_period_ns: one round of probes
- * @probe_timeout_ns: wait for an ack before asking others to probe
- * @suspect_timeout_ns: suspicion before death
- * @lease_ns: an entry that did not run for this long re-validates first
- * @probes: members probed a round
- * @indirect: helpers asked after a missed ack
- * @joining: start as one that owns nothing, until member_join()
+ * @self: address of this VM
+ * @incarnation: has to be higher than that of any earlier process at this
+ *	address
+ * @probe_period_ns: time between two rounds of probes
+ * @probe_timeout_ns: wait for an ack before other members are asked to probe
+ * @suspect_timeout_ns: time from suspicion to death
+ * @lease_ns: an entry that was paused for this long has to be validated by
+ *	other members again before it acts
+ * @probes_per_period: members probed in a round
+ * @indirect_probes: members asked to probe one that did not answer
+ * @joining: start as a member that owns no buckets, until member_join()
  */
 struct member_conf {
 	uint64_t self;
@@ -26,19 +29,20 @@
 	uint64_t probe_timeout_ns;
 	uint64_t suspect_timeout_ns;
 	uint64_t lease_ns;
-	uint32_t probes;
-	uint32_t indirect;
+	uint32_t probes_per_period;
+	uint32_t indirect_probes;
 	bool joining;
 };
 
 /**
- * struct member - one entry as believed here
+ * struct member - state of an entry as known to this one
  * @vm: address
- * @incarnation: newest heard
+ * @incarnation: highest one received, 0 when the member was never heard
  * @state: enum member_state
- * @listed: the platform's list names it
- * @deadline_ns: end of suspicion, or when a dead one is forgotten
- * @heard_ns: last direct sign of life
+ * @listed: in the platform's list
+ * @deadline_ns: of a suspect or a silent leaving member: when it is declared
+ *	dead; of a dead one: when it is removed; 0 for none
+ * @heard_ns: arrival of the last message from the member itself
  */
 struct member {
 	uint64_t vm;
@@ -54,19 +58,19 @@
 struct membership *member_new(const struct member_conf *conf,
 			      struct peer_out out, struct rng rng);
 void member_free(struct membership *m);
-void member_roster(struct membership *m, const uint64_t *vms, uint32_t n,
-		   uint64_t now_ns);
-void member_message(struct membership *m, const struct peer_msg *msg,
+void member_set_roster(struct membership *m, const uint64_t *vms, uint32_t n,
+		       uint64_t now_ns);
+void member_receive(struct membership *m, const struct peer_msg *msg,
 		    uint64_t now_ns);
 void member_tick(struct membership *m, uint64_t now_ns);
 void member_join(struct membership *m, uint64_t now_ns);
 void member_leave(struct membership *m, uint64_t now_ns);
 uint64_t member_next_ns(const struct membership *m);
-uint64_t member_view(const struct membership *m);
+uint64_t member_view_hash(const struct membership *m);
 uint32_t member_all(const struct membership *m, const struct member **out);
 const struct member *member_find(const struct membership *m, uint64_t vm);
-bool member_majority(const struct membership *m);
+bool member_has_majority(const struct membership *m);
 bool member_lease_valid(const struct membership *m, uint64_t now_ns);
-uint64_t member_deaths(const struct membership *m);
+uint64_t member_self_deaths(const struct membership *m);
 
 #endif
--- a/core/member/member_lease.c
+++ b/core/member/member_lease.c
@@ -1,15 +1,16 @@
 /*
- * Whether this entry may act on what it believes: lost by a pause, by a cut,
- * and by news of its own death; won back by fresh answers.
+ * Lease: whether this entry may act on its view. A pause, a partition and an
+ * update on its own death end it; acks of later pings renew it.
  */
 #include "member_impl.h"
 
 /**
- * member_note_outcome() - a probe of a live member ended
+ * member_record_probe_outcome() - record the outcome of a probe of a live
+ *	member
  * @m: membership
- * @answered: how
+ * @answered: the member was heard before the probe timed out
  */
-void member_note_outcome(struct membership *m, bool answered)
+void member_record_probe_outcome(struct membership *m, bool answered)
 {
 	m->outcomes = m->outcomes << 1 | answered;
 	if (m->n_outcomes < OUTCOMES_MAX)
@@ -17,20 +18,21 @@
 }
 
 /**
- * member_revalidate() - believe no ack to a ping sent up to now
+ * member_require_validation() - suspend the lease until enough members have
+ *	acked pings sent from now on
  * @m: membership
  */
-void member_revalidate(struct membership *m)
+void member_require_validation(struct membership *m)
 {
-	m->fresh_seq = m->seq;
+	m->validation_seq = m->seq;
 	m->n_validators = 0;
 }
 
-static void validated_by(struct membership *m, uint64_t vm, uint64_t seq)
+static void record_validator(struct membership *m, uint64_t vm, uint64_t seq)
 {
 	uint32_t k;
 
-	if (seq <= m->fresh_seq || m->n_validators == VALIDATORS_MAX)
+	if (seq <= m->validation_seq || m->n_validators == VALIDATORS_MAX)
 		return;
 	for (k = 0; k < m->n_validators; k++)
 		if (m->validators[k] == vm)
@@ -39,41 +41,43 @@
 }
 
 /**
- * member_acked() - an ack renews the lease, from when its ping was sent
+ * member_renew_lease() - renew the lease for an ack
  * @m: membership
- * @vm: who sent the ack
- * @p: the probe that it answers
+ * @vm: sender of the ack
+ * @p: probe that it answers
  *
- * The others count from then too: they declare this entry dead a time of
- * suspicion after the last ping they got.
+ * The lease counts from when the ping was sent, because the others do so too:
+ * they declare this entry dead a suspect timeout after the last ping from it.
  */
-void member_acked(struct membership *m, uint64_t vm, const struct probe *p)
+void member_renew_lease(struct membership *m, uint64_t vm,
+			const struct probe *p)
 {
 	uint64_t lease_ns = m->conf.lease_ns;
 
-	validated_by(m, vm, p->seq);
+	record_validator(m, vm, p->seq);
 	if (m->conf.suspect_timeout_ns < lease_ns)
 		lease_ns = m->conf.suspect_timeout_ns;
 	if (p->sent_ns + lease_ns > m->ack_deadline_ns)
 		m->ack_deadline_ns = p->sent_ns + lease_ns;
 }
 
-static bool validated(const struct membership *m)
+static bool is_validated(const struct membership *m)
 {
-	uint32_t need = m->conf.probes;
+	uint32_t needed = m->conf.probes_per_period;
 
-	if (need > VALIDATORS_MAX)
-		need = VALIDATORS_MAX;
-	if (need > m->n_live)
-		need = m->n_live;
-	return m->n_validators >= need;
+	if (needed > VALIDATORS_MAX)
+		needed = VALIDATORS_MAX;
+	if (needed > m->n_live)
+		needed = m->n_live;
+	return m->n_validators >= needed;
 }
 
 /*
- * Cut off: no answer for as long as it takes the others to declare this entry
- * dead, or fewer answers than not, since this is the smaller side.
+ * Cut off from the others: no ack for as long as it takes them to declare this
+ * entry dead, or acks of less than half of the probes, as on the smaller side
+ * of a partition.
  */
-static bool cut_off(const struct membership *m, uint64_t now_ns)
+static bool is_cut_off(const struct membership *m, uint64_t now_ns)
 {
 	uint32_t mask = (1U << m->n_outcomes) - 1;
 	uint32_t answered = __builtin_popcount(m->outcomes & mask);
@@ -86,42 +90,44 @@
 }
 
 /**
- * member_watch_majority() - after each change: a majority just won waits
+ * member_track_majority() - delay the lease after a majority was won again; to
+ *	be called after each change of members
  * @m: membership
- * @now_ns: now
+ * @now_ns: current time
  *
- * When a member can be reached from the other side of a cut than before, this
- * side may count it while the old side still does, until that side's lease
- * runs out or it declares the member dead. Both would act. The first majority
- * of a process doesn't wait here: it joins a settle time later, and claims
- * after another.
+ * A member may move to this side of a partition. This side counts it at once,
+ * and the old side still does until its lease expires or it declares the member
+ * dead; meanwhile both sides would act. The first majority of a process needs
+ * no delay: it joins a settle time later, and claims another settle time after
+ * that.
  */
-void member_watch_majority(struct membership *m, uint64_t now_ns)
+void member_track_majority(struct membership *m, uint64_t now_ns)
 {
-	if (m->majority && !m->had_majority) {
-		if (m->won_majority)
-			m->majority_deadline_ns = now_ns + m->conf.lease_ns +
-						  m->conf.suspect_timeout_ns;
-		m->won_majority = true;
+	if (m->majority && !m->majority_before) {
+		if (m->majority_won_once)
+			m->majority_valid_from_ns = now_ns + m->conf.lease_ns +
+						    m->conf.suspect_timeout_ns;
+		m->majority_won_once = true;
 	}
-	m->had_majority = m->majority;
+	m->majority_before = m->majority;
 }
 
 /**
- * member_lease_valid() - whether this entry may act on what it believes
+ * member_lease_valid() - whether this entry may act on its view
  * @m: membership
- * @now_ns: now, from the clock and not from the last tick
+ * @now_ns: current time, read from the clock and not from the last tick
  *
- * False after a pause of the lease time, or once it heard itself declared
- * dead, until enough members have answered pings sent since; while most probes
- * go unanswered; and for a while after a majority was won.
+ * The lease is not valid after a pause of conf.lease_ns or an update on this
+ * entry's own death, until enough members have acked pings sent since then;
+ * while most probes are not answered; and for some time after a majority was
+ * won again.
  *
  * Return: true when it may.
  */
 bool member_lease_valid(const struct membership *m, uint64_t now_ns)
 {
-	if (m->majority && now_ns < m->majority_deadline_ns)
+	if (m->majority && now_ns < m->majority_valid_from_ns)
 		return false;
-	return now_ns < m->run_deadline_ns && validated(m) &&
-	       !cut_off(m, now_ns);
+	return now_ns < m->run_deadline_ns && is_validated(m) &&
+	       !is_cut_off(m, now_ns);
 }
--- a/core/member/peer.h
+++ b/core/member/peer.h
@@ -1,31 +1,33 @@
 /*
- * Messages between entries, as the decisions see them; adapters/wire.c codes
- * them with msgpack. Every message carries the sender and its incarnation.
+ * Messages between entries; adapters/wire.c encodes them with msgpack. Every
+ * message carries its sender and the sender's incarnation.
  */
 #ifndef CB_PEER_H
 #define CB_PEER_H
 
 #include "types.h"
 
-#define GOSSIP_MAX 8
+#define GOSSIP_UPDATES_MAX 8
 #define CLAIMS_MAX 32
 
 /**
- * enum peer_kind - what a message between entries says
- * @PEER_PING: are you there
- * @PEER_ACK: answer to a ping, direct or relayed
- * @PEER_PING_REQ: probe somebody for me
- * @PEER_GOSSIP: membership news alone (a leave, a join)
- * @PEER_FORWARD: a caller's datagram on its way to the owner
- * @PEER_CLAIM: may I run this non-idempotent request
+ * enum peer_kind - kinds of messages between entries
+ * @PEER_PING: probe of the receiver
+ * @PEER_ACK: answer to a ping, direct or forwarded
+ * @PEER_PING_REQ: request to probe another member
+ * @PEER_GOSSIP: membership updates alone, such as a join or a leave
+ * @PEER_FORWARD: a caller's datagram, forwarded to the owner of its bucket
+ * @PEER_CLAIM: request to run non-idempotent requests
  * @PEER_GRANT: answer to a claim
- * @PEER_SETTLE: how a claimed request ended
+ * @PEER_SETTLE: outcome of claimed requests
  * @PEER_FEED: second copy of an open feed
- * @PEER_FEED_CLOSE: drop that copy
- * @PEER_UNPIN: the caller began its transfer anew: forget the old one
- * @PEER_RECORD: history of buckets for an entry that joins their pairs: claims,
- *	and as data the buckets whose history is whole now
- * @PEER_HANDOVER: answer to it; as data the buckets not taken yet
+ * @PEER_FEED_CLOSE: request to drop that copy
+ * @PEER_UNPIN: the caller began its transfer again; the state of the old one is
+ *	to be dropped
+ * @PEER_RECORD: claims of buckets whose pair the receiver joins; @data of the
+ *	message lists the buckets whose claims have all been sent
+ * @PEER_HANDOVER: answer to PEER_RECORD; @data lists the buckets whose claims
+ *	the receiver has not accepted yet
  */
 enum peer_kind {
 	PEER_PING = 1,
@@ -45,18 +47,19 @@
 };
 
 /**
- * enum member_state - what an entry believes of another
- * @MEMBER_ALIVE: answers, or is vouched for
- * @MEMBER_SUSPECT: missed its probes, may still refute
- * @MEMBER_LEAVING: said it goes, or just came; owns nothing new
- * @MEMBER_DEAD: suspicion ran out
+ * enum member_state - state of a member as known to an entry
+ * @MEMBER_ALIVE: answers probes, or was reported alive by another member
+ * @MEMBER_SUSPECT: missed its probes and may still refute the suspicion
+ * @MEMBER_LEAVING: announced its leave, or has not joined yet; gets no new
+ *	buckets
+ * @MEMBER_DEAD: its suspicion timed out
  */
 enum member_state { MEMBER_ALIVE, MEMBER_SUSPECT, MEMBER_LEAVING, MEMBER_DEAD };
 
 /**
- * struct gossip - one piece of membership news
- * @vm: whom it is about
- * @incarnation: its incarnation; higher goes before lower
+ * struct gossip - an update on a member
+ * @vm: member
+ * @incarnation: its incarnation; a higher one overrides a lower one
  * @state: enum member_state
  */
 struct gossip {
@@ -66,12 +69,12 @@
 };
 
 /**
- * enum claim_state - what a record says of a claimed request
- * @CLAIM_NONE: no record
- * @CLAIM_OPEN: claimed, may have been sent
- * @CLAIM_DONE: ran, answered
- * @CLAIM_REFUSED: refused, known not to have run
- * @CLAIM_UNKNOWN: may have run, caller was told so
+ * enum claim_state - state of a claimed request
+ * @CLAIM_NONE: no claim recorded
+ * @CLAIM_OPEN: claimed; may have been sent to the target
+ * @CLAIM_DONE: ran and was answered
+ * @CLAIM_REFUSED: refused, and known not to have run
+ * @CLAIM_UNKNOWN: may have run; the caller got "outcome unknown"
  */
 enum claim_state {
 	CLAIM_NONE,
@@ -82,18 +85,18 @@
 };
 
 /**
- * struct claim - one line of a claim, a grant, a settlement or a record
+ * struct claim - claimed request in a claim, a grant, a settlement or a record
  * @request: hash of caller, VIP and message ID
  * @bucket: bucket of its flow
- * @claimer: VM that may run it
- * @boot: number of the claimer's process; a restarted one remembers nothing,
- *	so a claim of its predecessor is not its own
- * @target: target it is meant for, or ADDR_NONE
+ * @claimer: VM that may run the request
+ * @boot: number of the claimer's process. A restarted process has lost its
+ *	state, so claims of the process before it are not its own
+ * @target: target of the request, or ADDR_NONE
  * @state: enum claim_state
- * @granted: in a grant: the claimer may go on
- * @covered: in a grant: the granter knows every claim of the bucket that a
- *	caller could still repeat
- * @slot: request slot at the claimer itself; not coded
+ * @granted: in a grant: the claimer may run the request
+ * @covered: in a grant: the granter has every claim of the bucket whose request
+ *	a caller may still repeat
+ * @slot: request slot at the claimer itself; not encoded
  */
 struct claim {
 	uint64_t request;
@@ -108,24 +111,26 @@
 };
 
 /**
- * struct peer_msg - one message between entries
+ * struct peer_msg - message between entries
  * @kind: enum peer_kind
  * @from: sender
  * @incarnation: sender's incarnation
- * @view: sender's view number, for tracing disagreement
- * @seq: probe number
- * @about: VM probed on another's behalf, or a relayed ack's subject
- * @hops: forwards so far; a datagram is forwarded at most twice
- * @key: flow the message is about
- * @target: its target, or ADDR_NONE
+ * @view: hash of the sender's set of live members
+ * @seq: sequence number of the probe
+ * @subject: ping request: member to probe; ack: member that was probed; ping
+ *	with the sender itself: request for the whole view; gossip with the
+ *	sender itself: part of its whole view
+ * @hops: times forwarded; a datagram is forwarded at most twice
+ * @key: flow that the message concerns
+ * @target: target of the flow, or ADDR_NONE
  * @token: caller's token of a feed
- * @token_len: its length in bytes
- * @n_gossip: news carried along
- * @gossip: the news
- * @n_claims: claims carried
- * @claims: the claims
- * @data: a caller's datagram, or a feed's opening request
- * @size_bytes: its size
+ * @token_len: length of @token in bytes
+ * @n_gossip: number of updates
+ * @gossip: updates on members
+ * @n_claims: number of claims
+ * @claims: claims
+ * @data: a caller's datagram, a feed's opening request, or buckets; not owned
+ * @size_bytes: size of @data
  */
 struct peer_msg {
 	uint8_t kind;
@@ -133,14 +138,14 @@
 	uint64_t incarnation;
 	uint64_t view;
 	uint64_t seq;
-	uint64_t about;
+	uint64_t subject;
 	uint8_t hops;
 	struct flow_key key;
 	uint64_t target;
 	uint8_t token[TOKEN_MAX_BYTES];
 	uint8_t token_len;
 	uint8_t n_gossip;
-	struct gossip gossip[GOSSIP_MAX];
+	struct gossip gossip[GOSSIP_UPDATES_MAX];
 	uint8_t n_claims;
 	struct claim claims[CLAIMS_MAX];
 	const uint8_t *data;
@@ -148,9 +153,10 @@
 };
 
 /**
- * struct peer_out - port on which a module sends to other entries
- * @ctx: passed back
- * @send: send @msg to @vm; the core fills from and incarnation
+ * struct peer_out - port for messages to other entries
+ * @ctx: first argument of @send
+ * @send: sends @msg to @vm; its sender and incarnation are set. @msg is valid
+ *	only during the call
  */
 struct peer_out {
 	void *ctx;
--- a/core/member/ring_place.c
+++ b/core/member/ring_place.c
@@ -1,36 +1,36 @@
 /*
- * Placement by rendezvous hash: each live VM has a score for each bucket, the
- * two highest win. A change of the set is compared with what stands, not
- * computed anew.
+ * Rendezvous hashing: each live VM has a score for each bucket, and the two
+ * highest are the bucket's desired pair. A change of the live set is applied
+ * incrementally.
  */
 #include "ring_impl.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-static bool beats(struct candidate a, struct candidate b)
+static bool outranks(struct candidate a, struct candidate b)
 {
 	if (a.score != b.score)
 		return a.score > b.score;
 	return a.vm > b.vm;
 }
 
-static struct candidate candidate_of(uint64_t vm, uint32_t bucket)
+static struct candidate make_candidate(uint64_t vm, uint32_t bucket)
 {
 	return (struct candidate){ .vm = vm, .score = hash_u64(bucket, vm) };
 }
 
-static void offer(struct bucket *b, struct candidate c)
+static void consider_candidate(struct bucket *b, struct candidate c)
 {
-	if (beats(c, b->best[0])) {
+	if (outranks(c, b->best[0])) {
 		b->best[1] = b->best[0];
 		b->best[0] = c;
-	} else if (beats(c, b->best[1])) {
+	} else if (outranks(c, b->best[1])) {
 		b->best[1] = c;
 	}
 }
 
-static int by_address(const void *a, const void *b)
+static int compare_addresses(const void *a, const void *b)
 {
 	uint64_t x = *(const uint64_t *)a;
 	uint64_t y = *(const uint64_t *)b;
@@ -42,7 +42,7 @@
 {
 	uint32_t i, kept = 0;
 
-	qsort(vms, n, sizeof(*vms), by_address);
+	qsort(vms, n, sizeof(*vms), compare_addresses);
 	for (i = 0; i < n; i++) {
 		if (vms[i] == ADDR_NONE || (kept && vms[kept - 1] == vms[i]))
 			continue;
@@ -51,12 +51,12 @@
 	return kept;
 }
 
-static bool among(const uint64_t *vms, uint32_t n, uint64_t vm)
+static bool contains(const uint64_t *vms, uint32_t n, uint64_t vm)
 {
-	return bsearch(&vm, vms, n, sizeof(*vms), by_address) != NULL;
+	return bsearch(&vm, vms, n, sizeof(*vms), compare_addresses) != NULL;
 }
 
-static bool lengthen(uint64_t **vms, uint32_t n)
+static bool grow_array(uint64_t **vms, uint32_t n)
 {
 	uint64_t *longer = realloc(*vms, n * sizeof(**vms));
 
@@ -69,70 +69,72 @@
 {
 	if (n <= r->cap_vms)
 		return true;
-	if (!lengthen(&r->vms, n) || !lengthen(&r->next_vms, n) ||
-	    !lengthen(&r->gone, n))
+	if (!grow_array(&r->vms, n) || !grow_array(&r->next_vms, n) ||
+	    !grow_array(&r->removed_vms, n))
 		return false;
 	r->cap_vms = n;
 	return true;
 }
 
-static void place_anew(struct ring *r, uint32_t i)
+static void rank_all_vms(struct ring *r, uint32_t i)
 {
-	struct bucket *b = &r->bucket[i];
+	struct bucket *b = &r->buckets[i];
 	uint32_t v;
 
 	memset(b->best, 0, sizeof(b->best));
 	for (v = 0; v < r->n_vms; v++)
-		offer(b, candidate_of(r->vms[v], i));
+		consider_candidate(b, make_candidate(r->vms[v], i));
 }
 
-/* Only buckets that had one of the VMs now gone have to look for another. */
-static void drop_gone(struct ring *r, const uint64_t *gone, uint32_t n)
+/* Only buckets with one of the removed VMs are ranked again. */
+static void rerank_buckets_of(struct ring *r, const uint64_t *removed,
+			      uint32_t n)
 {
 	const struct bucket *b;
 	uint32_t i;
 
 	for (i = 0; i < r->n_buckets; i++) {
-		b = &r->bucket[i];
-		if (among(gone, n, b->best[0].vm) ||
-		    among(gone, n, b->best[1].vm))
-			place_anew(r, i);
+		b = &r->buckets[i];
+		if (contains(removed, n, b->best[0].vm) ||
+		    contains(removed, n, b->best[1].vm))
+			rank_all_vms(r, i);
 	}
 }
 
-static void add_new(struct ring *r, uint64_t vm)
+static void add_vm(struct ring *r, uint64_t vm)
 {
 	uint32_t i;
 
 	for (i = 0; i < r->n_buckets; i++)
-		offer(&r->bucket[i], candidate_of(vm, i));
+		consider_candidate(&r->buckets[i], make_candidate(vm, i));
 }
 
-/* Split the old set by the new one: who stays in front, who is gone behind. */
-static uint32_t part(uint64_t *old, uint32_t n_old, const uint64_t *next,
-		     uint32_t n_next, uint64_t *gone)
+/* Keep the VMs of @old that are in @next, move the others to @removed. */
+static uint32_t split_kept_removed(uint64_t *old, uint32_t n_old,
+				   const uint64_t *next, uint32_t n_next,
+				   uint64_t *removed)
 {
-	uint32_t i, kept = 0, n_gone = 0;
+	uint32_t i, kept = 0, n_removed = 0;
 
 	for (i = 0; i < n_old; i++) {
-		if (among(next, n_next, old[i]))
+		if (contains(next, n_next, old[i]))
 			old[kept++] = old[i];
 		else
-			gone[n_gone++] = old[i];
+			removed[n_removed++] = old[i];
 	}
 	return kept;
 }
 
 /**
- * ring_place() - take over the live set, place the buckets that it concerns
+ * ring_set_live_vms() - set the live VMs and the desired pairs that they change
  * @r: ring
- * @vms: live VMs in any order
- * @n: how many
+ * @vms: live VMs in any order, possibly with duplicates
+ * @n: their number
  *
- * Return: true when the set differs from the last; false also when memory is
- * short, and the old set stays.
+ * Return: true when the set differs from the last one; false when it does not,
+ * or when memory is short and the old set stays.
  */
-bool ring_place(struct ring *r, const uint64_t *vms, uint32_t n)
+bool ring_set_live_vms(struct ring *r, const uint64_t *vms, uint32_t n)
 {
 	uint64_t *old;
 	uint32_t i, kept, n_old = r->n_vms;
@@ -144,13 +146,13 @@
 	n = sort_unique(r->next_vms, n);
 	if (n == n_old && !memcmp(old, r->next_vms, n * sizeof(*old)))
 		return false;
-	kept = part(old, n_old, r->next_vms, n, r->gone);
+	kept = split_kept_removed(old, n_old, r->next_vms, n, r->removed_vms);
 	r->n_vms = kept;
 	if (kept < n_old)
-		drop_gone(r, r->gone, n_old - kept);
+		rerank_buckets_of(r, r->removed_vms, n_old - kept);
 	for (i = 0; i < n; i++)
-		if (!among(old, kept, r->next_vms[i]))
-			add_new(r, r->next_vms[i]);
+		if (!contains(old, kept, r->next_vms[i]))
+			add_vm(r, r->next_vms[i]);
 	r->vms = r->next_vms;
 	r->next_vms = old;
 	r->n_vms = n;
@@ -160,11 +162,11 @@
 /**
  * ring_is_live() - whether a VM is in the live set
  * @r: ring
- * @vm: VM
+ * @vm: address
  *
  * Return: true when it is.
  */
 bool ring_is_live(const struct ring *r, uint64_t vm)
 {
-	return among(r->vms, r->n_vms, vm);
+	return contains(r->vms, r->n_vms, vm);
 }
--- a/core/request/claiming.c
+++ b/core/request/claiming.c
@@ -28,7 +28,7 @@
  */
 static bool may_claim(const struct entry *e, const struct request *r)
 {
-	return claim_safe_now(e) && ring_steady(e->ring, r->bucket, e->now_ns);
+	return claim_safe_now(e) && ring_is_settled(e->ring, r->bucket, e->now_ns);
 }
 
 static struct claim claim_of(const struct entry *e, const struct request *r,
@@ -62,7 +62,7 @@
  */
 static void send_settlement(struct entry *e, const struct claim *c)
 {
-	struct ring_pair pair = ring_at(e->ring, c->bucket);
+	struct ring_pair pair = ring_current_pair(e->ring, c->bucket);
 
 	settle_at(e, c, pair.owner);
 	settle_at(e, c, pair.second);
@@ -204,7 +204,7 @@
  */
 void claim_repeat(struct entry *e, struct request *r)
 {
-	struct ring_pair pair = ring_at(e->ring, r->bucket);
+	struct ring_pair pair = ring_current_pair(e->ring, r->bucket);
 	uint64_t next = e->now_ns + e->conf.claim_timeout_ns;
 
 	if (e->now_ns >= r->deadline_ns) {
@@ -215,7 +215,7 @@
 		   next < r->deadline_ns ? next : r->deadline_ns);
 	if (!may_claim(e, r))
 		return;
-	if (!member_majority(e->members)) {
+	if (!member_has_majority(e->members)) {
 		wait_for_majority(e, r);
 		return;
 	}
@@ -357,7 +357,7 @@
 static void note_grant(struct entry *e, struct request *r, uint64_t from,
 		       bool covered)
 {
-	struct ring_pair pair = ring_at(e->ring, r->bucket);
+	struct ring_pair pair = ring_current_pair(e->ring, r->bucket);
 
 	if (from == pair.owner)
 		r->granted_by[0] = from;
--- a/core/request/entry.c
+++ b/core/request/entry.c
@@ -48,7 +48,7 @@
 static int parts_init(struct entry *e)
 {
 	struct peer_out port = { e, send_member_message };
-	struct ring_watch watch = { e, pair_changed };
+	struct ring_observer watch = { e, pair_changed };
 	struct rng member_rng = { rng_next(&e->rng) | 1 };
 	struct rng balance_rng = { rng_next(&e->rng) | 1 };
 	const struct entry_conf *c = &e->conf;
@@ -214,7 +214,7 @@
 		  uint64_t now_ns, struct actions *out)
 {
 	entry_begin(e, now_ns, out);
-	member_roster(e->members, vms, n, now_ns);
+	member_set_roster(e->members, vms, n, now_ns);
 	if (!e->roster_known)
 		e->join_latest_ns = now_ns + JOIN_WAIT_NS;
 	e->roster_known = true;
--- a/core/request/entry_view.c
+++ b/core/request/entry_view.c
@@ -13,16 +13,16 @@
 {
 	uint64_t self = e->conf.member.self;
 
-	if (!e->n_services || !member_majority(e->members))
+	if (!e->n_services || !member_has_majority(e->members))
 		return false;
-	if (ring_at(e->ring, 0).owner == ADDR_NONE)
+	if (ring_current_pair(e->ring, 0).owner == ADDR_NONE)
 		return false;
 	for (uint32_t i = 0; i < e->conf.n_buckets; i++) {
-		struct ring_pair p = ring_at(e->ring, i);
+		struct ring_pair p = ring_current_pair(e->ring, i);
 
 		if (p.owner != self && p.second != self)
 			continue;
-		if (!ring_covered(e->ring, i, now_ns))
+		if (!ring_is_covered(e->ring, i, now_ns))
 			return false;
 	}
 	return true;
@@ -61,7 +61,7 @@
 	uint32_t slot;
 
 	v.bucket = ring_bucket(e->ring, key);
-	v.pair = ring_at(e->ring, v.bucket);
+	v.pair = ring_current_pair(e->ring, v.bucket);
 	v.service = service_find(e, key->vip);
 	v.account = v.service ? account_of(e, v.service) : NULL;
 	v.pinned = flow_lookup(e->pins, key, e->now_ns);
--- a/core/request/feed.c
+++ b/core/request/feed.c
@@ -281,7 +281,7 @@
 		feed_copy_send(e, f);
 	if (f->handed_from != ADDR_NONE)
 		feed_taken_over(e, f);
-	if (ring_at(e->ring, f->bucket).owner != e->conf.member.self)
+	if (ring_current_pair(e->ring, f->bucket).owner != e->conf.member.self)
 		f->hand_deadline_ns = e->now_ns;
 	feed_timer_set(e, f);
 	if (target_drains(e, f->key.vip, target))
--- a/core/request/feed_copy.c
+++ b/core/request/feed_copy.c
@@ -64,7 +64,7 @@
  */
 void feed_copy_send(struct entry *e, struct feed *f)
 {
-	struct ring_pair pair = ring_at(e->ring, f->bucket);
+	struct ring_pair pair = ring_current_pair(e->ring, f->bucket);
 
 	f->copy_deadline_ns = DEADLINE_NEVER;
 	if (pair.owner != e->conf.member.self || pair.second == ADDR_NONE)
@@ -82,7 +82,7 @@
 /* feed_copy_close() - tell the second that a feed ended. */
 void feed_copy_close(struct entry *e, struct feed *f)
 {
-	struct ring_pair pair = ring_at(e->ring, f->bucket);
+	struct ring_pair pair = ring_current_pair(e->ring, f->bucket);
 	struct peer_msg *m;
 
 	if (pair.owner != e->conf.member.self || pair.second == ADDR_NONE)
@@ -109,7 +109,7 @@
  */
 void feed_hand_over(struct entry *e, struct feed *f)
 {
-	struct ring_pair pair = ring_at(e->ring, f->bucket);
+	struct ring_pair pair = ring_current_pair(e->ring, f->bucket);
 
 	f->hand_deadline_ns = DEADLINE_NEVER;
 	if (pair.owner == e->conf.member.self)
@@ -169,7 +169,7 @@
  */
 void feed_copy_timer(struct entry *e, struct feed *f)
 {
-	struct ring_pair pair = ring_at(e->ring, f->bucket);
+	struct ring_pair pair = ring_current_pair(e->ring, f->bucket);
 	bool dead = !vm_serves(e, f->served_by);
 
 	if (pair.owner == e->conf.member.self) {
@@ -195,7 +195,7 @@
 /* The new owner serves it: let go here, keep the copy if we are the second. */
 static void let_go(struct entry *e, struct feed *f)
 {
-	struct ring_pair pair = ring_at(e->ring, f->bucket);
+	struct ring_pair pair = ring_current_pair(e->ring, f->bucket);
 	struct feed kept = *f;
 	struct feed *copy;
 
@@ -217,7 +217,7 @@
 static void copy_taken_over(struct entry *e, struct feed *f,
 			    const struct peer_msg *msg)
 {
-	struct ring_pair pair = ring_at(e->ring, f->bucket);
+	struct ring_pair pair = ring_current_pair(e->ring, f->bucket);
 
 	if (msg->hops != ASK_TAKE_OVER || msg->from != pair.owner)
 		return;
@@ -238,7 +238,7 @@
 	}
 	if (msg->hops == ASK_KEEP)
 		f->copy_deadline_ns = DEADLINE_NEVER;
-	else if (ring_at(e->ring, f->bucket).owner == msg->from)
+	else if (ring_current_pair(e->ring, f->bucket).owner == msg->from)
 		let_go(e, f);
 }
 
@@ -255,7 +255,7 @@
 static void served_here(struct entry *e, struct feed *f,
 			const struct peer_msg *msg)
 {
-	uint64_t owner = ring_at(e->ring, f->bucket).owner;
+	uint64_t owner = ring_current_pair(e->ring, f->bucket).owner;
 
 	if (msg->hops == ASK_TAKE_OVER && f->state == FEED_OPEN &&
 	    owner == e->conf.member.self) {
@@ -297,7 +297,7 @@
 		feed_message(e, f, msg->from, ASK_KEEP);
 		return;
 	}
-	if (ring_at(e->ring, f->bucket).owner != e->conf.member.self)
+	if (ring_current_pair(e->ring, f->bucket).owner != e->conf.member.self)
 		return;
 	f->handed_from = msg->from;
 	adopt(e, f);
--- a/core/request/route.c
+++ b/core/request/route.c
@@ -184,7 +184,7 @@
 		route_elsewhere(e, key, msg, hops);
 		return;
 	}
-	pair = ring_at(e->ring, ring_bucket(e->ring, key));
+	pair = ring_current_pair(e->ring, ring_bucket(e->ring, key));
 	if (pair.owner == e->conf.member.self)
 		own_message(e, key, msg);
 	else if (pair.owner != ADDR_NONE)
@@ -240,7 +240,7 @@
 		struct actions *out)
 {
 	entry_begin(e, now_ns, out);
-	member_message(e->members, msg, now_ns);
+	member_receive(e->members, msg, now_ns);
 	entry_watch_lease(e);
 	switch (msg->kind) {
 	case PEER_FORWARD:
--- a/core/request/standing.c
+++ b/core/request/standing.c
@@ -51,7 +51,7 @@
  */
 static void watch_join(struct entry *e)
 {
-	bool known = member_majority(e->members) &&
+	bool known = member_has_majority(e->members) &&
 		     member_lease_valid(e->members, e->now_ns);
 
 	if (e->joined || e->leaving || !e->roster_known)
@@ -78,7 +78,7 @@
 	watch_join(e);
 	if (!e->joined)
 		return;
-	view = member_view(e->members);
+	view = member_view_hash(e->members);
 	if (view == e->view && ring_next_ns(e->ring) > e->now_ns)
 		return;
 	n = live_vms(e, vms);
@@ -96,7 +96,7 @@
  */
 static void watch_majority(struct entry *e)
 {
-	if (!member_majority(e->members)) {
+	if (!member_has_majority(e->members)) {
 		if (e->minority_since_ns == DEADLINE_NEVER)
 			e->minority_since_ns = e->now_ns;
 		return;
@@ -104,7 +104,7 @@
 	if (e->minority_since_ns != DEADLINE_NEVER &&
 	    e->now_ns >=
 		    e->minority_since_ns + e->conf.member.suspect_timeout_ns)
-		ring_uncover(e->ring, e->now_ns);
+		ring_reset_cover(e->ring, e->now_ns);
 	e->minority_since_ns = DEADLINE_NEVER;
 }
 
@@ -116,7 +116,7 @@
 void entry_watch_lease(struct entry *e)
 {
 	bool valid = member_lease_valid(e->members, e->now_ns);
-	uint64_t deaths = member_deaths(e->members);
+	uint64_t deaths = member_self_deaths(e->members);
 
 	if (!valid && !e->lease_lapsed)
 		e->counters.lease_lapses++;
@@ -124,7 +124,7 @@
 		e->stale = false;
 	e->lease_lapsed = !valid;
 	if (deaths != e->deaths)
-		ring_uncover(e->ring, e->now_ns);
+		ring_reset_cover(e->ring, e->now_ns);
 	e->deaths = deaths;
 	watch_majority(e);
 }
--- a/core/request/stream.c
+++ b/core/request/stream.c
@@ -148,9 +148,9 @@
  */
 bool history_known(const struct entry *e, uint32_t bucket)
 {
-	if (!member_majority(e->members))
+	if (!member_has_majority(e->members))
 		return false;
-	return held(e, bucket) || ring_covered(e->ring, bucket, e->now_ns);
+	return held(e, bucket) || ring_is_covered(e->ring, bucket, e->now_ns);
 }
 
 static void add(struct entry *e, uint64_t vm, uint32_t bucket)
@@ -180,11 +180,11 @@
 	uint64_t self = e->conf.member.self;
 
 	for (uint32_t i = 0; i < e->conf.n_buckets; i++) {
-		struct ring_pair p = ring_at(e->ring, i);
+		struct ring_pair p = ring_current_pair(e->ring, i);
 
 		if (p.owner != self && p.second != self)
 			continue;
-		if (ring_covered(e->ring, i, e->now_ns))
+		if (ring_is_covered(e->ring, i, e->now_ns))
 			e->held_when_leaving[i / 64] |= 1ULL << (i % 64);
 	}
 }
@@ -337,11 +337,11 @@
 
 	if (bucket >= e->conf.n_buckets)
 		return true;
-	pair = ring_at(e->ring, bucket);
+	pair = ring_current_pair(e->ring, bucket);
 	if (pair.owner != e->conf.member.self &&
 	    pair.second != e->conf.member.self)
 		return false;
-	ring_cover(e->ring, bucket);
+	ring_mark_covered(e->ring, bucket);
 	return true;
 }
 
--- a/test/fleet.c
+++ b/test/fleet.c
@@ -103,8 +103,8 @@
 					.probe_timeout_ns = 100 * NS_PER_MS,
 					.suspect_timeout_ns = 600 * NS_PER_MS,
 					.lease_ns = NS_PER_S,
-					.probes = 3,
-					.indirect = 3 };
+					.probes_per_period = 3,
+					.indirect_probes = 3 };
 	for (i = 0; i < n; i++)
 		f->node[i] = (struct node){ .vm = fleet_vm(i), .fleet = f };
 	return f;
@@ -163,7 +163,7 @@
 
 	for (k = 0; k < n; k++)
 		vms[k] = fleet_vm(first + k);
-	member_roster(f->node[i].m, vms, n, f->now_ns);
+	member_set_roster(f->node[i].m, vms, n, f->now_ns);
 }
 
 static uint64_t next_tick(const struct node *o)
@@ -202,7 +202,7 @@
 		return;
 	}
 	if (to->m && to->side == f->node[p->from].side) {
-		member_message(to->m, &p->msg, f->now_ns);
+		member_receive(to->m, &p->msg, f->now_ns);
 		reschedule(f, p->to);
 	}
 	free(p);
--- a/test/member_prop.cc
+++ b/test/member_prop.cc
@@ -161,9 +161,9 @@
 		fleet.mend();
 		RC_ASSERT(fleet_converged(f));
 		for (uint32_t i = 0; i < f->n; i++) {
-			RC_ASSERT(member_view(f->node[i].m) ==
-				  member_view(f->node[0].m));
-			RC_ASSERT(member_majority(f->node[i].m));
+			RC_ASSERT(member_view_hash(f->node[i].m) ==
+				  member_view_hash(f->node[0].m));
+			RC_ASSERT(member_has_majority(f->node[i].m));
 			RC_ASSERT(member_lease_valid(f->node[i].m, f->now_ns));
 		}
 	});
@@ -207,7 +207,7 @@
 		fleet_run(f, 8 * NS_PER_S);
 		for (uint32_t i = 0; i < n; i++)
 			(i < at ? low : high) |=
-				member_majority(f->node[i].m) &&
+				member_has_majority(f->node[i].m) &&
 				member_lease_valid(f->node[i].m, f->now_ns);
 		RC_ASSERT(low != high);
 	});
--- a/test/member_test.c
+++ b/test/member_test.c
@@ -26,7 +26,7 @@
 
 static bool acts(const struct fleet *f, uint32_t i)
 {
-	return member_majority(f->node[i].m) && lease(f, i);
+	return member_has_majority(f->node[i].m) && lease(f, i);
 }
 
 static void dead_member_is_found(void **state)
@@ -113,7 +113,7 @@
 	uint64_t before;
 
 	(void)state;
-	before = member_deaths(f->node[2].m);
+	before = member_self_deaths(f->node[2].m);
 	assert_true(lease(f, 2));
 	fleet_pause(f, 2, 10 * NS_PER_S);
 	fleet_run(f, 10 * NS_PER_S - 1);
@@ -124,7 +124,7 @@
 	fleet_run(f, NS_PER_S);
 	assert_true(lease(f, 2));
 	assert_true(fleet_converged(f));
-	assert_true(member_deaths(f->node[2].m) > before);
+	assert_true(member_self_deaths(f->node[2].m) > before);
 	self = member_find(f->node[2].m, fleet_vm(2));
 	assert_true(self->incarnation > 1000);
 	fleet_free(f);
@@ -208,7 +208,7 @@
 	msg.gossip[0] =
 		(struct gossip){ .vm = fleet_vm(5), .state = MEMBER_SUSPECT };
 	msg.gossip[0].incarnation = member_find(m, fleet_vm(5))->incarnation;
-	member_message(m, &msg, f->now_ns);
+	member_receive(m, &msg, f->now_ns);
 	assert_true(fleet_believes(f, 2, 5, MEMBER_SUSPECT));
 	fleet_pause(f, 2, 700 * NS_PER_MS);
 	fleet_run(f, 700 * NS_PER_MS - 1);
@@ -233,25 +233,25 @@
 	struct fleet *f = fleet_up(3);
 	struct peer_msg msg = { .kind = PEER_GOSSIP, .n_gossip = 1 };
 	struct gossip *g = &msg.gossip[0];
-	uint64_t before = member_deaths(f->node[0].m);
+	uint64_t before = member_self_deaths(f->node[0].m);
 
 	(void)state;
 	*g = (struct gossip){ .vm = fleet_vm(0), .state = MEMBER_DEAD };
 	g->incarnation = member_find(f->node[1].m, fleet_vm(0))->incarnation;
 	msg.from = fleet_vm(2);
 	msg.incarnation = member_find(f->node[1].m, msg.from)->incarnation;
-	member_message(f->node[1].m, &msg, f->now_ns);
+	member_receive(f->node[1].m, &msg, f->now_ns);
 	assert_true(fleet_believes(f, 1, 0, MEMBER_DEAD));
 	g->state = MEMBER_SUSPECT;
-	member_message(f->node[0].m, &msg, f->now_ns);
-	assert_int_equal(member_deaths(f->node[0].m), before);
+	member_receive(f->node[0].m, &msg, f->now_ns);
+	assert_int_equal(member_self_deaths(f->node[0].m), before);
 	msg.n_gossip = 0;
 	msg.from = fleet_vm(0);
 	msg.incarnation = g->incarnation + 1;
-	member_message(f->node[1].m, &msg, f->now_ns);
+	member_receive(f->node[1].m, &msg, f->now_ns);
 	assert_true(fleet_believes(f, 1, 0, MEMBER_ALIVE));
 	assert_true(lease(f, 0));
-	while (member_deaths(f->node[0].m) == before)
+	while (member_self_deaths(f->node[0].m) == before)
 		fleet_run(f, NS_PER_MS / 10);
 	assert_false(lease(f, 0));
 	fleet_run(f, NS_PER_S);
@@ -281,10 +281,10 @@
 		(struct gossip){ .vm = fleet_vm(4), .state = MEMBER_SUSPECT };
 	msg.gossip[0].incarnation =
 		member_find(f->node[1].m, fleet_vm(4))->incarnation;
-	member_message(f->node[4].m, &msg, f->now_ns);
+	member_receive(f->node[4].m, &msg, f->now_ns);
 	msg = (struct peer_msg){ .kind = PEER_RECORD, .from = fleet_vm(4) };
 	msg.incarnation = member_find(f->node[4].m, msg.from)->incarnation;
-	member_message(f->node[1].m, &msg, f->now_ns);
+	member_receive(f->node[1].m, &msg, f->now_ns);
 	for (i = 0; i < 100; i++) {
 		assert_int_equal(fleet_holders(f, 4, MEMBER_LEAVING), 7);
 		fleet_run(f, 100 * NS_PER_MS);
@@ -311,7 +311,7 @@
 			f->node[i].side = i >= 8 - cut;
 		fleet_run(f, SETTLED_NS);
 		for (i = 0; i < 8; i++)
-			assert_int_equal(member_majority(f->node[i].m),
+			assert_int_equal(member_has_majority(f->node[i].m),
 					 i < 8 - cut);
 		for (i = 0; i < 8; i++)
 			f->node[i].side = 0;
@@ -361,13 +361,13 @@
 	fleet_start(f, 6);
 	fleet_roster(f, 6, 0, 8);
 	msg.incarnation = f->conf.incarnation;
-	member_message(f->node[1].m, &msg, f->now_ns);
+	member_receive(f->node[1].m, &msg, f->now_ns);
 	for (i = 0; i < 200; i++) {
 		assert_int_equal(fleet_holders(f, 6, MEMBER_ALIVE), 0);
 		fleet_run(f, 10 * NS_PER_MS);
 	}
 	assert_true(lease(f, 6));
-	assert_true(member_majority(f->node[6].m));
+	assert_true(member_has_majority(f->node[6].m));
 	member_join(f->node[6].m, f->now_ns);
 	fleet_run(f, 2 * NS_PER_MS);
 	assert_true(fleet_converged(f));
@@ -391,7 +391,7 @@
 	f->loss_percent = 100;
 	for (i = 0; i < 100; i++) {
 		fleet_run(f, 20 * NS_PER_MS);
-		member_message(f->node[0].m, &msg, f->now_ns);
+		member_receive(f->node[0].m, &msg, f->now_ns);
 		assert_true(fleet_believes(f, 0, 1, MEMBER_ALIVE));
 	}
 	fleet_free(f);
@@ -454,7 +454,7 @@
 	(void)state;
 	fleet_start(f, 0);
 	fleet_run(f, NS_PER_S);
-	assert_true(member_majority(f->node[0].m));
+	assert_true(member_has_majority(f->node[0].m));
 	assert_true(lease(f, 0));
 	fleet_free(f);
 }
--- a/test/pair_prop.cc
+++ b/test/pair_prop.cc
@@ -42,7 +42,7 @@
 
 	void start(uint32_t i)
 	{
-		ring_watch none = { nullptr, nullptr };
+		ring_observer none = { nullptr, nullptr };
 
 		if (f->node[i].m)
 			return;
@@ -77,7 +77,7 @@
 
 	bool fit(uint32_t i) const
 	{
-		return member_majority(f->node[i].m) &&
+		return member_has_majority(f->node[i].m) &&
 		       member_lease_valid(f->node[i].m, f->now_ns);
 	}
 
@@ -115,8 +115,9 @@
 	bool may_claim(uint32_t i, uint32_t bucket) const
 	{
 		return runs(i) && joined[i] && !leaving[i] &&
-		       ring_at(ring[i], bucket).owner == fleet_vm(i) &&
-		       fit(i) && ring_steady(ring[i], bucket, f->now_ns);
+		       ring_current_pair(ring[i], bucket).owner ==
+			       fleet_vm(i) &&
+		       fit(i) && ring_is_settled(ring[i], bucket, f->now_ns);
 	}
 
 	void check(uint32_t bucket) const
@@ -124,7 +125,7 @@
 		ring_pair first = { ADDR_NONE, ADDR_NONE };
 
 		for (uint32_t i = 0; i < f->n; i++) {
-			ring_pair p = ring_at(ring[i], bucket);
+			ring_pair p = ring_current_pair(ring[i], bucket);
 
 			if (!may_claim(i, bucket))
 				continue;
--- a/test/ring_prop.cc
+++ b/test/ring_prop.cc
@@ -52,7 +52,7 @@
 
 	Ring()
 	{
-		ring_watch watch = { this, changed };
+		ring_observer watch = { this, changed };
 
 		r = ring_new(kBuckets, vm(0), kSettleNs, kCoverNs, watch);
 	}
@@ -141,7 +141,7 @@
 		a.rest(live);
 		b.update(live, 0);
 		for (uint32_t i = 0; i < kBuckets; i++)
-			RC_ASSERT(same(ring_at(a.r, i), ring_at(b.r, i)));
+			RC_ASSERT(same(ring_current_pair(a.r, i), ring_current_pair(b.r, i)));
 	});
 
 	/*
@@ -161,13 +161,13 @@
 				*rc::gen::inRange<uint64_t>(0, kSettleNs);
 
 			for (uint32_t i = 0; i < kBuckets; i++)
-				before.push_back(ring_at(a.r, i));
+				before.push_back(ring_current_pair(a.r, i));
 			for (uint32_t n = *rc::gen::inRange(1, 6); n--;)
 				live = toggled(live, some_vm());
 			a.update(live, after);
 			RC_ASSERT(!a.broken);
 			for (uint32_t i = 0; i < kBuckets; i++) {
-				if (same(before[i], ring_at(a.r, i)))
+				if (same(before[i], ring_current_pair(a.r, i)))
 					continue;
 				if (last[i])
 					RC_ASSERT(a.now_ns - last[i] >=
@@ -195,8 +195,8 @@
 			live = toggled(live, some_vm());
 			a.update(live, lag);
 			for (uint32_t i = 0; i < kBuckets; i++)
-				RC_ASSERT(intersect(ring_at(a.r, i),
-						    ring_at(b.r, i)));
+				RC_ASSERT(intersect(ring_current_pair(a.r, i),
+						    ring_current_pair(b.r, i)));
 			b.now_ns = a.now_ns;
 			b.update(live, lag);
 			a.now_ns = b.now_ns;
@@ -223,7 +223,7 @@
 			heard.erase(some_vm());
 		a.update(heard, kSettleNs);
 		for (uint32_t i = 0; i < kBuckets; i++)
-			RC_ASSERT(intersect(ring_at(a.r, i), ring_at(b.r, i)));
+			RC_ASSERT(intersect(ring_current_pair(a.r, i), ring_current_pair(b.r, i)));
 	});
 
 	/*
@@ -255,10 +255,10 @@
 			bool stuck = false;
 
 			for (uint32_t d : dead)
-				stuck |= has(ring_at(a.r, i), vm(d)) ||
-					 has(ring_at(b.r, i), vm(d));
+				stuck |= has(ring_current_pair(a.r, i), vm(d)) ||
+					 has(ring_current_pair(b.r, i), vm(d));
 			RC_ASSERT(stuck ||
-				  intersect(ring_at(a.r, i), ring_at(b.r, i)));
+				  intersect(ring_current_pair(a.r, i), ring_current_pair(b.r, i)));
 		}
 	});
 
@@ -274,12 +274,12 @@
 
 		a.update(live, 0);
 		for (uint32_t b = 0; b < kBuckets; b++)
-			before.push_back(ring_at(a.r, b));
+			before.push_back(ring_current_pair(a.r, b));
 		a.update(toggled(live, i), kSettleNs);
 		for (uint32_t b = 0; b < kBuckets; b++)
-			RC_ASSERT(same(before[b], ring_at(a.r, b)) ||
+			RC_ASSERT(same(before[b], ring_current_pair(a.r, b)) ||
 				  has(before[b], vm(i)) ||
-				  has(ring_at(a.r, b), vm(i)));
+				  has(ring_current_pair(a.r, b), vm(i)));
 	});
 
 	return ok ? EXIT_SUCCESS : EXIT_FAILURE;
--- a/test/ring_test.c
+++ b/test/ring_test.c
@@ -31,7 +31,7 @@
 
 static struct ring *ring_of(uint32_t set)
 {
-	struct ring_watch watch = { 0 };
+	struct ring_observer watch = { 0 };
 	struct ring *r = ring_new(BUCKETS, vm(0), SETTLE_NS, COVER_NS, watch);
 
 	update(r, set, START_NS);
@@ -54,7 +54,7 @@
 	uint32_t i;
 
 	for (i = 0; i < BUCKETS; i++) {
-		p = ring_at(r, i);
+		p = ring_current_pair(r, i);
 		if (p.owner == owner && p.second == second)
 			return i;
 	}
@@ -69,8 +69,8 @@
 
 	(void)state;
 	for (i = 0; i < BUCKETS; i++) {
-		assert_int_equal(ring_at(r, i).owner, vm(0));
-		assert_int_equal(ring_at(r, i).second, ADDR_NONE);
+		assert_int_equal(ring_current_pair(r, i).owner, vm(0));
+		assert_int_equal(ring_current_pair(r, i).second, ADDR_NONE);
 	}
 	assert_int_equal(ring_next_ns(r), UINT64_MAX);
 	ring_free(r);
@@ -85,8 +85,8 @@
 	(void)state;
 	update(r, 6, now_ns);
 	for (i = 0; i < BUCKETS; i++) {
-		assert_false(has(ring_at(r, i), vm(0)));
-		assert_false(ring_covered(r, i, now_ns + 2 * COVER_NS));
+		assert_false(has(ring_current_pair(r, i), vm(0)));
+		assert_false(ring_is_covered(r, i, now_ns + 2 * COVER_NS));
 	}
 	ring_free(r);
 }
@@ -106,14 +106,15 @@
 
 	(void)state;
 	update(r, 0xff & ~(1U << 2 | 1U << 5), now_ns);
-	p = ring_at(r, b);
-	assert_int_equal(p.owner, ring_wanted(r, b).owner);
+	p = ring_current_pair(r, b);
+	assert_int_equal(p.owner, ring_desired_pair(r, b).owner);
 	assert_int_equal(p.second, vm(5));
 	assert_int_equal(ring_next_ns(r), now_ns + SETTLE_NS);
 	update(r, 0xff & ~(1U << 2 | 1U << 5), now_ns + SETTLE_NS - 1);
-	assert_int_equal(ring_at(r, b).second, vm(5));
+	assert_int_equal(ring_current_pair(r, b).second, vm(5));
 	update(r, 0xff & ~(1U << 2 | 1U << 5), now_ns + SETTLE_NS);
-	assert_int_equal(ring_at(r, b).second, ring_wanted(r, b).second);
+	assert_int_equal(ring_current_pair(r, b).second,
+			 ring_desired_pair(r, b).second);
 	assert_int_equal(ring_next_ns(r), UINT64_MAX);
 	ring_free(r);
 }
@@ -136,14 +137,15 @@
 	update(first, 7, now_ns);
 	update(last, 11, now_ns);
 	for (i = 0; i < BUCKETS; i++) {
-		want = ring_wanted(r, i);
-		p = ring_at(r, i);
+		want = ring_desired_pair(r, i);
+		p = ring_current_pair(r, i);
 		if (has(want, vm(0)) || has(want, vm(1)))
 			continue;
 		disjoint++;
-		assert_true(intersect(p, ring_at(first, i)));
-		assert_true(intersect(p, ring_at(last, i)));
-		assert_true(intersect(ring_at(first, i), ring_at(last, i)));
+		assert_true(intersect(p, ring_current_pair(first, i)));
+		assert_true(intersect(p, ring_current_pair(last, i)));
+		assert_true(intersect(ring_current_pair(first, i),
+				      ring_current_pair(last, i)));
 	}
 	assert_true(disjoint > 0);
 	ring_free(r);
@@ -165,19 +167,19 @@
 	uint32_t b = 5;
 
 	(void)state;
-	assert_false(ring_covered(r, b, now_ns - 1));
-	assert_true(ring_covered(r, b, now_ns));
-	ring_uncover(r, now_ns);
-	assert_false(ring_covered(r, b, now_ns + COVER_NS - 1));
-	ring_cover(r, b);
-	assert_true(ring_covered(r, b, now_ns));
+	assert_false(ring_is_covered(r, b, now_ns - 1));
+	assert_true(ring_is_covered(r, b, now_ns));
+	ring_reset_cover(r, now_ns);
+	assert_false(ring_is_covered(r, b, now_ns + COVER_NS - 1));
+	ring_mark_covered(r, b);
+	assert_true(ring_is_covered(r, b, now_ns));
 	update(r, 2, now_ns);
-	assert_false(ring_covered(r, b, now_ns));
-	ring_cover(r, b);
-	assert_false(ring_covered(r, b, now_ns));
+	assert_false(ring_is_covered(r, b, now_ns));
+	ring_mark_covered(r, b);
+	assert_false(ring_is_covered(r, b, now_ns));
 	update(r, 3, now_ns + SETTLE_NS);
-	assert_true(has(ring_at(r, b), vm(0)));
-	assert_false(ring_covered(r, b, now_ns + SETTLE_NS));
+	assert_true(has(ring_current_pair(r, b), vm(0)));
+	assert_false(ring_is_covered(r, b, now_ns + SETTLE_NS));
 	ring_free(r);
 }
 
@@ -194,15 +196,15 @@
 	uint64_t now_ns = START_NS + SETTLE_NS;
 
 	(void)state;
-	assert_false(ring_steady(r, b, now_ns - 1));
-	assert_true(ring_steady(r, b, now_ns));
+	assert_false(ring_is_settled(r, b, now_ns - 1));
+	assert_true(ring_is_settled(r, b, now_ns));
 	update(r, set, now_ns);
-	assert_false(ring_steady(r, b, now_ns + SETTLE_NS - 1));
-	assert_true(ring_steady(r, b, now_ns + SETTLE_NS));
+	assert_false(ring_is_settled(r, b, now_ns + SETTLE_NS - 1));
+	assert_true(ring_is_settled(r, b, now_ns + SETTLE_NS));
 	now_ns += SETTLE_NS;
 	update(r, 0xff & ~(1U << 2 | 1U << 5), now_ns);
 	update(r, 0xff & ~(1U << 2), now_ns + 1);
-	assert_false(ring_steady(r, b, now_ns + SETTLE_NS));
+	assert_false(ring_is_settled(r, b, now_ns + SETTLE_NS));
 	ring_free(r);
 }
 
@@ -213,7 +215,7 @@
 
 	(void)state;
 	for (i = 0; i < BUCKETS; i++)
-		owned[ADDR_IP(ring_at(r, i).owner) - 0x7f320001U]++;
+		owned[ADDR_IP(ring_current_pair(r, i).owner) - 0x7f320001U]++;
 	for (i = 0; i < 8; i++)
 		assert_in_range(owned[i], BUCKETS / 8 * 3 / 4,
 				BUCKETS / 8 * 5 / 4);
--- a/test/testbed_fault.c
+++ b/test/testbed_fault.c
@@ -137,8 +137,8 @@
 			    .probe_timeout_ns = MS(100),
 			    .suspect_timeout_ns = MS(600),
 			    .lease_ns = MS(1000),
-			    .probes = 2,
-			    .indirect = 2 },
+			    .probes_per_period = 2,
+			    .indirect_probes = 2 },
 		.requests_max = 1024,
 		.feeds_max = 1024,
 		.claims_max = 8192,
@@ -326,7 +326,7 @@
 {
 	const struct fake_caller *c = &f->callers[caller];
 	struct flow_key key = { CALLER_ADDR(caller), VIP_ADDR(c->service) };
-	struct ring_watch none = { 0 };
+	struct ring_observer none = { 0 };
 	struct ring *r = ring_new(BUCKETS, VM_ADDR(0), 0, 0, none);
 	struct ring_pair pair;
 	uint64_t vms[TESTBED_NODES_MAX];
@@ -337,7 +337,7 @@
 			vms[n++] = VM_ADDR(i);
 	}
 	ring_update(r, vms, n, f->now_ns);
-	pair = ring_at(r, ring_bucket(r, &key));
+	pair = ring_current_pair(r, ring_bucket(r, &key));
 	ring_free(r);
 	return pair;
 }
--- a/test/wire_prop.cc
+++ b/test/wire_prop.cc
@@ -41,7 +41,7 @@
 
 static void any_lists(peer_msg &m)
 {
-	m.n_gossip = *rc::gen::inRange(0, GOSSIP_MAX + 1);
+	m.n_gossip = *rc::gen::inRange(0, GOSSIP_UPDATES_MAX + 1);
 	for (int i = 0; i < m.n_gossip; i++) {
 		m.gossip[i].vm = any<uint64_t>();
 		m.gossip[i].incarnation = any<uint64_t>();
@@ -63,7 +63,7 @@
 	m.incarnation = any<uint64_t>();
 	m.view = any<uint64_t>();
 	m.seq = any<uint64_t>();
-	m.about = any<uint64_t>();
+	m.subject = any<uint64_t>();
 	m.hops = any<uint8_t>();
 	m.key = { any<uint64_t>(), any<uint64_t>() };
 	m.target = any<uint64_t>();
@@ -121,7 +121,7 @@
 {
 	if (m.kind == 0 || m.kind >= PEER_KIND_COUNT)
 		return false;
-	if (m.token_len > TOKEN_MAX_BYTES || m.n_gossip > GOSSIP_MAX)
+	if (m.token_len > TOKEN_MAX_BYTES || m.n_gossip > GOSSIP_UPDATES_MAX)
 		return false;
 	return m.n_claims <= CLAIMS_MAX && m.size_bytes <= WIRE_MAX_BYTES;
 }
--- a/test/wire_test.c
+++ b/test/wire_test.c
@@ -141,11 +141,12 @@
 /* The lists are whole, one element longer than the message has room for. */
 static void test_long_lists_are_refused(void **state)
 {
-	uint8_t body[256] = { 1, 0xcc, 0x80, 1, 1, GOSSIP_MAX + 1 };
+	uint8_t body[256] = { 1, 0xcc, 0x80, 1, 1, GOSSIP_UPDATES_MAX + 1 };
 	struct peer_msg got;
 
 	(void)state;
-	assert_int_equal(decode_body(body, 6 + 3 * (GOSSIP_MAX + 1), &got),
+	assert_int_equal(decode_body(body, 6 + 3 * (GOSSIP_UPDATES_MAX + 1),
+				     &got),
 			 -EPROTO);
 	memcpy(body, ((uint8_t[]){ 1, 0xcd, 1, 0, 1, 1, CLAIMS_MAX + 1 }), 7);
 	assert_int_equal(decode_body(body, 7 + 6 * (CLAIMS_MAX + 1), &got),
