--- a/bench/slopes-rack/main.c
+++ b/bench/slopes-rack/main.c
@@ -30,7 +30,7 @@
 static bool in_force(const struct net *net, uint32_t n, uint64_t generation)
 {
 	for (uint32_t i = 0; i < n; i++)
-		if (net_alive(net, i) &&
+		if (net_is_running(net, i) &&
 		    net_generation(net, i, ACCOUNT) != generation)
 			return false;
 	return true;
@@ -49,13 +49,13 @@
 static void lose_rack(struct net *net, uint32_t n, uint32_t count)
 {
 	for (uint32_t i = 0; i < n; i++) {
-		if (!net_reader(net, i))
+		if (!net_is_reader(net, i))
 			continue;
 		net_kill(net, i);
 		count--;
 	}
 	for (uint32_t i = 0; i < n && count; i++) {
-		if (!net_alive(net, i))
+		if (!net_is_running(net, i))
 			continue;
 		net_kill(net, i);
 		count--;
@@ -70,8 +70,8 @@
 
 	publish(net, 1);
 	net_run(net, 30 * NET_S);
-	calls = net_calls(net);
-	net_bytes_reset(net);
+	calls = net_platform_calls(net);
+	net_reset_bytes_sent(net);
 	publish(net, 2);
 	net_run(net, STEP);
 	lose_rack(net, n, RACK);
@@ -83,9 +83,9 @@
 		net_run(net, SPACING);
 	}
 	printf("rack_minute_bytes_most %u %.0f bytes\n", n,
-	       (double)net_bytes_max(net));
+	       (double)net_bytes_sent_max(net));
 	printf("rack_minute_platform_calls %u %.0f calls\n", n,
-	       (double)(net_calls(net) - calls));
+	       (double)(net_platform_calls(net) - calls));
 	net_free(net);
 }
 
--- a/bench/slopes-spread/main.c
+++ b/bench/slopes-spread/main.c
@@ -49,18 +49,18 @@
 
 static struct idle measure_idle(struct net *net, uint32_t n)
 {
-	uint64_t calls = net_calls(net);
+	uint64_t calls = net_platform_calls(net);
 	double began_us = cpu_us();
 	struct idle idle;
 
-	net_bytes_reset(net);
+	net_reset_bytes_sent(net);
 	net_run(net, IDLE_S * NET_S);
-	idle.bytes_per_s = (double)net_bytes(net) / n / IDLE_S;
-	idle.calls_per_s = (double)(net_calls(net) - calls) / IDLE_S;
+	idle.bytes_per_s = (double)net_bytes_sent(net) / n / IDLE_S;
+	idle.calls_per_s = (double)(net_platform_calls(net) - calls) / IDLE_S;
 	idle.cpu_us_per_s = (cpu_us() - began_us) / n / IDLE_S;
 	printf("spread_idle_bytes_per_s %u %.0f\n", n, idle.bytes_per_s);
 	printf("spread_idle_bytes_per_s_max %u %.0f\n", n,
-	       (double)net_bytes_max(net) / IDLE_S);
+	       (double)net_bytes_sent_max(net) / IDLE_S);
 	printf("spread_idle_cpu_us_per_s %u %.1f\n", n, idle.cpu_us_per_s);
 	printf("spread_platform_calls_per_s %u %.3f\n", n, idle.calls_per_s);
 	return idle;
@@ -77,12 +77,12 @@
 static void measure_changes(struct net *net, uint32_t n, uint32_t targets,
 			    struct idle idle)
 {
-	uint64_t calls = net_calls(net);
+	uint64_t calls = net_platform_calls(net);
 	uint64_t slowest_ms = 0;
 	double seconds = CHANGES * (double)SPACING / NET_S;
 	double began_us = cpu_us();
 
-	net_bytes_reset(net);
+	net_reset_bytes_sent(net);
 	for (uint64_t g = 2; g < 2 + CHANGES; g++) {
 		uint64_t ms = 0;
 
@@ -94,16 +94,17 @@
 		net_run(net, SPACING - ms * NET_MS);
 	}
 	printf("spread_bytes_per_change %u %.0f\n", n,
-	       ((double)net_bytes(net) / n - idle.bytes_per_s * seconds) /
+	       ((double)net_bytes_sent(net) / n - idle.bytes_per_s * seconds) /
 		       CHANGES);
 	printf("spread_bytes_per_change_max %u %.0f\n", n,
-	       ((double)net_bytes_max(net) - idle.bytes_per_s * seconds) /
+	       ((double)net_bytes_sent_max(net) - idle.bytes_per_s * seconds) /
 		       CHANGES);
 	printf("spread_cpu_us_per_change %u %.1f\n", n,
 	       ((cpu_us() - began_us) / n - idle.cpu_us_per_s * seconds) /
 		       CHANGES);
 	printf("spread_calls_per_change %u %.1f\n", n,
-	       ((double)(net_calls(net) - calls) - idle.calls_per_s * seconds) /
+	       ((double)(net_platform_calls(net) - calls) -
+		idle.calls_per_s * seconds) /
 		       CHANGES);
 	printf("spread_in_force_ms %u %lu\n", n, slowest_ms);
 }
@@ -114,14 +115,14 @@
 
 	net_kill(net, n - 1);
 	net_run(net, 5 * NET_S);
-	net_bytes_reset(net);
+	net_reset_bytes_sent(net);
 	net_start(net, n - 1);
-	for (; !net_serving(net, n - 1); ms += 5)
+	for (; !net_is_serving(net, n - 1); ms += 5)
 		net_run(net, 5 * NET_MS);
 	net_run(net, 2 * NET_S);
 	printf("spread_join_ms %u %lu\n", n, ms);
 	printf("spread_bytes_per_join %u %.0f\n", n,
-	       (double)net_bytes(net) -
+	       (double)net_bytes_sent(net) -
 		       idle.bytes_per_s * n * (2 + (double)ms / 1000));
 }
 
--- a/test/content_prop.cc
+++ b/test/content_prop.cc
@@ -1,5 +1,5 @@
-// Versions join in any order to the same; a delta turns one content into the
-// other, and a wrong one does no harm.
+// The join of versions does not depend on their order. A delta turns one
+// content into the other, and one that does not fit is rejected.
 extern "C" {
 #include "content.h"
 #include "version.h"
@@ -16,13 +16,13 @@
 
 using strings = std::vector<std::string>;
 
-struct content_free_it {
+struct content_deleter {
 	void operator()(content *c) const
 	{
 		content_free(c);
 	}
 };
-using owned = std::unique_ptr<content, content_free_it>;
+using content_ptr = std::unique_ptr<content, content_deleter>;
 
 std::vector<item> items_of(const strings &texts)
 {
@@ -34,11 +34,11 @@
 	return items;
 }
 
-owned make(const strings &texts)
+content_ptr content_of(const strings &texts)
 {
 	auto items = items_of(texts);
 
-	return owned(
+	return content_ptr(
 		content_new(items.data(), static_cast<uint32_t>(items.size())));
 }
 
@@ -54,20 +54,20 @@
 	       a.hash == b.hash && a.withdrawn_revision == b.withdrawn_revision;
 }
 
-// Few values, so that ties are common.
-rc::Gen<version> versions()
+// Small numbers, so that ties are common.
+rc::Gen<version> any_version()
 {
-	auto few = rc::gen::inRange<uint64_t>(0, 4);
+	auto small_number = rc::gen::inRange<uint64_t>(0, 4);
 
 	return rc::gen::build<version>(
-		rc::gen::set(&version::generation, few),
-		rc::gen::set(&version::revision, few),
-		rc::gen::set(&version::hash, few),
-		rc::gen::set(&version::withdrawn_revision, few));
+		rc::gen::set(&version::generation, small_number),
+		rc::gen::set(&version::revision, small_number),
+		rc::gen::set(&version::hash, small_number),
+		rc::gen::set(&version::withdrawn_revision, small_number));
 }
 
-// Few texts, so that contents overlap.
-strings texts()
+// Short texts of few letters, so that contents overlap.
+strings some_texts()
 {
 	return *rc::gen::container<strings>(rc::gen::container<std::string>(
 		rc::gen::inRange<char>('a', 'd')));
@@ -76,7 +76,8 @@
 bool check_versions()
 {
 	bool ok = rc::check("joining does not depend on the order", [] {
-		version a = *versions(), b = *versions(), c = *versions();
+		version a = *any_version(), b = *any_version(),
+			c = *any_version();
 
 		RC_ASSERT(same(joined(a, b), joined(b, a)));
 		RC_ASSERT(
@@ -85,7 +86,7 @@
 	});
 
 	ok &= rc::check("a joined version is never below either", [] {
-		version a = *versions(), b = *versions();
+		version a = *any_version(), b = *any_version();
 		version j = joined(a, b);
 
 		RC_ASSERT(j.generation >= a.generation);
@@ -99,24 +100,25 @@
 bool check_contents()
 {
 	bool ok = rc::check("a delta turns one content into the other", [] {
-		owned from = make(texts()), to = make(texts());
+		content_ptr from = content_of(some_texts()),
+			    to = content_of(some_texts());
 		struct delta d;
 
 		RC_ASSERT(content_diff(from.get(), to.get(), &d) == 0);
-		owned patched(content_patch(from.get(), &d));
+		content_ptr patched(content_patch(from.get(), &d));
 		delta_clear(&d);
 		RC_ASSERT(patched && patched->hash == to->hash);
 		RC_ASSERT(patched->n == to->n);
 	});
 
 	ok &= rc::check("order and repetition do not change a content", [] {
-		strings some = texts(), more = some;
+		strings once = some_texts(), twice = once;
 
-		more.insert(more.end(), some.rbegin(), some.rend());
-		RC_ASSERT(make(some)->hash == make(more)->hash);
+		twice.insert(twice.end(), once.rbegin(), once.rend());
+		RC_ASSERT(content_of(once)->hash == content_of(twice)->hash);
 	});
-	ok &= rc::check("only a delta that fits the base is taken", [] {
-		owned from = make(texts());
+	ok &= rc::check("a delta that does not fit the base is rejected", [] {
+		content_ptr from = content_of(some_texts());
 		auto removed = *rc::gen::container<std::vector<uint32_t>>(
 			rc::gen::inRange<uint32_t>(0, 4));
 		struct delta d = {
@@ -130,7 +132,7 @@
 		for (size_t i = 0; i < removed.size(); i++)
 			fits &= removed[i] < from->n &&
 				(!i || removed[i - 1] < removed[i]);
-		owned patched(content_patch(from.get(), &d));
+		content_ptr patched(content_patch(from.get(), &d));
 		RC_ASSERT(fits == !!patched);
 		if (patched)
 			RC_ASSERT(patched->n == from->n - d.n_removed);
--- a/test/reader_test.c
+++ b/test/reader_test.c
@@ -1,4 +1,4 @@
-/* The reader of the platform: when it calls, and when it waits. */
+/* Calls of the reader to the platform, and their order. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -7,8 +7,8 @@
 
 #include "reader.h"
 
-static void call(void *ctx, enum reader_call kind, const char *key,
-		 uint64_t after)
+static void count_call(void *ctx, enum reader_call kind, const char *key,
+		       uint64_t after)
 {
 	uint32_t *calls = ctx;
 
@@ -31,16 +31,15 @@
 }
 
 /*
- * Symptom: a cb-watch that isn't a reader takes a whole core. Sequence: it was
- * a reader, stops being one, and its next deadline stays in the past. Cause:
- * with nothing to do, the deadline that had come was left as it was, so the
- * loop armed its timer for now, for ever.
+ * Guards against a cb-watch that uses a whole core after it stopped being a
+ * reader: its next deadline stayed in the past, so the event loop armed its
+ * timer for the current time again and again.
  */
-static void test_a_reader_that_stops_waits(void **unused)
+static void reader_switched_off_has_no_due_deadline(void **unused)
 {
 	uint32_t calls = 0;
 	struct reader_port port = { .ctx = &calls,
-				    .start_call = call,
+				    .start_call = count_call,
 				    .cancel_call = cancel,
 				    .report_state = state };
 	struct reader *r = reader_new("garda", port, (struct rng){ 7 }, 1);
@@ -56,21 +55,21 @@
 	reader_free(r);
 }
 
-/* A platform whose calls are written down. */
-struct platform_book {
+/* Platform that records the last call. */
+struct recorded_platform {
 	struct reader *reader;
-	enum reader_call last;
+	enum reader_call last_call;
 	char key[PUBLISHED_KEY_MAX_BYTES];
 	bool relist;
 };
 
-static void note_call(void *ctx, enum reader_call kind, const char *key,
-		      uint64_t after)
+static void record_call(void *ctx, enum reader_call kind, const char *key,
+			uint64_t after)
 {
-	struct platform_book *b = ctx;
+	struct recorded_platform *b = ctx;
 
 	(void)after;
-	b->last = kind;
+	b->last_call = kind;
 	strcpy(b->key, key);
 }
 
@@ -85,7 +84,7 @@
 		    uint32_t size_bytes, uint64_t revision,
 		    char template[NAME_MAX_BYTES])
 {
-	struct platform_book *b = ctx;
+	struct recorded_platform *b = ctx;
 
 	(void)key;
 	(void)text;
@@ -104,24 +103,25 @@
 	return NULL;
 }
 
-static void answer(struct platform_book *b, const char *body, uint64_t now_ns)
+static void answer(struct recorded_platform *b, const char *body,
+		   uint64_t now_ns)
 {
 	struct reader_answer a = { 200, 6, body, strlen(body) };
 
 	reader_handle_answer(b->reader, &a, now_ns);
 }
 
-static void open_book(struct platform_book *b, const char *list)
+static void start_and_list(struct recorded_platform *b, const char *list)
 {
 	struct reader_port port = { .ctx = b,
-				    .start_call = note_call,
+				    .start_call = record_call,
 				    .cancel_call = cancel,
 				    .find_version = known,
 				    .accept_document = document,
 				    .key_at = each,
 				    .report_state = state };
 
-	*b = (struct platform_book){ 0 };
+	*b = (struct recorded_platform){ 0 };
 	b->reader = reader_new("garda", port, (struct rng){ 7 }, 1);
 	reader_set_mode(b->reader, READER_ALL, 10);
 	reader_tick(b->reader, 10);
@@ -129,19 +129,19 @@
 }
 
 /*
- * Symptom: of two accounts that want one VIP, one reader takes one and another
- * reader the other. Sequence: both are listed at once. Cause: they were read
- * in the order of the platform's list, or the reverse of it.
+ * Guards against readers that give one VIP to different accounts. Two accounts
+ * with the same VIP are listed together and the first one read gets it, so the
+ * order of reading must not depend on the order of the list.
  */
-static void test_a_list_is_read_by_name(void **unused)
+static void listed_keys_are_read_in_order_of_name(void **unused)
 {
 	static const char *const lists[] = { "5 account/a\n6 account/b\n",
 					     "5 account/b\n6 account/a\n" };
-	struct platform_book b;
+	struct recorded_platform b;
 
 	(void)unused;
 	for (size_t i = 0; i < 2; i++) {
-		open_book(&b, lists[i]);
+		start_and_list(&b, lists[i]);
 		assert_string_equal(b.key, "account/a");
 		answer(&b, "", 30);
 		assert_string_equal(b.key, "account/b");
@@ -150,25 +150,25 @@
 }
 
 /*
- * Symptom: an account that was refused for another's VIP comes in force twenty
- * seconds after the other has given it up. Sequence: the other's document is
- * taken, and from within the reader is told to list anew. Cause: a clock read
- * there was past the time of the answer under way, so the list was not due yet
- * and a watch came first, which ends when something else changes.
+ * Guards against an account that was refused for another account's VIP and,
+ * after the other has given up the VIP, is read only when something else
+ * changes or a watch ends, up to 20 s later. The relist is requested while a
+ * document is accepted, with a clock that is past the time of the answer; the
+ * list was then not due and a watch came first.
  */
-static void test_a_relist_comes_before_the_watch(void **unused)
+static void requested_relist_precedes_next_watch(void **unused)
 {
-	struct platform_book b;
+	struct recorded_platform b;
 
 	(void)unused;
-	open_book(&b, "5 account/a\n6 account/b\n");
+	start_and_list(&b, "5 account/a\n6 account/b\n");
 	answer(&b, "", 30);
 	b.relist = true;
 	answer(&b, "", 40);
-	assert_int_equal(b.last, CALL_LIST);
+	assert_int_equal(b.last_call, CALL_LIST);
 	b.relist = false;
 	answer(&b, "", 50);
-	assert_int_equal(b.last, CALL_WATCH);
+	assert_int_equal(b.last_call, CALL_WATCH);
 	reader_free(b.reader);
 }
 
@@ -181,13 +181,15 @@
 	return &v;
 }
 
-/* Guards against a publication that is passed over for good: the platform came
- * back from an older copy, and its revisions have passed the known one again. */
-static void test_listed_below_the_known_revision_is_read(void **unused)
+/*
+ * Guards against a publication that is never read: the platform was restored
+ * from an older copy, and its revisions have passed the known one again.
+ */
+static void key_listed_below_known_revision_is_read_once(void **unused)
 {
-	struct platform_book b;
+	struct recorded_platform b;
 	struct reader_port port = { .ctx = &b,
-				    .start_call = note_call,
+				    .start_call = record_call,
 				    .cancel_call = cancel,
 				    .find_version = known_at_26,
 				    .accept_document = document,
@@ -195,30 +197,30 @@
 				    .report_state = state };
 
 	(void)unused;
-	b = (struct platform_book){ 0 };
+	b = (struct recorded_platform){ 0 };
 	b.reader = reader_new("garda", port, (struct rng){ 7 }, 1);
 	reader_set_mode(b.reader, READER_ALL, 10);
 	reader_tick(b.reader, 10);
 	answer(&b, "24 account/a\n26 account/b\n30 template/t\n", 20);
-	assert_int_equal(b.last, CALL_GET);
+	assert_int_equal(b.last_call, CALL_GET);
 	assert_string_equal(b.key, "account/a");
 	answer(&b, "", 30);
-	assert_int_equal(b.last, CALL_WATCH);
-	/* A watch repeats what peers have told already. */
+	assert_int_equal(b.last_call, CALL_WATCH);
+	/* A watch reports a version that peers have already sent. */
 	answer(&b, "25 account/a\n31 account/z\n", 40);
 	assert_string_equal(b.key, "account/z");
 	answer(&b, "", 50);
-	assert_int_equal(b.last, CALL_WATCH);
+	assert_int_equal(b.last_call, CALL_WATCH);
 	reader_free(b.reader);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_a_reader_that_stops_waits),
-		cmocka_unit_test(test_a_list_is_read_by_name),
-		cmocka_unit_test(test_a_relist_comes_before_the_watch),
-		cmocka_unit_test(test_listed_below_the_known_revision_is_read),
+		cmocka_unit_test(reader_switched_off_has_no_due_deadline),
+		cmocka_unit_test(listed_keys_are_read_in_order_of_name),
+		cmocka_unit_test(requested_relist_precedes_next_watch),
+		cmocka_unit_test(key_listed_below_known_revision_is_read_once),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/spread_net.c
+++ b/test/spread_net.c
@@ -9,14 +9,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define STEP_NS (5 * NET_MS)
+#define TICK_NS (5 * NET_MS)
 #define CALL_NS (5 * NET_MS)
 #define WATCH_NS (20 * NET_S)
 #define KEYS_MAX 64
-/* A value of the platform holds a megabyte at most. */
+/* Greatest size of a value of the platform. */
 #define TEXT_MAX (1 << 20)
 #define ITEMS_MAX 32768
-#define LOG_MAX 4096
+#define CHANGES_MAX 4096
 #define VMS_MAX 512
 #define VM_BASE 0x7f280100U
 #define VM_PORT 7000
@@ -48,11 +48,22 @@
 	uint64_t end_ns;
 };
 
-struct forced {
+struct version_in_force {
 	char key[PUBLISHED_KEY_MAX_BYTES];
 	struct version version;
 };
 
+/**
+ * struct vm - a cb-watch and the entry beside it
+ * @side: VMs on different sides do not reach each other
+ * @spread: NULL while the cb-watch is stopped
+ * @call: call to the platform in progress
+ * @template: name of the template read last; empty for none
+ * @template_text: its text, or NULL
+ * @watch_versions: versions that the cb-watch put in force since its start
+ * @entry_versions: versions in force at the entry, which is never restarted
+ * @bytes: bytes sent
+ */
 struct vm {
 	struct net *net;
 	uint32_t index;
@@ -64,8 +75,8 @@
 	struct call call;
 	char template[NAME_MAX_BYTES];
 	char *template_text;
-	struct forced watch[KEYS_MAX];
-	struct forced entry[KEYS_MAX];
+	struct version_in_force watch_versions[KEYS_MAX];
+	struct version_in_force entry_versions[KEYS_MAX];
 	uint64_t bytes;
 };
 
@@ -89,24 +100,24 @@
 	struct spread_auth auth;
 	struct view live;
 	struct view stale;
-	struct change log[LOG_MAX];
-	uint32_t n_log;
+	struct change changes[CHANGES_MAX];
+	uint32_t n_changes;
 	enum net_platform platform;
-	uint32_t lose_one_in;
-	uint32_t falls;
-	uint32_t rewrites;
-	uint64_t calls;
-	uint64_t calls_second;
-	uint64_t calls_in_second;
-	uint64_t calls_max_per_s;
+	uint32_t frame_loss_one_in;
+	uint32_t regressions;
+	uint32_t rewritten_contents;
+	uint64_t platform_calls;
+	uint64_t current_second;
+	uint64_t calls_in_current_second;
+	uint64_t platform_calls_max_per_s;
 };
 
-static uint64_t vm_addr(uint32_t index)
+static uint64_t vm_address(uint32_t index)
 {
 	return ADDR(VM_BASE + index, VM_PORT);
 }
 
-/* The platform. */
+/* Platform. */
 
 static struct document *view_find(struct view *v, const char *key)
 {
@@ -123,9 +134,9 @@
 	v->n = 0;
 }
 
-static void log_change(struct net *net, const char *key)
+static void record_change(struct net *net, const char *key)
 {
-	struct change *c = &net->log[net->n_log++ % LOG_MAX];
+	struct change *c = &net->changes[net->n_changes++ % CHANGES_MAX];
 
 	c->revision = net->live.revision;
 	snprintf(c->key, sizeof(c->key), "%s", key);
@@ -144,7 +155,7 @@
 	free(d->text);
 	d->text = strdup(text);
 	d->revision = net->live.revision;
-	log_change(net, key);
+	record_change(net, key);
 }
 
 void net_delete(struct net *net, const char *key)
@@ -156,15 +167,15 @@
 	net->live.revision++;
 	free(d->text);
 	*d = net->live.documents[--net->live.n];
-	log_change(net, key);
+	record_change(net, key);
 }
 
-void net_platform(struct net *net, enum net_platform state)
+void net_set_platform(struct net *net, enum net_platform state)
 {
 	net->platform = state;
 }
 
-void net_remember(struct net *net)
+void net_snapshot_platform(struct net *net)
 {
 	view_clear(&net->stale);
 	net->stale = net->live;
@@ -175,41 +186,41 @@
 
 static void publish_vms(struct net *net);
 
-void net_forget(struct net *net)
+void net_reset_platform(struct net *net)
 {
 	view_clear(&net->live);
 	net->live.revision = 0;
-	net->n_log = 0;
+	net->n_changes = 0;
 	publish_vms(net);
 }
 
 static void publish_vms(struct net *net)
 {
 	char text[16 * VMS_MAX] = "";
-	size_t used = 0;
+	size_t length = 0;
 
 	for (uint32_t i = 0; i < net->n; i++)
 		if (net->vms[i].spread)
-			used += snprintf(text + used, sizeof(text) - used,
-					 "%s%u", used ? "|" : "", i);
+			length += snprintf(text + length, sizeof(text) - length,
+					   "%s%u", length ? "|" : "", i);
 	net_publish(net, VMS_KEY, text);
 }
 
-/* Ports of the reader. */
+/* Callbacks of the reader. */
 
-static void port_call(void *ctx, enum reader_call kind, const char *key,
-		      uint64_t after)
+static void port_start_call(void *ctx, enum reader_call kind, const char *key,
+			    uint64_t after)
 {
 	struct vm *vm = ctx;
 	struct net *net = vm->net;
 
-	net->calls++;
-	if (net->now_ns / NET_S != net->calls_second) {
-		net->calls_second = net->now_ns / NET_S;
-		net->calls_in_second = 0;
+	net->platform_calls++;
+	if (net->now_ns / NET_S != net->current_second) {
+		net->current_second = net->now_ns / NET_S;
+		net->calls_in_current_second = 0;
 	}
-	if (++net->calls_in_second > net->calls_max_per_s)
-		net->calls_max_per_s = net->calls_in_second;
+	if (++net->calls_in_current_second > net->platform_calls_max_per_s)
+		net->platform_calls_max_per_s = net->calls_in_current_second;
 	vm->call = (struct call){
 		.active = true,
 		.kind = kind,
@@ -220,21 +231,21 @@
 	snprintf(vm->call.key, sizeof(vm->call.key), "%s", key);
 }
 
-static void port_cancel(void *ctx)
+static void port_cancel_call(void *ctx)
 {
 	struct vm *vm = ctx;
 
 	vm->call.active = false;
 }
 
-static const struct version *port_known(void *ctx, const char *key)
+static const struct version *port_find_version(void *ctx, const char *key)
 {
 	struct vm *vm = ctx;
 
 	return spread_version(vm->spread, key);
 }
 
-static void take_roster(struct vm *vm, const struct content *c)
+static void set_roster(struct vm *vm, const struct content *c)
 {
 	uint64_t vms[VMS_MAX];
 	uint32_t n = 0;
@@ -243,7 +254,7 @@
 		char text[16] = "";
 
 		memcpy(text, c->items[i].data, c->items[i].size_bytes);
-		vms[n++] = vm_addr((uint32_t)atoi(text));
+		vms[n++] = vm_address((uint32_t)atoi(text));
 	}
 	vm->roster_known = true;
 	spread_set_roster(vm->spread, vms, n, vm->net->now_ns);
@@ -261,7 +272,7 @@
 	return n;
 }
 
-/* Render "GENERATION|ITEM|@TEMPLATE": the template's items are put in. */
+/* Render "GENERATION|@TEMPLATE|ITEM": the items of the template are added. */
 static int render(struct vm *vm, char *text, char *template_copy,
 		  struct content **out, uint64_t *generation, char *wanted)
 {
@@ -288,8 +299,9 @@
 	return 0;
 }
 
-static int port_document(void *ctx, const char *key, const char *text,
-			 uint32_t size_bytes, uint64_t revision, char *template)
+static int port_accept_document(void *ctx, const char *key, const char *text,
+				uint32_t size_bytes, uint64_t revision,
+				char *template)
 {
 	struct vm *vm = ctx;
 	static char copy[TEXT_MAX + 1], template_copy[TEXT_MAX + 1];
@@ -315,8 +327,8 @@
 	return err;
 }
 
-static void port_template(void *ctx, const char *name, const char *text,
-			  uint32_t size_bytes)
+static void port_accept_template(void *ctx, const char *name, const char *text,
+				 uint32_t size_bytes)
 {
 	struct vm *vm = ctx;
 
@@ -325,17 +337,17 @@
 	strcpy(vm->template, name);
 }
 
-static void port_gone(void *ctx, const char *key, uint64_t revision)
+static void port_report_missing(void *ctx, const char *key, uint64_t revision)
 {
 	struct vm *vm = ctx;
 
 	if (!strcmp(key, VMS_KEY) && !vm->roster_known)
-		take_roster(vm, NULL);
+		set_roster(vm, NULL);
 	else if (strcmp(key, VMS_KEY))
 		spread_withdraw(vm->spread, key, revision, vm->net->now_ns);
 }
 
-static const char *port_each(void *ctx, uint32_t index)
+static const char *port_key_at(void *ctx, uint32_t index)
 {
 	struct vm *vm = ctx;
 	const struct content *content;
@@ -347,14 +359,14 @@
 		       : NULL;
 }
 
-static void port_state(void *ctx, bool ok, bool caught_up)
+static void port_report_state(void *ctx, bool ok, bool caught_up)
 {
 	struct vm *vm = ctx;
 
 	spread_set_platform_state(vm->spread, ok, caught_up, vm->net->now_ns);
 }
 
-/* Ports of the spread. */
+/* Callbacks of spread. */
 
 static void port_send(void *ctx, uint64_t to, const struct spread_msg *msg)
 {
@@ -363,13 +375,14 @@
 	struct frame f = {
 		.from = vm->index,
 		.to = ADDR_IP(to) - VM_BASE,
-		.due_ns = net->now_ns + STEP_NS,
+		.due_ns = net->now_ns + TICK_NS,
 	};
 
 	if (spread_encode(msg, &net->auth, &f.data, &f.size_bytes))
 		abort();
 	vm->bytes += f.size_bytes;
-	if (net->lose_one_in && rng_next(&net->rng) % net->lose_one_in == 0) {
+	if (net->frame_loss_one_in &&
+	    rng_next(&net->rng) % net->frame_loss_one_in == 0) {
 		free(f.data);
 		return;
 	}
@@ -380,7 +393,8 @@
 	net->frames[net->n_frames++] = f;
 }
 
-static int port_check(void *ctx, const char *key, const struct content *c)
+static int port_check_content(void *ctx, const char *key,
+			      const struct content *c)
 {
 	static const char unreadable[] = "unreadable";
 
@@ -393,7 +407,8 @@
 	return 0;
 }
 
-static struct forced *forced_get(struct forced *list, const char *key)
+static struct version_in_force *
+in_force_find_or_add(struct version_in_force *list, const char *key)
 {
 	for (uint32_t i = 0; i < KEYS_MAX; i++) {
 		if (!list[i].key[0])
@@ -404,8 +419,8 @@
 	abort();
 }
 
-static const struct forced *forced_find(const struct forced *list,
-					const char *key)
+static const struct version_in_force *
+in_force_find(const struct version_in_force *list, const char *key)
 {
 	for (uint32_t i = 0; i < KEYS_MAX; i++)
 		if (!strcmp(list[i].key, key))
@@ -413,36 +428,41 @@
 	return NULL;
 }
 
-static void note(struct net *net, struct forced *list, const char *key,
-		 const struct version *v)
+static void record_in_force(struct net *net, struct version_in_force *list,
+			    const char *key, const struct version *v)
 {
-	struct forced *f = forced_get(list, key);
+	struct version_in_force *f = in_force_find_or_add(list, key);
 	const struct version *old = &f->version;
 	bool same = v->generation == old->generation;
 
-	net->falls += v->generation < old->generation;
-	net->falls +=
+	net->regressions += v->generation < old->generation;
+	net->regressions +=
 		same && version_is_withdrawn(old) && !version_is_withdrawn(v);
-	net->rewrites += same && v->generation && v->hash != old->hash;
+	net->rewritten_contents +=
+		same && v->generation && v->hash != old->hash;
 	f->version = *v;
 }
 
-/* An entry takes what adapters/link.c would: only what is newer. */
-static void port_in_force(void *ctx, const char *key,
-			  const struct version *version,
-			  const struct content *content)
+/*
+ * The entry beside the cb-watch accepts only newer versions, as
+ * adapters/link.c.
+ */
+static void port_put_in_force(void *ctx, const char *key,
+			      const struct version *version,
+			      const struct content *content)
 {
 	struct vm *vm = ctx;
 
-	struct version joined = forced_get(vm->entry, key)->version;
+	struct version joined =
+		in_force_find_or_add(vm->entry_versions, key)->version;
 
-	note(vm->net, vm->watch, key, version);
+	record_in_force(vm->net, vm->watch_versions, key, version);
 	if (version_adds_to(version, &joined)) {
 		version_join(&joined, version);
-		note(vm->net, vm->entry, key, &joined);
+		record_in_force(vm->net, vm->entry_versions, key, &joined);
 	}
 	if (content && !strcmp(key, VMS_KEY))
-		take_roster(vm, content);
+		set_roster(vm, content);
 }
 
 /* VMs. */
@@ -450,12 +470,20 @@
 static void vm_start(struct vm *vm)
 {
 	struct net *net = vm->net;
-	struct spread_conf conf = { vm_addr(vm->index), net->readers, VMS_KEY };
-	struct spread_port port = { vm, port_send, port_check, port_in_force };
+	struct spread_conf conf = { vm_address(vm->index), net->readers,
+				    VMS_KEY };
+	struct spread_port port = { vm, port_send, port_check_content,
+				    port_put_in_force };
 	struct reader_port read = {
-		vm,	    port_call,	   port_cancel,
-		port_known, port_document, port_template,
-		port_gone,  port_each,	   port_state,
+		vm,
+		port_start_call,
+		port_cancel_call,
+		port_find_version,
+		port_accept_document,
+		port_accept_template,
+		port_report_missing,
+		port_key_at,
+		port_report_state,
 	};
 	struct rng rng = { rng_next(&net->rng) | 1 };
 
@@ -465,7 +493,7 @@
 	vm->paused = false;
 	vm->roster_known = false;
 	vm->call.active = false;
-	memset(vm->watch, 0, sizeof(vm->watch));
+	memset(vm->watch_versions, 0, sizeof(vm->watch_versions));
 }
 
 static void vm_stop(struct vm *vm)
@@ -480,7 +508,7 @@
 	vm->spread = NULL;
 }
 
-static void vm_turn(struct vm *vm)
+static void vm_run_due(struct vm *vm)
 {
 	uint64_t now_ns = vm->net->now_ns;
 	enum reader_mode mode = READER_OFF;
@@ -498,31 +526,33 @@
 static void answer_watch(struct net *net, struct vm *vm, struct view *v,
 			 struct reader_answer *a, char *body)
 {
-	size_t used = 0;
-	uint32_t first = net->n_log > LOG_MAX ? net->n_log - LOG_MAX : 0;
+	size_t length = 0;
+	uint32_t first =
+		net->n_changes > CHANGES_MAX ? net->n_changes - CHANGES_MAX : 0;
 
-	for (uint32_t i = first; i < net->n_log; i++) {
-		const struct change *c = &net->log[i % LOG_MAX];
+	for (uint32_t i = first; i < net->n_changes; i++) {
+		const struct change *c = &net->changes[i % CHANGES_MAX];
 
 		if (c->revision > vm->call.after && c->revision <= v->revision)
-			used += snprintf(body + used, TEXT_MAX - used,
-					 "%lu %s\n", c->revision, c->key);
+			length += snprintf(body + length, TEXT_MAX - length,
+					   "%lu %s\n", c->revision, c->key);
 	}
 	a->body = body;
-	a->size_bytes = (uint32_t)used;
+	a->size_bytes = (uint32_t)length;
 	a->revision = v->revision;
 	a->status = 200;
 }
 
 static void answer_list(struct view *v, struct reader_answer *a, char *body)
 {
-	size_t used = 0;
+	size_t length = 0;
 
 	for (uint32_t i = 0; i < v->n; i++)
-		used += snprintf(body + used, TEXT_MAX - used, "%lu %s\n",
+		length +=
+			snprintf(body + length, TEXT_MAX - length, "%lu %s\n",
 				 v->documents[i].revision, v->documents[i].key);
 	a->body = body;
-	a->size_bytes = (uint32_t)used;
+	a->size_bytes = (uint32_t)length;
 	a->revision = v->revision;
 	a->status = 200;
 }
@@ -537,7 +567,7 @@
 	a->size_bytes = (uint32_t)strlen(a->body);
 }
 
-static void platform_turn(struct net *net, struct vm *vm)
+static void platform_answer_due(struct net *net, struct vm *vm)
 {
 	struct view *v = net->platform == NET_STALE ? &net->stale : &net->live;
 	bool reached = net->platform != NET_DOWN && vm->side == 0;
@@ -607,15 +637,15 @@
 	uint64_t end_ns = net->now_ns + for_ns;
 
 	while (net->now_ns < end_ns) {
-		net->now_ns += STEP_NS;
+		net->now_ns += TICK_NS;
 		deliver_due(net);
 		for (uint32_t i = 0; i < net->n; i++) {
 			struct vm *vm = &net->vms[i];
 
 			if (!vm->spread || vm->paused)
 				continue;
-			platform_turn(net, vm);
-			vm_turn(vm);
+			platform_answer_due(net, vm);
+			vm_run_due(vm);
 		}
 	}
 }
@@ -668,103 +698,106 @@
 	net->vms[vm].paused = paused;
 }
 
-void net_side(struct net *net, uint32_t vm, uint32_t side)
+void net_set_side(struct net *net, uint32_t vm, uint32_t side)
 {
 	net->vms[vm].side = side;
 }
 
-void net_lose(struct net *net, uint32_t one_in)
+void net_set_frame_loss(struct net *net, uint32_t one_in)
 {
-	net->lose_one_in = one_in;
+	net->frame_loss_one_in = one_in;
 }
 
 uint64_t net_generation(const struct net *net, uint32_t vm, const char *key)
 {
-	const struct forced *f = forced_find(net->vms[vm].entry, key);
+	const struct version_in_force *f =
+		in_force_find(net->vms[vm].entry_versions, key);
 
 	return f ? f->version.generation : 0;
 }
 
-uint64_t net_hash(const struct net *net, uint32_t vm, const char *key)
+uint64_t net_content_hash(const struct net *net, uint32_t vm, const char *key)
 {
-	const struct forced *f = forced_find(net->vms[vm].entry, key);
+	const struct version_in_force *f =
+		in_force_find(net->vms[vm].entry_versions, key);
 
 	return f ? f->version.hash : 0;
 }
 
-bool net_withdrawn(const struct net *net, uint32_t vm, const char *key)
+bool net_is_withdrawn(const struct net *net, uint32_t vm, const char *key)
 {
-	const struct forced *f = forced_find(net->vms[vm].entry, key);
+	const struct version_in_force *f =
+		in_force_find(net->vms[vm].entry_versions, key);
 
 	return f && version_is_withdrawn(&f->version);
 }
 
-bool net_alive(const struct net *net, uint32_t vm)
+bool net_is_running(const struct net *net, uint32_t vm)
 {
 	return net->vms[vm].spread;
 }
 
-bool net_serving(const struct net *net, uint32_t vm)
+bool net_is_serving(const struct net *net, uint32_t vm)
 {
 	return net->vms[vm].spread && spread_is_serving(net->vms[vm].spread);
 }
 
-bool net_reader(const struct net *net, uint32_t vm)
+bool net_is_reader(const struct net *net, uint32_t vm)
 {
 	return net->vms[vm].spread && spread_is_reader(net->vms[vm].spread);
 }
 
-uint32_t net_readers(const struct net *net)
+uint32_t net_reader_count(const struct net *net)
 {
 	uint32_t n = 0;
 
 	for (uint32_t i = 0; i < net->n; i++)
-		n += net_reader(net, i);
+		n += net_is_reader(net, i);
 	return n;
 }
 
-uint64_t net_root(const struct net *net, uint32_t vm)
+uint64_t net_store_digest(const struct net *net, uint32_t vm)
 {
 	return spread_store_digest(net->vms[vm].spread);
 }
 
-bool net_converged(const struct net *net)
+bool net_is_converged(const struct net *net)
 {
 	uint64_t root = 0;
 
 	for (uint32_t i = 0; i < net->n; i++) {
-		if (!net_alive(net, i))
+		if (!net_is_running(net, i))
 			continue;
-		if (!net_serving(net, i))
+		if (!net_is_serving(net, i))
 			return false;
-		if (root && net_root(net, i) != root)
+		if (root && net_store_digest(net, i) != root)
 			return false;
-		root = net_root(net, i);
+		root = net_store_digest(net, i);
 	}
 	return true;
 }
 
-uint32_t net_falls(const struct net *net)
+uint32_t net_regressions(const struct net *net)
 {
-	return net->falls;
+	return net->regressions;
 }
 
-uint32_t net_rewrites(const struct net *net)
+uint32_t net_rewritten_contents(const struct net *net)
 {
-	return net->rewrites;
+	return net->rewritten_contents;
 }
 
-uint64_t net_calls(const struct net *net)
+uint64_t net_platform_calls(const struct net *net)
 {
-	return net->calls;
+	return net->platform_calls;
 }
 
-uint64_t net_calls_max_per_s(const struct net *net)
+uint64_t net_platform_calls_max_per_s(const struct net *net)
 {
-	return net->calls_max_per_s;
+	return net->platform_calls_max_per_s;
 }
 
-uint64_t net_bytes(const struct net *net)
+uint64_t net_bytes_sent(const struct net *net)
 {
 	uint64_t bytes = 0;
 
@@ -773,7 +806,7 @@
 	return bytes;
 }
 
-uint64_t net_bytes_max(const struct net *net)
+uint64_t net_bytes_sent_max(const struct net *net)
 {
 	uint64_t most = 0;
 
@@ -783,7 +816,7 @@
 	return most;
 }
 
-void net_bytes_reset(struct net *net)
+void net_reset_bytes_sent(struct net *net)
 {
 	for (uint32_t i = 0; i < net->n; i++)
 		net->vms[i].bytes = 0;
@@ -799,7 +832,7 @@
 	return n;
 }
 
-uint64_t net_refused(const struct net *net, uint32_t vm)
+uint64_t net_documents_refused(const struct net *net, uint32_t vm)
 {
 	return reader_counters(net->vms[vm].reader)->documents_refused;
 }
@@ -809,7 +842,7 @@
 	return spread_counters(net->vms[vm].spread)->joined_alone;
 }
 
-uint64_t net_wholes(const struct net *net)
+uint64_t net_whole_contents_sent(const struct net *net)
 {
 	uint64_t n = 0;
 
