--- a/core/member/member.c
+++ b/core/member/member.c
@@ -248,7 +248,7 @@
 		member_on_ack(m, msg, now_ns);
 }
 
-/* Set the own state and send it to all members that are not dead at once. */
+/* Set the own state and send it at once to all members that are not dead. */
 static void announce_state(struct membership *m, bool leaving, uint64_t now_ns)
 {
 	int32_t self = member_find_index(m, m->conf.self);
--- a/core/member/member_gossip.c
+++ b/core/member/member_gossip.c
@@ -59,8 +59,8 @@
  * A member that refuted its suspicion in time for others, but too late for this
  * entry, does not know that it was dead here and has to be notified. A death
  * that was declared without a majority is not reported: an entry that was cut
- * off from all others granted nothing without them, and if it notified them
- * all, the whole fleet would have to validate its view again.
+ * off from all others granted nothing without them, and its notifications would
+ * make the whole fleet validate its view again.
  */
 static void record_unreported_death(struct membership *m, uint32_t i,
 				    const struct gossip *g)
@@ -141,8 +141,8 @@
  * A dead member that left before is sent as leaving. If it were sent as dead, a
  * new entry would count it among those whose majority it needs, for as long as
  * the platform lists it. The smaller side of a partition sends dead members as
- * suspect: it did not act without them, so after the partition has healed they
- * need no new validation.
+ * suspect: that side did not act without them, so they need no new validation
+ * after the partition has healed.
  */
 void member_add_update(const struct membership *m, struct peer_msg *msg,
 		       uint32_t i)
@@ -183,7 +183,10 @@
 		member_add_update(m, msg, i);
 }
 
-/* Insert @i into the sorted list of the members with most transmits left. */
+/*
+ * Insert member @i into @best, the members with most transmits left in
+ * descending order. Returns their number, at most @capacity.
+ */
 static uint32_t insert_by_transmits_left(const struct membership *m,
 					 uint32_t *best, uint32_t n,
 					 uint32_t capacity, uint32_t i)
--- a/core/member/member_set.c
+++ b/core/member/member_set.c
@@ -24,7 +24,7 @@
 /**
  * member_find_index() - find the index of a member
  * @m: membership
- * @vm: its address
+ * @vm: address of the member
  *
  * Return: index into @m->members, or -ENOENT.
  */
--- a/core/request/claiming.c
+++ b/core/request/claiming.c
@@ -28,7 +28,8 @@
  */
 static bool may_claim(const struct entry *e, const struct request *r)
 {
-	return claim_safe_now(e) && ring_is_settled(e->ring, r->bucket, e->now_ns);
+	return claim_safe_now(e) &&
+	       ring_is_settled(e->ring, r->bucket, e->now_ns);
 }
 
 static struct claim claim_of(const struct entry *e, const struct request *r,
--- a/core/spread/reader.c
+++ b/core/spread/reader.c
@@ -165,8 +165,8 @@
  * A document whose revision is not above the known one need not be read, unless
  * the platform is behind what is known: it is stale, or it lost its data and
  * counts from 0 again, or it lists a key below the revision that the key had.
- * Its publications would then be skipped for good, so each is read once, and
- * their generations decide.
+ * Its new publications would then be skipped for good, so each is read once,
+ * and their generations decide.
  */
 static bool is_already_known(const struct reader *r, const char *key,
 			     const struct version *known, uint64_t revision)
--- a/core/spread/spread_peers.c
+++ b/core/spread/spread_peers.c
@@ -72,7 +72,7 @@
 	s->n_peers = n;
 }
 
-static int by_vm(const void *a, const void *b)
+static int compare_vms(const void *a, const void *b)
 {
 	const struct spread_peer *x = a, *y = b;
 
@@ -103,7 +103,7 @@
 		p->listed = true;
 	}
 	remove_stale_peers(s, now_ns);
-	qsort(s->peers, s->n_peers, sizeof(*s->peers), by_vm);
+	qsort(s->peers, s->n_peers, sizeof(*s->peers), compare_vms);
 	readers_rank(s);
 	select_neighbours(s, now_ns);
 	if (s->roster_known)
--- a/core/spread/spread_relay.c
+++ b/core/spread/spread_relay.c
@@ -112,7 +112,7 @@
 static void receive_offer(struct spread *s, const struct spread_msg *msg,
 			  uint64_t now_ns)
 {
-	struct spread_msg queue_if_newer = new_message(s, SPREAD_WANT);
+	struct spread_msg request = new_message(s, SPREAD_WANT);
 
 	if (msg->wants_reply && msg->bucket >= 0)
 		answer_bucket_offer(s, msg);
@@ -127,10 +127,10 @@
 			continue;
 		r->request_deadline_ns = now_ns + WANT_TIMEOUT_NS;
 		base.hash = r->content ? r->content->hash : 0;
-		add_offer(s, &queue_if_newer, o->key, &base);
+		add_offer(s, &request, o->key, &base);
 	}
-	s->counters.wants += queue_if_newer.n_offers;
-	send_if_any(s, msg->from, &queue_if_newer);
+	s->counters.wants += request.n_offers;
+	send_if_any(s, msg->from, &request);
 }
 
 static void send_data(struct spread *s, uint64_t vm, const struct record *r,
@@ -170,12 +170,12 @@
 static void request_whole_content(struct spread *s, uint64_t vm,
 				  const char *key)
 {
-	struct spread_msg queue_if_newer = new_message(s, SPREAD_WANT);
+	struct spread_msg request = new_message(s, SPREAD_WANT);
 	struct version none = { 0 };
 
-	add_offer(s, &queue_if_newer, key, &none);
+	add_offer(s, &request, key, &none);
 	s->counters.wants++;
-	send_if_any(s, vm, &queue_if_newer);
+	send_if_any(s, vm, &request);
 }
 
 static void receive_data(struct spread *s, const struct spread_msg *msg,
