--- a/bench/slopes-member/main.c
+++ b/bench/slopes-member/main.c
@@ -188,7 +188,8 @@
 	uint32_t i, at, most = 0, *owned = calloc(n, sizeof(*owned));
 
 	for (i = 0; i < RING_BUCKETS; i++) {
-		at = ADDR_IP(ring_current_pair(r, i).owner) - ADDR_IP(fleet_vm(0));
+		at = ADDR_IP(ring_current_pair(r, i).owner) -
+		     ADDR_IP(fleet_vm(0));
 		if (++owned[at] > most)
 			most = owned[at];
 	}
@@ -222,8 +223,8 @@
 	idle = update_us(r, vms, n, now_ns += NS_PER_S);
 	printf("ring_update_us %u first %.0f leave %.0f join %.0f same %.1f "
 	       "bytes %llu owner_max_over_mean %.3f\n",
-	       n, first, leave, join, idle, (unsigned long long)ring_memory_bytes(r),
-	       imbalance(r, n));
+	       n, first, leave, join, idle,
+	       (unsigned long long)ring_memory_bytes(r), imbalance(r, n));
 	ring_free(r);
 }
 
