--- a/adapters/coap_wire.c
+++ b/adapters/coap_wire.c
@@ -82,7 +82,7 @@
 	/* Number above the lowest 4 bits, more bit below it, then the size. */
 	if ((value >> 4) == 0 && !(value & BLOCK_MORE_BIT))
 		return;
-	s->m->flags |= MESSAGE_PART;
+	s->m->flags |= MESSAGE_BLOCK;
 	if (value & BLOCK_MORE_BIT)
 		s->m->flags |= MESSAGE_MORE;
 }
@@ -92,11 +92,11 @@
 	uint32_t value;
 
 	scan_block(s, opt);
-	if (!s->request || !(s->m->flags & MESSAGE_PART))
+	if (!s->request || !(s->m->flags & MESSAGE_BLOCK))
 		return;
 	s->m->flags |= MESSAGE_BODY;
 	if (option_uint(opt, &value) && (value >> 4) == 0)
-		s->m->flags |= MESSAGE_START;
+		s->m->flags |= MESSAGE_FIRST_BLOCK;
 }
 
 static void scan_timeout(struct scan *s, const coap_opt_t *opt)
--- a/bench/slopes-entry/feeds.c
+++ b/bench/slopes-entry/feeds.c
@@ -27,7 +27,7 @@
 	p = pump_new(NODES, &conf, TARGETS);
 	for (uint32_t i = 0; i < n; i++) {
 		struct flow_key key = pump_key(i);
-		struct entry_view v = entry_explain(p->nodes[0].e, &key);
+		struct entry_explanation v = entry_explain(p->nodes[0].e, &key);
 
 		pump_run(p, SPACING_NS);
 		pump_caller(p, pump_node_of(p, v.pair.owner), &key, PUMP_FEED,
--- a/bench/slopes-entry/fleet.c
+++ b/bench/slopes-entry/fleet.c
@@ -81,7 +81,8 @@
 
 	while (n) {
 		struct flow_key key = pump_key(i++);
-		struct entry_view v = entry_explain(p->nodes[node].e, &key);
+		struct entry_explanation v =
+			entry_explain(p->nodes[node].e, &key);
 
 		if (v.pair.owner != p->nodes[node].vm)
 			continue;
--- a/bench/slopes-entry/pump.c
+++ b/bench/slopes-entry/pump.c
@@ -139,7 +139,7 @@
 	uint64_t next = entry_next_ns(n->e);
 
 	n->next_ns = next < p->now_ns + MS ? p->now_ns + MS : next;
-	if (n->leaving && entry_left(n->e)) {
+	if (n->leaving && entry_has_left(n->e)) {
 		entry_free(n->e);
 		n->e = NULL;
 	}
--- a/bench/slopes-entry/work.c
+++ b/bench/slopes-entry/work.c
@@ -16,7 +16,7 @@
 /* Parts that entries have in one flow. */
 enum part { OWNER, SECOND, OTHER, PARTS };
 
-static uint32_t part_of(const struct pump *p, const struct entry_view *v,
+static uint32_t part_of(const struct pump *p, const struct entry_explanation *v,
 			uint32_t node)
 {
 	if (p->nodes[node].vm == v->pair.owner)
@@ -24,7 +24,7 @@
 	return p->nodes[node].vm == v->pair.second ? SECOND : OTHER;
 }
 
-static void add_parts(const struct pump *p, const struct entry_view *v,
+static void add_parts(const struct pump *p, const struct entry_explanation *v,
 		      uint64_t *spent_ns)
 {
 	for (uint32_t i = 0; i < p->n; i++)
@@ -41,7 +41,7 @@
 		enum part first, uint64_t *spent_ns)
 {
 	struct flow_key key = pump_key(i);
-	struct entry_view v = entry_explain(p->nodes[0].e, &key);
+	struct entry_explanation v = entry_explain(p->nodes[0].e, &key);
 	uint32_t node = 0;
 
 	while (part_of(p, &v, node) != first)
@@ -105,7 +105,7 @@
 
 	for (uint32_t i = 0; i < n; i++) {
 		struct flow_key key = pump_key(i);
-		struct entry_view v = entry_explain(p->nodes[0].e, &key);
+		struct entry_explanation v = entry_explain(p->nodes[0].e, &key);
 		uint32_t node = 0;
 
 		while (part_of(p, &v, node) != OTHER)
@@ -122,7 +122,7 @@
 {
 	struct pump *p = pump_covered();
 	struct flow_key key = pump_key(1);
-	struct entry_view v = entry_explain(p->nodes[0].e, &key);
+	struct entry_explanation v = entry_explain(p->nodes[0].e, &key);
 	uint32_t owner = pump_node_of(p, v.pair.owner);
 
 	for (uint32_t i = 0; i < blocks; i++) {
--- a/cmd/cb-entry/act.c
+++ b/cmd/cb-entry/act.c
@@ -86,7 +86,7 @@
 	}
 	d->notes_left--;
 	log_line(LOG_INFO, "flow", addr_text(a->target, target, sizeof(target)),
-		 "%s caller=%s vip=%s", a->note,
+		 "%s caller=%s vip=%s", a->log_text,
 		 addr_text(a->key.caller, caller, sizeof(caller)),
 		 addr_text(a->key.vip, vip, sizeof(vip)));
 }
@@ -99,7 +99,7 @@
 	[ACT_SIGNAL_TARGET] = signal_target,
 	[ACT_CANCEL_TARGET] = cancel_target,
 	[ACT_PEER] = to_peer,
-	[ACT_NOTE] = note,
+	[ACT_LOG] = note,
 };
 
 /**
--- a/cmd/cb-entry/daemon.c
+++ b/cmd/cb-entry/daemon.c
@@ -75,7 +75,7 @@
 	const struct entry_counters *c = entry_counters(d->entry);
 	struct entry_gauges g;
 
-	if (!d->leaving || !entry_left(d->entry))
+	if (!d->leaving || !entry_has_left(d->entry))
 		return;
 	g = entry_gauges(d->entry);
 	log_line(LOG_INFO, "leave", NULL,
--- a/cmd/cb-entry/metrics_accounts.c
+++ b/cmd/cb-entry/metrics_accounts.c
@@ -178,8 +178,8 @@
 	uint8_t class;
 	struct row r;
 
-	while (entry_answers(d->entry, &cursor, &r.account, &class,
-			     &r.answers)) {
+	while (entry_answer_stats_next(d->entry, &cursor, &r.account, &class,
+				       &r.answers)) {
 		r.class = class_names[class];
 		r.work = work_of(d, &r, &work_cursor);
 		g_array_append_val(rows, r);
--- a/cmd/cb-entry/operator.c
+++ b/cmd/cb-entry/operator.c
@@ -88,7 +88,7 @@
 
 static int status(struct daemon *d, const char *query, GString *body)
 {
-	struct entry_view v =
+	struct entry_explanation v =
 		entry_explain(d->entry, &(struct flow_key){ 0, 0 });
 
 	(void)query;
@@ -121,7 +121,8 @@
 	       addr_parse(text, addr) == 0;
 }
 
-static const char *why_owner(const struct daemon *d, const struct entry_view *v)
+static const char *why_owner(const struct daemon *d,
+			     const struct entry_explanation *v)
 {
 	if (v->pair.owner == ADDR_NONE)
 		return "no entry is known yet: wait for the list of VMs";
@@ -130,7 +131,7 @@
 	return "the owner of the flow's bucket decides: ask it";
 }
 
-static const char *why_target(const struct entry_view *v)
+static const char *why_target(const struct entry_explanation *v)
 {
 	if (v->feeds)
 		return "feeds of the flow stay at the target that holds them";
@@ -194,7 +195,7 @@
 static int explain(struct daemon *d, const char *query, GString *body)
 {
 	struct flow_key key;
-	struct entry_view v;
+	struct entry_explanation v;
 	int status;
 
 	if (!query_addr(query, "caller", &key.caller)) {
--- a/core/request/account_stats.c
+++ b/core/request/account_stats.c
@@ -7,13 +7,13 @@
 #include <string.h>
 
 /* One client account's counters. */
-struct account_row {
+struct account_entry {
 	char name[NAME_MAX_BYTES];
 	struct answer_stats by_class[CLASS_COUNT];
 };
 
 /* A service in force, and whose it is. */
-struct service_row {
+struct service_entry {
 	uint64_t vip;
 	uint8_t class;
 	uint32_t account;
@@ -27,9 +27,9 @@
  * @by_vip: their numbers
  */
 struct account_stats {
-	struct account_row *accounts;
+	struct account_entry *accounts;
 	uint32_t n_accounts;
-	struct service_row *services;
+	struct service_entry *services;
 	uint32_t n_services;
 	struct index *by_vip;
 };
@@ -56,12 +56,12 @@
 
 static int by_name(const void *name, const void *row)
 {
-	return strcmp(name, ((const struct account_row *)row)->name);
+	return strcmp(name, ((const struct account_entry *)row)->name);
 }
 
 /* Below 0: the old list's name comes next; above 0: the new one's; 0: both. */
-static int next_of(const struct account_stats *a, uint32_t old,
-		   const struct config *c, uint32_t new)
+static int compare_next(const struct account_stats *a, uint32_t old,
+			const struct config *c, uint32_t new)
 {
 	if (old == a->n_accounts)
 		return 1;
@@ -71,15 +71,16 @@
 }
 
 /* Both lists are sorted by name. */
-static uint32_t merge(struct account_row *to, const struct account_stats *a,
-		      const struct config *c)
+static uint32_t merge_accounts(struct account_entry *to,
+			       const struct account_stats *a,
+			       const struct config *c)
 {
 	uint32_t n = 0;
 	uint32_t old = 0;
 	uint32_t new = 0;
 
 	while (old < a->n_accounts || new < c->n_accounts) {
-		int order = next_of(a, old, c, new);
+		int order = compare_next(a, old, c, new);
 
 		if (order <= 0)
 			to[n] = a->accounts[old++];
@@ -93,19 +94,19 @@
 
 static int add_accounts(struct account_stats *a, const struct config *c)
 {
-	uint32_t most = a->n_accounts + c->n_accounts;
-	struct account_row *grown = calloc(most + 1, sizeof(*grown));
+	uint32_t n_max = a->n_accounts + c->n_accounts;
+	struct account_entry *grown = calloc(n_max + 1, sizeof(*grown));
 
 	if (!grown)
 		return -ENOMEM;
-	a->n_accounts = merge(grown, a, c);
+	a->n_accounts = merge_accounts(grown, a, c);
 	free(a->accounts);
 	a->accounts = grown;
 	return 0;
 }
 
-static const struct service_row *find(const struct account_stats *a,
-				      uint64_t vip)
+static const struct service_entry *find_service(const struct account_stats *a,
+						uint64_t vip)
 {
 	uint32_t slot;
 
@@ -118,17 +119,19 @@
 }
 
 /* Of two accounts with one VIP the first by name has it, as in entry.c. */
-static void add_services(struct account_stats *a, const struct account_conf *of)
+static void add_services(struct account_stats *a,
+			 const struct account_conf *account)
 {
-	const struct account_row *row = bsearch(
-		of->name, a->accounts, a->n_accounts, sizeof(*row), by_name);
+	const struct account_entry *row =
+		bsearch(account->name, a->accounts, a->n_accounts, sizeof(*row),
+			by_name);
 
-	for (uint32_t i = 0; i < of->n_services; i++) {
-		const struct service_conf *s = &of->services[i];
+	for (uint32_t i = 0; i < account->n_services; i++) {
+		const struct service_conf *s = &account->services[i];
 
-		if (find(a, s->vip))
+		if (find_service(a, s->vip))
 			continue;
-		a->services[a->n_services] = (struct service_row){
+		a->services[a->n_services] = (struct service_entry){
 			.vip = s->vip,
 			.class = s->class,
 			.account = (uint32_t)(row - a->accounts),
@@ -166,17 +169,17 @@
 }
 
 /**
- * work_class() - class that a request counts as
+ * request_class() - class that a request counts as
  * @flags: enum message_flags of the request
  * @service_class: enum service_class of its service
  *
  * Return: enum service_class; a plain request to a service of feeds is a report.
  */
-uint8_t work_class(uint16_t flags, uint8_t service_class)
+uint8_t request_class(uint16_t flags, uint8_t service_class)
 {
 	if (flags & MESSAGE_FEED_OPEN)
 		return CLASS_FEED;
-	if (flags & MESSAGE_PART)
+	if (flags & MESSAGE_BLOCK)
 		return CLASS_UPLOAD;
 	return service_class == CLASS_FEED ? CLASS_REPORT : service_class;
 }
@@ -192,15 +195,16 @@
 struct answer_stats *account_stats_find(struct account_stats *a, uint64_t vip,
 					uint16_t flags)
 {
-	const struct service_row *s = find(a, vip);
+	const struct service_entry *s = find_service(a, vip);
 
 	if (!s)
 		return NULL;
-	return &a->accounts[s->account].by_class[work_class(flags, s->class)];
+	return &a->accounts[s->account]
+			.by_class[request_class(flags, s->class)];
 }
 
 /**
- * account_stats_each() - walk over the counters of each account and class
+ * account_stats_next() - walk over the counters of each account and class
  * @a: counters
  * @cursor: 0 at first, moved on by each call
  * @account: name, good until the next configuration
@@ -209,7 +213,7 @@
  *
  * Return: false at the end.
  */
-bool account_stats_each(const struct account_stats *a, uint32_t *cursor,
+bool account_stats_next(const struct account_stats *a, uint32_t *cursor,
 			const char **account, uint8_t *class,
 			const struct answer_stats **stats)
 {
--- a/core/request/claiming.c
+++ b/core/request/claiming.c
@@ -10,12 +10,12 @@
 #define MAJORITY_WAIT_NS (2500 * NS_PER_MS)
 
 /* Whether this process may act on what it knew before: its lease holds. */
-bool claim_safe_now(const struct entry *e)
+bool claim_lease_holds(const struct entry *e)
 {
 	return member_lease_valid(e->members, e->now_ns);
 }
 
-static bool own_claim(const struct entry *e, const struct claim *c)
+static bool claim_is_own(const struct entry *e, const struct claim *c)
 {
 	return c->claimer == e->conf.member.self &&
 	       c->boot == e->conf.member.incarnation;
@@ -28,13 +28,14 @@
  */
 static bool may_claim(const struct entry *e, const struct request *r)
 {
-	return claim_safe_now(e) && ring_steady(e->ring, r->bucket, e->now_ns);
+	return claim_lease_holds(e) &&
+	       ring_steady(e->ring, r->bucket, e->now_ns);
 }
 
-static struct claim claim_of(const struct entry *e, const struct request *r,
-			     uint8_t state)
+static struct claim make_claim(const struct entry *e, const struct request *r,
+			       uint8_t state)
 {
-	struct claim c = { .request = r->request,
+	struct claim c = { .request = r->claim_id,
 			   .bucket = r->bucket,
 			   .claimer = e->conf.member.self,
 			   .boot = e->conf.member.incarnation,
@@ -45,7 +46,8 @@
 	return c;
 }
 
-static void settle_at(struct entry *e, const struct claim *c, uint64_t vm)
+static void send_settlement_to(struct entry *e, const struct claim *c,
+			       uint64_t vm)
 {
 	struct peer_msg *m;
 
@@ -64,12 +66,12 @@
 {
 	struct ring_pair pair = ring_at(e->ring, c->bucket);
 
-	settle_at(e, c, pair.owner);
-	settle_at(e, c, pair.second);
+	send_settlement_to(e, c, pair.owner);
+	send_settlement_to(e, c, pair.second);
 }
 
 /**
- * claim_settle() - note how a claimed request ended
+ * claim_record_outcome() - note how a claimed request ended
  * @e: entry
  * @r: request
  * @state: enum claim_state
@@ -77,27 +79,28 @@
  * Only a refusal is told to the second: done and open mean the same to it, that
  * the request may have run, and a message less is spent on each request.
  */
-void claim_settle(struct entry *e, struct request *r, uint8_t state)
+void claim_record_outcome(struct entry *e, struct request *r, uint8_t state)
 {
-	struct claim *c = claims_find(e->claims, r->request);
+	struct claim *c = claims_find(e->claims, r->claim_id);
 
-	if (!c || !own_claim(e, c))
+	if (!c || !claim_is_own(e, c))
 		return;
 	c->state = state;
 	if (state == CLAIM_REFUSED)
 		send_settlement(e, c);
 }
 
-static void pass_to_claimer(struct entry *e, struct request *r,
-			    uint64_t claimer)
+static void forward_to_claimer(struct entry *e, struct request *r,
+			       uint64_t claimer)
 {
 	forward_to(e, claimer, &r->key, r->data, r->size_bytes, LAST_HOP,
-		   FORWARD_REPEAT);
+		   FORWARD_TO_CLAIMER);
 	request_drop(e, r);
 }
 
 /* A request whose record says that it was claimed already. */
-static void claimed_before(struct entry *e, struct request *r, struct claim *c)
+static void handle_existing_claim(struct entry *e, struct request *r,
+				  struct claim *c)
 {
 	bool may_run = c->state == CLAIM_OPEN || c->state == CLAIM_DONE;
 
@@ -106,8 +109,8 @@
 		return;
 	}
 	if (may_run && c->claimer != e->conf.member.self &&
-	    vm_serves(e, c->claimer)) {
-		pass_to_claimer(e, r, c->claimer);
+	    vm_is_serving(e, c->claimer)) {
+		forward_to_claimer(e, r, c->claimer);
 		return;
 	}
 	/*
@@ -115,7 +118,7 @@
 	 * was only paused, is told so when it asks again, and does not send.
 	 */
 	c->state = CLAIM_UNKNOWN;
-	request_unknown(e, r, "claimer of the request is gone");
+	request_end_unknown(e, r, "claimer of the request is gone");
 }
 
 /**
@@ -125,38 +128,39 @@
  */
 void claim_begin(struct entry *e, struct request *r)
 {
-	struct claim mine = claim_of(e, r, CLAIM_OPEN);
-	struct claim *c = claims_find(e->claims, r->request);
+	struct claim own = make_claim(e, r, CLAIM_OPEN);
+	struct claim *c = claims_find(e->claims, r->claim_id);
 
 	if (c && c->state != CLAIM_NONE) {
-		claimed_before(e, r, c);
+		handle_existing_claim(e, r, c);
 		return;
 	}
 	if (c)
-		*c = mine;
+		*c = own;
 	else
-		c = claims_put(e->claims, &mine, e->now_ns);
+		c = claims_put(e->claims, &own, e->now_ns);
 	if (!c) {
-		request_unknown(e, r, "claim table is full");
+		request_end_unknown(e, r, "claim table is full");
 		return;
 	}
 	r->state = REQ_CLAIMING;
-	claim_repeat(e, r);
+	claim_request_grants(e, r);
 }
 
-static void granted(struct entry *e, struct request *r)
+static void claim_completed(struct entry *e, struct request *r)
 {
-	if (!r->covered && !history_known(e, r->bucket)) {
+	if (!r->granter_knows_history && !history_known(e, r->bucket)) {
 		e->counters.claims_uncovered++;
-		request_unknown(e, r, "no entry knows the bucket's history");
+		request_end_unknown(e, r,
+				    "no entry knows the bucket's history");
 		return;
 	}
 	e->counters.claims_granted++;
 	request_submit(e, r);
 }
 
-static bool granted_by(const struct entry *e, const struct request *r,
-		       uint64_t vm)
+static bool has_grant_of(const struct entry *e, const struct request *r,
+			 uint64_t vm)
 {
 	return vm == ADDR_NONE || vm == e->conf.member.self ||
 	       r->granted_by[0] == vm || r->granted_by[1] == vm;
@@ -170,12 +174,12 @@
 {
 	struct peer_msg *m;
 
-	if (granted_by(e, r, vm))
+	if (has_grant_of(e, r, vm))
 		return;
 	m = emit_peer(e, vm, PEER_CLAIM);
 	e->counters.claims_sent++;
 	m->n_claims = 1;
-	m->claims[0].request = r->request;
+	m->claims[0].request = r->claim_id;
 	m->claims[0].bucket = r->bucket;
 	m->claims[0].state = CLAIM_OPEN;
 }
@@ -190,11 +194,11 @@
 	if (e->now_ns < r->arrived_ns + MAJORITY_WAIT_NS)
 		return;
 	e->counters.no_majority++;
-	request_unknown(e, r, "this side has no majority");
+	request_end_unknown(e, r, "this side has no majority");
 }
 
 /**
- * claim_repeat() - ask (again) for the grants a request waits for
+ * claim_request_grants() - ask (again) for the grants a request waits for
  * @e: entry
  * @r: request in REQ_CLAIMING
  *
@@ -202,13 +206,13 @@
  * for an entry that lost the bucket while the claim was out, or that carries a
  * transfer for the owner.
  */
-void claim_repeat(struct entry *e, struct request *r)
+void claim_request_grants(struct entry *e, struct request *r)
 {
 	struct ring_pair pair = ring_at(e->ring, r->bucket);
 	uint64_t next = e->now_ns + e->conf.claim_timeout_ns;
 
 	if (e->now_ns >= r->deadline_ns) {
-		request_unknown(e, r, "claim was not granted in time");
+		request_end_unknown(e, r, "claim was not granted in time");
 		return;
 	}
 	timers_set(e->timers, request_slot(e, r),
@@ -221,38 +225,40 @@
 	}
 	send_claim(e, r, pair.owner);
 	send_claim(e, r, pair.second);
-	if (granted_by(e, r, pair.owner) && granted_by(e, r, pair.second))
-		granted(e, r);
+	if (has_grant_of(e, r, pair.owner) && has_grant_of(e, r, pair.second))
+		claim_completed(e, r);
 }
 
 /* The request that a claim of ours is out for, or NULL when it is past that. */
-static struct request *still_claiming(struct entry *e, const struct claim *c)
+static struct request *pending_request_of(struct entry *e,
+					  const struct claim *c)
 {
 	struct request *r;
 
-	if (!own_claim(e, c) || c->state != CLAIM_OPEN)
+	if (!claim_is_own(e, c) || c->state != CLAIM_OPEN)
 		return NULL;
 	if (c->slot >= e->conf.requests_max)
 		return NULL;
 	r = &e->requests[c->slot];
-	if (r->state != REQ_CLAIMING || r->request != c->request)
+	if (r->state != REQ_CLAIMING || r->claim_id != c->request)
 		return NULL;
 	return r;
 }
 
-/* claim_is_out() - whether a record is of a claim here that waits for grants. */
-bool claim_is_out(struct entry *e, const struct claim *c)
+/* claim_is_pending() - whether a record is of a claim here that waits for grants. */
+bool claim_is_pending(struct entry *e, const struct claim *c)
 {
-	return still_claiming(e, c) != NULL;
+	return pending_request_of(e, c) != NULL;
 }
 
 /*
  * Two entries that both believe they own a flow claim the same request at each
  * other. Without a rule both would refuse; the lower address goes on.
  */
-static bool yields(struct entry *e, const struct claim *c, uint64_t from)
+static bool yield_to_lower_address(struct entry *e, const struct claim *c,
+				   uint64_t from)
 {
-	struct request *r = still_claiming(e, c);
+	struct request *r = pending_request_of(e, c);
 
 	if (!r || from > e->conf.member.self)
 		return false;
@@ -260,102 +266,103 @@
 	return true;
 }
 
-static void rule_on_claim(struct entry *e, struct claim *line, uint64_t from)
+static void decide_claim(struct entry *e, struct claim *other, uint64_t from)
 {
-	struct claim *c = claims_find(e->claims, line->request);
+	struct claim *c = claims_find(e->claims, other->request);
 
-	line->granted = true;
-	line->covered = history_known(e, line->bucket);
+	other->granted = true;
+	other->covered = history_known(e, other->bucket);
 	if (!c) {
-		line->granted = claims_put(e->claims, line, e->now_ns) != NULL;
-		line->state = line->granted ? CLAIM_OPEN : CLAIM_UNKNOWN;
+		other->granted =
+			claims_put(e->claims, other, e->now_ns) != NULL;
+		other->state = other->granted ? CLAIM_OPEN : CLAIM_UNKNOWN;
 		return;
 	}
-	if (c->state == CLAIM_NONE || yields(e, c, from)) {
-		*c = *line;
+	if (c->state == CLAIM_NONE || yield_to_lower_address(e, c, from)) {
+		*c = *other;
 		return;
 	}
-	if (c->claimer == line->claimer && c->boot == line->boot) {
-		line->granted = c->state == CLAIM_OPEN;
-		line->state = c->state;
+	if (c->claimer == other->claimer && c->boot == other->boot) {
+		other->granted = c->state == CLAIM_OPEN;
+		other->state = c->state;
 		return;
 	}
-	if (c->state == CLAIM_OPEN && !vm_serves(e, c->claimer))
+	if (c->state == CLAIM_OPEN && !vm_is_serving(e, c->claimer))
 		c->state = CLAIM_UNKNOWN;
-	line->granted = false;
-	line->claimer = c->claimer;
-	line->boot = c->boot;
-	line->state = c->state;
+	other->granted = false;
+	other->claimer = c->claimer;
+	other->boot = c->boot;
+	other->state = c->state;
 }
 
 /* A grant needs no more than its name: the claimer knows its own claim. */
-static struct claim reply_line(const struct claim *line)
+static struct claim make_grant(const struct claim *other)
 {
-	struct claim reply = *line;
+	struct claim reply = *other;
 
-	if (!line->granted)
+	if (!other->granted)
 		return reply;
 	memset(&reply, 0, sizeof(reply));
-	reply.request = line->request;
+	reply.request = other->request;
 	reply.granted = true;
-	reply.covered = line->covered;
+	reply.covered = other->covered;
 	return reply;
 }
 
-/* claim_asked() - another entry asks to run requests: PEER_CLAIM. */
-void claim_asked(struct entry *e, const struct peer_msg *msg)
+/* claim_requests_received() - another entry asks to run requests: PEER_CLAIM. */
+void claim_requests_received(struct entry *e, const struct peer_msg *msg)
 {
 	struct peer_msg *reply = emit_peer(e, msg->from, PEER_GRANT);
 
 	for (uint8_t i = 0; i < msg->n_claims; i++) {
-		struct claim line = msg->claims[i];
+		struct claim other = msg->claims[i];
 
-		if (line.bucket >= e->conf.n_buckets)
+		if (other.bucket >= e->conf.n_buckets)
 			continue;
-		line.slot = SLOT_NONE;
-		line.claimer = msg->from;
-		line.boot = msg->incarnation;
-		rule_on_claim(e, &line, msg->from);
-		reply->claims[reply->n_claims++] = reply_line(&line);
+		other.slot = SLOT_NONE;
+		other.claimer = msg->from;
+		other.boot = msg->incarnation;
+		decide_claim(e, &other, msg->from);
+		reply->claims[reply->n_claims++] = make_grant(&other);
 	}
 }
 
-static void denied(struct entry *e, struct request *r, struct claim *mine,
-		   const struct claim *line)
+static void handle_denial(struct entry *e, struct request *r, struct claim *own,
+			  const struct claim *other)
 {
 	e->counters.claims_denied++;
-	mine->claimer = line->claimer;
-	mine->boot = line->boot;
-	mine->state = line->state;
-	claimed_before(e, r, mine);
+	own->claimer = other->claimer;
+	own->boot = other->boot;
+	own->state = other->state;
+	handle_existing_claim(e, r, own);
 }
 
 /**
- * claim_overruled() - a record handed over names another claimer
+ * claim_resolve_conflict() - a record handed over names another claimer
  * @e: entry
- * @mine: record here
- * @line: the record handed over
+ * @own: record here
+ * @other: the record handed over
  *
  * While a claim of this entry was out, across a partition, the other side ran
  * the request. Its record has to win over a claim that has not led to a send.
  * Of two others, nobody can tell which ran it, and neither is granted it now.
  */
-void claim_overruled(struct entry *e, struct claim *mine,
-		     const struct claim *line)
+void claim_resolve_conflict(struct entry *e, struct claim *own,
+			    const struct claim *other)
 {
-	struct request *r = still_claiming(e, mine);
+	struct request *r = pending_request_of(e, own);
 
-	if (line->claimer == mine->claimer && line->boot == mine->boot)
+	if (other->claimer == own->claimer && other->boot == own->boot)
 		return;
 	if (r)
-		denied(e, r, mine, line);
-	else if (!own_claim(e, mine))
-		mine->state = CLAIM_UNKNOWN;
+		handle_denial(e, r, own, other);
+	else if (!claim_is_own(e, own))
+		own->state = CLAIM_UNKNOWN;
 }
 
 /* Only the words of the present pair, all of them, complete a claim. */
-static void note_grant(struct entry *e, struct request *r, uint64_t from,
-		       bool covered)
+static void record_grant(struct entry *e, struct request *r, uint64_t from,
+			 bool covered)
 {
 	struct ring_pair pair = ring_at(e->ring, r->bucket);
 
@@ -365,46 +372,47 @@
 		r->granted_by[1] = from;
 	else
 		return;
-	r->covered |= covered;
+	r->granter_knows_history |= covered;
 	if (!may_claim(e, r))
 		return;
-	if (granted_by(e, r, pair.owner) && granted_by(e, r, pair.second))
-		granted(e, r);
+	if (has_grant_of(e, r, pair.owner) && has_grant_of(e, r, pair.second))
+		claim_completed(e, r);
 }
 
-static void answer_to_claim(struct entry *e, const struct claim *line,
-			    uint64_t from)
+static void handle_grant(struct entry *e, const struct claim *other,
+			 uint64_t from)
 {
-	struct claim *c = claims_find(e->claims, line->request);
-	struct request *r = c ? still_claiming(e, c) : NULL;
+	struct claim *c = claims_find(e->claims, other->request);
+	struct request *r = c ? pending_request_of(e, c) : NULL;
 
 	if (!r)
 		return;
-	if (!line->granted) {
-		denied(e, r, c, line);
+	if (!other->granted) {
+		handle_denial(e, r, c, other);
 		return;
 	}
-	note_grant(e, r, from, line->covered);
+	record_grant(e, r, from, other->covered);
 }
 
-/* claim_granted() - the second's answers to our claims: PEER_GRANT. */
-void claim_granted(struct entry *e, const struct peer_msg *msg)
+/* claim_grants_received() - the second's answers to our claims: PEER_GRANT. */
+void claim_grants_received(struct entry *e, const struct peer_msg *msg)
 {
 	for (uint8_t i = 0; i < msg->n_claims; i++)
-		answer_to_claim(e, &msg->claims[i], msg->from);
-	requests_drain(e);
+		handle_grant(e, &msg->claims[i], msg->from);
+	requests_start_ready(e);
 }
 
-/* claim_settled() - a claimer says how its requests ended: PEER_SETTLE. */
-void claim_settled(struct entry *e, const struct peer_msg *msg)
+/* claim_settlements_received() - a claimer says how its requests ended: PEER_SETTLE. */
+void claim_settlements_received(struct entry *e, const struct peer_msg *msg)
 {
 	for (uint8_t i = 0; i < msg->n_claims; i++) {
-		const struct claim *line = &msg->claims[i];
-		struct claim *c = claims_find(e->claims, line->request);
+		const struct claim *other = &msg->claims[i];
+		struct claim *c = claims_find(e->claims, other->request);
 
-		if (!c || c->claimer != line->claimer || c->boot != line->boot)
+		if (!c || c->claimer != other->claimer ||
+		    c->boot != other->boot)
 			continue;
 		if (c->state == CLAIM_OPEN)
-			c->state = line->state;
+			c->state = other->state;
 	}
 }
--- a/core/request/claims.c
+++ b/core/request/claims.c
@@ -141,18 +141,18 @@
 }
 
 /**
- * claims_first() - newest record of a bucket
+ * claims_newest() - newest record of a bucket
  * @c: table
  * @bucket: bucket
  *
- * Return: slot for claims_at() and claims_after(), or CLAIM_SLOT_NONE.
+ * Return: slot for claims_at() and claims_next_older(), or CLAIM_SLOT_NONE.
  */
-uint32_t claims_first(const struct claims *c, uint32_t bucket)
+uint32_t claims_newest(const struct claims *c, uint32_t bucket)
 {
 	return c->heads[bucket];
 }
 
-uint32_t claims_after(const struct claims *c, uint32_t slot)
+uint32_t claims_next_older(const struct claims *c, uint32_t slot)
 {
 	return c->records[slot].next;
 }
--- a/core/request/claims.h
+++ b/core/request/claims.h
@@ -19,8 +19,8 @@
 			 uint64_t now_ns);
 void claims_expire(struct claims *c, uint64_t now_ns);
 uint32_t claims_count(const struct claims *c);
-uint32_t claims_first(const struct claims *c, uint32_t bucket);
-uint32_t claims_after(const struct claims *c, uint32_t slot);
+uint32_t claims_newest(const struct claims *c, uint32_t bucket);
+uint32_t claims_next_older(const struct claims *c, uint32_t slot);
 const struct claim *claims_at(const struct claims *c, uint32_t slot);
 
 #endif
--- a/core/request/emit.c
+++ b/core/request/emit.c
@@ -7,7 +7,7 @@
  * @e: entry
  * @kind: enum action_kind
  *
- * The list is bounded. Work that can make many actions asks emit_room() first;
+ * The list is bounded. Work that can make many actions asks emit_has_capacity() first;
  * should the list be full all the same, the action falls on a spare that no
  * one reads, as if the datagram were lost on the way: senders repeat.
  *
@@ -21,13 +21,13 @@
 	if (out->n < ACTIONS_MAX - 1)
 		a = &out->a[out->n++];
 	memset(a, 0, offsetof(struct action, peer));
-	a->note = NULL;
+	a->log_text = NULL;
 	a->kind = kind;
 	return a;
 }
 
 /* Whether work that can wait for the next tick may still add actions. */
-bool emit_room(const struct entry *e)
+bool emit_has_capacity(const struct entry *e)
 {
 	return e->out->n + ACTIONS_RESERVE < ACTIONS_MAX;
 }
@@ -53,12 +53,12 @@
 	return &a->peer;
 }
 
-void emit_note(struct entry *e, const char *note, const struct flow_key *key,
-	       uint64_t target)
+void emit_log(struct entry *e, const char *log_text, const struct flow_key *key,
+	      uint64_t target)
 {
-	struct action *a = emit(e, ACT_NOTE);
+	struct action *a = emit(e, ACT_LOG);
 
-	a->note = note;
+	a->log_text = log_text;
 	a->key = *key;
 	a->target = target;
 }
--- a/core/request/entry.c
+++ b/core/request/entry.c
@@ -22,13 +22,13 @@
 }
 
 /* A newcomer's second is who would own the bucket without it, and did. */
-static void took_over(struct entry *e, uint32_t bucket, struct ring_pair before,
-		      struct ring_pair after)
+static void record_ownership(struct entry *e, uint32_t bucket,
+			     struct ring_pair before, struct ring_pair after)
 {
 	e->owner_since_ns[bucket] = e->now_ns;
-	e->owner_before[bucket] = before.owner;
+	e->previous_owner[bucket] = before.owner;
 	if (before.owner == ADDR_NONE)
-		e->owner_before[bucket] = after.second;
+		e->previous_owner[bucket] = after.second;
 }
 
 static void pair_changed(void *ctx, uint32_t bucket, struct ring_pair before,
@@ -38,14 +38,14 @@
 	uint64_t self = e->conf.member.self;
 
 	if (after.owner == self && before.owner != self)
-		took_over(e, bucket, before, after);
+		record_ownership(e, bucket, before, after);
 	if (before.owner == ADDR_NONE)
 		return;
 	feeds_pair_changed(e, bucket, before, after);
 	streams_pair_changed(e, bucket, before, after);
 }
 
-static int parts_init(struct entry *e)
+static int modules_init(struct entry *e)
 {
 	struct peer_out port = { e, send_member_message };
 	struct ring_watch watch = { e, pair_changed };
@@ -62,13 +62,14 @@
 	e->claims = claims_new(c->claims_max, c->n_buckets, c->cover_ns);
 	e->timers = timers_new(c->requests_max + c->feeds_max);
 	e->owner_since_ns = calloc(c->n_buckets, sizeof(uint64_t));
-	e->owner_before = calloc(c->n_buckets, sizeof(uint64_t));
+	e->previous_owner = calloc(c->n_buckets, sizeof(uint64_t));
 	if (!e->members || !e->ring || !e->balancer || !e->stats || !e->pins ||
-	    !e->claims || !e->timers || !e->owner_since_ns || !e->owner_before)
+	    !e->claims || !e->timers || !e->owner_since_ns ||
+	    !e->previous_owner)
 		return -ENOMEM;
 	if (requests_init(e) < 0 || feeds_init(e) < 0)
 		return -ENOMEM;
-	if (streams_init(e) < 0 || id_spaces_init(e) < 0)
+	if (streams_init(e) < 0 || msg_id_spaces_init(e) < 0)
 		return -ENOMEM;
 	return 0;
 }
@@ -95,9 +96,9 @@
 	e->minority_since_ns = DEADLINE_NEVER;
 	/* Seeds of one fleet may be alike; its entries' choices may not. */
 	e->rng.s = hash_u64(conf->seed, conf->member.self) | 1;
-	e->allowance_ns = now_ns;
-	e->allowance_bytes = conf->peer_bytes_per_s;
-	if (parts_init(e) < 0) {
+	e->peer_budget_refilled_ns = now_ns;
+	e->peer_budget_bytes = conf->peer_bytes_per_s;
+	if (modules_init(e) < 0) {
 		entry_free(e);
 		return NULL;
 	}
@@ -113,7 +114,7 @@
 	requests_free(e);
 	feeds_free(e);
 	streams_free(e);
-	id_spaces_free(e);
+	msg_id_spaces_free(e);
 	member_free(e->members);
 	ring_free(e->ring);
 	balance_free(e->balancer);
@@ -124,22 +125,22 @@
 	index_free(e->services);
 	free(e->service_list);
 	free(e->owner_since_ns);
-	free(e->owner_before);
+	free(e->previous_owner);
 	free(e);
 }
 
 /**
- * entry_begin() - take the time and the list of actions of a call
+ * entry_begin_call() - take the time and the list of actions of a call
  * @e: entry
  * @now_ns: time
  * @out: actions to take
  */
-void entry_begin(struct entry *e, uint64_t now_ns, struct actions *out)
+void entry_begin_call(struct entry *e, uint64_t now_ns, struct actions *out)
 {
 	out->n = 0;
 	e->out = out;
 	e->now_ns = now_ns;
-	entry_watch_pause(e);
+	entry_check_pause(e);
 }
 
 static uint32_t count_services(const struct config *c)
@@ -188,7 +189,7 @@
 {
 	uint32_t n = count_services(c);
 
-	entry_begin(e, now_ns, out);
+	entry_begin_call(e, now_ns, out);
 	index_free(e->services);
 	free(e->service_list);
 	e->services = index_new(n + 1);
@@ -198,8 +199,8 @@
 		list_services(e, c);
 	account_stats_config(e->stats, c);
 	balance_config(e->balancer, c, now_ns);
-	moves_config(e);
-	requests_drain(e);
+	moves_check_config(e);
+	requests_start_ready(e);
 }
 
 /**
@@ -213,19 +214,19 @@
 void entry_roster(struct entry *e, const uint64_t *vms, uint32_t n,
 		  uint64_t now_ns, struct actions *out)
 {
-	entry_begin(e, now_ns, out);
+	entry_begin_call(e, now_ns, out);
 	member_roster(e->members, vms, n, now_ns);
 	if (!e->roster_known)
 		e->join_latest_ns = now_ns + JOIN_WAIT_NS;
 	e->roster_known = true;
-	entry_follow_view(e);
+	entry_update_ring(e);
 }
 
 static void run_timers(struct entry *e)
 {
 	uint32_t id;
 
-	while (emit_room(e) && timers_pop(e->timers, e->now_ns, &id)) {
+	while (emit_has_capacity(e) && timers_pop(e->timers, e->now_ns, &id)) {
 		if (id < e->conf.requests_max)
 			request_timer(e, &e->requests[id]);
 		else
@@ -238,7 +239,7 @@
 	return !e->n_active && !e->n_feeds_held && streams_idle(e);
 }
 
-static void watch_leaving(struct entry *e)
+static void update_linger_deadline(struct entry *e)
 {
 	if (!e->leaving)
 		return;
@@ -254,18 +255,18 @@
  */
 void entry_tick(struct entry *e, uint64_t now_ns, struct actions *out)
 {
-	entry_begin(e, now_ns, out);
+	entry_begin_call(e, now_ns, out);
 	e->ticked_ns = now_ns;
 	member_tick(e->members, now_ns);
-	entry_watch_lease(e);
-	entry_follow_view(e);
+	entry_check_lease(e);
+	entry_update_ring(e);
 	claims_expire(e->claims, now_ns);
 	run_timers(e);
 	moves_tick(e);
-	requests_drain(e);
+	requests_start_ready(e);
 	streams_tick(e);
 	flow_expire(e->pins, now_ns, FLOW_EXPIRE_BUDGET);
-	watch_leaving(e);
+	update_linger_deadline(e);
 }
 
 /**
@@ -276,7 +277,7 @@
  */
 void entry_leave(struct entry *e, uint64_t now_ns, struct actions *out)
 {
-	entry_begin(e, now_ns, out);
+	entry_begin_call(e, now_ns, out);
 	if (e->leaving)
 		return;
 	e->leaving = true;
@@ -285,19 +286,19 @@
 	e->join_latest_ns = DEADLINE_NEVER;
 	e->leave_deadline_ns = now_ns + e->conf.drain_ns;
 	e->linger_deadline_ns = now_ns + LINGER_NS;
-	streams_leave(e);
+	streams_record_known(e);
 	member_leave(e->members, now_ns);
-	entry_follow_view(e);
+	entry_update_ring(e);
 }
 
 /**
- * entry_left() - whether a planned stop is complete
+ * entry_has_left() - whether a planned stop is complete
  * @e: entry
  *
  * Return: true when all is handed over and late answers had their time, or
  * when the longest planned stop is over.
  */
-bool entry_left(const struct entry *e)
+bool entry_has_left(const struct entry *e)
 {
 	if (!e->leaving)
 		return false;
--- a/core/request/entry.h
+++ b/core/request/entry.h
@@ -35,10 +35,10 @@
  * @MESSAGE_IDEMPOTENT: the method may run twice
  * @MESSAGE_FEED_OPEN: opens a feed; on an answer: the feed is open
  * @MESSAGE_FEED_CLOSE: closes a feed
- * @MESSAGE_PART: block of a larger transfer, has to reach the same target
+ * @MESSAGE_BLOCK: block of a larger transfer, has to reach the same target
  * @MESSAGE_MORE: not the last block, of a request or of an answer
  * @MESSAGE_BODY: the block is of the request's body, and kept by the target
- * @MESSAGE_START: first of several blocks of a request's body
+ * @MESSAGE_FIRST_BLOCK: first of several blocks of a request's body
  * @MESSAGE_SHED: an answer that says: not run, come back later
  * @MESSAGE_FAILED: an answer that says: the target failed
  */
@@ -48,12 +48,12 @@
 	MESSAGE_IDEMPOTENT = 1 << 2,
 	MESSAGE_FEED_OPEN = 1 << 3,
 	MESSAGE_FEED_CLOSE = 1 << 4,
-	MESSAGE_PART = 1 << 5,
+	MESSAGE_BLOCK = 1 << 5,
 	MESSAGE_MORE = 1 << 6,
 	MESSAGE_SHED = 1 << 7,
 	MESSAGE_FAILED = 1 << 8,
 	MESSAGE_BODY = 1 << 9,
-	MESSAGE_START = 1 << 10
+	MESSAGE_FIRST_BLOCK = 1 << 10
 };
 
 /**
@@ -92,7 +92,7 @@
  * @ACT_CANCEL_TARGET: tell the target to stop the request or feed of @token,
  *	which @data asked for
  * @ACT_PEER: send @peer to the entry @vm
- * @ACT_NOTE: log @note with flow and target
+ * @ACT_LOG: log @log_text with flow and target
  */
 enum action_kind {
 	ACT_TO_CALLER,
@@ -102,19 +102,19 @@
 	ACT_SIGNAL_TARGET,
 	ACT_CANCEL_TARGET,
 	ACT_PEER,
-	ACT_NOTE
+	ACT_LOG
 };
 
 /* Type of a message on the wire of a request-aware service. */
 enum wire_type { WIRE_CONFIRM, WIRE_PLAIN, WIRE_ACK, WIRE_RESET };
 
 /**
- * enum own_answer - answers the balancer itself gives
+ * enum local_answer - answers the balancer itself gives
  * @ANSWER_NOT_RUN: refused, known not to have run; come back later
  * @ANSWER_UNKNOWN: may have run; nobody can tell
  * @ANSWER_FEED_LOST: the feed can't go on, open it again
  */
-enum own_answer { ANSWER_NOT_RUN, ANSWER_UNKNOWN, ANSWER_FEED_LOST };
+enum local_answer { ANSWER_NOT_RUN, ANSWER_UNKNOWN, ANSWER_FEED_LOST };
 
 /**
  * struct action - one thing for the adapter to do; pointers are good until
@@ -136,7 +136,7 @@
 	const uint8_t *data;
 	uint32_t size_bytes;
 	struct peer_msg peer;
-	const char *note;
+	const char *log_text;
 };
 
 /**
@@ -223,7 +223,7 @@
 };
 
 /**
- * struct entry_view - what an entry would decide for a flow, and why
+ * struct entry_explanation - what an entry would decide for a flow, and why
  * @view: membership view number
  * @bucket: bucket of the flow
  * @pair: owner and second
@@ -233,7 +233,7 @@
  * @feeds: feeds of the flow held here
  * @feed_target: target of the first of them
  */
-struct entry_view {
+struct entry_explanation {
 	uint64_t view;
 	uint32_t bucket;
 	struct ring_pair pair;
@@ -295,17 +295,17 @@
 		struct actions *out);
 void entry_tick(struct entry *e, uint64_t now_ns, struct actions *out);
 void entry_leave(struct entry *e, uint64_t now_ns, struct actions *out);
-bool entry_left(const struct entry *e);
+bool entry_has_left(const struct entry *e);
 bool entry_ready(const struct entry *e, uint64_t now_ns);
 void entry_load_report(struct entry *e, uint64_t target,
 		       const struct load_report *report, uint64_t now_ns);
-struct entry_view entry_explain(const struct entry *e,
-				const struct flow_key *key);
+struct entry_explanation entry_explain(const struct entry *e,
+				       const struct flow_key *key);
 uint32_t entry_members(const struct entry *e, const struct member **out);
 const struct balancer *entry_balancer(const struct entry *e);
-bool entry_answers(const struct entry *e, uint32_t *cursor,
-		   const char **account, uint8_t *class,
-		   const struct answer_stats **stats);
+bool entry_answer_stats_next(const struct entry *e, uint32_t *cursor,
+			     const char **account, uint8_t *class,
+			     const struct answer_stats **stats);
 uint64_t entry_next_ns(const struct entry *e);
 const struct entry_counters *entry_counters(const struct entry *e);
 
--- a/core/request/standing.c
+++ b/core/request/entry_membership.c
@@ -13,7 +13,7 @@
  * dropped until peers have answered again. Noticed on any event, since a loop
  * may hand over datagrams before it runs timers.
  */
-void entry_watch_pause(struct entry *e)
+void entry_check_pause(struct entry *e)
 {
 	if (e->ticked_ns && e->now_ns > e->ticked_ns + e->conf.member.lease_ns)
 		e->stale = true;
@@ -35,7 +35,8 @@
 	return n;
 }
 
-static void tell_balancer(struct entry *e, const uint64_t *vms, uint32_t n)
+static void update_balancer_peers(struct entry *e, const uint64_t *vms,
+				  uint32_t n)
 {
 	uint32_t rank = 0;
 
@@ -49,7 +50,7 @@
  * and news had a settle time to arrive. An entry that finds no majority joins
  * all the same after a while, so that a data centre cut off goes on serving.
  */
-static void watch_join(struct entry *e)
+static void join_if_ready(struct entry *e)
 {
 	bool known = member_majority(e->members) &&
 		     member_lease_valid(e->members, e->now_ns);
@@ -68,14 +69,14 @@
 	member_join(e->members, e->now_ns);
 }
 
-/* entry_follow_view() - let the ring follow the membership. */
-void entry_follow_view(struct entry *e)
+/* entry_update_ring() - let the ring follow the membership. */
+void entry_update_ring(struct entry *e)
 {
 	uint64_t view;
 	uint64_t vms[VMS_MAX];
 	uint32_t n;
 
-	watch_join(e);
+	join_if_ready(e);
 	if (!e->joined)
 		return;
 	view = member_view(e->members);
@@ -83,7 +84,7 @@
 		return;
 	n = live_vms(e, vms);
 	if (view != e->view)
-		tell_balancer(e, vms, n);
+		update_balancer_peers(e, vms, n);
 	e->view = view;
 	ring_update(e->ring, vms, n, e->now_ns);
 }
@@ -94,7 +95,7 @@
  * majority comes over, say because VMs of that side are replaced, it may not
  * answer "never seen" for them.
  */
-static void watch_majority(struct entry *e)
+static void check_majority(struct entry *e)
 {
 	if (!member_majority(e->members)) {
 		if (e->minority_since_ns == DEADLINE_NEVER)
@@ -113,7 +114,7 @@
  * would answer "never seen" about claims made without it, so it no longer
  * counts as one that knows its buckets' history.
  */
-void entry_watch_lease(struct entry *e)
+void entry_check_lease(struct entry *e)
 {
 	bool valid = member_lease_valid(e->members, e->now_ns);
 	uint64_t deaths = member_deaths(e->members);
@@ -126,5 +127,5 @@
 	if (deaths != e->deaths)
 		ring_uncover(e->ring, e->now_ns);
 	e->deaths = deaths;
-	watch_majority(e);
+	check_majority(e);
 }
--- a/core/request/entry_view.c
+++ b/core/request/entry_query.c
@@ -54,10 +54,10 @@
  *
  * Return: the decision and what it rests on.
  */
-struct entry_view entry_explain(const struct entry *e,
-				const struct flow_key *key)
+struct entry_explanation entry_explain(const struct entry *e,
+				       const struct flow_key *key)
 {
-	struct entry_view v = { .view = e->view };
+	struct entry_explanation v = { .view = e->view };
 	uint32_t slot;
 
 	v.bucket = ring_bucket(e->ring, key);
@@ -81,7 +81,7 @@
 {
 	struct entry_gauges g = { .requests_active = e->n_active,
 				  .feeds_held = e->n_feeds_held,
-				  .handover_due = stream_lines_pending(e),
+				  .handover_due = streams_pending(e),
 				  .claims = claims_count(e->claims),
 				  .pins = flow_count(e->pins) };
 
@@ -94,7 +94,7 @@
 }
 
 /**
- * entry_answers() - walk over what callers of each account and class were told
+ * entry_answer_stats_next() - walk over what callers of each account and class were told
  * @e: entry
  * @cursor: 0 at first, moved on by each call
  * @account: name, good until the next entry_config()
@@ -103,11 +103,11 @@
  *
  * Return: false at the end.
  */
-bool entry_answers(const struct entry *e, uint32_t *cursor,
-		   const char **account, uint8_t *class,
-		   const struct answer_stats **stats)
+bool entry_answer_stats_next(const struct entry *e, uint32_t *cursor,
+			     const char **account, uint8_t *class,
+			     const struct answer_stats **stats)
 {
-	return account_stats_each(e->stats, cursor, account, class, stats);
+	return account_stats_next(e->stats, cursor, account, class, stats);
 }
 
 const struct balancer *entry_balancer(const struct entry *e)
--- a/core/request/entry_state.h
+++ b/core/request/entry_state.h
@@ -15,8 +15,8 @@
 #define LAST_HOP (HOPS_MAX - 1)
 #define FEED_REQUEST_MAX_BYTES 128
 #define RENEWING_MAX 256
-#define DOWN_ID_FAR 16384
-#define DOWN_ID_NEAR 256
+#define MSG_ID_GAP_LARGE 16384
+#define MSG_ID_GAP_SMALL 256
 #define ACTIONS_RESERVE 16
 
 /**
@@ -33,10 +33,10 @@
  * struct request - one request at its owner
  * @key: flow
  * @identity: hash of flow and message ID, to know a repeat
- * @request: hash with the token too, the claim's name
+ * @claim_id: hash with the token too, the claim's name
  * @bucket: bucket of the flow
  * @target: target it was sent to
- * @avoid: target that shed or failed it
+ * @avoid_target: target that shed or failed it
  * @arrived_ns: when it came
  * @sent_ns: when it last went to a target
  * @deadline_ns: when it is given up
@@ -48,19 +48,19 @@
  * @state: enum request_state
  * @flags: enum message_flags of the request
  * @id: caller's message ID
- * @up_id: message ID towards the target
+ * @target_msg_id: message ID towards the target
  * @token_len: caller's token
  * @token: caller's token
  * @sends: sends to the present target
- * @tries: targets tried
+ * @targets_tried: targets tried
  * @internal: made here to renew or move a feed; no caller waits
  * @acked: target acknowledged it
- * @running: counted in the balancer
- * @maybe_run: a target may have run it
- * @orphan: block of a transfer that nobody can go on with
- * @covered: one of its granters knows the bucket's history
+ * @counted: counted in the balancer
+ * @may_have_run: a target may have run it
+ * @carrier_lost: block of a transfer that nobody can go on with
+ * @granter_knows_history: one of its granters knows the bucket's history
  * @granted_by: entries that granted its claim
- * @answer: when ended: enum own_answer, or ANSWER_RELAYED
+ * @answer: when ended: enum local_answer, or ANSWER_RELAYED
  * @reason: enum refusal
  * @retry_after_s: told to the caller
  * @size_bytes: of @data
@@ -69,10 +69,10 @@
 struct request {
 	struct flow_key key;
 	uint64_t identity;
-	uint64_t request;
+	uint64_t claim_id;
 	uint32_t bucket;
 	uint64_t target;
-	uint64_t avoid;
+	uint64_t avoid_target;
 	uint64_t arrived_ns;
 	uint64_t sent_ns;
 	uint64_t deadline_ns;
@@ -84,17 +84,17 @@
 	uint8_t state;
 	uint16_t flags;
 	uint16_t id;
-	uint16_t up_id;
+	uint16_t target_msg_id;
 	uint8_t token_len;
 	uint8_t token[TOKEN_MAX_BYTES];
 	uint8_t sends;
-	uint8_t tries;
+	uint8_t targets_tried;
 	bool internal;
 	bool acked;
-	bool running;
-	bool maybe_run;
-	bool orphan;
-	bool covered;
+	bool counted;
+	bool may_have_run;
+	bool carrier_lost;
+	bool granter_knows_history;
 	uint64_t granted_by[2];
 	uint8_t answer;
 	uint8_t reason;
@@ -106,12 +106,16 @@
 #define ANSWER_RELAYED 0xff
 
 /**
- * enum forward_ask - what a forwarded datagram asks, in its field seq
- * @FORWARD_OWN: act as the owner of its flow
- * @FORWARD_REPEAT: answer as the claimer of this request; run nothing
- * @FORWARD_TRANSFER: go on as the entry that began this transfer
+ * enum forward_purpose - what a forwarded datagram asks, in its field seq
+ * @FORWARD_TO_OWNER: act as the owner of its flow
+ * @FORWARD_TO_CLAIMER: answer as the claimer of this request; run nothing
+ * @FORWARD_TO_CARRIER: go on as the entry that began this transfer
  */
-enum forward_ask { FORWARD_OWN, FORWARD_REPEAT, FORWARD_TRANSFER };
+enum forward_purpose {
+	FORWARD_TO_OWNER,
+	FORWARD_TO_CLAIMER,
+	FORWARD_TO_CARRIER
+};
 
 /**
  * enum feed_state - where a feed stands
@@ -134,12 +138,12 @@
  * @key: flow
  * @identity: hash of flow and token
  * @target: target that holds it
- * @heard_ns: last update
+ * @last_update_ns: last update
  * @copy_deadline_ns: when to send the second copy (again)
- * @hand_deadline_ns: when to ask the new owner (again) to take it over; of a
+ * @handover_deadline_ns: when to ask the new owner (again) to take it over; of a
  *	copy: when to adopt it, or drop it, though its server lives
  * @renewals: failed since its target last answered
- * @handed_from: entry that waits to hear that we took it over
+ * @handover_from: entry that waits to hear that we took it over
  * @served_by: of a copy: entry that serves the feed
  * @generation: of the slot, part of the token towards the target
  * @bucket: bucket of the flow
@@ -150,9 +154,9 @@
  * @counted: the balancer counts its connection
  * @token_len: caller's token
  * @token: caller's token
- * @down_id: message ID of the last update to the caller
- * @up_id: message ID of the same update from the target
- * @up_seen: @up_id is valid
+ * @caller_msg_id: message ID of the last update to the caller
+ * @target_msg_id: message ID of the same update from the target
+ * @has_target_msg_id: @target_msg_id is valid
  * @unacked_since_ns: oldest confirmable update since the caller's last
  *	acknowledgement, 0 when there is none
  * @size_bytes: of @opening
@@ -162,12 +166,12 @@
 	struct flow_key key;
 	uint64_t identity;
 	uint64_t target;
-	uint64_t heard_ns;
+	uint64_t last_update_ns;
 	uint64_t copy_deadline_ns;
-	uint64_t hand_deadline_ns;
+	uint64_t handover_deadline_ns;
 	uint64_t unacked_since_ns;
 	uint32_t renewals;
-	uint64_t handed_from;
+	uint64_t handover_from;
 	uint64_t served_by;
 	uint32_t generation;
 	uint32_t bucket;
@@ -178,9 +182,9 @@
 	bool counted;
 	uint8_t token_len;
 	uint8_t token[TOKEN_MAX_BYTES];
-	uint16_t down_id;
-	uint16_t up_id;
-	bool up_seen;
+	uint16_t caller_msg_id;
+	uint16_t target_msg_id;
+	bool has_target_msg_id;
 	uint16_t size_bytes;
 	uint8_t opening[FEED_REQUEST_MAX_BYTES];
 };
@@ -188,7 +192,7 @@
 struct stream;
 
 /* Message IDs in use towards one target; see message_id.c. */
-struct id_space;
+struct msg_id_space;
 
 struct entry {
 	struct entry_conf conf;
@@ -213,7 +217,7 @@
 	uint32_t ended_last;
 	uint32_t n_active;
 	struct index *by_identity;
-	struct index *by_up_id;
+	struct index *by_target_msg_id;
 
 	struct feed *feeds;
 	uint32_t free_feed;
@@ -224,19 +228,19 @@
 	uint32_t sweep_next;
 	bool sweeping;
 	uint64_t sweep_deadline_ns;
-	uint64_t drained_digest;
+	uint64_t targets_up_digest;
 	uint64_t *owner_since_ns;
-	uint64_t *owner_before;
+	uint64_t *previous_owner;
 	struct index *feed_by_identity;
-	struct index *feed_by_down_id;
+	struct index *feed_by_caller_msg_id;
 
 	struct stream *streams;
 	uint32_t streams_open;
-	uint64_t *held_when_leaving;
-	uint8_t *refused_names;
-	uint64_t allowance_bytes;
-	uint64_t allowance_ns;
-	struct id_space *ids;
+	uint64_t *known_at_leave;
+	uint8_t *refused_buckets;
+	uint64_t peer_budget_bytes;
+	uint64_t peer_budget_refilled_ns;
+	struct msg_id_space *msg_ids;
 	uint64_t view;
 	uint64_t deaths;
 	uint64_t minority_since_ns;
@@ -255,98 +259,101 @@
 
 /* emit.c */
 struct action *emit(struct entry *e, uint8_t kind);
-bool emit_room(const struct entry *e);
+bool emit_has_capacity(const struct entry *e);
 struct peer_msg *emit_peer(struct entry *e, uint64_t vm, uint8_t kind);
-void emit_note(struct entry *e, const char *note, const struct flow_key *key,
-	       uint64_t target);
+void emit_log(struct entry *e, const char *log_text, const struct flow_key *key,
+	      uint64_t target);
 void emit_signal_target(struct entry *e, uint64_t target, uint8_t type,
 			uint16_t id);
 void emit_signal_caller(struct entry *e, const struct flow_key *key,
 			uint8_t type, uint16_t id);
 
 /* entry.c */
-void entry_begin(struct entry *e, uint64_t now_ns, struct actions *out);
+void entry_begin_call(struct entry *e, uint64_t now_ns, struct actions *out);
 
-/* standing.c */
-void entry_watch_pause(struct entry *e);
-void entry_watch_lease(struct entry *e);
-void entry_follow_view(struct entry *e);
+/* entry_membership.c */
+void entry_check_pause(struct entry *e);
+void entry_check_lease(struct entry *e);
+void entry_update_ring(struct entry *e);
 
 /* route.c */
 const struct service_conf *service_find(const struct entry *e, uint64_t vip);
 bool forward_to(struct entry *e, uint64_t vm, const struct flow_key *key,
 		const uint8_t *data, uint32_t size_bytes, uint8_t hops,
-		uint8_t ask);
-void own_message(struct entry *e, const struct flow_key *key,
-		 const struct message *msg);
-bool vm_serves(const struct entry *e, uint64_t vm);
-bool vm_owns(const struct entry *e, uint64_t vm);
-uint64_t up_token(bool feed, uint32_t slot, uint32_t generation, uint64_t seed);
+		uint8_t purpose);
+void handle_as_owner(struct entry *e, const struct flow_key *key,
+		     const struct message *msg);
+bool vm_is_serving(const struct entry *e, uint64_t vm);
+bool vm_may_own(const struct entry *e, uint64_t vm);
+uint64_t target_token(bool feed, uint32_t slot, uint32_t generation,
+		      uint64_t seed);
 
 /* request.c */
 int requests_init(struct entry *e);
 void requests_free(struct entry *e);
 struct request *request_new(struct entry *e, const struct flow_key *key);
 uint32_t request_slot(const struct entry *e, const struct request *r);
-void request_arrived(struct entry *e, const struct flow_key *key,
+void request_receive(struct entry *e, const struct flow_key *key,
 		     const struct message *msg);
 void request_submit(struct entry *e, struct request *r);
 void request_send(struct entry *e, struct request *r, uint64_t target);
 void request_refuse(struct entry *e, struct request *r, uint8_t reason,
 		    uint32_t retry_after_s);
-void request_unknown(struct entry *e, struct request *r, const char *why);
+void request_end_unknown(struct entry *e, struct request *r, const char *why);
 void request_drop(struct entry *e, struct request *r);
-void request_finish(struct entry *e, struct request *r, enum outcome outcome);
+void request_leave_target(struct entry *e, struct request *r,
+			  enum outcome outcome);
 void request_timer(struct entry *e, struct request *r);
-bool request_idempotent(const struct entry *e, const struct request *r);
-uint64_t request_up_id_key(uint64_t target, uint16_t id);
-void request_end(struct entry *e, struct request *r);
+bool request_is_idempotent(const struct entry *e, const struct request *r);
+uint64_t request_target_msg_id_key(uint64_t target, uint16_t id);
+void request_complete(struct entry *e, struct request *r);
 
 /* send.c */
-void request_answered(struct entry *e, struct request *r, uint64_t target,
-		      const struct message *msg);
-struct request *request_by_up_id(struct entry *e, uint64_t target, uint16_t id);
+void request_handle_answer(struct entry *e, struct request *r, uint64_t target,
+			   const struct message *msg);
+struct request *request_by_target_msg_id(struct entry *e, uint64_t target,
+					 uint16_t id);
 void request_reset_by_caller(struct entry *e, const struct flow_key *key,
 			     uint16_t id);
-void requests_drain(struct entry *e);
+void requests_start_ready(struct entry *e);
 uint64_t request_identity(const struct flow_key *key, uint16_t id);
 
 /* reply.c */
-bool request_repeated(struct entry *e, const struct flow_key *key,
-		      const struct message *msg);
-void reply_relay(struct entry *e, const struct request *r);
-void reply_keep(struct request *r, const struct message *msg);
-void answer_own(struct entry *e, const struct flow_key *key,
-		const struct request *r);
-void answer_unknown(struct entry *e, const struct flow_key *key,
-		    const struct message *msg);
+bool request_handle_retransmission(struct entry *e, const struct flow_key *key,
+				   const struct message *msg);
+void reply_send(struct entry *e, const struct request *r);
+void reply_store(struct request *r, const struct message *msg);
+void local_answer_send(struct entry *e, const struct flow_key *key,
+		       const struct request *r);
+void local_answer_send_unknown(struct entry *e, const struct flow_key *key,
+			       const struct message *msg);
 
 /* transfer.c */
 uint64_t transfer_target(struct entry *e, const struct request *r);
 void transfer_pin(struct entry *e, struct request *r);
-void transfer_follow(struct entry *e, struct request *r,
-		     const struct message *answer);
-bool transfer_carried(struct entry *e, const struct flow_key *key,
-		      const struct message *msg);
-bool transfer_elsewhere(struct entry *e, struct request *r);
-bool transfer_runs_nothing(const struct request *r);
-bool transfer_may_move(const struct request *r);
+void transfer_update_pin(struct entry *e, struct request *r,
+			 const struct message *answer);
+bool transfer_is_carried_here(struct entry *e, const struct flow_key *key,
+			      const struct message *msg);
+bool transfer_forward_to_carrier(struct entry *e, struct request *r);
+bool transfer_only_stores(const struct request *r);
+bool transfer_may_change_target(const struct request *r);
 
 /* answer.c */
-void target_message(struct entry *e, uint64_t target,
+void target_receive(struct entry *e, uint64_t target,
 		    const struct message *msg);
 
 /* claiming.c */
 void claim_begin(struct entry *e, struct request *r);
-void claim_repeat(struct entry *e, struct request *r);
-void claim_settle(struct entry *e, struct request *r, uint8_t state);
-void claim_asked(struct entry *e, const struct peer_msg *msg);
-void claim_granted(struct entry *e, const struct peer_msg *msg);
-void claim_settled(struct entry *e, const struct peer_msg *msg);
-bool claim_safe_now(const struct entry *e);
-bool claim_is_out(struct entry *e, const struct claim *c);
-void claim_overruled(struct entry *e, struct claim *mine,
-		     const struct claim *line);
+void claim_request_grants(struct entry *e, struct request *r);
+void claim_record_outcome(struct entry *e, struct request *r, uint8_t state);
+void claim_requests_received(struct entry *e, const struct peer_msg *msg);
+void claim_grants_received(struct entry *e, const struct peer_msg *msg);
+void claim_settlements_received(struct entry *e, const struct peer_msg *msg);
+bool claim_lease_holds(const struct entry *e);
+bool claim_is_pending(struct entry *e, const struct claim *c);
+void claim_resolve_conflict(struct entry *e, struct claim *mine,
+			    const struct claim *line);
 
 /* feed.c */
 int feeds_init(struct entry *e);
@@ -361,12 +368,12 @@
 void feed_end(struct entry *e, struct feed *f, bool cancel);
 void feed_state_set(struct entry *e, struct feed *f, uint8_t state);
 void feed_opened(struct entry *e, struct feed *f, uint64_t target);
-void feed_refused(struct entry *e, struct feed *f, struct request *r);
+void feed_open_refused(struct entry *e, struct feed *f, struct request *r);
 void feed_update(struct entry *e, struct feed *f, uint64_t target,
 		 const struct message *msg);
 void feed_renew(struct entry *e, struct feed *f, uint64_t avoid);
 void feed_renew_failed(struct entry *e, struct feed *f, struct request *r);
-void feed_kept(struct entry *e, struct feed *f);
+void feed_keep_target(struct entry *e, struct feed *f);
 bool feed_acked_by_caller(struct entry *e, const struct flow_key *key,
 			  uint16_t id);
 bool feed_reset_by_caller(struct entry *e, const struct flow_key *key,
@@ -379,43 +386,43 @@
 			  const struct message *msg);
 
 /* feed_move.c */
-void moves_config(struct entry *e);
-void moves_due(struct entry *e);
+void moves_check_config(struct entry *e);
+void moves_schedule(struct entry *e);
 void moves_tick(struct entry *e);
 uint64_t moves_next_ns(const struct entry *e);
-bool target_drains(const struct entry *e, uint64_t vip, uint64_t target);
+bool target_is_leaving(const struct entry *e, uint64_t vip, uint64_t target);
 
 /* feed_copy.c */
 void feed_copy_send(struct entry *e, struct feed *f);
 void feed_copy_received(struct entry *e, const struct peer_msg *msg);
-void feed_copy_closed(struct entry *e, const struct peer_msg *msg);
-void feed_copy_close(struct entry *e, struct feed *f);
+void feed_copy_close_received(struct entry *e, const struct peer_msg *msg);
+void feed_copy_send_close(struct entry *e, struct feed *f);
 void feed_copy_timer(struct entry *e, struct feed *f);
 void feed_hand_over(struct entry *e, struct feed *f);
-void feed_taken_over(struct entry *e, struct feed *f);
+void feed_confirm_takeover(struct entry *e, struct feed *f);
 void feeds_pair_changed(struct entry *e, uint32_t bucket,
 			struct ring_pair before, struct ring_pair after);
 
-/* allowance.c */
-bool allowance_take(struct entry *e, uint32_t bytes);
+/* peer_budget.c */
+bool peer_budget_take(struct entry *e, uint32_t bytes);
 
 /* stream.c */
 int streams_init(struct entry *e);
 void streams_free(struct entry *e);
-void streams_leave(struct entry *e);
+void streams_record_known(struct entry *e);
 bool history_known(const struct entry *e, uint32_t bucket);
 void streams_pair_changed(struct entry *e, uint32_t bucket,
 			  struct ring_pair before, struct ring_pair after);
-uint32_t stream_lines_pending(const struct entry *e);
+uint32_t streams_pending(const struct entry *e);
 void streams_tick(struct entry *e);
 void stream_received(struct entry *e, const struct peer_msg *msg);
-void stream_acked(struct entry *e, const struct peer_msg *msg);
+void stream_ack_received(struct entry *e, const struct peer_msg *msg);
 bool streams_idle(const struct entry *e);
 uint64_t streams_next_ns(const struct entry *e);
 
 /* message_id.c */
-int id_spaces_init(struct entry *e);
-void id_spaces_free(struct entry *e);
-bool id_next(struct entry *e, uint64_t target, uint16_t *id);
+int msg_id_spaces_init(struct entry *e);
+void msg_id_spaces_free(struct entry *e);
+bool msg_id_next(struct entry *e, uint64_t target, uint16_t *id);
 
 #endif
--- a/core/request/feed.c
+++ b/core/request/feed.c
@@ -13,9 +13,9 @@
 	e->feeds = calloc(n, sizeof(*e->feeds));
 	e->feed_heads = malloc(e->conf.n_buckets * sizeof(*e->feed_heads));
 	e->feed_by_identity = index_new(n);
-	e->feed_by_down_id = index_new(n);
+	e->feed_by_caller_msg_id = index_new(n);
 	if (!e->feeds || !e->feed_heads || !e->feed_by_identity ||
-	    !e->feed_by_down_id)
+	    !e->feed_by_caller_msg_id)
 		return -ENOMEM;
 	memset(e->feed_heads, 0xff, e->conf.n_buckets * sizeof(*e->feed_heads));
 	for (uint32_t i = 0; i < n; i++)
@@ -28,7 +28,7 @@
 	free(e->feeds);
 	free(e->feed_heads);
 	index_free(e->feed_by_identity);
-	index_free(e->feed_by_down_id);
+	index_free(e->feed_by_caller_msg_id);
 }
 
 uint32_t feed_slot(const struct entry *e, const struct feed *f)
@@ -45,7 +45,7 @@
 	return hash_u64(word, flow_hash(key) + token_len);
 }
 
-static uint64_t down_id_key(const struct flow_key *key, uint16_t id)
+static uint64_t caller_msg_id_key(const struct flow_key *key, uint16_t id)
 {
 	return hash_u64(id, ~flow_hash(key));
 }
@@ -85,7 +85,7 @@
  * the feed looks still. IDs of one flow come from one range, so feeds of the
  * same flow start a quarter of it apart.
  */
-static uint16_t first_down_id(struct entry *e, const struct feed *f)
+static uint16_t first_caller_msg_id(struct entry *e, const struct feed *f)
 {
 	uint32_t slot = e->feed_heads[f->bucket];
 
@@ -93,7 +93,8 @@
 		const struct feed *other = &e->feeds[slot];
 
 		if (same_flow(&other->key, &f->key))
-			return (uint16_t)(other->down_id + DOWN_ID_FAR);
+			return (uint16_t)(other->caller_msg_id +
+					  MSG_ID_GAP_LARGE);
 	}
 	return (uint16_t)rng_next(&e->rng);
 }
@@ -130,10 +131,10 @@
 	f->bucket = ring_bucket(e->ring, key);
 	f->request = SLOT_NONE;
 	f->copy_deadline_ns = DEADLINE_NEVER;
-	f->hand_deadline_ns = DEADLINE_NEVER;
-	f->down_id = first_down_id(e, f);
+	f->handover_deadline_ns = DEADLINE_NEVER;
+	f->caller_msg_id = first_caller_msg_id(e, f);
 	f->state = FEED_OPENING;
-	f->heard_ns = e->now_ns;
+	f->last_update_ns = e->now_ns;
 	index_put(e->feed_by_identity, f->identity, slot);
 	f->prev = SLOT_NONE;
 	f->next = e->feed_heads[f->bucket];
@@ -143,7 +144,7 @@
 	return f;
 }
 
-static bool serving(uint8_t state)
+static bool state_is_serving(uint8_t state)
 {
 	return state == FEED_OPEN || state == FEED_RENEWING;
 }
@@ -151,13 +152,13 @@
 /* feed_state_set() - change the state and the counts that hang on it. */
 void feed_state_set(struct entry *e, struct feed *f, uint8_t state)
 {
-	e->n_feeds_held += serving(state) - serving(f->state);
+	e->n_feeds_held += state_is_serving(state) - state_is_serving(f->state);
 	e->n_feeds_renewing +=
 		(state == FEED_RENEWING) - (f->state == FEED_RENEWING);
 	f->state = state;
 }
 
-static void count_connection(struct entry *e, struct feed *f, bool on)
+static void set_connection_counted(struct entry *e, struct feed *f, bool on)
 {
 	if (f->counted == on)
 		return;
@@ -176,10 +177,11 @@
 
 	if (f->request != SLOT_NONE)
 		e->requests[f->request].feed = SLOT_NONE;
-	count_connection(e, f, false);
+	set_connection_counted(e, f, false);
 	feed_state_set(e, f, FEED_FREE);
 	index_del(e->feed_by_identity, f->identity, slot);
-	index_del(e->feed_by_down_id, down_id_key(&f->key, f->down_id), slot);
+	index_del(e->feed_by_caller_msg_id,
+		  caller_msg_id_key(&f->key, f->caller_msg_id), slot);
 	timers_clear(e->timers, e->conf.requests_max + slot);
 	if (f->prev == SLOT_NONE)
 		e->feed_heads[f->bucket] = f->next;
@@ -195,8 +197,8 @@
 void feed_cancel_at(struct entry *e, const struct feed *f, uint64_t target)
 {
 	struct action *a;
-	uint64_t token =
-		up_token(true, feed_slot(e, f), f->generation, e->conf.seed);
+	uint64_t token = target_token(true, feed_slot(e, f), f->generation,
+				      e->conf.seed);
 
 	if (target == ADDR_NONE || !f->size_bytes)
 		return;
@@ -205,7 +207,7 @@
 	a->target = target;
 	a->token_len = sizeof(token);
 	memcpy(a->token, &token, sizeof(token));
-	id_next(e, target, &a->id);
+	msg_id_next(e, target, &a->id);
 	a->data = f->opening;
 	a->size_bytes = f->size_bytes;
 	e->counters.cancels++;
@@ -228,10 +230,10 @@
 	if (f->request != SLOT_NONE && e->requests[f->request].internal) {
 		struct request *r = &e->requests[f->request];
 
-		request_finish(e, r, OUTCOME_CANCELLED);
+		request_leave_target(e, r, OUTCOME_CANCELLED);
 		request_drop(e, r);
 	}
-	feed_copy_close(e, f);
+	feed_copy_send_close(e, f);
 	e->counters.feeds_closed++;
 	feed_drop(e, f);
 }
@@ -243,12 +245,12 @@
  */
 void feed_timer_set(struct entry *e, struct feed *f)
 {
-	uint64_t next = f->heard_ns + e->conf.probe_idle_ns;
+	uint64_t next = f->last_update_ns + e->conf.probe_idle_ns;
 
 	if (f->copy_deadline_ns < next)
 		next = f->copy_deadline_ns;
-	if (f->hand_deadline_ns < next)
-		next = f->hand_deadline_ns;
+	if (f->handover_deadline_ns < next)
+		next = f->handover_deadline_ns;
 	timers_set(e->timers, e->conf.requests_max + feed_slot(e, f), next);
 }
 
@@ -264,32 +266,32 @@
 	bool moved = f->target != target;
 
 	if (moved) {
-		count_connection(e, f, false);
+		set_connection_counted(e, f, false);
 		feed_cancel_at(e, f, f->target);
 		f->target = target;
 		if (!first)
 			e->counters.feeds_moved++;
 	}
-	count_connection(e, f, true);
+	set_connection_counted(e, f, true);
 	feed_state_set(e, f, FEED_OPEN);
 	f->renewals = 0;
-	f->heard_ns = e->now_ns;
+	f->last_update_ns = e->now_ns;
 	if (first)
 		e->counters.feeds_opened++;
 	/* With the answer, not after it: an owner may die in between. */
 	if (first || moved)
 		feed_copy_send(e, f);
-	if (f->handed_from != ADDR_NONE)
-		feed_taken_over(e, f);
+	if (f->handover_from != ADDR_NONE)
+		feed_confirm_takeover(e, f);
 	if (ring_at(e->ring, f->bucket).owner != e->conf.member.self)
-		f->hand_deadline_ns = e->now_ns;
+		f->handover_deadline_ns = e->now_ns;
 	feed_timer_set(e, f);
-	if (target_drains(e, f->key.vip, target))
-		moves_due(e);
+	if (target_is_leaving(e, f->key.vip, target))
+		moves_schedule(e);
 }
 
-/* feed_refused() - the request that was to open a feed did not. */
-void feed_refused(struct entry *e, struct feed *f, struct request *r)
+/* feed_open_refused() - the request that was to open a feed did not. */
+void feed_open_refused(struct entry *e, struct feed *f, struct request *r)
 {
 	f->request = SLOT_NONE;
 	r->feed = SLOT_NONE;
@@ -297,21 +299,23 @@
 		feed_drop(e, f);
 }
 
-static uint16_t down_id_for(struct entry *e, struct feed *f,
-			    const struct message *msg)
+static uint16_t assign_caller_msg_id(struct entry *e, struct feed *f,
+				     const struct message *msg)
 {
 	uint32_t slot = feed_slot(e, f);
 
-	if (f->up_seen && f->up_id == msg->id)
-		return f->down_id;
-	index_del(e->feed_by_down_id, down_id_key(&f->key, f->down_id), slot);
-	f->down_id++;
-	f->up_id = msg->id;
-	f->up_seen = true;
-	index_put(e->feed_by_down_id, down_id_key(&f->key, f->down_id), slot);
+	if (f->has_target_msg_id && f->target_msg_id == msg->id)
+		return f->caller_msg_id;
+	index_del(e->feed_by_caller_msg_id,
+		  caller_msg_id_key(&f->key, f->caller_msg_id), slot);
+	f->caller_msg_id++;
+	f->target_msg_id = msg->id;
+	f->has_target_msg_id = true;
+	index_put(e->feed_by_caller_msg_id,
+		  caller_msg_id_key(&f->key, f->caller_msg_id), slot);
 	if (msg->flags & MESSAGE_CONFIRM && !f->unacked_since_ns)
 		f->unacked_since_ns = e->now_ns;
-	return f->down_id;
+	return f->caller_msg_id;
 }
 
 /**
@@ -331,8 +335,8 @@
 		feed_ended_by_target(e, f, target, msg);
 		return;
 	}
-	id = down_id_for(e, f, msg);
-	f->heard_ns = e->now_ns;
+	id = assign_caller_msg_id(e, f, msg);
+	f->last_update_ns = e->now_ns;
 	a = emit(e, ACT_TO_CALLER);
 	a->key = f->key;
 	a->target = target;
@@ -348,16 +352,17 @@
 	feed_timer_set(e, f);
 }
 
-static struct feed *by_down_id(struct entry *e, const struct flow_key *key,
-			       uint16_t id)
+static struct feed *
+find_by_caller_msg_id(struct entry *e, const struct flow_key *key, uint16_t id)
 {
-	uint32_t slot = index_get(e->feed_by_down_id, down_id_key(key, id));
+	uint32_t slot =
+		index_get(e->feed_by_caller_msg_id, caller_msg_id_key(key, id));
 	struct feed *f;
 
 	if (slot == INDEX_NONE)
 		return NULL;
 	f = &e->feeds[slot];
-	return same_flow(&f->key, key) && f->down_id == id ? f : NULL;
+	return same_flow(&f->key, key) && f->caller_msg_id == id ? f : NULL;
 }
 
 /**
@@ -371,12 +376,12 @@
 bool feed_acked_by_caller(struct entry *e, const struct flow_key *key,
 			  uint16_t id)
 {
-	struct feed *f = by_down_id(e, key, id);
+	struct feed *f = find_by_caller_msg_id(e, key, id);
 
 	if (!f)
 		return false;
 	f->unacked_since_ns = 0;
-	emit_signal_target(e, f->target, WIRE_ACK, f->up_id);
+	emit_signal_target(e, f->target, WIRE_ACK, f->target_msg_id);
 	return true;
 }
 
@@ -384,11 +389,11 @@
 bool feed_reset_by_caller(struct entry *e, const struct flow_key *key,
 			  uint16_t id)
 {
-	struct feed *f = by_down_id(e, key, id);
+	struct feed *f = find_by_caller_msg_id(e, key, id);
 
 	if (!f)
 		return false;
-	emit_signal_target(e, f->target, WIRE_RESET, f->up_id);
+	emit_signal_target(e, f->target, WIRE_RESET, f->target_msg_id);
 	feed_end(e, f, true);
 	return true;
 }
--- a/core/request/feed_move.c
+++ b/core/request/feed_move.c
@@ -13,8 +13,8 @@
 #define SWEEP_PACE_NS (20 * NS_PER_MS)
 #define SWEEP_AGAIN_NS (2 * NS_PER_S)
 
-/* target_drains() - whether a service's target drains or was withdrawn. */
-bool target_drains(const struct entry *e, uint64_t vip, uint64_t target)
+/* target_is_leaving() - whether a service's target drains or was withdrawn. */
+bool target_is_leaving(const struct entry *e, uint64_t vip, uint64_t target)
 {
 	const struct service_conf *s = service_find(e, vip);
 
@@ -37,34 +37,34 @@
 }
 
 /**
- * moves_config() - look for feeds to move when a target drains or goes
+ * moves_check_config() - look for feeds to move when a target drains or goes
  * @e: entry, with its new configuration in force
  */
-void moves_config(struct entry *e)
+void moves_check_config(struct entry *e)
 {
 	uint64_t digest = 0;
 
 	for (uint32_t i = 0; i < e->n_services; i++)
 		digest ^= digest_of_service(e->service_list[i]);
-	if (digest != e->drained_digest)
+	if (digest != e->targets_up_digest)
 		e->sweep_deadline_ns = e->now_ns;
-	e->drained_digest = digest;
+	e->targets_up_digest = digest;
 }
 
-/* moves_due() - a feed is on a draining target; look at it in a while. */
-void moves_due(struct entry *e)
+/* moves_schedule() - a feed is on a draining target; look at it in a while. */
+void moves_schedule(struct entry *e)
 {
 	if (e->sweep_deadline_ns == DEADLINE_NEVER)
 		e->sweep_deadline_ns = e->now_ns + SWEEP_AGAIN_NS;
 }
 
-static bool to_move(const struct entry *e, const struct feed *f)
+static bool needs_move(const struct entry *e, const struct feed *f)
 {
 	return f->state == FEED_OPEN && f->request == SLOT_NONE &&
-	       f->size_bytes && target_drains(e, f->key.vip, f->target);
+	       f->size_bytes && target_is_leaving(e, f->key.vip, f->target);
 }
 
-static void start_when_due(struct entry *e)
+static void start_sweep_if_due(struct entry *e)
 {
 	if (e->sweeping || e->now_ns < e->sweep_deadline_ns)
 		return;
@@ -83,13 +83,13 @@
 {
 	uint32_t budget = SWEEP_BUDGET;
 
-	start_when_due(e);
-	while (e->sweeping && budget-- && emit_room(e)) {
+	start_sweep_if_due(e);
+	while (e->sweeping && budget-- && emit_has_capacity(e)) {
 		struct feed *f = &e->feeds[e->sweep_next];
 
 		if (e->n_feeds_renewing >= RENEWING_MAX)
 			return;
-		if (to_move(e, f))
+		if (needs_move(e, f))
 			feed_renew(e, f, f->target);
 		e->sweeping = ++e->sweep_next < e->feed_slots_used;
 	}
--- a/core/request/feed_renew.c
+++ b/core/request/feed_renew.c
@@ -8,21 +8,21 @@
 
 /* Longer than a target repeats an update that nobody acknowledges. */
 #define CALLER_GONE_NS (100 * NS_PER_S)
-#define RENEW_NS (800 * NS_PER_MS)
-#define RENEW_TRIES_MAX 3
-#define RENEW_LATER_NS (300 * NS_PER_MS)
+#define RENEW_TIMEOUT_NS (800 * NS_PER_MS)
+#define RENEW_TARGETS_MAX 3
+#define RENEW_BACKOFF_NS (300 * NS_PER_MS)
 #define RENEWALS_MAX 12
 
 /**
- * feed_kept() - no other target took a feed off a draining one: it stays
+ * feed_keep_target() - no other target took a feed off a draining one: it stays
  * @e: entry
  * @f: feed; its target still serves it, and the next sweep tries again
  */
-void feed_kept(struct entry *e, struct feed *f)
+void feed_keep_target(struct entry *e, struct feed *f)
 {
 	feed_state_set(e, f, FEED_OPEN);
 	feed_timer_set(e, f);
-	moves_due(e);
+	moves_schedule(e);
 }
 
 /*
@@ -43,7 +43,7 @@
 	struct action *a = emit(e, ACT_ANSWER_CALLER);
 
 	e->counters.feeds_lost++;
-	emit_note(e, "feed can't go on", &f->key, f->target);
+	emit_log(e, "feed can't go on", &f->key, f->target);
 	a->key = f->key;
 	a->type = WIRE_PLAIN;
 	a->id = (uint16_t)rng_next(&e->rng);
@@ -53,7 +53,7 @@
 	feed_end(e, f, true);
 }
 
-static struct request *renewal(struct entry *e, struct feed *f)
+static struct request *renewal_request_new(struct entry *e, struct feed *f)
 {
 	struct request *r = request_new(e, &f->key);
 
@@ -61,7 +61,7 @@
 		return NULL;
 	r->internal = true;
 	r->flags = MESSAGE_IDEMPOTENT | MESSAGE_CONFIRM | MESSAGE_FEED_OPEN;
-	r->deadline_ns = e->now_ns + RENEW_NS;
+	r->deadline_ns = e->now_ns + RENEW_TIMEOUT_NS;
 	r->feed = feed_slot(e, f);
 	f->request = request_slot(e, r);
 	r->size_bytes = f->size_bytes;
@@ -89,9 +89,9 @@
 		feed_lost(e, f);
 		return;
 	}
-	r = renewal(e, f);
+	r = renewal_request_new(e, f);
 	if (!r) {
-		f->heard_ns = e->now_ns;
+		f->last_update_ns = e->now_ns;
 		feed_timer_set(e, f);
 		return;
 	}
@@ -101,15 +101,16 @@
 		request_send(e, r, f->target);
 		return;
 	}
-	r->avoid = avoid;
+	r->avoid_target = avoid;
 	request_submit(e, r);
 }
 
 /* Targets are busy for now, say because many feeds move at once. */
-static void renew_later(struct entry *e, struct feed *f)
+static void schedule_renewal(struct entry *e, struct feed *f)
 {
 	feed_state_set(e, f, FEED_OPEN);
-	f->heard_ns = e->now_ns - e->conf.probe_idle_ns + RENEW_LATER_NS;
+	f->last_update_ns =
+		e->now_ns - e->conf.probe_idle_ns + RENEW_BACKOFF_NS;
 	feed_timer_set(e, f);
 }
 
@@ -122,35 +123,36 @@
 void feed_renew_failed(struct entry *e, struct feed *f, struct request *r)
 {
 	uint64_t failed = r->target;
-	uint8_t tries = r->tries;
+	uint8_t tries = r->targets_tried;
 
-	bool moving = r->avoid != ADDR_NONE && r->avoid == f->target &&
-		      e->now_ns < f->heard_ns + e->conf.probe_idle_ns;
+	bool moving = r->avoid_target != ADDR_NONE &&
+		      r->avoid_target == f->target &&
+		      e->now_ns < f->last_update_ns + e->conf.probe_idle_ns;
 
 	bool refused = r->reason != REFUSE_NONE;
 
 	f->request = SLOT_NONE;
 	request_drop(e, r);
 	if (moving) {
-		feed_kept(e, f);
+		feed_keep_target(e, f);
 		return;
 	}
-	if (tries >= RENEW_TRIES_MAX || ++f->renewals > RENEWALS_MAX) {
+	if (tries >= RENEW_TARGETS_MAX || ++f->renewals > RENEWALS_MAX) {
 		feed_lost(e, f);
 		return;
 	}
 	if (refused) {
-		renew_later(e, f);
+		schedule_renewal(e, f);
 		return;
 	}
 	feed_cancel_at(e, f, failed);
-	r = renewal(e, f);
+	r = renewal_request_new(e, f);
 	if (!r) {
 		feed_lost(e, f);
 		return;
 	}
-	r->tries = (uint8_t)(tries + 1);
-	r->avoid = failed;
+	r->targets_tried = (uint8_t)(tries + 1);
+	r->avoid_target = failed;
 	request_submit(e, r);
 }
 
@@ -159,7 +161,7 @@
  * then on. Renewed for ever, the feed of a caller that is gone would hold its
  * connection for ever.
  */
-static bool caller_gone(const struct entry *e, const struct feed *f)
+static bool caller_is_gone(const struct entry *e, const struct feed *f)
 {
 	return f->unacked_since_ns &&
 	       e->now_ns >= f->unacked_since_ns + CALLER_GONE_NS;
@@ -176,11 +178,11 @@
 	}
 	if (e->now_ns >= f->copy_deadline_ns)
 		feed_copy_send(e, f);
-	if (e->now_ns >= f->hand_deadline_ns)
+	if (e->now_ns >= f->handover_deadline_ns)
 		feed_hand_over(e, f);
-	if (e->now_ns >= f->heard_ns + e->conf.probe_idle_ns) {
-		f->heard_ns = e->now_ns;
-		if (caller_gone(e, f))
+	if (e->now_ns >= f->last_update_ns + e->conf.probe_idle_ns) {
+		f->last_update_ns = e->now_ns;
+		if (caller_is_gone(e, f))
 			feed_end(e, f, true);
 		else
 			feed_renew(e, f, ADDR_NONE);
--- a/core/request/flow.c
+++ b/core/request/flow.c
@@ -22,7 +22,7 @@
 #define TAGS_HIGH 0x8080808080808080ULL
 
 /* Slots a flow may stand from its home: bounds the cost of every call. */
-#define PROBE_MAX 1024
+#define PROBE_DISTANCE_MAX 1024
 
 /* Slots a flow: 5/4, so the table is never more than 80 % full. */
 #define SLOTS_NUMERATOR 5
@@ -39,19 +39,19 @@
 };
 
 struct flow_table {
-	uint32_t homes;
-	uint32_t slots;
-	uint32_t flows;
+	uint32_t n_homes;
+	uint32_t n_slots;
+	uint32_t n_flows;
 	uint32_t flows_max;
-	uint32_t hand;
+	uint32_t expire_cursor;
 	uint64_t idle_ns;
-	uint8_t *tag;
-	struct slot *slot;
+	uint8_t *tags;
+	struct slot *slots;
 };
 
 static uint32_t home_of(const struct flow_table *t, uint64_t hash)
 {
-	return (uint32_t)(((hash >> 32) * t->homes) >> 32);
+	return (uint32_t)(((hash >> 32) * t->n_homes) >> 32);
 }
 
 /* The low bits choose the ring's bucket: an owner's flows share some. */
@@ -115,12 +115,12 @@
 		return NULL;
 	t->flows_max = flows_max;
 	t->idle_ns = idle_ns < FLOW_IDLE_MAX_NS ? idle_ns : FLOW_IDLE_MAX_NS;
-	t->homes =
+	t->n_homes =
 		(uint64_t)flows_max * SLOTS_NUMERATOR / SLOTS_DENOMINATOR + 1;
-	t->slots = t->homes + PROBE_MAX;
-	t->tag = calloc(t->slots + TAGS_PER_WORD, sizeof(*t->tag));
-	t->slot = calloc(t->slots, sizeof(*t->slot));
-	if (!t->tag || !t->slot) {
+	t->n_slots = t->n_homes + PROBE_DISTANCE_MAX;
+	t->tags = calloc(t->n_slots + TAGS_PER_WORD, sizeof(*t->tags));
+	t->slots = calloc(t->n_slots, sizeof(*t->slots));
+	if (!t->tags || !t->slots) {
 		flow_table_free(t);
 		return NULL;
 	}
@@ -135,8 +135,8 @@
 {
 	if (!t)
 		return;
-	free(t->tag);
-	free(t->slot);
+	free(t->tags);
+	free(t->slots);
 	free(t);
 }
 
@@ -144,7 +144,7 @@
 {
 	uint64_t word;
 
-	memcpy(&word, &t->tag[at], sizeof(word));
+	memcpy(&word, &t->tags[at], sizeof(word));
 	return le64toh(word);
 }
 
@@ -158,25 +158,26 @@
 }
 
 /* The tag's matches among the eight slots at @at that hold @key. */
-static uint32_t match(const struct flow_table *t, const struct flow_key *key,
-		      uint32_t at, uint64_t matches)
+static uint32_t find_match(const struct flow_table *t,
+			   const struct flow_key *key, uint32_t at,
+			   uint64_t matches)
 {
 	uint32_t found;
 
 	for (; matches; matches &= matches - 1) {
 		found = at + __builtin_ctzll(matches) / TAG_BITS;
-		if (slot_holds(&t->slot[found], key))
+		if (slot_holds(&t->slots[found], key))
 			return found;
 	}
-	return t->slots;
+	return t->n_slots;
 }
 
-/* Slot of the flow, or the first empty one of its run; t->slots if neither. */
-static uint32_t find(const struct flow_table *t, const struct flow_key *key,
-		     uint64_t hash)
+/* Slot of the flow, or the first empty one of its run; t->n_slots if neither. */
+static uint32_t find_slot(const struct flow_table *t,
+			  const struct flow_key *key, uint64_t hash)
 {
 	uint64_t word, empty, matches, pattern = tag_of(hash) * TAGS_LOW;
-	uint32_t at = home_of(t, hash), end = at + PROBE_MAX, found;
+	uint32_t at = home_of(t, hash), end = at + PROBE_DISTANCE_MAX, found;
 
 	for (; at < end; at += TAGS_PER_WORD) {
 		word = load_tags(t, at);
@@ -184,13 +185,13 @@
 		matches = zero_bytes(word ^ pattern);
 		if (empty)
 			matches &= (empty & -empty) - 1;
-		found = match(t, key, at, matches);
-		if (found != t->slots)
+		found = find_match(t, key, at, matches);
+		if (found != t->n_slots)
 			return found;
 		if (empty)
 			return at + __builtin_ctzll(empty) / TAG_BITS;
 	}
-	return t->slots;
+	return t->n_slots;
 }
 
 /*
@@ -202,16 +203,16 @@
 	struct flow_key key;
 	uint32_t at;
 
-	for (at = gap + 1; t->tag[at] != TAG_EMPTY; at++) {
-		key = slot_key(&t->slot[at]);
+	for (at = gap + 1; t->tags[at] != TAG_EMPTY; at++) {
+		key = slot_key(&t->slots[at]);
 		if (home_of(t, flow_hash(&key)) > gap)
 			continue;
-		t->slot[gap] = t->slot[at];
-		t->tag[gap] = t->tag[at];
+		t->slots[gap] = t->slots[at];
+		t->tags[gap] = t->tags[at];
 		gap = at;
 	}
-	t->tag[gap] = TAG_EMPTY;
-	t->flows--;
+	t->tags[gap] = TAG_EMPTY;
+	t->n_flows--;
 }
 
 /**
@@ -222,7 +223,7 @@
  * @now_ns: now; the flow's idle time starts here
  *
  * Return: 0; -EINVAL without a target; -ENOSPC when the table is full, or
- * when PROBE_MAX flows hash alike.
+ * when PROBE_DISTANCE_MAX flows hash alike.
  */
 int flow_pin(struct flow_table *t, const struct flow_key *key, uint64_t target,
 	     uint64_t now_ns)
@@ -232,16 +233,16 @@
 
 	if (target == ADDR_NONE)
 		return -EINVAL;
-	at = find(t, key, hash);
-	if (at == t->slots)
+	at = find_slot(t, key, hash);
+	if (at == t->n_slots)
 		return -ENOSPC;
-	if (t->tag[at] == TAG_EMPTY) {
-		if (t->flows >= t->flows_max)
+	if (t->tags[at] == TAG_EMPTY) {
+		if (t->n_flows >= t->flows_max)
 			return -ENOSPC;
-		t->flows++;
-		t->tag[at] = tag_of(hash);
+		t->n_flows++;
+		t->tags[at] = tag_of(hash);
 	}
-	slot_write(&t->slot[at], key, target, now_ns + t->idle_ns);
+	slot_write(&t->slots[at], key, target, now_ns + t->idle_ns);
 	return 0;
 }
 
@@ -256,17 +257,17 @@
 uint64_t flow_lookup(struct flow_table *t, const struct flow_key *key,
 		     uint64_t now_ns)
 {
-	uint32_t at = find(t, key, flow_hash(key));
+	uint32_t at = find_slot(t, key, flow_hash(key));
 	uint64_t target;
 
-	if (at == t->slots || t->tag[at] == TAG_EMPTY)
+	if (at == t->n_slots || t->tags[at] == TAG_EMPTY)
 		return ADDR_NONE;
-	if (slot_idle(&t->slot[at], now_ns)) {
+	if (slot_idle(&t->slots[at], now_ns)) {
 		close_gap(t, at);
 		return ADDR_NONE;
 	}
-	target = slot_target(&t->slot[at]);
-	slot_write(&t->slot[at], key, target, now_ns + t->idle_ns);
+	target = slot_target(&t->slots[at]);
+	slot_write(&t->slots[at], key, target, now_ns + t->idle_ns);
 	return target;
 }
 
@@ -279,9 +280,9 @@
  */
 int flow_unpin(struct flow_table *t, const struct flow_key *key)
 {
-	uint32_t at = find(t, key, flow_hash(key));
+	uint32_t at = find_slot(t, key, flow_hash(key));
 
-	if (at == t->slots || t->tag[at] == TAG_EMPTY)
+	if (at == t->n_slots || t->tags[at] == TAG_EMPTY)
 		return -ENOENT;
 	close_gap(t, at);
 	return 0;
@@ -297,18 +298,18 @@
  */
 uint32_t flow_expire(struct flow_table *t, uint64_t now_ns, uint32_t budget)
 {
-	uint32_t before = t->flows;
+	uint32_t before = t->n_flows;
 
 	while (budget--) {
-		if (t->hand == t->slots)
-			t->hand = 0;
-		if (t->tag[t->hand] != TAG_EMPTY &&
-		    slot_idle(&t->slot[t->hand], now_ns))
-			close_gap(t, t->hand);
+		if (t->expire_cursor == t->n_slots)
+			t->expire_cursor = 0;
+		if (t->tags[t->expire_cursor] != TAG_EMPTY &&
+		    slot_idle(&t->slots[t->expire_cursor], now_ns))
+			close_gap(t, t->expire_cursor);
 		else
-			t->hand++;
+			t->expire_cursor++;
 	}
-	return before - t->flows;
+	return before - t->n_flows;
 }
 
 /**
@@ -319,7 +320,7 @@
  */
 uint32_t flow_count(const struct flow_table *t)
 {
-	return t->flows;
+	return t->n_flows;
 }
 
 /**
@@ -330,8 +331,8 @@
  */
 uint64_t flow_bytes(const struct flow_table *t)
 {
-	return sizeof(*t) + t->slots + TAGS_PER_WORD +
-	       (uint64_t)t->slots * sizeof(*t->slot);
+	return sizeof(*t) + t->n_slots + TAGS_PER_WORD +
+	       (uint64_t)t->n_slots * sizeof(*t->slots);
 }
 
 /**
@@ -350,14 +351,14 @@
 int flow_each(const struct flow_table *t, uint32_t *cursor,
 	      struct flow_key *key, uint64_t *target)
 {
-	uint32_t at = *cursor ? *cursor - 1 : t->slots;
+	uint32_t at = *cursor ? *cursor - 1 : t->n_slots;
 
 	while (at--) {
-		if (t->tag[at] == TAG_EMPTY)
+		if (t->tags[at] == TAG_EMPTY)
 			continue;
 		*cursor = at + 1;
-		*key = slot_key(&t->slot[at]);
-		*target = slot_target(&t->slot[at]);
+		*key = slot_key(&t->slots[at]);
+		*target = slot_target(&t->slots[at]);
 		return 0;
 	}
 	*cursor = 0;
--- a/core/request/flow_list.c
+++ b/core/request/flow_list.c
@@ -6,8 +6,8 @@
  * Slots looked at in one call. The walk runs between datagrams; over all slots
  * of an almost empty table it would hold them up for tens of milliseconds.
  */
-#define SCAN_MAX 8192
-#define AT_END UINT64_MAX
+#define SLOTS_PER_CALL_MAX 8192
+#define CURSOR_END UINT64_MAX
 
 static const char *const request_states[] = {
 	[REQ_FREE] = NULL,	 [REQ_CLAIMING] = "claiming",
@@ -38,34 +38,35 @@
 				  .key = f->key,
 				  .target = f->target,
 				  .state = feed_states[f->state],
-				  .since_ns = f->heard_ns };
+				  .since_ns = f->last_update_ns };
 	return row->state != NULL;
 }
 
-static bool pin_row(const struct entry *e, uint64_t first, uint64_t *at,
+static bool pin_row(const struct entry *e, uint64_t first, uint64_t *cursor,
 		    struct flow_row *row)
 {
-	uint32_t cursor = (uint32_t)(*at - first);
+	uint32_t pin_cursor = (uint32_t)(*cursor - first);
 
 	*row = (struct flow_row){ .kind = ROW_PIN, .state = "pinned" };
-	if (flow_each(e->pins, &cursor, &row->key, &row->target)) {
-		*at = AT_END;
+	if (flow_each(e->pins, &pin_cursor, &row->key, &row->target)) {
+		*cursor = CURSOR_END;
 		return false;
 	}
-	*at = first + cursor;
+	*cursor = first + pin_cursor;
 	return true;
 }
 
 /* Look at one slot and advance; true when it gave a row. */
-static bool next_row(const struct entry *e, uint64_t *at, struct flow_row *row)
+static bool next_row(const struct entry *e, uint64_t *cursor,
+		     struct flow_row *row)
 {
 	uint64_t feeds = e->conf.requests_max;
 	uint64_t pins = feeds + e->conf.feeds_max;
-	uint64_t slot = *at;
+	uint64_t slot = *cursor;
 
 	if (slot >= pins)
-		return pin_row(e, pins, at, row);
-	(*at)++;
+		return pin_row(e, pins, cursor, row);
+	(*cursor)++;
 	if (slot >= feeds)
 		return feed_row(&e->feeds[slot - feeds], row);
 	return request_row(&e->requests[slot], row);
@@ -74,7 +75,7 @@
 /**
  * entry_flows() - list what an entry holds, a part at a time
  * @e: entry
- * @at: 0 to begin with; where to go on; UINT64_MAX at the end
+ * @cursor: 0 to begin with; where to go on; UINT64_MAX at the end
  * @rows: filled
  * @rows_max: room in it
  *
@@ -82,15 +83,15 @@
  *
  * Return: rows filled, perhaps 0 before the end too.
  */
-uint32_t entry_flows(const struct entry *e, uint64_t *at, struct flow_row *rows,
-		     uint32_t rows_max)
+uint32_t entry_flows(const struct entry *e, uint64_t *cursor,
+		     struct flow_row *rows, uint32_t rows_max)
 {
 	uint32_t n = 0;
 
-	for (uint32_t i = 0; i < SCAN_MAX && n < rows_max; i++) {
-		if (*at == AT_END)
+	for (uint32_t i = 0; i < SLOTS_PER_CALL_MAX && n < rows_max; i++) {
+		if (*cursor == CURSOR_END)
 			break;
-		if (next_row(e, at, &rows[n]))
+		if (next_row(e, cursor, &rows[n]))
 			n++;
 	}
 	return n;
--- a/core/request/message_id.c
+++ b/core/request/message_id.c
@@ -14,56 +14,57 @@
 #define ID_BLOCKS 16
 #define ID_BLOCK_SHIFT 12
 #define ID_TARGETS_MAX 16384
-#define ID_PROBES 32
+#define ID_PROBES_MAX 32
 
-struct id_space {
+struct msg_id_space {
 	uint64_t target;
-	uint64_t used_ns[ID_BLOCKS];
+	uint64_t block_used_ns[ID_BLOCKS];
 	uint64_t last_ns;
-	uint16_t next;
+	uint16_t next_id;
 };
 
-/* id_spaces_init() - room for the targets of a data centre. */
-int id_spaces_init(struct entry *e)
+/* msg_id_spaces_init() - room for the targets of a data centre. */
+int msg_id_spaces_init(struct entry *e)
 {
-	e->ids = calloc(ID_TARGETS_MAX, sizeof(*e->ids));
-	return e->ids ? 0 : -ENOMEM;
+	e->msg_ids = calloc(ID_TARGETS_MAX, sizeof(*e->msg_ids));
+	return e->msg_ids ? 0 : -ENOMEM;
 }
 
-void id_spaces_free(struct entry *e)
+void msg_id_spaces_free(struct entry *e)
 {
-	free(e->ids);
+	free(e->msg_ids);
 }
 
-static bool reusable(const struct id_space *s, uint64_t now_ns)
+static bool space_is_reusable(const struct msg_id_space *s, uint64_t now_ns)
 {
 	return s->target == ADDR_NONE || s->last_ns + ID_LIFETIME_NS <= now_ns;
 }
 
 /* Targets come and go; a space unused for a lifetime is given to another. */
-static struct id_space *space_of(struct entry *e, uint64_t target)
+static struct msg_id_space *find_space(struct entry *e, uint64_t target)
 {
 	uint64_t home = hash_u64(target, 0);
-	struct id_space *take = NULL;
+	struct msg_id_space *unused = NULL;
 
-	for (uint32_t n = 0; n < ID_PROBES; n++) {
-		struct id_space *s = &e->ids[(home + n) % ID_TARGETS_MAX];
+	for (uint32_t n = 0; n < ID_PROBES_MAX; n++) {
+		struct msg_id_space *s =
+			&e->msg_ids[(home + n) % ID_TARGETS_MAX];
 
 		if (s->target == target)
 			return s;
-		if (!take && reusable(s, e->now_ns))
-			take = s;
+		if (!unused && space_is_reusable(s, e->now_ns))
+			unused = s;
 	}
-	if (!take)
+	if (!unused)
 		return NULL;
-	memset(take, 0, sizeof(*take));
-	take->target = target;
-	take->next = (uint16_t)rng_next(&e->rng);
-	return take;
+	memset(unused, 0, sizeof(*unused));
+	unused->target = target;
+	unused->next_id = (uint16_t)rng_next(&e->rng);
+	return unused;
 }
 
 /**
- * id_next() - next message ID towards a target
+ * msg_id_next() - next message ID towards a target
  * @e: entry
  * @target: target
  * @id: filled
@@ -71,22 +72,23 @@
  * Return: false when all are too young to be used again; the target takes no
  * more from this entry for now.
  */
-bool id_next(struct entry *e, uint64_t target, uint16_t *id)
+bool msg_id_next(struct entry *e, uint64_t target, uint16_t *id)
 {
-	struct id_space *s = space_of(e, target);
+	struct msg_id_space *s = find_space(e, target);
 	uint16_t next;
 	uint32_t block;
 
 	if (!s)
 		return false;
-	next = s->next;
+	next = s->next_id;
 	block = next >> ID_BLOCK_SHIFT;
-	if ((next & ((1 << ID_BLOCK_SHIFT) - 1)) == 0 && s->used_ns[block] &&
-	    s->used_ns[block] + ID_LIFETIME_NS > e->now_ns)
+	if ((next & ((1 << ID_BLOCK_SHIFT) - 1)) == 0 &&
+	    s->block_used_ns[block] &&
+	    s->block_used_ns[block] + ID_LIFETIME_NS > e->now_ns)
 		return false;
-	s->used_ns[block] = e->now_ns;
+	s->block_used_ns[block] = e->now_ns;
 	s->last_ns = e->now_ns;
 	*id = next;
-	s->next = (uint16_t)(next + 1);
+	s->next_id = (uint16_t)(next + 1);
 	return true;
 }
--- a/core/request/allowance.c
+++ b/core/request/peer_budget.c
@@ -1,7 +1,7 @@
 #include "entry_state.h"
 
 /**
- * allowance_take() - spend from the budget of second copies
+ * peer_budget_take() - spend from the budget of second copies
  * @e: entry
  * @bytes: size of a message
  *
@@ -10,23 +10,23 @@
  *
  * Return: false when the budget is spent for now.
  */
-bool allowance_take(struct entry *e, uint32_t bytes)
+bool peer_budget_take(struct entry *e, uint32_t bytes)
 {
 	uint64_t rate = e->conf.peer_bytes_per_s;
-	uint64_t past_ns = e->now_ns - e->allowance_ns;
+	uint64_t past_ns = e->now_ns - e->peer_budget_refilled_ns;
 	uint64_t earned;
 
 	if (past_ns > NS_PER_S)
 		past_ns = NS_PER_S;
 	earned = past_ns * rate / NS_PER_S;
 	if (earned) {
-		e->allowance_ns = e->now_ns;
-		e->allowance_bytes += earned;
+		e->peer_budget_refilled_ns = e->now_ns;
+		e->peer_budget_bytes += earned;
 	}
-	if (e->allowance_bytes > rate)
-		e->allowance_bytes = rate;
-	if (e->allowance_bytes < bytes)
+	if (e->peer_budget_bytes > rate)
+		e->peer_budget_bytes = rate;
+	if (e->peer_budget_bytes < bytes)
 		return false;
-	e->allowance_bytes -= bytes;
+	e->peer_budget_bytes -= bytes;
 	return true;
 }
--- a/core/request/reply.c
+++ b/core/request/reply.c
@@ -11,7 +11,7 @@
 	       !memcmp(r->token, msg->token, msg->token_len);
 }
 
-static void relay(struct entry *e, const struct request *r)
+static void emit_answer(struct entry *e, const struct request *r)
 {
 	struct action *a = emit(e, ACT_TO_CALLER);
 	bool confirm = r->flags & MESSAGE_CONFIRM;
@@ -26,8 +26,8 @@
 	a->size_bytes = r->size_bytes;
 }
 
-/* reply_relay() - send the target's answer, kept in the slot, to the caller. */
-void reply_relay(struct entry *e, const struct request *r)
+/* reply_send() - send the target's answer, kept in the slot, to the caller. */
+void reply_send(struct entry *e, const struct request *r)
 {
 	struct answer_stats *s =
 		account_stats_find(e->stats, r->key.vip, r->flags);
@@ -37,11 +37,11 @@
 		histogram_add(&s->answer_us,
 			      (e->now_ns - r->arrived_ns) / 1000);
 	}
-	relay(e, r);
+	emit_answer(e, r);
 }
 
-static void tell(struct entry *e, const struct flow_key *key,
-		 const struct request *r)
+static void emit_local_answer(struct entry *e, const struct flow_key *key,
+			      const struct request *r)
 {
 	struct action *a = emit(e, ACT_ANSWER_CALLER);
 	bool confirm = r->flags & MESSAGE_CONFIRM;
@@ -56,9 +56,9 @@
 	a->retry_after_s = r->retry_after_s;
 }
 
-/* answer_own() - send the balancer's own answer that a request ended with. */
-void answer_own(struct entry *e, const struct flow_key *key,
-		const struct request *r)
+/* local_answer_send() - send the balancer's own answer that a request ended with. */
+void local_answer_send(struct entry *e, const struct flow_key *key,
+		       const struct request *r)
 {
 	struct answer_stats *s =
 		account_stats_find(e->stats, key->vip, r->flags);
@@ -67,12 +67,12 @@
 		s->not_run[r->reason]++;
 	else if (s)
 		s->unknown[r->reason]++;
-	tell(e, key, r);
+	emit_local_answer(e, key, r);
 }
 
-/* answer_unknown() - the same for a request that holds no slot. */
-void answer_unknown(struct entry *e, const struct flow_key *key,
-		    const struct message *msg)
+/* local_answer_send_unknown() - the same for a request that holds no slot. */
+void local_answer_send_unknown(struct entry *e, const struct flow_key *key,
+			       const struct message *msg)
 {
 	struct answer_stats *s =
 		account_stats_find(e->stats, key->vip, msg->flags);
@@ -91,7 +91,7 @@
 }
 
 /**
- * request_repeated() - absorb a repeat of a request held here, or answer it
+ * request_handle_retransmission() - absorb a repeat of a request held here, or answer it
  *	again with the answer it had
  * @e: entry
  * @key: flow
@@ -99,8 +99,8 @@
  *
  * Return: false when it is no repeat of anything held here.
  */
-bool request_repeated(struct entry *e, const struct flow_key *key,
-		      const struct message *msg)
+bool request_handle_retransmission(struct entry *e, const struct flow_key *key,
+				   const struct message *msg)
 {
 	uint32_t slot =
 		index_get(e->by_identity, request_identity(key, msg->id));
@@ -117,14 +117,14 @@
 	}
 	e->counters.answers_replayed++;
 	if (r->answer == ANSWER_RELAYED)
-		relay(e, r);
+		emit_answer(e, r);
 	else
-		tell(e, &r->key, r);
+		emit_local_answer(e, &r->key, r);
 	return true;
 }
 
-/* reply_keep() - keep the target's answer in the place of the request. */
-void reply_keep(struct request *r, const struct message *msg)
+/* reply_store() - keep the target's answer in the place of the request. */
+void reply_store(struct request *r, const struct message *msg)
 {
 	r->answer = ANSWER_RELAYED;
 	r->size_bytes = msg->size_bytes;
--- a/core/request/request.c
+++ b/core/request/request.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define MEMORY_RETRY_S 2
+#define NO_SLOT_RETRY_AFTER_S 2
 
 /* requests_init() - room for requests_max requests, all of it now. */
 int requests_init(struct entry *e)
@@ -13,8 +13,8 @@
 
 	e->requests = calloc(n, sizeof(*e->requests));
 	e->by_identity = index_new(n);
-	e->by_up_id = index_new(n);
-	if (!e->requests || !e->by_identity || !e->by_up_id)
+	e->by_target_msg_id = index_new(n);
+	if (!e->requests || !e->by_identity || !e->by_target_msg_id)
 		return -ENOMEM;
 	for (uint32_t i = 0; i < n; i++)
 		e->requests[i].next = i + 1 < n ? i + 1 : SLOT_NONE;
@@ -28,7 +28,7 @@
 {
 	free(e->requests);
 	index_free(e->by_identity);
-	index_free(e->by_up_id);
+	index_free(e->by_target_msg_id);
 }
 
 uint32_t request_slot(const struct entry *e, const struct request *r)
@@ -41,7 +41,7 @@
 	return hash_u64(flow_hash(key), id);
 }
 
-uint64_t request_up_id_key(uint64_t target, uint16_t id)
+uint64_t request_target_msg_id_key(uint64_t target, uint16_t id)
 {
 	return hash_u64(target, 1ULL << 16 | id);
 }
@@ -71,7 +71,7 @@
 	e->ended_last = slot;
 }
 
-static void release(struct entry *e, struct request *r)
+static void release_slot(struct entry *e, struct request *r)
 {
 	uint32_t slot = request_slot(e, r);
 
@@ -93,7 +93,7 @@
 		ended_unlink(e, r);
 	else
 		e->n_active--;
-	release(e, r);
+	release_slot(e, r);
 }
 
 /**
@@ -129,11 +129,11 @@
 }
 
 /**
- * request_end() - a request has had its answer
+ * request_complete() - a request has had its answer
  * @e: entry
  * @r: request; kept to answer a repeat, but for internal ones
  */
-void request_end(struct entry *e, struct request *r)
+void request_complete(struct entry *e, struct request *r)
 {
 	uint32_t slot = request_slot(e, r);
 
@@ -150,19 +150,22 @@
 }
 
 /**
- * request_finish() - a request leaves its target, however it ended
+ * request_leave_target() - a request leaves its target, however it ended
  * @e: entry
  * @r: request
  * @outcome: how it ended
  */
-void request_finish(struct entry *e, struct request *r, enum outcome outcome)
+void request_leave_target(struct entry *e, struct request *r,
+			  enum outcome outcome)
 {
-	if (r->up_id || r->sends)
-		index_del(e->by_up_id, request_up_id_key(r->target, r->up_id),
+	if (r->target_msg_id || r->sends)
+		index_del(e->by_target_msg_id,
+			  request_target_msg_id_key(r->target,
+						    r->target_msg_id),
 			  request_slot(e, r));
-	if (!r->running)
+	if (!r->counted)
 		return;
-	r->running = false;
+	r->counted = false;
 	balance_done(e->balancer, r->key.vip, r->target, outcome,
 		     e->now_ns - r->sent_ns, e->now_ns);
 }
@@ -172,12 +175,12 @@
 	return e->now_ns >= e->owner_since_ns[r->bucket] + e->conf.cover_ns;
 }
 
-/* request_idempotent() - whether the method, or the operator, lets it run twice. */
-bool request_idempotent(const struct entry *e, const struct request *r)
+/* request_is_idempotent() - whether the method, or the operator, lets it run twice. */
+bool request_is_idempotent(const struct entry *e, const struct request *r)
 {
 	const struct service_conf *s = service_find(e, r->key.vip);
 
-	if (transfer_runs_nothing(r))
+	if (transfer_only_stores(r))
 		return true;
 	return r->flags & MESSAGE_IDEMPOTENT || (s && s->post_idempotent);
 }
@@ -190,34 +193,34 @@
  */
 static bool known_not_run(const struct entry *e, const struct request *r)
 {
-	if (transfer_runs_nothing(r))
+	if (transfer_only_stores(r))
 		return true;
-	if (r->maybe_run)
+	if (r->may_have_run)
 		return false;
-	return !request_idempotent(e, r) || owned_long_enough(e, r);
+	return !request_is_idempotent(e, r) || owned_long_enough(e, r);
 }
 
 /**
- * request_unknown() - end a request whose outcome nobody can tell
+ * request_end_unknown() - end a request whose outcome nobody can tell
  * @e: entry
  * @r: request
  * @why: for the log
  */
-void request_unknown(struct entry *e, struct request *r, const char *why)
+void request_end_unknown(struct entry *e, struct request *r, const char *why)
 {
-	request_finish(e, r, OUTCOME_TIMEOUT);
+	request_leave_target(e, r, OUTCOME_TIMEOUT);
 	if (r->internal) {
 		feed_renew_failed(e, &e->feeds[r->feed], r);
 		return;
 	}
-	emit_note(e, why, &r->key, r->target);
-	claim_settle(e, r, CLAIM_UNKNOWN);
+	emit_log(e, why, &r->key, r->target);
+	claim_record_outcome(e, r, CLAIM_UNKNOWN);
 	e->counters.answered_unknown++;
 	r->answer = ANSWER_UNKNOWN;
-	answer_own(e, &r->key, r);
+	local_answer_send(e, &r->key, r);
 	if (r->feed != SLOT_NONE)
-		feed_refused(e, &e->feeds[r->feed], r);
-	request_end(e, r);
+		feed_open_refused(e, &e->feeds[r->feed], r);
+	request_complete(e, r);
 }
 
 /**
@@ -233,16 +236,16 @@
 	r->reason = reason;
 	r->retry_after_s = retry_after_s;
 	if (r->internal || !known_not_run(e, r)) {
-		request_unknown(e, r, "refused, but may have run before");
+		request_end_unknown(e, r, "refused, but may have run before");
 		return;
 	}
-	claim_settle(e, r, CLAIM_REFUSED);
+	claim_record_outcome(e, r, CLAIM_REFUSED);
 	e->counters.refused_not_run++;
 	r->answer = ANSWER_NOT_RUN;
-	answer_own(e, &r->key, r);
+	local_answer_send(e, &r->key, r);
 	if (r->feed != SLOT_NONE)
-		feed_refused(e, &e->feeds[r->feed], r);
-	request_end(e, r);
+		feed_open_refused(e, &e->feeds[r->feed], r);
+	request_complete(e, r);
 }
 
 static void refuse_without_slot(struct entry *e, const struct flow_key *key,
@@ -253,16 +256,16 @@
 			     .token_len = msg->token_len,
 			     .answer = ANSWER_NOT_RUN,
 			     .reason = REFUSE_MEMORY,
-			     .retry_after_s = MEMORY_RETRY_S };
+			     .retry_after_s = NO_SLOT_RETRY_AFTER_S };
 
 	r.bucket = ring_bucket(e->ring, key);
 	memcpy(r.token, msg->token, msg->token_len);
 	if (!(msg->flags & MESSAGE_IDEMPOTENT) || !owned_long_enough(e, &r)) {
-		answer_unknown(e, key, msg);
+		local_answer_send_unknown(e, key, msg);
 		return;
 	}
 	e->counters.refused_not_run++;
-	answer_own(e, key, &r);
+	local_answer_send(e, key, &r);
 }
 
 static uint64_t deadline_of(const struct entry *e, const struct service_conf *s,
@@ -303,7 +306,7 @@
 	return true;
 }
 
-static uint64_t request_hash(const struct request *r)
+static uint64_t claim_id_of(const struct request *r)
 {
 	uint64_t token = 0;
 
@@ -312,18 +315,18 @@
 }
 
 /**
- * request_arrived() - a request at the owner of its flow
+ * request_receive() - a request at the owner of its flow
  * @e: entry
  * @key: flow
  * @msg: request
  */
-void request_arrived(struct entry *e, const struct flow_key *key,
+void request_receive(struct entry *e, const struct flow_key *key,
 		     const struct message *msg)
 {
 	const struct service_conf *s = service_find(e, key->vip);
 	struct request *r;
 
-	if (request_repeated(e, key, msg))
+	if (request_handle_retransmission(e, key, msg))
 		return;
 	r = s ? request_new(e, key) : NULL;
 	if (!r) {
@@ -336,18 +339,18 @@
 	r->token_len = msg->token_len;
 	memcpy(r->token, msg->token, msg->token_len);
 	r->identity = request_identity(key, msg->id);
-	r->request = request_hash(r);
+	r->claim_id = claim_id_of(r);
 	r->deadline_ns = deadline_of(e, s, msg);
 	r->size_bytes = msg->size_bytes;
 	memcpy(r->data, msg->data, msg->size_bytes);
 	index_put(e->by_identity, r->identity, request_slot(e, r));
 	if (!attach_feed(e, r, msg)) {
-		request_refuse(e, r, REFUSE_MEMORY, MEMORY_RETRY_S);
+		request_refuse(e, r, REFUSE_MEMORY, NO_SLOT_RETRY_AFTER_S);
 		return;
 	}
-	if (transfer_elsewhere(e, r))
+	if (transfer_forward_to_carrier(e, r))
 		return;
-	if (request_idempotent(e, r))
+	if (request_is_idempotent(e, r))
 		request_submit(e, r);
 	else
 		claim_begin(e, r);
--- a/core/request/route.c
+++ b/core/request/route.c
@@ -23,7 +23,7 @@
 }
 
 /**
- * up_token() - token of a request or feed towards targets
+ * target_token() - token of a request or feed towards targets
  * @feed: whether a feed
  * @slot: slot in its table
  * @generation: of the slot, so that a late answer does not find its successor
@@ -32,7 +32,8 @@
  *
  * Return: token.
  */
-uint64_t up_token(bool feed, uint32_t slot, uint32_t generation, uint64_t seed)
+uint64_t target_token(bool feed, uint32_t slot, uint32_t generation,
+		      uint64_t seed)
 {
 	uint32_t low = generation ^ (uint32_t)seed;
 
@@ -40,7 +41,7 @@
 }
 
 /* Whether an entry still answers for what it claimed. */
-bool vm_serves(const struct entry *e, uint64_t vm)
+bool vm_is_serving(const struct entry *e, uint64_t vm)
 {
 	const struct member *m;
 
@@ -51,7 +52,7 @@
 }
 
 /* Whether an entry may own buckets: it lives, and is neither new nor leaving. */
-bool vm_owns(const struct entry *e, uint64_t vm)
+bool vm_may_own(const struct entry *e, uint64_t vm)
 {
 	const struct member *m = member_find(e->members, vm);
 
@@ -66,7 +67,7 @@
  * @data: datagram
  * @size_bytes: its size
  * @hops: forwards so far
- * @ask: enum forward_ask
+ * @purpose: enum forward_purpose
  *
  * Two entries that disagree on the owner would hand a datagram to and fro;
  * the hop count ends that, and the caller's repeat finds them agreed.
@@ -75,7 +76,7 @@
  */
 bool forward_to(struct entry *e, uint64_t vm, const struct flow_key *key,
 		const uint8_t *data, uint32_t size_bytes, uint8_t hops,
-		uint8_t ask)
+		uint8_t purpose)
 {
 	struct peer_msg *m;
 
@@ -86,7 +87,7 @@
 	m = emit_peer(e, vm, PEER_FORWARD);
 	m->hops = (uint8_t)(hops + 1);
 	m->key = *key;
-	m->seq = ask;
+	m->seq = purpose;
 	m->data = data;
 	m->size_bytes = size_bytes;
 	e->counters.forwards++;
@@ -94,17 +95,17 @@
 }
 
 /**
- * own_message() - act on a caller's datagram as the owner of its flow
+ * handle_as_owner() - act on a caller's datagram as the owner of its flow
  * @e: entry
  * @key: flow
  * @msg: datagram
  */
-void own_message(struct entry *e, const struct flow_key *key,
-		 const struct message *msg)
+void handle_as_owner(struct entry *e, const struct flow_key *key,
+		     const struct message *msg)
 {
 	switch (msg->kind) {
 	case MESSAGE_REQUEST:
-		request_arrived(e, key, msg);
+		request_receive(e, key, msg);
 		break;
 	case MESSAGE_ACK:
 		feed_acked_by_caller(e, key, msg->id);
@@ -126,8 +127,8 @@
  * the entry that sent the update may not be the owner any more, so whoever
  * knows the ID takes it; only the rest goes to the owner.
  */
-static bool known_here(struct entry *e, const struct flow_key *key,
-		       const struct message *msg)
+static bool handled_by_msg_id(struct entry *e, const struct flow_key *key,
+			      const struct message *msg)
 {
 	if (msg->kind == MESSAGE_ACK)
 		return feed_acked_by_caller(e, key, msg->id);
@@ -137,8 +138,8 @@
 }
 
 /* An entry that hasn't joined yet hands datagrams to one that has. */
-static void route_elsewhere(struct entry *e, const struct flow_key *key,
-			    const struct message *msg, uint8_t hops)
+static void forward_to_joined(struct entry *e, const struct flow_key *key,
+			      const struct message *msg, uint8_t hops)
 {
 	const struct member *all;
 	uint32_t n = member_all(e->members, &all);
@@ -150,7 +151,7 @@
 		if (m->state != MEMBER_ALIVE || m->vm == e->conf.member.self)
 			continue;
 		forward_to(e, m->vm, key, msg->data, msg->size_bytes, hops,
-			   FORWARD_OWN);
+			   FORWARD_TO_OWNER);
 		return;
 	}
 }
@@ -172,24 +173,25 @@
 		e->counters.no_service++;
 		return;
 	}
-	if (known_here(e, key, msg))
+	if (handled_by_msg_id(e, key, msg))
 		return;
-	if (msg->kind == MESSAGE_REQUEST && request_repeated(e, key, msg))
+	if (msg->kind == MESSAGE_REQUEST &&
+	    request_handle_retransmission(e, key, msg))
 		return;
-	if (transfer_carried(e, key, msg)) {
-		request_arrived(e, key, msg);
+	if (transfer_is_carried_here(e, key, msg)) {
+		request_receive(e, key, msg);
 		return;
 	}
 	if (!e->joined) {
-		route_elsewhere(e, key, msg, hops);
+		forward_to_joined(e, key, msg, hops);
 		return;
 	}
 	pair = ring_at(e->ring, ring_bucket(e->ring, key));
 	if (pair.owner == e->conf.member.self)
-		own_message(e, key, msg);
+		handle_as_owner(e, key, msg);
 	else if (pair.owner != ADDR_NONE)
 		forward_to(e, pair.owner, key, msg->data, msg->size_bytes, hops,
-			   FORWARD_OWN);
+			   FORWARD_TO_OWNER);
 }
 
 /**
@@ -204,27 +206,27 @@
 		  const struct message *msg, uint64_t now_ns,
 		  struct actions *out)
 {
-	entry_begin(e, now_ns, out);
+	entry_begin_call(e, now_ns, out);
 	route(e, key, msg, 0);
 }
 
-static void forwarded_in(struct entry *e, const struct peer_msg *msg,
-			 const struct message *inner)
+static void handle_forwarded(struct entry *e, const struct peer_msg *msg,
+			     const struct message *inner)
 {
 	if (!inner)
 		return;
-	if (msg->seq == FORWARD_OWN) {
+	if (msg->seq == FORWARD_TO_OWNER) {
 		route(e, &msg->key, inner, msg->hops);
 		return;
 	}
 	if (inner->size_bytes > DATAGRAM_MAX_BYTES)
 		return;
-	if (request_repeated(e, &msg->key, inner))
+	if (request_handle_retransmission(e, &msg->key, inner))
 		return;
-	if (msg->seq == FORWARD_TRANSFER)
-		request_arrived(e, &msg->key, inner);
+	if (msg->seq == FORWARD_TO_CARRIER)
+		request_receive(e, &msg->key, inner);
 	else
-		answer_unknown(e, &msg->key, inner);
+		local_answer_send_unknown(e, &msg->key, inner);
 }
 
 /**
@@ -239,27 +241,27 @@
 		const struct message *forwarded, uint64_t now_ns,
 		struct actions *out)
 {
-	entry_begin(e, now_ns, out);
+	entry_begin_call(e, now_ns, out);
 	member_message(e->members, msg, now_ns);
-	entry_watch_lease(e);
+	entry_check_lease(e);
 	switch (msg->kind) {
 	case PEER_FORWARD:
-		forwarded_in(e, msg, forwarded);
+		handle_forwarded(e, msg, forwarded);
 		break;
 	case PEER_CLAIM:
-		claim_asked(e, msg);
+		claim_requests_received(e, msg);
 		break;
 	case PEER_GRANT:
-		claim_granted(e, msg);
+		claim_grants_received(e, msg);
 		break;
 	case PEER_SETTLE:
-		claim_settled(e, msg);
+		claim_settlements_received(e, msg);
 		break;
 	case PEER_FEED:
 		feed_copy_received(e, msg);
 		break;
 	case PEER_FEED_CLOSE:
-		feed_copy_closed(e, msg);
+		feed_copy_close_received(e, msg);
 		break;
 	case PEER_UNPIN:
 		flow_unpin(e->pins, &msg->key);
@@ -268,7 +270,7 @@
 		stream_received(e, msg);
 		break;
 	case PEER_HANDOVER:
-		stream_acked(e, msg);
+		stream_ack_received(e, msg);
 		break;
 	default:
 		break;
@@ -286,10 +288,10 @@
 void entry_target(struct entry *e, uint64_t target, const struct message *msg,
 		  uint64_t now_ns, struct actions *out)
 {
-	entry_begin(e, now_ns, out);
+	entry_begin_call(e, now_ns, out);
 	if (msg->size_bytes > DATAGRAM_MAX_BYTES)
 		e->counters.oversize++;
 	else
-		target_message(e, target, msg);
-	requests_drain(e);
+		target_receive(e, target, msg);
+	requests_start_ready(e);
 }
--- a/core/request/send.c
+++ b/core/request/send.c
@@ -2,11 +2,11 @@
 
 #include <string.h>
 
-#define REPEAT_NS NS_PER_S
-#define RENEW_REPEAT_NS (300 * NS_PER_MS)
+#define RETRANSMIT_NS NS_PER_S
+#define RENEW_RETRANSMIT_NS (300 * NS_PER_MS)
 #define SENDS_MAX 3
-#define TRIES_MAX 3
-#define COME_BACK_S 2
+#define TARGETS_TRIED_MAX 3
+#define RETRY_AFTER_S 2
 
 /**
  * request_submit() - ask the balancer for a target
@@ -19,20 +19,20 @@
 	struct work w = { .handle = request_slot(e, r),
 			  .vip = r->key.vip,
 			  .feed = r->feed != SLOT_NONE,
-			  .avoid = r->avoid,
+			  .avoid = r->avoid_target,
 			  .hash = flow_hash(&r->key),
 			  .deadline_ns = r->deadline_ns };
 	struct ruling ruling;
 
 	if (!s) {
-		request_refuse(e, r, REFUSE_NO_TARGET, COME_BACK_S);
+		request_refuse(e, r, REFUSE_NO_TARGET, RETRY_AFTER_S);
 		return;
 	}
-	if (r->orphan) {
-		request_refuse(e, r, REFUSE_TRANSFER, COME_BACK_S);
+	if (r->carrier_lost) {
+		request_refuse(e, r, REFUSE_TRANSFER, RETRY_AFTER_S);
 		return;
 	}
-	w.class = work_class(r->flags, s->class);
+	w.class = request_class(r->flags, s->class);
 	w.pinned = transfer_target(e, r);
 	ruling = balance_submit(e->balancer, &w, e->now_ns);
 	/*
@@ -52,24 +52,24 @@
 		timers_set(e->timers, w.handle, r->deadline_ns + NS_PER_S);
 		return;
 	}
-	r->running = true;
+	r->counted = true;
 	request_send(e, r, ruling.target);
 }
 
-static bool may_repeat(const struct entry *e, const struct request *r)
+static bool may_retransmit(const struct entry *e, const struct request *r)
 {
 	const struct service_conf *s = service_find(e, r->key.vip);
 
-	return request_idempotent(e, r) || (s && s->target_dedups);
+	return request_is_idempotent(e, r) || (s && s->target_dedups);
 }
 
-static void arm(struct entry *e, struct request *r)
+static void set_timer(struct entry *e, struct request *r)
 {
-	uint64_t first = r->internal ? RENEW_REPEAT_NS : REPEAT_NS;
+	uint64_t first = r->internal ? RENEW_RETRANSMIT_NS : RETRANSMIT_NS;
 	uint64_t next = r->deadline_ns;
 
 	r->repeat_deadline_ns = DEADLINE_NEVER;
-	if (!r->acked && may_repeat(e, r))
+	if (!r->acked && may_retransmit(e, r))
 		r->repeat_deadline_ns = e->now_ns + (first << (r->sends - 1));
 	if (r->repeat_deadline_ns < next)
 		next = r->repeat_deadline_ns;
@@ -79,9 +79,10 @@
 static uint64_t token_of(const struct entry *e, const struct request *r)
 {
 	if (r->feed != SLOT_NONE)
-		return up_token(true, r->feed, e->feeds[r->feed].generation,
-				e->conf.seed);
-	return up_token(false, request_slot(e, r), r->generation, e->conf.seed);
+		return target_token(true, r->feed, e->feeds[r->feed].generation,
+				    e->conf.seed);
+	return target_token(false, request_slot(e, r), r->generation,
+			    e->conf.seed);
 }
 
 static void transmit(struct entry *e, struct request *r)
@@ -92,7 +93,7 @@
 	a->key = r->key;
 	a->target = r->target;
 	a->type = WIRE_CONFIRM;
-	a->id = r->up_id;
+	a->id = r->target_msg_id;
 	a->token_len = sizeof(token);
 	memcpy(a->token, &token, sizeof(token));
 	a->data = r->data;
@@ -100,48 +101,49 @@
 	if (r->feed == SLOT_NONE && r->deadline_ns > e->now_ns)
 		a->timeout_ns = r->deadline_ns - e->now_ns;
 	r->sends++;
-	arm(e, r);
+	set_timer(e, r);
 }
 
 /**
  * request_send() - send a request to a target
  * @e: entry
- * @r: request; counted at @target by the balancer when @r->running
+ * @r: request; counted at @target by the balancer when @r->counted
  * @target: target
  */
 void request_send(struct entry *e, struct request *r, uint64_t target)
 {
-	struct claim *c = claims_find(e->claims, r->request);
+	struct claim *c = claims_find(e->claims, r->claim_id);
 
 	r->target = target;
 	r->sent_ns = e->now_ns;
-	if (!id_next(e, target, &r->up_id)) {
-		request_finish(e, r, OUTCOME_CANCELLED);
-		request_refuse(e, r, REFUSE_MEMORY, COME_BACK_S);
+	if (!msg_id_next(e, target, &r->target_msg_id)) {
+		request_leave_target(e, r, OUTCOME_CANCELLED);
+		request_refuse(e, r, REFUSE_MEMORY, RETRY_AFTER_S);
 		return;
 	}
-	if (index_put(e->by_up_id, request_up_id_key(target, r->up_id),
+	if (index_put(e->by_target_msg_id,
+		      request_target_msg_id_key(target, r->target_msg_id),
 		      request_slot(e, r)) < 0) {
-		request_finish(e, r, OUTCOME_CANCELLED);
-		request_refuse(e, r, REFUSE_MEMORY, COME_BACK_S);
+		request_leave_target(e, r, OUTCOME_CANCELLED);
+		request_refuse(e, r, REFUSE_MEMORY, RETRY_AFTER_S);
 		return;
 	}
-	if (c && !request_idempotent(e, r))
+	if (c && !request_is_idempotent(e, r))
 		c->target = target;
-	if (r->flags & MESSAGE_PART)
+	if (r->flags & MESSAGE_BLOCK)
 		transfer_pin(e, r);
 	r->state = REQ_SENT;
-	r->maybe_run = true;
+	r->may_have_run = true;
 	r->acked = false;
 	r->sends = 0;
-	r->tries++;
+	r->targets_tried++;
 	transmit(e, r);
 }
 
-static bool may_try_another(struct entry *e, const struct request *r)
+static bool may_retry_elsewhere(struct entry *e, const struct request *r)
 {
-	if (r->tries >= TRIES_MAX || r->deadline_ns <= e->now_ns ||
-	    !transfer_may_move(r))
+	if (r->targets_tried >= TARGETS_TRIED_MAX ||
+	    r->deadline_ns <= e->now_ns || !transfer_may_change_target(r))
 		return false;
 	return balance_may_retry(e->balancer, r->key.vip, e->now_ns);
 }
@@ -157,7 +159,7 @@
 	struct action *a;
 	uint16_t id;
 
-	if (r->flags & MESSAGE_PART || !id_next(e, r->target, &id))
+	if (r->flags & MESSAGE_BLOCK || !msg_id_next(e, r->target, &id))
 		return;
 	a = emit(e, ACT_CANCEL_TARGET);
 	a->key = r->key;
@@ -171,35 +173,36 @@
 }
 
 /* No answer after several sends: try elsewhere what may run twice. */
-static void silent_target(struct entry *e, struct request *r)
+static void handle_silent_target(struct entry *e, struct request *r)
 {
 	if (r->internal) {
-		request_unknown(e, r, "target silent while renewing a feed");
+		request_end_unknown(e, r,
+				    "target silent while renewing a feed");
 		return;
 	}
-	if (!request_idempotent(e, r) || !may_try_another(e, r)) {
+	if (!request_is_idempotent(e, r) || !may_retry_elsewhere(e, r)) {
 		r->repeat_deadline_ns = DEADLINE_NEVER;
 		timers_set(e->timers, request_slot(e, r), r->deadline_ns);
 		return;
 	}
 	cancel_at_target(e, r);
-	request_finish(e, r, OUTCOME_TIMEOUT);
-	r->avoid = r->target;
-	if (r->flags & MESSAGE_PART)
+	request_leave_target(e, r, OUTCOME_TIMEOUT);
+	r->avoid_target = r->target;
+	if (r->flags & MESSAGE_BLOCK)
 		flow_unpin(e->pins, &r->key);
 	e->counters.retries++;
 	request_submit(e, r);
 }
 
-static void sent_timer(struct entry *e, struct request *r)
+static void handle_sent_timer(struct entry *e, struct request *r)
 {
 	if (e->now_ns >= r->deadline_ns) {
 		cancel_at_target(e, r);
-		request_unknown(e, r, "no answer from the target in time");
+		request_end_unknown(e, r, "no answer from the target in time");
 		return;
 	}
 	if (r->sends >= SENDS_MAX)
-		silent_target(e, r);
+		handle_silent_target(e, r);
 	else
 		transmit(e, r);
 }
@@ -209,14 +212,14 @@
 {
 	switch (r->state) {
 	case REQ_CLAIMING:
-		claim_repeat(e, r);
+		claim_request_grants(e, r);
 		break;
 	case REQ_QUEUED:
 		balance_cancel(e->balancer, request_slot(e, r));
-		request_refuse(e, r, REFUSE_DEADLINE, COME_BACK_S);
+		request_refuse(e, r, REFUSE_DEADLINE, RETRY_AFTER_S);
 		break;
 	case REQ_SENT:
-		sent_timer(e, r);
+		handle_sent_timer(e, r);
 		break;
 	case REQ_ENDED:
 		request_drop(e, r);
@@ -226,16 +229,19 @@
 	}
 }
 
-/* request_by_up_id() - request a target names by message ID, or NULL. */
-struct request *request_by_up_id(struct entry *e, uint64_t target, uint16_t id)
+/* request_by_target_msg_id() - request a target names by message ID, or NULL. */
+struct request *request_by_target_msg_id(struct entry *e, uint64_t target,
+					 uint16_t id)
 {
-	uint32_t slot = index_get(e->by_up_id, request_up_id_key(target, id));
+	uint32_t slot = index_get(e->by_target_msg_id,
+				  request_target_msg_id_key(target, id));
 	struct request *r;
 
 	if (slot == INDEX_NONE)
 		return NULL;
 	r = &e->requests[slot];
-	if (r->state != REQ_SENT || r->target != target || r->up_id != id)
+	if (r->state != REQ_SENT || r->target != target ||
+	    r->target_msg_id != id)
 		return NULL;
 	return r;
 }
@@ -258,71 +264,72 @@
 		balance_cancel(e->balancer, slot);
 	if (r->state == REQ_SENT)
 		cancel_at_target(e, r);
-	request_finish(e, r, OUTCOME_CANCELLED);
-	claim_settle(e, r, r->maybe_run ? CLAIM_UNKNOWN : CLAIM_REFUSED);
+	request_leave_target(e, r, OUTCOME_CANCELLED);
+	claim_record_outcome(e, r,
+			     r->may_have_run ? CLAIM_UNKNOWN : CLAIM_REFUSED);
 	if (r->feed != SLOT_NONE)
 		feed_end(e, &e->feeds[r->feed], false);
 	r->answer = ANSWER_UNKNOWN;
-	request_end(e, r);
+	request_complete(e, r);
 }
 
-static void shed(struct entry *e, struct request *r)
+static void handle_shed(struct entry *e, struct request *r)
 {
-	request_finish(e, r, OUTCOME_SHED);
-	r->maybe_run = false;
-	r->avoid = r->target;
-	if (!may_try_another(e, r)) {
-		request_refuse(e, r, REFUSE_SHED, COME_BACK_S);
+	request_leave_target(e, r, OUTCOME_SHED);
+	r->may_have_run = false;
+	r->avoid_target = r->target;
+	if (!may_retry_elsewhere(e, r)) {
+		request_refuse(e, r, REFUSE_SHED, RETRY_AFTER_S);
 		return;
 	}
-	if (r->flags & MESSAGE_PART)
+	if (r->flags & MESSAGE_BLOCK)
 		flow_unpin(e->pins, &r->key);
 	e->counters.retries++;
 	request_submit(e, r);
 }
 
-static void internal_answered(struct entry *e, struct request *r,
-			      uint64_t target, const struct message *msg)
+static void handle_renewal_answer(struct entry *e, struct request *r,
+				  uint64_t target, const struct message *msg)
 {
 	struct feed *f = &e->feeds[r->feed];
 
 	if (!(msg->flags & MESSAGE_FEED_OPEN)) {
-		request_finish(e, r, OUTCOME_ERROR);
+		request_leave_target(e, r, OUTCOME_ERROR);
 		feed_renew_failed(e, f, r);
 		return;
 	}
-	request_finish(e, r, OUTCOME_OK);
-	request_end(e, r);
+	request_leave_target(e, r, OUTCOME_OK);
+	request_complete(e, r);
 	feed_opened(e, f, target);
 	feed_update(e, f, target, msg);
 }
 
 /**
- * request_answered() - the target's answer to a request
+ * request_handle_answer() - the target's answer to a request
  * @e: entry
  * @r: request at the target
  * @target: sender
  * @msg: answer
  */
-void request_answered(struct entry *e, struct request *r, uint64_t target,
-		      const struct message *msg)
+void request_handle_answer(struct entry *e, struct request *r, uint64_t target,
+			   const struct message *msg)
 {
 	bool failed = msg->flags & MESSAGE_FAILED;
 
 	if (r->internal) {
-		internal_answered(e, r, target, msg);
+		handle_renewal_answer(e, r, target, msg);
 		return;
 	}
 	if (msg->flags & MESSAGE_SHED) {
-		shed(e, r);
+		handle_shed(e, r);
 		return;
 	}
-	request_finish(e, r, failed ? OUTCOME_ERROR : OUTCOME_OK);
-	transfer_follow(e, r, msg);
-	claim_settle(e, r, CLAIM_DONE);
+	request_leave_target(e, r, failed ? OUTCOME_ERROR : OUTCOME_OK);
+	transfer_update_pin(e, r, msg);
+	claim_record_outcome(e, r, CLAIM_DONE);
 	e->counters.answers++;
-	reply_keep(r, msg);
-	reply_relay(e, r);
+	reply_store(r, msg);
+	reply_send(e, r);
 	if (r->feed != SLOT_NONE) {
 		struct feed *f = &e->feeds[r->feed];
 
@@ -331,16 +338,16 @@
 		else
 			feed_drop(e, f);
 	}
-	request_end(e, r);
+	request_complete(e, r);
 }
 
 static void start_queued(struct entry *e, struct request *r,
 			 const struct ruling *ruling)
 {
-	r->running = true;
+	r->counted = true;
 	r->target = ruling->target;
 	r->sent_ns = e->now_ns;
-	if (request_idempotent(e, r) || claim_safe_now(e)) {
+	if (request_is_idempotent(e, r) || claim_lease_holds(e)) {
 		request_send(e, r, ruling->target);
 		return;
 	}
@@ -351,18 +358,18 @@
 	 * is asked again, and knows.
 	 */
 	e->counters.stale_sends_stopped++;
-	request_finish(e, r, OUTCOME_CANCELLED);
+	request_leave_target(e, r, OUTCOME_CANCELLED);
 	r->state = REQ_CLAIMING;
-	claim_repeat(e, r);
+	claim_request_grants(e, r);
 }
 
-/* requests_drain() - start or refuse what the balancer has ready. */
-void requests_drain(struct entry *e)
+/* requests_start_ready() - start or refuse what the balancer has ready. */
+void requests_start_ready(struct entry *e)
 {
 	struct ruling ruling;
 	uint32_t slot;
 
-	while (emit_room(e) &&
+	while (emit_has_capacity(e) &&
 	       balance_next(e->balancer, e->now_ns, &slot, &ruling)) {
 		struct request *r = &e->requests[slot];
 
--- a/core/request/stream.c
+++ b/core/request/stream.c
@@ -1,7 +1,7 @@
 /*
  * Handing a bucket's history to an entry that joins its pair: the records of
  * its non-idempotent requests, and the numbers of the buckets whose history is
- * whole with them. One message at a time to each receiver, repeated until
+ * known with them. One message at a time to each receiver, repeated until
  * acknowledged. Without it a second loss within the time in which callers
  * repeat would leave nobody who knows what ran.
  */
@@ -14,60 +14,61 @@
 /* One to each other entry of the largest data centre: a leave touches all. */
 #define STREAMS_MAX 512
 #define STREAM_RETRY_NS (NS_PER_S / 5)
-#define STREAM_TRIES_MAX 25
-#define REFUSED_MAX 50
-#define LINE_BYTES 40
-#define MESSAGE_BYTES 64
-#define NAMED_MAX 640
-#define NAME_BYTES 2
+#define STREAM_SENDS_MAX 25
+#define REFUSALS_MAX 50
+#define CLAIM_BYTES 40
+#define MESSAGE_OVERHEAD_BYTES 64
+#define BUCKETS_PER_MESSAGE_MAX 640
+#define BUCKET_NUMBER_BYTES 2
 
 /**
  * struct stream - what one receiver still has to be told
  * @vm: receiver, ADDR_NONE when free
  * @seq: number of the message under way
  * @due: buckets, a bit each
- * @whole: of these, the ones whose whole history this entry knew
+ * @known: of these, the ones whose known history this entry knew
  * @n_due: how many
  * @scan: bucket to go on with
  * @cursor: record of that bucket to go on with, CLAIM_SLOT_NONE at its start
  * @in_bucket: @cursor is valid
  * @retry_ns: when to repeat the message under way
- * @under_way: a message is out
- * @n_lines: its records
- * @tries: times it was sent
- * @refused: messages in a row of which the receiver refused a part
- * @lines: records
- * @n_named: buckets named as whole
- * @named: their numbers, 16 bits each, big endian
+ * @in_flight: a message is out
+ * @n_claims: its records
+ * @sends: times it was sent
+ * @refusals: messages in a row of which the receiver refused a part
+ * @claims: records
+ * @n_complete: buckets complete_numbers as known
+ * @complete_numbers: their numbers, 16 bits each, big endian
  */
 struct stream {
 	uint64_t vm;
 	uint64_t seq;
 	uint64_t *due;
-	uint64_t *whole;
+	uint64_t *known;
 	uint32_t n_due;
 	uint32_t scan;
 	uint32_t cursor;
 	bool in_bucket;
 	uint64_t retry_ns;
-	bool under_way;
-	uint8_t n_lines;
-	uint8_t tries;
-	uint8_t refused;
-	uint16_t n_named;
-	struct claim lines[CLAIMS_MAX];
-	uint8_t named[NAMED_MAX * NAME_BYTES];
+	bool in_flight;
+	uint8_t n_claims;
+	uint8_t sends;
+	uint8_t refusals;
+	uint16_t n_complete;
+	struct claim claims[CLAIMS_MAX];
+	uint8_t complete_numbers[BUCKETS_PER_MESSAGE_MAX * BUCKET_NUMBER_BYTES];
 };
 
-static void name_put(uint8_t *names, uint32_t i, uint32_t bucket)
+static void bucket_number_put(uint8_t *names, uint32_t i, uint32_t bucket)
 {
-	names[i * NAME_BYTES] = (uint8_t)(bucket >> 8);
-	names[i * NAME_BYTES + 1] = (uint8_t)bucket;
+	names[i * BUCKET_NUMBER_BYTES] = (uint8_t)(bucket >> 8);
+	names[i * BUCKET_NUMBER_BYTES + 1] = (uint8_t)bucket;
 }
 
-static uint32_t name_get(const uint8_t *names, uint32_t i)
+static uint32_t bucket_number_get(const uint8_t *names, uint32_t i)
 {
-	return (uint32_t)names[i * NAME_BYTES] << 8 | names[i * NAME_BYTES + 1];
+	return (uint32_t)names[i * BUCKET_NUMBER_BYTES] << 8 |
+	       names[i * BUCKET_NUMBER_BYTES + 1];
 }
 
 int streams_init(struct entry *e)
@@ -75,14 +76,15 @@
 	uint32_t words = (e->conf.n_buckets + 63) / 64;
 
 	e->streams = calloc(STREAMS_MAX, sizeof(*e->streams));
-	e->held_when_leaving = calloc(words, sizeof(uint64_t));
-	e->refused_names = calloc(NAMED_MAX, NAME_BYTES);
-	if (!e->streams || !e->held_when_leaving || !e->refused_names)
+	e->known_at_leave = calloc(words, sizeof(uint64_t));
+	e->refused_buckets =
+		calloc(BUCKETS_PER_MESSAGE_MAX, BUCKET_NUMBER_BYTES);
+	if (!e->streams || !e->known_at_leave || !e->refused_buckets)
 		return -ENOMEM;
 	for (uint32_t i = 0; i < STREAMS_MAX; i++) {
 		e->streams[i].due = calloc(words, sizeof(uint64_t));
-		e->streams[i].whole = calloc(words, sizeof(uint64_t));
-		if (!e->streams[i].due || !e->streams[i].whole)
+		e->streams[i].known = calloc(words, sizeof(uint64_t));
+		if (!e->streams[i].due || !e->streams[i].known)
 			return -ENOMEM;
 	}
 	return 0;
@@ -90,13 +92,13 @@
 
 void streams_free(struct entry *e)
 {
-	free(e->held_when_leaving);
-	free(e->refused_names);
+	free(e->known_at_leave);
+	free(e->refused_buckets);
 	if (!e->streams)
 		return;
 	for (uint32_t i = 0; i < STREAMS_MAX; i++) {
 		free(e->streams[i].due);
-		free(e->streams[i].whole);
+		free(e->streams[i].known);
 	}
 	free(e->streams);
 }
@@ -126,15 +128,15 @@
 	s->vm = ADDR_NONE;
 	e->streams_open--;
 	s->n_due = 0;
-	s->under_way = false;
+	s->in_flight = false;
 	s->in_bucket = false;
-	s->tries = 0;
-	s->refused = 0;
+	s->sends = 0;
+	s->refusals = 0;
 }
 
-static bool held(const struct entry *e, uint32_t bucket)
+static bool was_known_at_leave(const struct entry *e, uint32_t bucket)
 {
-	return e->held_when_leaving[bucket / 64] >> (bucket % 64) & 1;
+	return e->known_at_leave[bucket / 64] >> (bucket % 64) & 1;
 }
 
 /**
@@ -150,10 +152,11 @@
 {
 	if (!member_majority(e->members))
 		return false;
-	return held(e, bucket) || ring_covered(e->ring, bucket, e->now_ns);
+	return was_known_at_leave(e, bucket) ||
+	       ring_covered(e->ring, bucket, e->now_ns);
 }
 
-static void add(struct entry *e, uint64_t vm, uint32_t bucket)
+static void add_bucket(struct entry *e, uint64_t vm, uint32_t bucket)
 {
 	struct stream *s = stream_to(e, vm);
 	uint64_t bit = 1ULL << (bucket % 64);
@@ -161,21 +164,21 @@
 	if (!s || s->due[bucket / 64] & bit)
 		return;
 	s->due[bucket / 64] |= bit;
-	s->whole[bucket / 64] &= ~bit;
+	s->known[bucket / 64] &= ~bit;
 	if (history_known(e, bucket))
-		s->whole[bucket / 64] |= bit;
+		s->known[bucket / 64] |= bit;
 	s->n_due++;
 }
 
 /**
- * streams_leave() - note what this entry knows as it begins to leave
+ * streams_record_known() - note what this entry knows as it begins to leave
  * @e: entry
  *
  * A leaving entry is out of its own ring at once, while the pairs that the
  * others settle on change more than once when several leave together. So it
  * owes the history of its buckets to every newcomer until it is gone.
  */
-void streams_leave(struct entry *e)
+void streams_record_known(struct entry *e)
 {
 	uint64_t self = e->conf.member.self;
 
@@ -185,49 +188,51 @@
 		if (p.owner != self && p.second != self)
 			continue;
 		if (ring_covered(e->ring, i, e->now_ns))
-			e->held_when_leaving[i / 64] |= 1ULL << (i % 64);
+			e->known_at_leave[i / 64] |= 1ULL << (i % 64);
 	}
 }
 
 /* Whether it is this entry that tells newcomers to a bucket its history. */
-static bool teller(const struct entry *e, uint32_t bucket,
-		   struct ring_pair before)
+static bool is_history_sender(const struct entry *e, uint32_t bucket,
+			      struct ring_pair before)
 {
 	uint64_t self = e->conf.member.self;
 
-	if (held(e, bucket) || before.owner == self)
+	if (was_known_at_leave(e, bucket) || before.owner == self)
 		return true;
-	return before.second == self && !vm_serves(e, before.owner);
+	return before.second == self && !vm_is_serving(e, before.owner);
 }
 
 /* streams_pair_changed() - tell a newcomer to a bucket's pair its history. */
 void streams_pair_changed(struct entry *e, uint32_t bucket,
 			  struct ring_pair before, struct ring_pair after)
 {
-	const uint64_t now[2] = { after.owner, after.second };
+	const uint64_t members[2] = { after.owner, after.second };
 
-	if (!teller(e, bucket, before))
+	if (!is_history_sender(e, bucket, before))
 		return;
 	for (uint32_t i = 0; i < 2; i++) {
-		if (now[i] == ADDR_NONE || now[i] == e->conf.member.self ||
-		    now[i] == before.owner || now[i] == before.second)
+		if (members[i] == ADDR_NONE ||
+		    members[i] == e->conf.member.self ||
+		    members[i] == before.owner || members[i] == before.second)
 			continue;
-		add(e, now[i], bucket);
+		add_bucket(e, members[i], bucket);
 	}
 }
 
-static void bucket_done(struct stream *s)
+static void finish_bucket(struct stream *s)
 {
 	uint64_t bit = 1ULL << (s->scan % 64);
 
-	if (s->whole[s->scan / 64] & bit)
-		name_put(s->named, s->n_named++, s->scan);
+	if (s->known[s->scan / 64] & bit)
+		bucket_number_put(s->complete_numbers, s->n_complete++,
+				  s->scan);
 	s->due[s->scan / 64] &= ~bit;
 	s->n_due--;
 	s->in_bucket = false;
 }
 
-static void next_due(const struct entry *e, struct stream *s)
+static void advance_to_due(const struct entry *e, struct stream *s)
 {
 	while (!(s->due[s->scan / 64] & 1ULL << (s->scan % 64)))
 		s->scan = (s->scan + 1) % e->conf.n_buckets;
@@ -236,41 +241,42 @@
 /* Records of one bucket into the message, and its name when these are all. */
 static void fill_bucket(struct entry *e, struct stream *s)
 {
-	uint32_t slot = claims_first(e->claims, s->scan);
+	uint32_t slot = claims_newest(e->claims, s->scan);
 
 	if (s->in_bucket && s->cursor != CLAIM_SLOT_NONE &&
 	    claims_at(e->claims, s->cursor)->bucket == s->scan)
 		slot = s->cursor;
-	while (slot != CLAIM_SLOT_NONE && s->n_lines < CLAIMS_MAX) {
+	while (slot != CLAIM_SLOT_NONE && s->n_claims < CLAIMS_MAX) {
 		const struct claim *c = claims_at(e->claims, slot);
 
 		/* Not granted yet: taken for a grant it would become one. */
-		if (!claim_is_out(e, c))
-			s->lines[s->n_lines++] = *c;
-		slot = claims_after(e->claims, slot);
+		if (!claim_is_pending(e, c))
+			s->claims[s->n_claims++] = *c;
+		slot = claims_next_older(e->claims, slot);
 	}
 	s->cursor = slot;
 	s->in_bucket = true;
 	if (slot == CLAIM_SLOT_NONE)
-		bucket_done(s);
+		finish_bucket(s);
 }
 
-static void fill(struct entry *e, struct stream *s)
+static void fill_message(struct entry *e, struct stream *s)
 {
-	s->n_lines = 0;
-	s->n_named = 0;
+	s->n_claims = 0;
+	s->n_complete = 0;
 	s->seq = rng_next(&e->rng);
-	while (s->n_due && s->n_lines < CLAIMS_MAX && s->n_named < NAMED_MAX) {
-		next_due(e, s);
+	while (s->n_due && s->n_claims < CLAIMS_MAX &&
+	       s->n_complete < BUCKETS_PER_MESSAGE_MAX) {
+		advance_to_due(e, s);
 		fill_bucket(e, s);
 	}
-	s->under_way = true;
+	s->in_flight = true;
 }
 
 static uint32_t stream_bytes(const struct stream *s)
 {
-	return MESSAGE_BYTES + s->n_lines * LINE_BYTES +
-	       s->n_named * NAME_BYTES;
+	return MESSAGE_OVERHEAD_BYTES + s->n_claims * CLAIM_BYTES +
+	       s->n_complete * BUCKET_NUMBER_BYTES;
 }
 
 static void send_message(struct entry *e, struct stream *s)
@@ -278,26 +284,26 @@
 	struct peer_msg *m = emit_peer(e, s->vm, PEER_RECORD);
 
 	m->seq = s->seq;
-	m->n_claims = s->n_lines;
-	memcpy(m->claims, s->lines, s->n_lines * sizeof(s->lines[0]));
-	m->data = s->named;
-	m->size_bytes = s->n_named * NAME_BYTES;
-	s->tries++;
+	m->n_claims = s->n_claims;
+	memcpy(m->claims, s->claims, s->n_claims * sizeof(s->claims[0]));
+	m->data = s->complete_numbers;
+	m->size_bytes = s->n_complete * BUCKET_NUMBER_BYTES;
+	s->sends++;
 }
 
-static void stream_go_on(struct entry *e, struct stream *s)
+static void advance_stream(struct entry *e, struct stream *s)
 {
 	if (e->now_ns < s->retry_ns)
 		return;
-	if (s->tries > STREAM_TRIES_MAX || s->refused > REFUSED_MAX ||
-	    !vm_owns(e, s->vm) || (!s->under_way && !s->n_due)) {
+	if (s->sends > STREAM_SENDS_MAX || s->refusals > REFUSALS_MAX ||
+	    !vm_may_own(e, s->vm) || (!s->in_flight && !s->n_due)) {
 		stream_close(e, s);
 		return;
 	}
-	if (!s->under_way)
-		fill(e, s);
+	if (!s->in_flight)
+		fill_message(e, s);
 	s->retry_ns = e->now_ns + STREAM_RETRY_NS;
-	if (allowance_take(e, stream_bytes(s)))
+	if (peer_budget_take(e, stream_bytes(s)))
 		send_message(e, s);
 }
 
@@ -306,32 +312,32 @@
 {
 	if (!e->streams_open)
 		return;
-	for (uint32_t i = 0; i < STREAMS_MAX && emit_room(e); i++) {
+	for (uint32_t i = 0; i < STREAMS_MAX && emit_has_capacity(e); i++) {
 		if (e->streams[i].vm != ADDR_NONE)
-			stream_go_on(e, &e->streams[i]);
+			advance_stream(e, &e->streams[i]);
 	}
 }
 
-static void take_record(struct entry *e, const struct claim *line)
+static void store_record(struct entry *e, const struct claim *claim)
 {
-	struct claim *c = claims_find(e->claims, line->request);
+	struct claim *c = claims_find(e->claims, claim->request);
 
 	if (!c)
-		claims_put(e->claims, line, e->now_ns);
+		claims_put(e->claims, claim, e->now_ns);
 	else if (c->state == CLAIM_NONE)
-		*c = *line;
+		*c = *claim;
 	else
-		claim_overruled(e, c, line);
+		claim_resolve_conflict(e, c, claim);
 }
 
 /*
- * The word that a bucket's history is whole counts only for a member of its
+ * The word that a bucket's history is known counts only for a member of its
  * pair. The sender may have heard of the change before us: taken now, the word
  * would be lost, and after the next change nobody would know the history.
  *
  * Return: false when it has to be said again, later.
  */
-static bool take_name(struct entry *e, uint32_t bucket)
+static bool accept_history(struct entry *e, uint32_t bucket)
 {
 	struct ring_pair pair;
 
@@ -353,20 +359,23 @@
 
 	for (uint8_t i = 0; i < msg->n_claims; i++) {
 		if (msg->claims[i].bucket < e->conf.n_buckets)
-			take_record(e, &msg->claims[i]);
+			store_record(e, &msg->claims[i]);
 	}
-	for (uint32_t i = 0; i < msg->size_bytes / NAME_BYTES; i++) {
-		uint32_t bucket = name_get(msg->data, i);
+	for (uint32_t i = 0; i < msg->size_bytes / BUCKET_NUMBER_BYTES; i++) {
+		uint32_t bucket = bucket_number_get(msg->data, i);
 
-		if (refused < NAMED_MAX && !take_name(e, bucket))
-			name_put(e->refused_names, refused++, bucket);
+		if (refused < BUCKETS_PER_MESSAGE_MAX &&
+		    !accept_history(e, bucket))
+			bucket_number_put(e->refused_buckets, refused++,
+					  bucket);
 	}
 	m->seq = msg->seq;
-	m->data = e->refused_names;
-	m->size_bytes = refused * NAME_BYTES;
+	m->data = e->refused_buckets;
+	m->size_bytes = refused * BUCKET_NUMBER_BYTES;
 }
 
-static void due_again(const struct entry *e, struct stream *s, uint32_t bucket)
+static void requeue_bucket(const struct entry *e, struct stream *s,
+			   uint32_t bucket)
 {
 	uint64_t bit = 1ULL << (bucket % 64);
 
@@ -376,42 +385,43 @@
 	s->n_due++;
 }
 
-static void acked(struct entry *e, struct stream *s, const struct peer_msg *msg)
+static void handle_ack(struct entry *e, struct stream *s,
+		       const struct peer_msg *msg)
 {
-	uint32_t refused = msg->size_bytes / NAME_BYTES;
+	uint32_t refused = msg->size_bytes / BUCKET_NUMBER_BYTES;
 
-	s->under_way = false;
-	s->tries = 0;
+	s->in_flight = false;
+	s->sends = 0;
 	s->retry_ns = e->now_ns + (refused ? STREAM_RETRY_NS : 0);
-	s->refused = refused ? s->refused + 1 : 0;
+	s->refusals = refused ? s->refusals + 1 : 0;
 	for (uint32_t i = 0; i < refused; i++)
-		due_again(e, s, name_get(msg->data, i));
-	stream_go_on(e, s);
+		requeue_bucket(e, s, bucket_number_get(msg->data, i));
+	advance_stream(e, s);
 }
 
-/* stream_acked() - PEER_HANDOVER: the receiver has the message under way. */
-void stream_acked(struct entry *e, const struct peer_msg *msg)
+/* stream_ack_received() - PEER_HANDOVER: the receiver has the message under way. */
+void stream_ack_received(struct entry *e, const struct peer_msg *msg)
 {
 	for (uint32_t i = 0; i < STREAMS_MAX; i++) {
 		struct stream *s = &e->streams[i];
 
-		if (s->vm == msg->from && s->under_way && s->seq == msg->seq)
-			acked(e, s, msg);
+		if (s->vm == msg->from && s->in_flight && s->seq == msg->seq)
+			handle_ack(e, s, msg);
 	}
 }
 
-uint32_t stream_lines_pending(const struct entry *e)
+uint32_t streams_pending(const struct entry *e)
 {
 	uint32_t n = 0;
 
 	for (uint32_t i = 0; i < STREAMS_MAX; i++)
-		n += e->streams[i].n_due + e->streams[i].under_way;
+		n += e->streams[i].n_due + e->streams[i].in_flight;
 	return n;
 }
 
 bool streams_idle(const struct entry *e)
 {
-	return stream_lines_pending(e) == 0;
+	return streams_pending(e) == 0;
 }
 
 uint64_t streams_next_ns(const struct entry *e)
--- a/core/request/transfer.c
+++ b/core/request/transfer.c
@@ -8,16 +8,16 @@
 
 #define TRANSFER_KEEP_NS (60 * NS_PER_S)
 
-/* transfer_runs_nothing() - whether the target only keeps the block for now. */
-bool transfer_runs_nothing(const struct request *r)
+/* transfer_only_stores() - whether the target only keeps the block for now. */
+bool transfer_only_stores(const struct request *r)
 {
 	return r->flags & MESSAGE_BODY && r->flags & MESSAGE_MORE;
 }
 
-/* transfer_may_move() - whether another target would do as well. */
-bool transfer_may_move(const struct request *r)
+/* transfer_may_change_target() - whether another target would do as well. */
+bool transfer_may_change_target(const struct request *r)
 {
-	return !(r->flags & MESSAGE_BODY) || r->flags & MESSAGE_START;
+	return !(r->flags & MESSAGE_BODY) || r->flags & MESSAGE_FIRST_BLOCK;
 }
 
 /**
@@ -29,7 +29,7 @@
  */
 uint64_t transfer_target(struct entry *e, const struct request *r)
 {
-	if (!(r->flags & MESSAGE_PART))
+	if (!(r->flags & MESSAGE_BLOCK))
 		return ADDR_NONE;
 	return flow_lookup(e->pins, &r->key, e->now_ns);
 }
@@ -47,7 +47,7 @@
 }
 
 /**
- * transfer_follow() - a block was answered
+ * transfer_update_pin() - a block was answered
  * @e: entry
  * @r: block, or a request whose answer comes in blocks
  * @answer: the answer
@@ -55,59 +55,60 @@
  * A pin lasts as long as its transfer. Kept longer, it would send the flow's
  * next transfer to the same target, also to one that drains by then.
  */
-void transfer_follow(struct entry *e, struct request *r,
-		     const struct message *answer)
+void transfer_update_pin(struct entry *e, struct request *r,
+			 const struct message *answer)
 {
-	uint16_t both = r->flags | answer->flags;
+	uint16_t flags = r->flags | answer->flags;
 
-	if (!(both & MESSAGE_PART))
+	if (!(flags & MESSAGE_BLOCK))
 		return;
-	if (both & MESSAGE_MORE)
+	if (flags & MESSAGE_MORE)
 		transfer_pin(e, r);
 	else
 		flow_unpin(e->pins, &r->key);
 }
 
 /**
- * transfer_carried() - whether a block is of a transfer that this entry carries
+ * transfer_is_carried_here() - whether a block is of a transfer that this entry carries
  * @e: entry
  * @key: flow
  * @msg: datagram of a caller
  *
  * Return: true for a later block, whoever owns the flow by now.
  */
-bool transfer_carried(struct entry *e, const struct flow_key *key,
-		      const struct message *msg)
+bool transfer_is_carried_here(struct entry *e, const struct flow_key *key,
+			      const struct message *msg)
 {
-	if (!(msg->flags & MESSAGE_BODY) || msg->flags & MESSAGE_START)
+	if (!(msg->flags & MESSAGE_BODY) || msg->flags & MESSAGE_FIRST_BLOCK)
 		return false;
 	return flow_lookup(e->pins, key, e->now_ns) != ADDR_NONE;
 }
 
 /* Whether the entry that owned the flow before may still carry transfers. */
-static bool carrier_lives(const struct entry *e, const struct request *r)
+static bool previous_owner_is_carrier(const struct entry *e,
+				      const struct request *r)
 {
-	uint64_t before = e->owner_before[r->bucket];
+	uint64_t before = e->previous_owner[r->bucket];
 
 	return before != ADDR_NONE && before != e->conf.member.self &&
-	       vm_serves(e, before) &&
+	       vm_is_serving(e, before) &&
 	       e->now_ns <= e->owner_since_ns[r->bucket] + TRANSFER_KEEP_NS;
 }
 
 /* A new transfer: what is left of one that its caller gave up goes. */
-static void begin_anew(struct entry *e, const struct request *r)
+static void discard_previous_transfer(struct entry *e, const struct request *r)
 {
 	struct peer_msg *m;
 
 	flow_unpin(e->pins, &r->key);
-	if (!carrier_lives(e, r))
+	if (!previous_owner_is_carrier(e, r))
 		return;
-	m = emit_peer(e, e->owner_before[r->bucket], PEER_UNPIN);
+	m = emit_peer(e, e->previous_owner[r->bucket], PEER_UNPIN);
 	m->key = r->key;
 }
 
 /**
- * transfer_elsewhere() - find out who carries a block's transfer
+ * transfer_forward_to_carrier() - find out who carries a block's transfer
  * @e: entry
  * @r: block that arrived at the owner of its flow
  *
@@ -118,21 +119,21 @@
  * Return: true when the entry that owned the flow before, and lives, was given
  * the block, and @r is gone. Else @r is marked if nobody can go on with it.
  */
-bool transfer_elsewhere(struct entry *e, struct request *r)
+bool transfer_forward_to_carrier(struct entry *e, struct request *r)
 {
 	if (!(r->flags & MESSAGE_BODY))
 		return false;
-	if (r->flags & MESSAGE_START) {
-		begin_anew(e, r);
+	if (r->flags & MESSAGE_FIRST_BLOCK) {
+		discard_previous_transfer(e, r);
 		return false;
 	}
 	if (flow_lookup(e->pins, &r->key, e->now_ns) != ADDR_NONE)
 		return false;
-	r->orphan = true;
-	if (!carrier_lives(e, r))
+	r->carrier_lost = true;
+	if (!previous_owner_is_carrier(e, r))
 		return false;
-	forward_to(e, e->owner_before[r->bucket], &r->key, r->data,
-		   r->size_bytes, LAST_HOP, FORWARD_TRANSFER);
+	forward_to(e, e->previous_owner[r->bucket], &r->key, r->data,
+		   r->size_bytes, LAST_HOP, FORWARD_TO_CARRIER);
 	request_drop(e, r);
 	return true;
 }
--- a/test/account_stats_test.c
+++ b/test/account_stats_test.c
@@ -35,7 +35,7 @@
 	uint32_t cursor = 0;
 	uint8_t class;
 
-	while (entry_answers(e, &cursor, &account, &class, &s)) {
+	while (entry_answer_stats_next(e, &cursor, &account, &class, &s)) {
 		t.answered += s->answered;
 		for (uint32_t i = 0; i < REFUSE_COUNT; i++) {
 			t.refused += s->not_run[i];
@@ -113,7 +113,7 @@
 	put_in_force(a, "ventolario", 2);
 	put_in_force(a, "club", 3);
 	assert_null(account_stats_find(a, 1, 0));
-	while (account_stats_each(a, &cursor, &name, &class, &s))
+	while (account_stats_next(a, &cursor, &name, &class, &s))
 		if (!strcmp(name, "tshwane") && class == CLASS_REPORT)
 			assert_int_equal(s->not_run[REFUSE_SHARE], 7);
 	assert_int_equal(cursor, 3 * CLASS_COUNT);
--- a/test/claims_test.c
+++ b/test/claims_test.c
@@ -20,10 +20,10 @@
 
 static uint32_t in_bucket(const struct claims *t, uint32_t bucket)
 {
-	uint32_t slot = claims_first(t, bucket);
+	uint32_t slot = claims_newest(t, bucket);
 	uint32_t n = 0;
 
-	for (; slot != CLAIM_SLOT_NONE; slot = claims_after(t, slot))
+	for (; slot != CLAIM_SLOT_NONE; slot = claims_next_older(t, slot))
 		n++;
 	return n;
 }
--- a/test/coap_wire_test.c
+++ b/test/coap_wire_test.c
@@ -60,21 +60,22 @@
 		{ { 0x50, 2, 0, 1, 0xd1, 14, 0x0a },
 		  7,
 		  MESSAGE_REQUEST,
-		  MESSAGE_PART | MESSAGE_MORE | MESSAGE_BODY | MESSAGE_START },
+		  MESSAGE_BLOCK | MESSAGE_MORE | MESSAGE_BODY |
+			  MESSAGE_FIRST_BLOCK },
 		{ { 0x50, 2, 0, 1, 0xd1, 14, 0x1a },
 		  7,
 		  MESSAGE_REQUEST,
-		  MESSAGE_PART | MESSAGE_MORE | MESSAGE_BODY },
+		  MESSAGE_BLOCK | MESSAGE_MORE | MESSAGE_BODY },
 		{ { 0x50, 2, 0, 1, 0xd1, 14, 0x22 },
 		  7,
 		  MESSAGE_REQUEST,
-		  MESSAGE_PART | MESSAGE_BODY },
+		  MESSAGE_BLOCK | MESSAGE_BODY },
 		{ { 0x50, 2, 0, 1, 0xd1, 14, 0x02 }, 7, MESSAGE_REQUEST, 0 },
 		/* GET, Block2 3 */
 		{ { 0x50, 1, 0, 1, 0xd1, 10, 0x32 },
 		  7,
 		  MESSAGE_REQUEST,
-		  MESSAGE_IDEMPOTENT | MESSAGE_PART },
+		  MESSAGE_IDEMPOTENT | MESSAGE_BLOCK },
 	};
 	struct message m;
 
--- a/test/entry_next_test.c
+++ b/test/entry_next_test.c
@@ -51,7 +51,7 @@
 	uint32_t ticks = 0;
 	uint64_t next_ns;
 
-	while (!entry_left(e) && (next_ns = entry_next_ns(e)) <= end_ns &&
+	while (!entry_has_left(e) && (next_ns = entry_next_ns(e)) <= end_ns &&
 	       ticks < TICKS_MAX) {
 		if (next_ns > *now_ns)
 			*now_ns = next_ns;
--- a/test/testbed.h
+++ b/test/testbed.h
@@ -54,7 +54,7 @@
  * struct dgram - datagram of callers and targets
  * @type: enum wire_type
  * @kind: enum dgram_kind
- * @own: 0, or 1 + enum own_answer
+ * @own: 0, or 1 + enum local_answer
  * @token_len: bytes of @token in use
  * @flags: enum message_flags that the adapter would read from it
  * @id: message ID
--- a/test/testbed_caller.c
+++ b/test/testbed_caller.c
@@ -101,7 +101,7 @@
 	static const uint16_t flags[OP_CLASSES] = {
 		[OP_FEED] = MESSAGE_IDEMPOTENT | MESSAGE_FEED_OPEN,
 		[OP_GET] = MESSAGE_IDEMPOTENT,
-		[OP_UPLOAD] = MESSAGE_PART | MESSAGE_BODY,
+		[OP_UPLOAD] = MESSAGE_BLOCK | MESSAGE_BODY,
 	};
 	struct fake_caller *c = &f->callers[i];
 	struct dgram d = { .kind = DGRAM_REQUEST,
@@ -115,7 +115,7 @@
 	if (c->class_ == OP_UPLOAD && c->part + 1 < TESTBED_PARTS)
 		d.flags |= MESSAGE_MORE;
 	if (c->class_ == OP_UPLOAD && c->part == 0)
-		d.flags |= MESSAGE_START;
+		d.flags |= MESSAGE_FIRST_BLOCK;
 	c->token = rng_next(&f->rng);
 	memcpy(d.token, &c->token, sizeof(d.token));
 	c->sent = d;
--- a/test/testbed_node.c
+++ b/test/testbed_node.c
@@ -19,7 +19,7 @@
 	.peer = entry_peer,
 	.tick = entry_tick,
 	.leave = entry_leave,
-	.left = entry_left,
+	.left = entry_has_left,
 	.next_ns = entry_next_ns,
 };
 
@@ -181,7 +181,7 @@
 
 static void do_note(struct testbed *f, uint32_t node, const struct action *a)
 {
-	trace_line(f, "e%u note %s c%u t%u", node, a->note,
+	trace_line(f, "e%u note %s c%u t%u", node, a->log_text,
 		   CALLER_INDEX(a->key.caller), TARGET_INDEX(a->target));
 }
 
@@ -194,7 +194,7 @@
 	[ACT_SIGNAL_TARGET] = do_signal_target,
 	[ACT_CANCEL_TARGET] = do_cancel,
 	[ACT_PEER] = do_peer,
-	[ACT_NOTE] = do_note,
+	[ACT_LOG] = do_note,
 };
 
 void node_gone(struct testbed *f, uint32_t i)
--- a/test/testbed_target.c
+++ b/test/testbed_target.c
@@ -118,7 +118,7 @@
 		return;
 	if (op->class_ == OP_FEED && op->runs > 0 && op->target == i)
 		return;
-	if (d->flags & MESSAGE_PART && d->seq > 0)
+	if (d->flags & MESSAGE_BLOCK && d->seq > 0)
 		return;
 	trace_line(f, "t%u drains and gets op %u", i, d->op);
 	f->verdict.late_work++;
@@ -155,10 +155,10 @@
 	g_hash_table_insert(t->parts, key, GUINT_TO_POINTER(have));
 	hook_at(f, POINT_PART, d->op, d->seq);
 	if (d->flags & MESSAGE_MORE)
-		return MESSAGE_PART | MESSAGE_MORE;
+		return MESSAGE_BLOCK | MESSAGE_MORE;
 	g_hash_table_remove(t->parts, key);
 	note_run(f, i, d);
-	return MESSAGE_PART;
+	return MESSAGE_BLOCK;
 }
 
 static void run_queue(struct testbed *f, uint32_t i);
@@ -170,7 +170,7 @@
 	uint16_t flags = 0;
 
 	if (t->up && ev->arg == t->generation) {
-		if (j.d.flags & MESSAGE_PART)
+		if (j.d.flags & MESSAGE_BLOCK)
 			flags = take_part(f, ev->node, j.vm, &j.d);
 		t->running--;
 		if (t->mode != MODE_SILENT)
@@ -185,7 +185,7 @@
 {
 	uint64_t ns = POST_NS;
 
-	if (d->flags & MESSAGE_PART)
+	if (d->flags & MESSAGE_BLOCK)
 		ns = PART_NS;
 	else if (d->flags & MESSAGE_IDEMPOTENT)
 		ns = GET_NS;
@@ -201,7 +201,7 @@
 	struct event *ev = event_new(job_done, i);
 
 	t->running++;
-	if (!(j.d.flags & MESSAGE_PART))
+	if (!(j.d.flags & MESSAGE_BLOCK))
 		note_run(f, i, &j.d);
 	if (ns > MS(100) && j.d.type == WIRE_CONFIRM) {
 		send_empty(f, i, j.vm, WIRE_ACK, j.d.id);
