--- a/core/request/account_stats.c
+++ b/core/request/account_stats.c
@@ -6,13 +6,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* One client account's counters. */
+/* Counters of one client account. */
 struct account_entry {
 	char name[NAME_MAX_BYTES];
 	struct answer_stats by_class[CLASS_COUNT];
 };
 
-/* A service in force, and whose it is. */
+/* Service in force; account is an index into struct account_stats.accounts. */
 struct service_entry {
 	uint64_t vip;
 	uint8_t class;
@@ -20,11 +20,13 @@
 };
 
 /**
- * struct account_stats - counters of all accounts
- * @accounts: sorted by name; one that is withdrawn stays, so
- *	that what it was refused can still be accounted for
- * @services: those in force
- * @by_vip: their numbers
+ * struct account_stats - counters of all client accounts
+ * @accounts: sorted by name; a withdrawn account stays, so that the refusals of
+ *	its requests can still be explained
+ * @n_accounts: number of @accounts
+ * @services: services in force
+ * @n_services: number of @services
+ * @by_vip: index of @services by VIP
  */
 struct account_stats {
 	struct account_entry *accounts;
@@ -35,9 +37,9 @@
 };
 
 /**
- * account_stats_new() - counters without accounts
+ * account_stats_new() - allocate counters without accounts
  *
- * Return: counters, or NULL without memory.
+ * Return: counters, owned by the caller, or NULL when out of memory.
  */
 struct account_stats *account_stats_new(void)
 {
@@ -59,7 +61,10 @@
 	return strcmp(name, ((const struct account_entry *)row)->name);
 }
 
-/* Below 0: the old list's name comes next; above 0: the new one's; 0: both. */
+/*
+ * Return: below 0 if the name of @old comes first, above 0 if that of @new
+ * does, 0 if both are the same account.
+ */
 static int compare_next(const struct account_stats *a, uint32_t old,
 			const struct config *c, uint32_t new)
 {
@@ -70,7 +75,9 @@
 	return strcmp(a->accounts[old].name, c->accounts[new].name);
 }
 
-/* Both lists are sorted by name. */
+/*
+ * Merges two lists that are sorted by name. Return: number of accounts in @to.
+ */
 static uint32_t merge_accounts(struct account_entry *to,
 			       const struct account_stats *a,
 			       const struct config *c)
@@ -118,7 +125,9 @@
 	return &a->services[slot];
 }
 
-/* Of two accounts with one VIP the first by name has it, as in entry.c. */
+/*
+ * If two accounts have the same VIP, the first by name keeps it, as in entry.c.
+ */
 static void add_services(struct account_stats *a,
 			 const struct account_conf *account)
 {
@@ -141,11 +150,11 @@
 }
 
 /**
- * account_stats_config() - follow the accounts in force
- * @a: counters; those of accounts known already are kept
- * @c: configuration
+ * account_stats_config() - adopt the accounts and services in force
+ * @a: counters; those of accounts that are known already are kept
+ * @c: configuration, not kept
  *
- * Return: 0, or -ENOMEM: nothing is counted then.
+ * Return: 0, or -ENOMEM: no answers are counted then.
  */
 int account_stats_config(struct account_stats *a, const struct config *c)
 {
@@ -169,11 +178,12 @@
 }
 
 /**
- * request_class() - class that a request counts as
+ * request_class() - class that a request is counted as
  * @flags: enum message_flags of the request
  * @service_class: enum service_class of its service
  *
- * Return: enum service_class; a plain request to a service of feeds is a report.
+ * Return: enum service_class; CLASS_REPORT for a plain request to a service of
+ * feeds.
  */
 uint8_t request_class(uint16_t flags, uint8_t service_class)
 {
@@ -185,12 +195,12 @@
 }
 
 /**
- * account_stats_find() - where to count the end of a request
+ * account_stats_find() - counters of a request's account and class
  * @a: counters
- * @vip: its service
+ * @vip: VIP of its service
  * @flags: enum message_flags of the request
  *
- * Return: the counters, or NULL when the service isn't in force.
+ * Return: counters, or NULL when the service is not in force.
  */
 struct answer_stats *account_stats_find(struct account_stats *a, uint64_t vip,
 					uint16_t flags)
@@ -204,14 +214,14 @@
 }
 
 /**
- * account_stats_next() - walk over the counters of each account and class
+ * account_stats_next() - iterate over the counters of each account and class
  * @a: counters
- * @cursor: 0 at first, moved on by each call
- * @account: name, good until the next configuration
- * @class: enum service_class
- * @stats: counters, good until the next configuration
+ * @cursor: 0 for the first call, advanced by each
+ * @account: set to the account's name, valid until the next configuration
+ * @class: set to the enum service_class
+ * @stats: set to the counters, valid until the next configuration
  *
- * Return: false at the end.
+ * Return: false at the end; the outputs are unchanged then.
  */
 bool account_stats_next(const struct account_stats *a, uint32_t *cursor,
 			const char **account, uint8_t *class,
--- a/core/request/account_stats.h
+++ b/core/request/account_stats.h
@@ -1,6 +1,6 @@
 /*
- * What the callers of each client account were told by this entry: answered,
- * refused and why, outcome unknown. Private to core/; entry.h has the accessor.
+ * Counts the answers to callers by client account and class: answered, refused
+ * and why, outcome unknown. Private to core/; entry.h has the accessor.
  */
 #ifndef CB_ACCOUNT_STATS_H
 #define CB_ACCOUNT_STATS_H
--- a/core/request/answer.c
+++ b/core/request/answer.c
@@ -7,9 +7,9 @@
 {
 	e->counters.unknown_answers++;
 	/*
-	 * An update for a feed that moved or ended: without a reset the
-	 * target would go on sending to an entry that no longer listens, and
-	 * hold the connection.
+	 * An update of a feed that moved or ended. Without a reset the target
+	 * would keep sending to an entry that has no such feed, and would keep
+	 * the connection.
 	 */
 	if (!(msg->flags & MESSAGE_PIGGYBACK))
 		emit_signal_target(e, target, WIRE_RESET, msg->id);
@@ -111,7 +111,7 @@
 }
 
 /**
- * target_receive() - act on a datagram from a target
+ * target_receive() - handle a datagram from a target
  * @e: entry
  * @target: sender
  * @msg: datagram
--- a/core/request/claiming.c
+++ b/core/request/claiming.c
@@ -1,7 +1,8 @@
 /*
- * At most once: a non-idempotent request is sent only after its owner and the
- * bucket's second both hold a record of it. Views that differ by one member
- * share at least one of the two, and that one refuses a second claimer.
+ * Executes non-idempotent requests at most once: such a request is sent only
+ * after its owner and the bucket's second both hold a record of it. Views that
+ * differ by one member share at least one of the two, and that one refuses a
+ * second claimer.
  */
 #include "entry_state.h"
 
@@ -9,7 +10,13 @@
 
 #define MAJORITY_WAIT_NS (2500 * NS_PER_MS)
 
-/* Whether this process may act on what it knew before: its lease holds. */
+/**
+ * claim_lease_holds() - whether this entry may act on its earlier grants
+ * @e: entry
+ *
+ * Return: false when the lease has lapsed, for example after a pause of the
+ * process: others may have replaced this entry since.
+ */
 bool claim_lease_holds(const struct entry *e)
 {
 	return member_lease_valid(e->members, e->now_ns);
@@ -22,9 +29,9 @@
 }
 
 /*
- * A pair that has just changed may be one that no other entry shares yet: two
- * owners with pairs that have no member in common would both be granted. A
- * settle time later their views differ by one member at most.
+ * A pair that has just changed may not be known to the other entries yet: two
+ * owners whose pairs have no member in common would both be granted the same
+ * request. After a settle time their views differ by one member at most.
  */
 static bool may_claim(const struct entry *e, const struct request *r)
 {
@@ -59,8 +66,8 @@
 }
 
 /*
- * To both of the pair: when ownership moved on while the claim was out, the
- * second that granted it is the owner now.
+ * Sent to both members of the pair: when ownership changed while the claim was
+ * pending, the second that granted it is the owner now.
  */
 static void send_settlement(struct entry *e, const struct claim *c)
 {
@@ -71,13 +78,14 @@
 }
 
 /**
- * claim_record_outcome() - note how a claimed request ended
+ * claim_record_outcome() - record how a claimed request ended
  * @e: entry
  * @r: request
  * @state: enum claim_state
  *
- * Only a refusal is told to the second: done and open mean the same to it, that
- * the request may have run, and a message less is spent on each request.
+ * Only a refusal is sent to the pair. To the second, done and open mean the
+ * same, that the request may have been executed; not sending them saves a
+ * message per request.
  */
 void claim_record_outcome(struct entry *e, struct request *r, uint8_t state)
 {
@@ -98,7 +106,7 @@
 	request_drop(e, r);
 }
 
-/* A request whose record says that it was claimed already. */
+/* Ends or forwards a request that was claimed before. */
 static void handle_existing_claim(struct entry *e, struct request *r,
 				  struct claim *c)
 {
@@ -114,17 +122,19 @@
 		return;
 	}
 	/*
-	 * The claimer is gone. Marked unknown here, so that the claimer, if it
-	 * was only paused, is told so when it asks again, and does not send.
+	 * The claimer is dead, or the answer is no longer kept. The record
+	 * becomes unknown, so that a claimer that was only paused is denied
+	 * when it asks again, and does not send the request.
 	 */
 	c->state = CLAIM_UNKNOWN;
-	request_end_unknown(e, r, "claimer of the request is gone");
+	request_end_unknown(
+		e, r, "request was claimed before, its outcome is not known");
 }
 
 /**
  * claim_begin() - claim a non-idempotent request that arrived at its owner
  * @e: entry
- * @r: request
+ * @r: request; may be ended or forwarded by this call
  */
 void claim_begin(struct entry *e, struct request *r)
 {
@@ -151,8 +161,8 @@
 {
 	if (!r->granter_knows_history && !history_known(e, r->bucket)) {
 		e->counters.claims_uncovered++;
-		request_end_unknown(e, r,
-				    "no entry knows the bucket's history");
+		request_end_unknown(
+			e, r, "no granting entry knows the bucket's history");
 		return;
 	}
 	e->counters.claims_granted++;
@@ -167,8 +177,8 @@
 }
 
 /*
- * The sender itself is the claimer: that needs no words, nor does a target
- * that is not chosen yet.
+ * The receiver fills in the claimer from the message's sender; a target is not
+ * chosen yet.
  */
 static void send_claim(struct entry *e, struct request *r, uint64_t vm)
 {
@@ -185,26 +195,27 @@
 }
 
 /*
- * The fabric goes on handing requests to an entry that is cut off from its
- * peers, and the caller's next repeat will likely reach one that is not. An
- * answer at once would end the request as unknown for nothing.
+ * The fabric keeps routing requests to an entry that is cut off from its peers,
+ * while the caller's next retransmission is likely to reach one that is not. An
+ * answer at once would needlessly end the request as unknown.
  */
 static void wait_for_majority(struct entry *e, struct request *r)
 {
 	if (e->now_ns < r->arrived_ns + MAJORITY_WAIT_NS)
 		return;
 	e->counters.no_majority++;
-	request_end_unknown(e, r, "this side has no majority");
+	request_end_unknown(e, r, "this entry has no majority");
 }
 
 /**
- * claim_request_grants() - ask (again) for the grants a request waits for
+ * claim_request_grants() - request the missing grants, first or again
  * @e: entry
  * @r: request in REQ_CLAIMING
  *
- * Those of the bucket's pair, as it is now: the second's for an owner, both
- * for an entry that lost the bucket while the claim was out, or that carries a
- * transfer for the owner.
+ * Asks the present pair of the bucket: an owner needs the second's grant; an
+ * entry that lost the bucket while the claim was pending, or that carries a
+ * transfer for the owner, needs both. Submits the request when it has all
+ * grants, and ends it as unknown at its deadline.
  */
 void claim_request_grants(struct entry *e, struct request *r)
 {
@@ -229,7 +240,9 @@
 		claim_completed(e, r);
 }
 
-/* The request that a claim of ours is out for, or NULL when it is past that. */
+/*
+ * The request in REQ_CLAIMING that a record of this entry belongs to, or NULL.
+ */
 static struct request *pending_request_of(struct entry *e,
 					  const struct claim *c)
 {
@@ -245,15 +258,17 @@
 	return r;
 }
 
-/* claim_is_pending() - whether a record is of a claim here that waits for grants. */
+/* claim_is_pending() - whether this entry still awaits grants for a record. */
 bool claim_is_pending(struct entry *e, const struct claim *c)
 {
 	return pending_request_of(e, c) != NULL;
 }
 
 /*
- * Two entries that both believe they own a flow claim the same request at each
- * other. Without a rule both would refuse; the lower address goes on.
+ * Two entries that both take themselves for the owner of a flow request grants
+ * for the same request from each other. Without a rule both would refuse; the
+ * one with the lower address continues. Drops the request here when this entry
+ * yields.
  */
 static bool yield_to_lower_address(struct entry *e, const struct claim *c,
 				   uint64_t from)
@@ -295,7 +310,7 @@
 	other->state = c->state;
 }
 
-/* A grant needs no more than its name: the claimer knows its own claim. */
+/* A grant carries only the request's hash: the claimer has its own claim. */
 static struct claim make_grant(const struct claim *other)
 {
 	struct claim reply = *other;
@@ -309,7 +324,7 @@
 	return reply;
 }
 
-/* claim_requests_received() - another entry asks to run requests: PEER_CLAIM. */
+/* claim_requests_received() - PEER_CLAIM: answer another entry's claims. */
 void claim_requests_received(struct entry *e, const struct peer_msg *msg)
 {
 	struct peer_msg *reply = emit_peer(e, msg->from, PEER_GRANT);
@@ -338,14 +353,15 @@
 }
 
 /**
- * claim_resolve_conflict() - a record handed over names another claimer
+ * claim_resolve_conflict() - handle a record that names another claimer
  * @e: entry
- * @own: record here
- * @other: the record handed over
+ * @own: record in this entry's table
+ * @other: record received with a bucket's history
  *
- * While a claim of this entry was out, across a partition, the other side ran
- * the request. Its record has to win over a claim that has not led to a send.
- * Of two others, nobody can tell which ran it, and neither is granted it now.
+ * Across a partition the other side may have executed a request while the claim
+ * of this entry was pending. Its record takes precedence over a claim that has
+ * not led to a send. If both claimers are other entries, it is not known which
+ * executed the request, and neither is granted it now.
  */
 void claim_resolve_conflict(struct entry *e, struct claim *own,
 			    const struct claim *other)
@@ -360,7 +376,10 @@
 		own->state = CLAIM_UNKNOWN;
 }
 
-/* Only the words of the present pair, all of them, complete a claim. */
+/*
+ * A claim is complete when both members of the present pair have granted it;
+ * grants of other entries do not count.
+ */
 static void record_grant(struct entry *e, struct request *r, uint64_t from,
 			 bool covered)
 {
@@ -394,7 +413,7 @@
 	record_grant(e, r, from, other->covered);
 }
 
-/* claim_grants_received() - the second's answers to our claims: PEER_GRANT. */
+/* claim_grants_received() - PEER_GRANT: answers to claims of this entry. */
 void claim_grants_received(struct entry *e, const struct peer_msg *msg)
 {
 	for (uint8_t i = 0; i < msg->n_claims; i++)
@@ -402,7 +421,9 @@
 	requests_start_ready(e);
 }
 
-/* claim_settlements_received() - a claimer says how its requests ended: PEER_SETTLE. */
+/*
+ * claim_settlements_received() - PEER_SETTLE: outcomes that a claimer reports.
+ */
 void claim_settlements_received(struct entry *e, const struct peer_msg *msg)
 {
 	for (uint8_t i = 0; i < msg->n_claims; i++) {
--- a/core/request/claims.c
+++ b/core/request/claims.c
@@ -12,8 +12,8 @@
 };
 
 /*
- * Every record lives equally long, so slots are used in a circle: the oldest
- * is always at the tail, and expiry needs no timer a record.
+ * All records have the same lifetime, so the slots form a ring buffer: the
+ * oldest record is at the tail, and expiry needs no timer per record.
  */
 struct claims {
 	struct record *records;
@@ -26,12 +26,12 @@
 };
 
 /**
- * claims_new() - make an empty table
- * @records_max: most records
- * @n_buckets: buckets of the ring
- * @keep_ns: life of a record
+ * claims_new() - allocate an empty table
+ * @records_max: capacity in records
+ * @n_buckets: number of buckets of the ring
+ * @keep_ns: lifetime of a record
  *
- * Return: table, or NULL without memory.
+ * Return: table, owned by the caller, or NULL when out of memory.
  */
 struct claims *claims_new(uint32_t records_max, uint32_t n_buckets,
 			  uint64_t keep_ns)
@@ -68,7 +68,7 @@
  * @c: table
  * @request: hash of the request
  *
- * Return: record, which the caller may change but for request and bucket, or
+ * Return: record, of which the caller may change all but request and bucket, or
  * NULL.
  */
 struct claim *claims_find(struct claims *c, uint64_t request)
@@ -94,7 +94,7 @@
 }
 
 /**
- * claims_expire() - drop records that no caller can still ask for
+ * claims_expire() - delete the records whose lifetime is over
  * @c: table
  * @now_ns: time
  */
@@ -105,13 +105,13 @@
 }
 
 /**
- * claims_put() - add a record; the request has none yet
+ * claims_put() - add a record of a request that has none yet
  * @c: table
- * @claim: record
+ * @claim: record, copied
  * @now_ns: time
  *
- * Return: the record, or NULL when the table is full of records that have to
- * be kept: the request can't be run safely then.
+ * Return: the record, or NULL when the table is full of records that must be
+ * kept; the request can't be executed safely then.
  */
 struct claim *claims_put(struct claims *c, const struct claim *claim,
 			 uint64_t now_ns)
--- a/core/request/claims.h
+++ b/core/request/claims.h
@@ -1,6 +1,7 @@
 /*
- * Records of non-idempotent requests, kept for as long as a caller may repeat
- * one. The record says who claimed a request, so that no second entry runs it.
+ * Table of claim records of non-idempotent requests. A record names the entry
+ * that claimed a request, so that no second entry executes it, and is kept for
+ * as long as a caller may retransmit the request.
  */
 #ifndef CB_CLAIMS_H
 #define CB_CLAIMS_H
--- a/core/request/emit.c
+++ b/core/request/emit.c
@@ -3,15 +3,16 @@
 #include <string.h>
 
 /**
- * emit() - add an action to the list being filled
+ * emit() - append an action to the list of the current call
  * @e: entry
  * @kind: enum action_kind
  *
- * The list is bounded. Work that can make many actions asks emit_has_capacity() first;
- * should the list be full all the same, the action falls on a spare that no
- * one reads, as if the datagram were lost on the way: senders repeat.
+ * The list is bounded. Work that can produce many actions checks
+ * emit_has_capacity() first. If the list is full nevertheless, the action goes
+ * to a spare element that is not carried out, as if the datagram were lost on
+ * the network: senders retransmit.
  *
- * Return: zeroed action.
+ * Return: action with all fields but peer zeroed.
  */
 struct action *emit(struct entry *e, uint8_t kind)
 {
@@ -26,19 +27,19 @@
 	return a;
 }
 
-/* Whether work that can wait for the next tick may still add actions. */
+/* emit_has_capacity() - whether deferrable work may append actions. */
 bool emit_has_capacity(const struct entry *e)
 {
 	return e->out->n + ACTIONS_RESERVE < ACTIONS_MAX;
 }
 
 /**
- * emit_peer() - add a message to another entry
+ * emit_peer() - append a message to another entry
  * @e: entry
  * @vm: receiver
  * @kind: enum peer_kind
  *
- * Return: message with sender, incarnation and view filled in.
+ * Return: message with sender, incarnation and view filled in, the rest zeroed.
  */
 struct peer_msg *emit_peer(struct entry *e, uint64_t vm, uint8_t kind)
 {
--- a/core/request/entry.c
+++ b/core/request/entry.c
@@ -21,7 +21,10 @@
 	a->peer = *msg;
 }
 
-/* A newcomer's second is who would own the bucket without it, and did. */
+/*
+ * An entry that joins does not know the previous owner. Without it, the
+ * bucket's present second would be the owner, and was.
+ */
 static void record_ownership(struct entry *e, uint32_t bucket,
 			     struct ring_pair before, struct ring_pair after)
 {
@@ -75,11 +78,11 @@
 }
 
 /**
- * entry_new() - make the data path's decisions
- * @conf: settings
+ * entry_new() - allocate an entry
+ * @conf: settings, copied
  * @now_ns: time
  *
- * Return: entry, or NULL without memory.
+ * Return: entry, owned by the caller, or NULL when out of memory.
  */
 struct entry *entry_new(const struct entry_conf *conf, uint64_t now_ns)
 {
@@ -94,7 +97,10 @@
 	e->join_latest_ns = DEADLINE_NEVER;
 	e->sweep_deadline_ns = DEADLINE_NEVER;
 	e->minority_since_ns = DEADLINE_NEVER;
-	/* Seeds of one fleet may be alike; its entries' choices may not. */
+	/*
+	 * Entries may be started with the same seed; their random numbers must
+	 * differ.
+	 */
 	e->rng.s = hash_u64(conf->seed, conf->member.self) | 1;
 	e->peer_budget_refilled_ns = now_ns;
 	e->peer_budget_bytes = conf->peer_bytes_per_s;
@@ -130,10 +136,10 @@
 }
 
 /**
- * entry_begin_call() - take the time and the list of actions of a call
+ * entry_begin_call() - set the time and the list of actions of a call
  * @e: entry
  * @now_ns: time
- * @out: actions to take
+ * @out: list to fill; emptied first
  */
 void entry_begin_call(struct entry *e, uint64_t now_ns, struct actions *out)
 {
@@ -163,9 +169,9 @@
 			const struct service_conf *s = &a->services[k];
 
 			/*
-			 * Two accounts may not have one VIP. Should it happen,
+			 * Two accounts must not have the same VIP. If they do,
 			 * the first by name keeps it on every entry; the other
-			 * must not take its callers.
+			 * must not receive its callers.
 			 */
 			if (service_find(e, s->vip))
 				continue;
@@ -178,11 +184,11 @@
 }
 
 /**
- * entry_config() - put a configuration in force
+ * entry_config() - apply a configuration
  * @e: entry
- * @c: all client accounts; stays good until the next call
+ * @c: all client accounts; has to stay valid until the next call
  * @now_ns: time
- * @out: actions to take
+ * @out: filled with the actions to carry out
  */
 void entry_config(struct entry *e, const struct config *c, uint64_t now_ns,
 		  struct actions *out)
@@ -204,12 +210,12 @@
 }
 
 /**
- * entry_roster() - the platform's list of VMs changed
+ * entry_roster() - apply the platform's list of VMs
  * @e: entry
- * @vms: peer addresses of VMs that are not leaving
- * @n: how many
+ * @vms: peer addresses of the VMs that are not leaving
+ * @n: number of @vms
  * @now_ns: time
- * @out: actions to take
+ * @out: filled with the actions to carry out
  */
 void entry_roster(struct entry *e, const uint64_t *vms, uint32_t n,
 		  uint64_t now_ns, struct actions *out)
@@ -248,10 +254,10 @@
 }
 
 /**
- * entry_tick() - act on deadlines; due at entry_next_ns()
+ * entry_tick() - handle expired deadlines; due at entry_next_ns()
  * @e: entry
  * @now_ns: time
- * @out: actions to take
+ * @out: filled with the actions to carry out
  */
 void entry_tick(struct entry *e, uint64_t now_ns, struct actions *out)
 {
@@ -273,7 +279,7 @@
  * entry_leave() - begin a planned stop
  * @e: entry
  * @now_ns: time
- * @out: actions to take
+ * @out: filled with the actions to carry out
  */
 void entry_leave(struct entry *e, uint64_t now_ns, struct actions *out)
 {
@@ -281,7 +287,10 @@
 	if (e->leaving)
 		return;
 	e->leaving = true;
-	/* Nothing that is leaving joins: left due, these would spin. */
+	/*
+	 * A leaving entry does not join. If these deadlines stayed due, the
+	 * entry would be ticked in a busy loop.
+	 */
 	e->join_deadline_ns = DEADLINE_NEVER;
 	e->join_latest_ns = DEADLINE_NEVER;
 	e->leave_deadline_ns = now_ns + e->conf.drain_ns;
@@ -295,8 +304,8 @@
  * entry_has_left() - whether a planned stop is complete
  * @e: entry
  *
- * Return: true when all is handed over and late answers had their time, or
- * when the longest planned stop is over.
+ * Return: true when everything is handed over and the time for late answers is
+ * over, or when drain_ns is over.
  */
 bool entry_has_left(const struct entry *e)
 {
@@ -308,10 +317,10 @@
 }
 
 /**
- * entry_next_ns() - when entry_tick() is due
+ * entry_next_ns() - time at which entry_tick() is due
  * @e: entry
  *
- * Return: deadline.
+ * Return: time, or DEADLINE_NEVER.
  */
 uint64_t entry_next_ns(const struct entry *e)
 {
--- a/core/request/entry.h
+++ b/core/request/entry.h
@@ -1,7 +1,7 @@
 /*
- * The data path's decisions: an event and the time go in, a bounded list of
- * actions comes out. No I/O, clock or allocation a packet; the daemon, the
- * tests and any bench run this same code.
+ * Decisions of the data path. Each call takes an event and the time and fills a
+ * bounded list of actions. There is no I/O and no clock here, and no allocation
+ * per packet; the daemon, the tests and the benchmarks run the same code.
  */
 #ifndef CB_ENTRY_H
 #define CB_ENTRY_H
@@ -13,12 +13,14 @@
 #define ACTIONS_MAX 512
 
 /**
- * enum message_kind - what a datagram of a request-aware service is
- * @MESSAGE_REQUEST: a request
- * @MESSAGE_ANSWER: an answer, or an update of a feed
+ * enum message_kind - kind of a datagram of a request-aware service (CoAP)
+ * @MESSAGE_REQUEST: request
+ * @MESSAGE_ANSWER: response to a request, or update of a feed
  * @MESSAGE_ACK: empty acknowledgement
- * @MESSAGE_RESET: receiver knows nothing of it, or wants no more of it
- * @MESSAGE_PROBE: empty message that asks for a reset as a sign of life
+ * @MESSAGE_RESET: empty reset: the receiver has no state for the message, or
+ *	cancels what it belongs to
+ * @MESSAGE_PROBE: empty confirmable message that asks for a reset as a sign of
+ *	life
  */
 enum message_kind {
 	MESSAGE_REQUEST,
@@ -29,18 +31,21 @@
 };
 
 /**
- * enum message_flags - what else the adapter read from it
- * @MESSAGE_CONFIRM: sender repeats it until it is acknowledged
- * @MESSAGE_PIGGYBACK: an answer that is also the acknowledgement
- * @MESSAGE_IDEMPOTENT: the method may run twice
- * @MESSAGE_FEED_OPEN: opens a feed; on an answer: the feed is open
- * @MESSAGE_FEED_CLOSE: closes a feed
- * @MESSAGE_BLOCK: block of a larger transfer, has to reach the same target
- * @MESSAGE_MORE: not the last block, of a request or of an answer
- * @MESSAGE_BODY: the block is of the request's body, and kept by the target
+ * enum message_flags - further properties that the adapter parsed
+ * @MESSAGE_CONFIRM: confirmable: the sender retransmits it until acknowledged
+ * @MESSAGE_PIGGYBACK: answer that is also the acknowledgement of the request
+ * @MESSAGE_IDEMPOTENT: the request's method may be executed twice
+ * @MESSAGE_FEED_OPEN: request: opens a feed; answer: the feed is open
+ * @MESSAGE_FEED_CLOSE: request that closes a feed
+ * @MESSAGE_BLOCK: block of a larger transfer; all its blocks have to reach the
+ *	same target
+ * @MESSAGE_MORE: more blocks of the request or of the answer follow
+ * @MESSAGE_SHED: answer: the target refused the request without executing it;
+ *	the caller may retry later
+ * @MESSAGE_FAILED: answer: the target failed to serve the request
+ * @MESSAGE_BODY: block of a request's body; the target stores it until the last
+ *	block arrives
  * @MESSAGE_FIRST_BLOCK: first of several blocks of a request's body
- * @MESSAGE_SHED: an answer that says: not run, come back later
- * @MESSAGE_FAILED: an answer that says: the target failed
  */
 enum message_flags {
 	MESSAGE_CONFIRM = 1 << 0,
@@ -57,17 +62,18 @@
 };
 
 /**
- * struct message - a datagram as the adapter parsed it
+ * struct message - datagram as parsed by the adapter
  * @kind: enum message_kind
  * @flags: enum message_flags
  * @id: message ID
- * @token_len: bytes of @token in use
+ * @token_len: length of @token in bytes
  * @token: token
- * @timeout_ns: time the caller still gives it, 0 when not said
- * @load: target's report of its load, valid when @has_load
- * @has_load: see above
- * @data: whole datagram
- * @size_bytes: its size
+ * @timeout_ns: time that the caller will still wait for the answer; 0: not
+ *	stated
+ * @load: load that the target reports; valid when @has_load
+ * @has_load: the datagram carries a load report
+ * @data: whole datagram, owned by the adapter
+ * @size_bytes: size of @data
  */
 struct message {
 	uint8_t kind;
@@ -84,15 +90,16 @@
 
 /**
  * enum action_kind - what the adapter is to do
- * @ACT_TO_CALLER: send @data to the caller, with @type, @id and @token put in
- * @ACT_TO_TARGET: send @data to the target, with @type, @id and @token put in
- * @ACT_ANSWER_CALLER: make an answer of our own, see @answer
- * @ACT_SIGNAL_CALLER: send an empty message of @type with @id
- * @ACT_SIGNAL_TARGET: send an empty message of @type with @id
- * @ACT_CANCEL_TARGET: tell the target to stop the request or feed of @token,
- *	which @data asked for
+ * @ACT_TO_CALLER: send @data to the caller with @type, @id and @token replaced
+ * @ACT_TO_TARGET: send @data to the target with @type, @id and @token replaced
+ * @ACT_ANSWER_CALLER: build a local answer as @answer says and send it to the
+ *	caller
+ * @ACT_SIGNAL_CALLER: send the caller an empty message of @type with @id
+ * @ACT_SIGNAL_TARGET: send the target an empty message of @type with @id
+ * @ACT_CANCEL_TARGET: cancel the request or feed of @token at the target; @data
+ *	is the request that started it
  * @ACT_PEER: send @peer to the entry @vm
- * @ACT_LOG: log @log_text with flow and target
+ * @ACT_LOG: log @log_text with the flow and the target
  */
 enum action_kind {
 	ACT_TO_CALLER,
@@ -105,20 +112,38 @@
 	ACT_LOG
 };
 
-/* Type of a message on the wire of a request-aware service. */
+/* Message types on the wire of a request-aware service. */
 enum wire_type { WIRE_CONFIRM, WIRE_PLAIN, WIRE_ACK, WIRE_RESET };
 
 /**
- * enum local_answer - answers the balancer itself gives
- * @ANSWER_NOT_RUN: refused, known not to have run; come back later
- * @ANSWER_UNKNOWN: may have run; nobody can tell
- * @ANSWER_FEED_LOST: the feed can't go on, open it again
+ * enum local_answer - answers that the balancer itself gives
+ * @ANSWER_NOT_RUN: refused, known not to have been executed; the caller may
+ *	retry
+ * @ANSWER_UNKNOWN: outcome unknown: the request may have been executed
+ * @ANSWER_FEED_LOST: the feed has ended; the caller has to open it again
  */
 enum local_answer { ANSWER_NOT_RUN, ANSWER_UNKNOWN, ANSWER_FEED_LOST };
 
 /**
- * struct action - one thing for the adapter to do; pointers are good until
- *	the next call into the entry
+ * struct action - one action for the adapter
+ * @kind: enum action_kind; says which of the other fields are valid
+ * @type: enum wire_type
+ * @answer: enum local_answer
+ * @reason: enum refusal
+ * @id: message ID
+ * @token_len: length of @token in bytes
+ * @token: token
+ * @key: flow
+ * @target: address of the target, ADDR_NONE when there is none
+ * @vm: entry that receives @peer
+ * @retry_after_s: time after which the caller may retry, put into the answer
+ * @timeout_ns: time left until the request's deadline; 0: not stated
+ * @data: datagram to send or to derive the message from; not owned
+ * @size_bytes: size of @data
+ * @peer: message to another entry; its pointers are not owned
+ * @log_text: text of the log record
+ *
+ * Pointers are valid until the next call into the entry.
  */
 struct action {
 	uint8_t kind;
@@ -140,8 +165,8 @@
 };
 
 /**
- * struct actions - what a call wants done, in order
- * @n: how many
+ * struct actions - actions of one call, to be carried out in order
+ * @n: number of actions
  * @a: the actions
  */
 struct actions {
@@ -150,20 +175,21 @@
 };
 
 /**
- * struct entry_conf - settings of the data path's decisions
- * @member: membership
- * @requests_max: requests held at once
- * @feeds_max: feeds held at once, own and second copies
- * @claims_max: records of non-idempotent requests
- * @flows_max: pins that differ from the hash
- * @settle_ns: spacing of changes to one bucket's pair
- * @cover_ns: longest time over which a caller repeats one request
- * @claim_timeout_ns: wait for a grant before asking again
- * @probe_idle_ns: silence of a feed before it is validated again
- * @drain_ns: longest planned stop
- * @peer_bytes_per_s: budget of second copies
- * @n_buckets: buckets of the ring
- * @seed: of the random source; differs by process
+ * struct entry_conf - settings of the data path
+ * @member: settings of the membership
+ * @requests_max: capacity of the table of requests, ended ones included
+ * @feeds_max: capacity of the table of feeds, second copies included
+ * @claims_max: capacity of the table of claim records of non-idempotent
+ *	requests
+ * @flows_max: capacity of the table of flows pinned to a target
+ * @settle_ns: minimum time between two changes of a bucket's pair
+ * @cover_ns: cover time: longest time over which a caller retransmits a request
+ * @claim_timeout_ns: time to wait for a grant before asking again
+ * @probe_idle_ns: silence of a feed after which it is revalidated at its target
+ * @drain_ns: longest duration of a planned stop
+ * @peer_bytes_per_s: budget of bytes for second copies and claim records
+ * @n_buckets: number of buckets of the ring
+ * @seed: seed of the random numbers; differs between processes
  */
 struct entry_conf {
 	struct member_conf member;
@@ -181,7 +207,7 @@
 	uint64_t seed;
 };
 
-/* Counters of an entry; each is named in docs/OPERATIONS.md. */
+/* Counters of an entry; docs/OPERATIONS.md describes each. */
 #define ENTRY_COUNTERS(X)    \
 	X(requests)          \
 	X(answers)           \
@@ -223,15 +249,16 @@
 };
 
 /**
- * struct entry_explanation - what an entry would decide for a flow, and why
- * @view: membership view number
+ * struct entry_explanation - how an entry would route a flow, and why
+ * @view: number of the membership view
  * @bucket: bucket of the flow
- * @pair: owner and second
- * @service: its service, or NULL
- * @account: client account of the service
- * @pinned: target the flow is pinned to, or ADDR_NONE
- * @feeds: feeds of the flow held here
- * @feed_target: target of the first of them
+ * @pair: owner and second of the bucket
+ * @service: service of the flow's VIP, or NULL
+ * @account: client account of @service, or NULL
+ * @pinned: target that the flow is pinned to, or ADDR_NONE
+ * @feeds: number of feeds of the flow in this entry's table, second copies
+ *	included
+ * @feed_target: target of the first of them; valid when @feeds is not 0
  */
 struct entry_explanation {
 	uint64_t view;
@@ -245,12 +272,13 @@
 };
 
 /**
- * struct entry_gauges - sizes of what an entry holds now
- * @requests_active: requests not answered yet
- * @feeds_held: feeds served here
- * @handover_due: buckets whose history is still to be handed over
- * @claims: records of non-idempotent requests
- * @pins: flows with a pinned target
+ * struct entry_gauges - current sizes of an entry's tables
+ * @requests_active: requests that are not answered yet
+ * @feeds_held: open feeds that this entry serves
+ * @handover_due: buckets whose claim history has yet to be handed over, plus
+ *	messages that await an acknowledgement
+ * @claims: claim records of non-idempotent requests
+ * @pins: flows pinned to a target
  */
 struct entry_gauges {
 	uint32_t requests_active;
@@ -261,13 +289,16 @@
 };
 
 /**
- * struct answer_stats - what callers of one class of one client account were
- *	told; repeats of an answer are not counted again
- * @answered: got a target's answer
- * @not_run: refused, known not to have run, by enum refusal
- * @unknown: may have run, by enum refusal; REFUSE_NONE when no refusal led to
- *	it: no answer in time, or no grant
- * @answer_us: from arrival to the target's answer, microseconds
+ * struct answer_stats - answers to callers of one class of one client account
+ * @answered: answers of targets that were relayed
+ * @not_run: refusals of requests known not to have been executed, by enum
+ *	refusal
+ * @unknown: answers "outcome unknown", by enum refusal; REFUSE_NONE when no
+ *	refusal led to it, for example no answer or no grant in time
+ * @answer_us: time from a request's arrival to the target's answer,
+ *	microseconds
+ *
+ * Answers to retransmissions are not counted again.
  */
 struct answer_stats {
 	uint64_t answered;
--- a/core/request/entry_membership.c
+++ b/core/request/entry_membership.c
@@ -1,17 +1,17 @@
 /*
- * Whether this entry may act: joined, with a majority, with its lease, not just
- * back from a pause.
+ * This entry's part in the membership: whether it has joined, has a majority,
+ * holds its lease, and has not just resumed after a pause.
  */
 #include "entry_state.h"
 
 #define VMS_MAX 1024
 
 /*
- * What a process that was paused finds in its sockets is as old as its view:
- * repeats of requests that others have answered since, blocks of transfers
- * that went on without it. Callers repeat what matters; so all of it is
- * dropped until peers have answered again. Noticed on any event, since a loop
- * may hand over datagrams before it runs timers.
+ * After a pause the datagrams in the sockets are as old as the process's view:
+ * retransmissions of requests that others have answered since, blocks of
+ * transfers that continued elsewhere. Callers retransmit what is still needed,
+ * so all of them are dropped until peers have answered again. Checked on every
+ * event, since an event loop may deliver datagrams before it runs timers.
  */
 void entry_check_pause(struct entry *e)
 {
@@ -46,9 +46,10 @@
 }
 
 /*
- * Own nothing before the fleet is known: a majority of the list has answered,
- * and news had a settle time to arrive. An entry that finds no majority joins
- * all the same after a while, so that a data centre cut off goes on serving.
+ * An entry owns no buckets before it knows the others: a majority of the roster
+ * has answered, and gossip had a settle time to arrive. Without a majority it
+ * joins nevertheless after JOIN_WAIT_NS, so that a data centre that is cut off
+ * keeps serving.
  */
 static void join_if_ready(struct entry *e)
 {
@@ -69,7 +70,10 @@
 	member_join(e->members, e->now_ns);
 }
 
-/* entry_update_ring() - let the ring follow the membership. */
+/*
+ * entry_update_ring() - join if it is time to, and update the ring to the
+ * membership view.
+ */
 void entry_update_ring(struct entry *e)
 {
 	uint64_t view;
@@ -90,10 +94,10 @@
 }
 
 /*
- * Without a majority for as long as it takes to be declared dead, this entry's
- * buckets may have been claimed for by the other side of a partition. When the
- * majority comes over, say because VMs of that side are replaced, it may not
- * answer "never seen" for them.
+ * If this entry had no majority for as long as it takes to be declared dead,
+ * the other side of a partition may have claimed requests of its buckets. When
+ * it has a majority again, for example because VMs of the other side are
+ * replaced, its record of those buckets is not complete.
  */
 static void check_majority(struct entry *e)
 {
@@ -110,9 +114,9 @@
 }
 
 /*
- * A process that was paused and declared dead was replaced in its pairs. It
- * would answer "never seen" about claims made without it, so it no longer
- * counts as one that knows its buckets' history.
+ * An entry that was paused and declared dead was replaced in its pairs. Claims
+ * may have been made without it, so it no longer counts as one that knows its
+ * buckets' complete history.
  */
 void entry_check_lease(struct entry *e)
 {
--- a/core/request/entry_query.c
+++ b/core/request/entry_query.c
@@ -1,13 +1,13 @@
-/* What operators may ask of an entry. */
+/* State of an entry for operators and metrics. */
 #include "entry_state.h"
 
 /**
- * entry_ready() - whether it serves all that it owns
+ * entry_ready() - whether the entry can serve all buckets that it holds
  * @e: entry
  * @now_ns: time
  *
- * Return: true with a configuration, a majority, and a known history of each
- * bucket that it holds.
+ * Return: true with a configuration, a majority, and a complete claim history
+ * of each bucket in whose pair it is.
  */
 bool entry_ready(const struct entry *e, uint64_t now_ns)
 {
@@ -28,7 +28,7 @@
 	return true;
 }
 
-/* entry_load_report() - a target's own word on its load, polled for. */
+/* entry_load_report() - record a load report that was polled from a target. */
 void entry_load_report(struct entry *e, uint64_t target,
 		       const struct load_report *report, uint64_t now_ns)
 {
@@ -48,11 +48,11 @@
 }
 
 /**
- * entry_explain() - what this entry would decide for a flow
+ * entry_explain() - how this entry would route a flow
  * @e: entry
  * @key: flow
  *
- * Return: the decision and what it rests on.
+ * Return: the route and what it is based on.
  */
 struct entry_explanation entry_explain(const struct entry *e,
 				       const struct flow_key *key)
@@ -94,14 +94,14 @@
 }
 
 /**
- * entry_answer_stats_next() - walk over what callers of each account and class were told
+ * entry_answer_stats_next() - iterate over answers by account and class
  * @e: entry
- * @cursor: 0 at first, moved on by each call
- * @account: name, good until the next entry_config()
- * @class: enum service_class
- * @stats: counters, good until the next entry_config()
+ * @cursor: 0 for the first call, advanced by each
+ * @account: set to the account's name, valid until the next entry_config()
+ * @class: set to the enum service_class
+ * @stats: set to the counters, valid until the next entry_config()
  *
- * Return: false at the end.
+ * Return: false at the end; the outputs are unchanged then.
  */
 bool entry_answer_stats_next(const struct entry *e, uint32_t *cursor,
 			     const char **account, uint8_t *class,
--- a/core/request/entry_state.h
+++ b/core/request/entry_state.h
@@ -1,4 +1,4 @@
-/* What the modules of the data path share; private to core/. */
+/* State shared by the modules of the data path; private to core/. */
 #ifndef CB_ENTRY_STATE_H
 #define CB_ENTRY_STATE_H
 
@@ -11,7 +11,7 @@
 
 #define SLOT_NONE UINT32_MAX
 #define HOPS_MAX 2
-/* Of a datagram that its receiver may not forward again. */
+/* Hop count of a datagram that its receiver may not forward again. */
 #define LAST_HOP (HOPS_MAX - 1)
 #define FEED_REQUEST_MAX_BYTES 128
 #define RENEWING_MAX 256
@@ -20,51 +20,52 @@
 #define ACTIONS_RESERVE 16
 
 /**
- * enum request_state - where a request stands
- * @REQ_FREE: slot not in use
- * @REQ_CLAIMING: non-idempotent, waits for the second's grant
+ * enum request_state - state of a request
+ * @REQ_FREE: slot is not in use
+ * @REQ_CLAIMING: non-idempotent, waits for the grants of the bucket's pair
  * @REQ_QUEUED: waits for a target
- * @REQ_SENT: at a target
- * @REQ_ENDED: answered; kept to replay the answer to a repeat
+ * @REQ_SENT: sent to a target
+ * @REQ_ENDED: answered; kept to replay the answer to a retransmission
  */
 enum request_state { REQ_FREE, REQ_CLAIMING, REQ_QUEUED, REQ_SENT, REQ_ENDED };
 
 /**
- * struct request - one request at its owner
+ * struct request - request at the entry that owns its flow
  * @key: flow
- * @identity: hash of flow and message ID, to know a repeat
- * @claim_id: hash with the token too, the claim's name
+ * @identity: hash of flow and message ID, detects retransmissions
+ * @claim_id: hash of @identity and the token, identifies the request's claim
  * @bucket: bucket of the flow
- * @target: target it was sent to
- * @avoid_target: target that shed or failed it
- * @arrived_ns: when it came
- * @sent_ns: when it last went to a target
- * @deadline_ns: when it is given up
- * @repeat_deadline_ns: when to repeat it to the target, or the claim
- * @feed: feed it opens, renews or moves; SLOT_NONE for a plain request
- * @next: list of ended or free slots
- * @prev: list of ended slots
- * @generation: of the slot, part of the token towards the target
+ * @target: target that the request was sent to last
+ * @avoid_target: target that shed or failed the request, not chosen for a retry
+ * @arrived_ns: time of arrival
+ * @sent_ns: time at which the present target was chosen
+ * @deadline_ns: time at which the request is given up
+ * @repeat_deadline_ns: time of the next retransmission to the target
+ * @feed: slot of the feed that it opens, renews or moves; SLOT_NONE for others
+ * @next: next slot of the list of ended or of free requests
+ * @prev: previous slot of the list of ended requests
+ * @generation: uses of the slot, part of the token towards the target
  * @state: enum request_state
  * @flags: enum message_flags of the request
  * @id: caller's message ID
  * @target_msg_id: message ID towards the target
- * @token_len: caller's token
+ * @token_len: length of @token in bytes
  * @token: caller's token
- * @sends: sends to the present target
- * @targets_tried: targets tried
- * @internal: made here to renew or move a feed; no caller waits
- * @acked: target acknowledged it
- * @counted: counted in the balancer
- * @may_have_run: a target may have run it
- * @carrier_lost: block of a transfer that nobody can go on with
- * @granter_knows_history: one of its granters knows the bucket's history
- * @granted_by: entries that granted its claim
- * @answer: when ended: enum local_answer, or ANSWER_RELAYED
+ * @sends: transmissions to the present target
+ * @targets_tried: targets that it was sent to
+ * @internal: made by this entry to renew or move a feed; no caller waits for it
+ * @acked: the target has acknowledged it
+ * @counted: the balancer counts it at @target
+ * @may_have_run: a target may have executed it
+ * @carrier_lost: block of a transfer that no entry can continue
+ * @granter_knows_history: an entry that granted its claim knows the bucket's
+ *	complete claim history
+ * @granted_by: entries that granted its claim: the owner, the second
+ * @answer: state REQ_ENDED: enum local_answer, or ANSWER_RELAYED
  * @reason: enum refusal
- * @retry_after_s: told to the caller
- * @size_bytes: of @data
- * @data: the request; once ended, the answer
+ * @retry_after_s: time after which the caller may retry
+ * @size_bytes: size of @data
+ * @data: the request; in state REQ_ENDED the target's answer
  */
 struct request {
 	struct flow_key key;
@@ -106,10 +107,11 @@
 #define ANSWER_RELAYED 0xff
 
 /**
- * enum forward_purpose - what a forwarded datagram asks, in its field seq
- * @FORWARD_TO_OWNER: act as the owner of its flow
- * @FORWARD_TO_CLAIMER: answer as the claimer of this request; run nothing
- * @FORWARD_TO_CARRIER: go on as the entry that began this transfer
+ * enum forward_purpose - why a datagram is forwarded, in seq of PEER_FORWARD
+ * @FORWARD_TO_OWNER: the receiver owns the flow
+ * @FORWARD_TO_CLAIMER: the receiver claimed this request: it replays the answer
+ *	and executes nothing
+ * @FORWARD_TO_CARRIER: the receiver carries the transfer of this block
  */
 enum forward_purpose {
 	FORWARD_TO_OWNER,
@@ -118,12 +120,13 @@
 };
 
 /**
- * enum feed_state - where a feed stands
- * @FEED_FREE: slot not in use
- * @FEED_COPY: second copy of another entry's feed
- * @FEED_OPENING: first request is under way
- * @FEED_OPEN: updates flow through here
- * @FEED_RENEWING: asked the target again, after silence or a takeover
+ * enum feed_state - state of a feed
+ * @FEED_FREE: slot is not in use
+ * @FEED_COPY: second copy of a feed that another entry serves
+ * @FEED_OPENING: the request that opens it is not answered yet
+ * @FEED_OPEN: open; this entry relays its updates
+ * @FEED_RENEWING: requested from a target again after silence, a takeover or
+ *	the end of its target
  */
 enum feed_state {
 	FEED_FREE,
@@ -134,33 +137,36 @@
 };
 
 /**
- * struct feed - one feed, or the second copy of one
+ * struct feed - feed, or second copy of one
  * @key: flow
  * @identity: hash of flow and token
- * @target: target that holds it
- * @last_update_ns: last update
- * @copy_deadline_ns: when to send the second copy (again)
- * @handover_deadline_ns: when to ask the new owner (again) to take it over; of a
- *	copy: when to adopt it, or drop it, though its server lives
- * @renewals: failed since its target last answered
- * @handover_from: entry that waits to hear that we took it over
- * @served_by: of a copy: entry that serves the feed
- * @generation: of the slot, part of the token towards the target
+ * @target: target that serves it
+ * @last_update_ns: time of the last update
+ * @copy_deadline_ns: time to send the second copy, first or again
+ * @handover_deadline_ns: served feed: time to ask the new owner, first or
+ *	again, to take it over; second copy: time to take it over or drop it,
+ *	even if the entry that serves it is alive
+ * @unacked_since_ns: time of the oldest confirmable update since the caller's
+ *	last acknowledgement; 0: none
+ * @renewals: failed renewals since a target last accepted it
+ * @handover_from: entry that awaits the confirmation of the takeover, or
+ *	ADDR_NONE
+ * @served_by: second copy: entry that serves the feed
+ * @generation: uses of the slot, part of the token towards the target
  * @bucket: bucket of the flow
- * @next: list of its bucket
- * @prev: list of its bucket
- * @request: request slot under way, or SLOT_NONE
+ * @next: next slot of the list of the bucket, or of free feeds
+ * @prev: previous slot of the list of the bucket
+ * @request: slot of its pending request, or SLOT_NONE
  * @state: enum feed_state
- * @counted: the balancer counts its connection
- * @token_len: caller's token
+ * @counted: the balancer counts its connection at @target
+ * @token_len: length of @token in bytes
  * @token: caller's token
  * @caller_msg_id: message ID of the last update to the caller
  * @target_msg_id: message ID of the same update from the target
  * @has_target_msg_id: @target_msg_id is valid
- * @unacked_since_ns: oldest confirmable update since the caller's last
- *	acknowledgement, 0 when there is none
- * @size_bytes: of @opening
- * @opening: request that opened it, to open it again
+ * @size_bytes: size of @opening; 0 when the opening request is too large to
+ *	keep
+ * @opening: request that opened the feed, kept to renew it
  */
 struct feed {
 	struct flow_key key;
@@ -191,9 +197,70 @@
 
 struct stream;
 
-/* Message IDs in use towards one target; see message_id.c. */
+/* Message IDs in use towards one target, see message_id.c. */
 struct msg_id_space;
 
+/**
+ * struct entry - state of one entry's data path
+ * @conf: settings
+ * @now_ns: time of the current call
+ * @rng: random numbers
+ * @out: actions of the current call
+ * @members: membership
+ * @ring: buckets and their pairs
+ * @balancer: choice of targets, queues and limits
+ * @stats: answers by client account and class
+ * @pins: targets of flows with a transfer under way
+ * @claims: claim records
+ * @timers: a timer per request slot, then one per feed slot
+ * @services: index of @service_list by VIP
+ * @config: configuration in force, not owned; NULL before the first
+ * @service_list: services in force
+ * @n_services: number of @service_list
+ * @requests: requests_max slots
+ * @free_request: head of the list of free slots, or SLOT_NONE
+ * @ended_first: oldest ended request, or SLOT_NONE
+ * @ended_last: newest ended request, or SLOT_NONE
+ * @n_active: slots in use and not ended
+ * @by_identity: index of @requests by identity
+ * @by_target_msg_id: index of @requests by target and message ID
+ * @feeds: feeds_max slots
+ * @free_feed: head of the list of free slots, or SLOT_NONE
+ * @feed_slots_used: slots from here on have never been used
+ * @n_feeds_held: feeds in FEED_OPEN or FEED_RENEWING
+ * @n_feeds_renewing: feeds in FEED_RENEWING
+ * @feed_heads: first feed of each bucket, or SLOT_NONE
+ * @sweep_next: next feed slot of the sweep for feeds to move
+ * @sweeping: a sweep is under way
+ * @sweep_deadline_ns: start of the next sweep, or DEADLINE_NEVER
+ * @targets_up_digest: digest of the targets in TARGET_UP
+ * @owner_since_ns: by bucket: time at which this entry became its owner
+ * @previous_owner: by bucket: owner before this entry, or ADDR_NONE
+ * @feed_by_identity: index of @feeds by identity
+ * @feed_by_caller_msg_id: index of @feeds by flow and caller's message ID
+ * @streams: transfers of claim history to other entries
+ * @streams_open: streams that have a receiver
+ * @known_at_leave: bit set of buckets whose history was complete when the entry
+ *	began to leave
+ * @refused_buckets: scratch space for the acknowledgement of a history message
+ * @peer_budget_bytes: bytes left in the budget for messages to peers
+ * @peer_budget_refilled_ns: time of the budget's last refill
+ * @msg_ids: message IDs by target
+ * @view: number of the membership view that @ring follows
+ * @deaths: deaths in the membership that were acted on
+ * @minority_since_ns: time since which there is no majority, or DEADLINE_NEVER
+ * @roster_known: the platform's list of VMs has arrived
+ * @joined: this entry takes part in the ring
+ * @leaving: a planned stop has begun
+ * @lease_lapsed: the lease was invalid at the last check
+ * @stale: the process was paused; datagrams are dropped until the lease holds
+ * @ticked_ns: time of the last entry_tick()
+ * @join_deadline_ns: time to join when a majority is known
+ * @join_latest_ns: time to join even without a majority
+ * @leave_deadline_ns: latest end of a planned stop
+ * @linger_deadline_ns: earliest end of a planned stop, for late answers
+ * @counters: counters
+ */
 struct entry {
 	struct entry_conf conf;
 	uint64_t now_ns;
@@ -221,7 +288,7 @@
 
 	struct feed *feeds;
 	uint32_t free_feed;
-	uint32_t feed_slots_used; /* none beyond was ever taken */
+	uint32_t feed_slots_used;
 	uint32_t n_feeds_held;
 	uint32_t n_feeds_renewing;
 	uint32_t *feed_heads;
--- a/core/request/feed.c
+++ b/core/request/feed.c
@@ -1,11 +1,18 @@
-/* Feeds that this entry serves: opening, updates, acknowledgements, ending. */
+/*
+ * Feeds that this entry serves: open, relay updates and acknowledgements, end.
+ */
 #include "entry_state.h"
 
 #include <errno.h>
 #include <stdlib.h>
 #include <string.h>
 
-/* feeds_init() - room for feeds_max feeds and second copies, all of it now. */
+/**
+ * feeds_init() - allocate the slots of all feeds and second copies
+ * @e: entry
+ *
+ * Return: 0, or -ENOMEM.
+ */
 int feeds_init(struct entry *e)
 {
 	uint32_t n = e->conf.feeds_max;
@@ -56,7 +63,7 @@
 }
 
 /**
- * feed_find() - feed of a caller, by its token
+ * feed_find() - feed of a flow by the caller's token
  * @e: entry
  * @key: flow
  * @token: caller's token
@@ -81,9 +88,10 @@
 }
 
 /*
- * A caller drops an update whose message ID it saw within the last 247 s, and
- * the feed looks still. IDs of one flow come from one range, so feeds of the
- * same flow start a quarter of it apart.
+ * A caller discards an update whose message ID it received within the last 247
+ * s (EXCHANGE_LIFETIME in RFC 7252), and the feed appears to stall. The IDs of
+ * one flow share one range, so feeds of the same flow start a quarter of the
+ * range apart.
  */
 static uint16_t first_caller_msg_id(struct entry *e, const struct feed *f)
 {
@@ -100,13 +108,13 @@
 }
 
 /**
- * feed_new() - take a slot for a feed
+ * feed_new() - allocate a slot for a feed
  * @e: entry
  * @key: flow
  * @token: caller's token
  * @token_len: its length in bytes
  *
- * Return: feed in FEED_OPENING, or NULL when all slots are taken.
+ * Return: feed in FEED_OPENING, or NULL when all slots are in use.
  */
 struct feed *feed_new(struct entry *e, const struct flow_key *key,
 		      const uint8_t *token, uint8_t token_len)
@@ -149,7 +157,7 @@
 	return state == FEED_OPEN || state == FEED_RENEWING;
 }
 
-/* feed_state_set() - change the state and the counts that hang on it. */
+/* feed_state_set() - set the state and update the counts that depend on it. */
 void feed_state_set(struct entry *e, struct feed *f, uint8_t state)
 {
 	e->n_feeds_held += state_is_serving(state) - state_is_serving(f->state);
@@ -167,9 +175,9 @@
 }
 
 /**
- * feed_drop() - forget a feed or second copy
+ * feed_drop() - free the slot of a feed or second copy
  * @e: entry
- * @f: feed
+ * @f: feed; neither the target nor the second is notified
  */
 void feed_drop(struct entry *e, struct feed *f)
 {
@@ -193,7 +201,7 @@
 	e->free_feed = slot;
 }
 
-/* feed_cancel_at() - tell a target that a feed is no longer wanted there. */
+/* feed_cancel_at() - cancel a feed at a target. */
 void feed_cancel_at(struct entry *e, const struct feed *f, uint64_t target)
 {
 	struct action *a;
@@ -214,10 +222,10 @@
 }
 
 /**
- * feed_end() - a feed ends: the caller wants no more, or is gone
+ * feed_end() - end a feed that the caller closed or no longer acknowledges
  * @e: entry
- * @f: feed
- * @cancel: tell the target
+ * @f: feed; its slot is free afterwards
+ * @cancel: cancel the feed at its target
  */
 void feed_end(struct entry *e, struct feed *f, bool cancel)
 {
@@ -239,7 +247,7 @@
 }
 
 /**
- * feed_timer_set() - arm the next of a feed's deadlines
+ * feed_timer_set() - set a feed's timer to the earliest of its deadlines
  * @e: entry
  * @f: feed
  */
@@ -255,10 +263,10 @@
 }
 
 /**
- * feed_opened() - a target accepted a feed, for the first time or again
+ * feed_opened() - handle a target's acceptance of a feed, first or again
  * @e: entry
  * @f: feed
- * @target: target
+ * @target: target that accepted it
  */
 void feed_opened(struct entry *e, struct feed *f, uint64_t target)
 {
@@ -278,7 +286,9 @@
 	f->last_update_ns = e->now_ns;
 	if (first)
 		e->counters.feeds_opened++;
-	/* With the answer, not after it: an owner may die in between. */
+	/*
+	 * Sent along with the answer, not later: this entry may die in between.
+	 */
 	if (first || moved)
 		feed_copy_send(e, f);
 	if (f->handover_from != ADDR_NONE)
@@ -290,7 +300,7 @@
 		moves_schedule(e);
 }
 
-/* feed_open_refused() - the request that was to open a feed did not. */
+/* feed_open_refused() - handle the failure of a request to open a feed. */
 void feed_open_refused(struct entry *e, struct feed *f, struct request *r)
 {
 	f->request = SLOT_NONE;
@@ -319,11 +329,12 @@
 }
 
 /**
- * feed_update() - pass an update on to the caller
+ * feed_update() - relay an update to the caller
  * @e: entry
  * @f: feed
  * @target: sender
- * @msg: update; one without the feed's mark says that the target ended it
+ * @msg: update; without MESSAGE_FEED_OPEN it says that the target ended the
+ *	feed
  */
 void feed_update(struct entry *e, struct feed *f, uint64_t target,
 		 const struct message *msg)
@@ -366,12 +377,12 @@
 }
 
 /**
- * feed_acked_by_caller() - pass a caller's acknowledgement on to the target
+ * feed_acked_by_caller() - relay a caller's acknowledgement to the target
  * @e: entry
  * @key: flow
  * @id: message ID of the update
  *
- * Return: false when no feed here has sent it.
+ * Return: false when no feed of this entry sent the update.
  */
 bool feed_acked_by_caller(struct entry *e, const struct flow_key *key,
 			  uint16_t id)
@@ -385,7 +396,14 @@
 	return true;
 }
 
-/* feed_reset_by_caller() - the caller knows nothing of an update: end. */
+/**
+ * feed_reset_by_caller() - end a feed whose update the caller rejected
+ * @e: entry
+ * @key: flow
+ * @id: message ID of the update
+ *
+ * Return: false when no feed of this entry sent the update.
+ */
 bool feed_reset_by_caller(struct entry *e, const struct flow_key *key,
 			  uint16_t id)
 {
--- a/core/request/feed_copy.c
+++ b/core/request/feed_copy.c
@@ -1,8 +1,8 @@
 /*
- * Second copies of feeds and their way from owner to owner. A copy lets the
- * second go on with a feed when its owner dies; a planned change hands each
- * feed over and lets go of it only when the new owner says that the target
- * took it.
+ * Second copies of feeds, and the handover of feeds between entries. With its
+ * copy the second continues a feed when the owner dies. On a planned change the
+ * old owner hands each feed over, and ends it only when the new owner confirms
+ * that the target accepted it there.
  */
 #include "entry_state.h"
 
@@ -17,7 +17,7 @@
 #define TAKE_OVER_PACE_NS (20 * NS_PER_MS)
 #define COPY_OVERHEAD_BYTES 96
 
-/* What a PEER_FEED asks, in its field hops. */
+/* Purpose of a PEER_FEED, in its field hops. */
 enum copy_purpose { COPY_STORE, COPY_TAKE_OVER };
 
 static bool is_in_pair(const struct entry *e, struct ring_pair pair)
@@ -60,7 +60,7 @@
 /**
  * feed_copy_send() - send the second its copy of a feed
  * @e: entry
- * @f: feed; sent again until the second says that it has it
+ * @f: feed; its timer sends the copy again until the second confirms it
  */
 void feed_copy_send(struct entry *e, struct feed *f)
 {
@@ -79,7 +79,7 @@
 	send_copy(e, f, pair.second, COPY_STORE, f->caller_msg_id);
 }
 
-/* feed_copy_send_close() - tell the second that a feed ended. */
+/* feed_copy_send_close() - notify the second that a feed ended. */
 void feed_copy_send_close(struct entry *e, struct feed *f)
 {
 	struct ring_pair pair = ring_at(e->ring, f->bucket);
@@ -93,7 +93,7 @@
 	memcpy(m->token, f->token, f->token_len);
 }
 
-/* feed_copy_close_received() - a feed's owner says that it ended. */
+/* feed_copy_close_received() - PEER_FEED_CLOSE: drop the second copy. */
 void feed_copy_close_received(struct entry *e, const struct peer_msg *msg)
 {
 	struct feed *f = feed_find(e, &msg->key, msg->token, msg->token_len);
@@ -103,9 +103,9 @@
 }
 
 /**
- * feed_hand_over() - purpose the new owner to take a feed over
+ * feed_hand_over() - ask the new owner to take a feed over
  * @e: entry
- * @f: feed served here though another entry owns its bucket now
+ * @f: feed that is served here although another entry owns its bucket
  */
 void feed_hand_over(struct entry *e, struct feed *f)
 {
@@ -120,7 +120,9 @@
 	send_copy(e, f, pair.owner, COPY_TAKE_OVER, f->caller_msg_id);
 }
 
-/* feed_confirm_takeover() - tell the entry that handed a feed over: it is served. */
+/*
+ * feed_confirm_takeover() - confirm a takeover to the entry that handed over.
+ */
 void feed_confirm_takeover(struct entry *e, struct feed *f)
 {
 	feed_message(e, f, f->handover_from, COPY_TAKE_OVER);
@@ -129,8 +131,9 @@
 }
 
 /*
- * Message IDs that the last server may have used since it told its own: few
- * when it handed the feed over now, many when it died with an old copy here.
+ * Number of message IDs that the previous server may have used since it sent
+ * the copy: few when it has just handed the feed over, many when it died and
+ * the copy is old.
  */
 static uint16_t msg_id_gap(const struct entry *e, const struct feed *f)
 {
@@ -139,8 +142,9 @@
 }
 
 /*
- * A dead entry leaves all its feeds at once; they are asked for again a few at
- * a time, so that the targets are not swamped.
+ * Renews a feed from its copy. A dead entry leaves all its feeds at once; only
+ * a limited number is renewed at a time, so that the targets are not
+ * overloaded.
  */
 static void take_over(struct entry *e, struct feed *f)
 {
@@ -159,14 +163,14 @@
 }
 
 /**
- * feed_copy_timer() - see to a copy whose bucket has changed hands
+ * feed_copy_timer() - handle an expired deadline of a second copy
  * @e: entry
  * @f: second copy
  *
- * The entry that serves the feed hands it over itself, without a gap, unless
- * it dies first. A third entry may have become the owner meanwhile, without a
- * copy, and this one may be out of the pair: whoever holds the copy of a feed
- * whose server is dead brings it to the owner.
+ * The entry that serves the feed hands it over itself, without a gap, unless it
+ * dies first. Meanwhile a third entry without a copy may have become the owner,
+ * and this entry may be out of the pair: each entry that holds a copy of a feed
+ * whose server is dead sends it to the owner.
  */
 void feed_copy_timer(struct entry *e, struct feed *f)
 {
@@ -193,7 +197,10 @@
 	}
 }
 
-/* The new owner serves it: let go here, keep the copy if we are the second. */
+/*
+ * Ends a feed that the new owner serves now; keeps a copy if this entry is its
+ * second.
+ */
 static void release_feed(struct entry *e, struct feed *f)
 {
 	struct ring_pair pair = ring_at(e->ring, f->bucket);
@@ -214,7 +221,10 @@
 	memcpy(copy->opening, released.opening, released.size_bytes);
 }
 
-/* The owner has it now: it will send the copy that its second is to keep. */
+/*
+ * The owner serves the feed now, and will send the copy that its second has to
+ * keep.
+ */
 static void handle_copy_taken_over(struct entry *e, struct feed *f,
 				   const struct peer_msg *msg)
 {
@@ -264,16 +274,18 @@
 		f->handover_from = msg->from;
 		feed_confirm_takeover(e, f);
 	}
-	/* Its owner has it open already, and counts on us for the copy. */
+	/*
+	 * The owner has opened the feed already and expects its second to keep
+	 * the copy.
+	 */
 	if (msg->hops == COPY_STORE && owner == msg->from)
 		release_feed(e, f);
 }
 
 /**
- * feed_copy_received() - PEER_FEED: a copy to keep, a feed to take over, or,
- *	without data, the answer to one of these
+ * feed_copy_received() - PEER_FEED: second copy, handover or confirmation
  * @e: entry
- * @msg: message
+ * @msg: message; without data it confirms an earlier one
  */
 void feed_copy_received(struct entry *e, const struct peer_msg *msg)
 {
@@ -325,7 +337,7 @@
 	feed_timer_set(e, f);
 }
 
-/* feeds_pair_changed() - a bucket has another owner or second. */
+/* feeds_pair_changed() - handle a change of a bucket's owner or second. */
 void feeds_pair_changed(struct entry *e, uint32_t bucket,
 			struct ring_pair before, struct ring_pair after)
 {
--- a/core/request/feed_move.c
+++ b/core/request/feed_move.c
@@ -1,19 +1,19 @@
 /*
- * Feeds on targets that drain: moved while the target still serves them. A
- * draining target stops one day, and a feed that waited for that would be
- * still until its silence is noticed.
+ * Moves feeds away from draining targets while these still serve them. A
+ * draining target eventually stops; a feed that stayed until then would deliver
+ * nothing until its silence is detected.
  */
 #include "entry_state.h"
 
 /*
- * All of 2^18 slots in 0.7 s: a change that comes while a sweep is under way
- * waits for its end, and the draining target may have gone by then.
+ * Covers 2^18 slots in 0.7 s. A change that comes during a sweep waits for its
+ * end, and the draining target must not be gone by then.
  */
 #define SWEEP_BUDGET 8192
 #define SWEEP_PACE_NS (20 * NS_PER_MS)
 #define SWEEP_AGAIN_NS (2 * NS_PER_S)
 
-/* target_is_leaving() - whether a service's target drains or was withdrawn. */
+/* target_is_leaving() - whether a target drains or was withdrawn. */
 bool target_is_leaving(const struct entry *e, uint64_t vip, uint64_t target)
 {
 	const struct service_conf *s = service_find(e, vip);
@@ -37,7 +37,7 @@
 }
 
 /**
- * moves_check_config() - look for feeds to move when a target drains or goes
+ * moves_check_config() - schedule a sweep if the targets in service changed
  * @e: entry, with its new configuration in force
  */
 void moves_check_config(struct entry *e)
@@ -51,7 +51,7 @@
 	e->targets_up_digest = digest;
 }
 
-/* moves_schedule() - a feed is on a draining target; look at it in a while. */
+/* moves_schedule() - schedule a sweep for a feed on a draining target. */
 void moves_schedule(struct entry *e)
 {
 	if (e->sweep_deadline_ns == DEADLINE_NEVER)
@@ -74,10 +74,10 @@
 }
 
 /**
- * moves_tick() - move some of the feeds that are on draining targets
+ * moves_tick() - move a limited number of feeds off draining targets
  * @e: entry
  *
- * The old target goes on with a feed until the new one has accepted it.
+ * The old target serves a feed until the new one has accepted it.
  */
 void moves_tick(struct entry *e)
 {
--- a/core/request/feed_renew.c
+++ b/core/request/feed_renew.c
@@ -1,12 +1,12 @@
 /*
- * Feeds that went silent, were taken over or lost their target: asked for
- * again, at the same target or another.
+ * Renews feeds that fell silent, were taken over or lost their target: requests
+ * them again from the same target or from another.
  */
 #include "entry_state.h"
 
 #include <string.h>
 
-/* Longer than a target repeats an update that nobody acknowledges. */
+/* Longer than a target retransmits an update that nobody acknowledges. */
 #define CALLER_GONE_NS (100 * NS_PER_S)
 #define RENEW_TIMEOUT_NS (800 * NS_PER_MS)
 #define RENEW_TARGETS_MAX 3
@@ -14,9 +14,10 @@
 #define RENEWALS_MAX 12
 
 /**
- * feed_keep_target() - no other target took a feed off a draining one: it stays
+ * feed_keep_target() - keep a feed at its draining target
  * @e: entry
- * @f: feed; its target still serves it, and the next sweep tries again
+ * @f: feed that no other target accepted; its target still serves it, and the
+ *	next sweep tries again
  */
 void feed_keep_target(struct entry *e, struct feed *f)
 {
@@ -25,9 +26,15 @@
 	moves_schedule(e);
 }
 
-/*
- * feed_ended_by_target() - a target that stops ends its feeds with an error. Another may serve them; the
- * caller hears of it only if none does.
+/**
+ * feed_ended_by_target() - renew a feed that its target ended
+ * @e: entry
+ * @f: feed
+ * @target: sender
+ * @msg: last update
+ *
+ * A target that stops ends its feeds with an error. Another target may serve
+ * them; the caller is notified only if none does.
  */
 void feed_ended_by_target(struct entry *e, struct feed *f, uint64_t target,
 			  const struct message *msg)
@@ -70,14 +77,14 @@
 }
 
 /**
- * feed_renew() - open a feed again towards a target, without the caller
+ * feed_renew() - request a feed again from a target, without the caller
  * @e: entry
- * @f: feed; silent for too long, or just taken over
- * @avoid: target that failed it, or ADDR_NONE to ask the one it has
+ * @f: feed that is silent, was taken over or has to move
+ * @avoid: target not to choose, or ADDR_NONE to ask the feed's present target
  *
- * A target, or something on the way to it, that lost track of a feed shows
- * nothing but silence while new feeds work. Asking again with the same token
- * is idempotent, and either proves the feed or mends it.
+ * If a target, or a device on the path to it, has lost its state of a feed, the
+ * only sign is silence, while new feeds work. Requesting it again with the same
+ * token is idempotent; it either confirms the feed or restores it.
  */
 void feed_renew(struct entry *e, struct feed *f, uint64_t avoid)
 {
@@ -105,7 +112,10 @@
 	request_submit(e, r);
 }
 
-/* Targets are busy for now, say because many feeds move at once. */
+/*
+ * Retries soon: targets are busy for now, for example because many feeds move
+ * at once.
+ */
 static void schedule_renewal(struct entry *e, struct feed *f)
 {
 	feed_state_set(e, f, FEED_OPEN);
@@ -115,10 +125,10 @@
 }
 
 /**
- * feed_renew_failed() - a target did not take a feed again: try another
+ * feed_renew_failed() - handle a renewal that a target did not accept
  * @e: entry
- * @f: feed
- * @r: the renewal, which ends here
+ * @f: feed; tried at another target, kept at its draining one, or ended
+ * @r: request of the renewal; freed here
  */
 void feed_renew_failed(struct entry *e, struct feed *f, struct request *r)
 {
@@ -157,9 +167,9 @@
 }
 
 /*
- * The target gives up on a caller that acknowledges nothing, and is silent from
- * then on. Renewed for ever, the feed of a caller that is gone would hold its
- * connection for ever.
+ * A target stops sending updates to a caller that acknowledges none. Renewing
+ * the feed again and again would hold the connection of a caller that is gone
+ * forever.
  */
 static bool caller_is_gone(const struct entry *e, const struct feed *f)
 {
@@ -167,7 +177,7 @@
 	       e->now_ns >= f->unacked_since_ns + CALLER_GONE_NS;
 }
 
-/* feed_timer() - a deadline of a feed has come. */
+/* feed_timer() - handle an expired deadline of a feed. */
 void feed_timer(struct entry *e, struct feed *f)
 {
 	if (f->state == FEED_FREE)
--- a/core/request/flow.c
+++ b/core/request/flow.c
@@ -1,8 +1,8 @@
 /*
- * Open addressing with linear probing. One byte of the hash a slot stands in
- * an array of its own, so that a miss, the usual case, reads tags only.
- * Deletion moves later flows of the run back instead of leaving tombstones;
- * no other call moves a flow.
+ * Open addressing with linear probing. One byte of each slot's hash is kept in
+ * an array of its own, so that a miss, the usual case, reads these tags only.
+ * Deletion moves later flows of the run back instead of leaving tombstones; no
+ * other call moves a flow.
  */
 #include "flow.h"
 
@@ -16,22 +16,27 @@
 #define TAG_EMPTY 0
 #define TAG_BITS 8
 
-/* Tags are searched eight at a time. */
+/* Tags are compared eight at a time, in one 64-bit word. */
 #define TAGS_PER_WORD 8
 #define TAGS_LOW 0x0101010101010101ULL
 #define TAGS_HIGH 0x8080808080808080ULL
 
-/* Slots a flow may stand from its home: bounds the cost of every call. */
+/*
+ * Longest distance of a flow from its home slot: bounds the cost of every call.
+ */
 #define PROBE_DISTANCE_MAX 1024
 
-/* Slots a flow: 5/4, so the table is never more than 80 % full. */
+/* Slots per flow: 5/4, so that the table is at most 80 % full. */
 #define SLOTS_NUMERATOR 5
 #define SLOTS_DENOMINATOR 4
 
-/* A deadline is kept in 48 bits of 2^16 ns (66 us). */
+/* A deadline is stored in 48 bits, in units of 2^16 ns (66 us). */
 #define DEADLINE_SHIFT 16
 
-/* Three addresses of 48 bits; their high 16 bits hold the deadline. */
+/*
+ * Addresses take the low 48 bits; the high 16 bits of the three words hold the
+ * deadline.
+ */
 struct slot {
 	uint64_t caller;
 	uint64_t vip;
@@ -54,7 +59,10 @@
 	return (uint32_t)(((hash >> 32) * t->n_homes) >> 32);
 }
 
-/* The low bits choose the ring's bucket: an owner's flows share some. */
+/*
+ * The tag comes from higher bits: the low ones choose the ring's bucket, and
+ * the flows of one owner have some of them in common.
+ */
 static uint8_t tag_of(uint64_t hash)
 {
 	uint8_t tag = hash >> (32 - TAG_BITS);
@@ -101,11 +109,12 @@
 }
 
 /**
- * flow_table_new() - table allocated once, for its whole life
- * @flows_max: most flows it holds
- * @idle_ns: a flow not looked up for this long is forgotten
+ * flow_table_new() - allocate a table at its full size
+ * @flows_max: capacity in flows
+ * @idle_ns: a flow that is not looked up for this long is deleted; at most
+ *	FLOW_IDLE_MAX_NS
  *
- * Return: table, or NULL when memory is short.
+ * Return: table, owned by the caller, or NULL when out of memory.
  */
 struct flow_table *flow_table_new(uint32_t flows_max, uint64_t idle_ns)
 {
@@ -128,7 +137,7 @@
 }
 
 /**
- * flow_table_free() - give back a table
+ * flow_table_free() - free a table
  * @t: table, or NULL
  */
 void flow_table_free(struct flow_table *t)
@@ -149,15 +158,18 @@
 }
 
 /*
- * High bit of each byte of @word that is zero. Bytes above the lowest zero
- * may be reported wrongly, which a comparison of keys finds out.
+ * Sets the high bit of each byte of @word that is zero. Bytes above the lowest
+ * zero byte may be reported wrongly; the comparison of keys rejects them.
  */
 static uint64_t zero_bytes(uint64_t word)
 {
 	return (word - TAGS_LOW) & ~word & TAGS_HIGH;
 }
 
-/* The tag's matches among the eight slots at @at that hold @key. */
+/*
+ * Slot among the eight at @at whose tag matches and that holds @key, or
+ * n_slots.
+ */
 static uint32_t find_match(const struct flow_table *t,
 			   const struct flow_key *key, uint32_t at,
 			   uint64_t matches)
@@ -172,7 +184,10 @@
 	return t->n_slots;
 }
 
-/* Slot of the flow, or the first empty one of its run; t->n_slots if neither. */
+/*
+ * Slot of the flow, or the first empty slot of its run; n_slots if there is
+ * neither.
+ */
 static uint32_t find_slot(const struct flow_table *t,
 			  const struct flow_key *key, uint64_t hash)
 {
@@ -195,8 +210,8 @@
 }
 
 /*
- * Close the gap at @gap: each later flow of the run that stands past its home
- * by enough moves into it, so that no search ends too early.
+ * Empties the slot @gap. Each later flow of the run whose home is at or before
+ * the gap moves into it, so that no search ends too early.
  */
 static void close_gap(struct flow_table *t, uint32_t gap)
 {
@@ -216,14 +231,14 @@
 }
 
 /**
- * flow_pin() - set a flow's target, new or changed
+ * flow_pin() - set the target of a flow, new or known
  * @t: table
  * @key: flow
- * @target: its target, not ADDR_NONE
- * @now_ns: now; the flow's idle time starts here
+ * @target: target, not ADDR_NONE
+ * @now_ns: time; the idle time starts here
  *
- * Return: 0; -EINVAL without a target; -ENOSPC when the table is full, or
- * when PROBE_DISTANCE_MAX flows hash alike.
+ * Return: 0; -EINVAL without a target; -ENOSPC when the table is full, or when
+ * there is no empty slot within PROBE_DISTANCE_MAX of the flow's home.
  */
 int flow_pin(struct flow_table *t, const struct flow_key *key, uint64_t target,
 	     uint64_t now_ns)
@@ -247,12 +262,13 @@
 }
 
 /**
- * flow_lookup() - target of a flow; a hit starts its idle time anew
+ * flow_lookup() - target of a flow; restarts its idle time
  * @t: table
  * @key: flow
- * @now_ns: now
+ * @now_ns: time
  *
- * Return: target, or ADDR_NONE when the flow isn't pinned or was idle.
+ * Return: target, or ADDR_NONE when the flow is not pinned; a flow that was
+ * idle for too long is deleted.
  */
 uint64_t flow_lookup(struct flow_table *t, const struct flow_key *key,
 		     uint64_t now_ns)
@@ -272,7 +288,7 @@
 }
 
 /**
- * flow_unpin() - forget a flow
+ * flow_unpin() - delete a flow
  * @t: table
  * @key: flow
  *
@@ -289,12 +305,12 @@
 }
 
 /**
- * flow_expire() - forget idle flows, a part of the table at a time
+ * flow_expire() - delete idle flows in a part of the table
  * @t: table
- * @now_ns: now
- * @budget: slots to look at; the next call goes on from there
+ * @now_ns: time
+ * @budget: number of slots to examine; the next call continues after them
  *
- * Return: flows forgotten.
+ * Return: number of flows deleted.
  */
 uint32_t flow_expire(struct flow_table *t, uint64_t now_ns, uint32_t budget)
 {
@@ -313,10 +329,10 @@
 }
 
 /**
- * flow_count() - flows held
+ * flow_count() - number of flows
  * @t: table
  *
- * Return: how many, idle ones not yet forgotten included.
+ * Return: number of flows, including idle ones that are not deleted yet.
  */
 uint32_t flow_count(const struct flow_table *t)
 {
@@ -324,10 +340,10 @@
 }
 
 /**
- * flow_bytes() - memory of the table
+ * flow_bytes() - memory of a table
  * @t: table
  *
- * Return: bytes, the same for its whole life.
+ * Return: bytes; constant over the table's lifetime.
  */
 uint64_t flow_bytes(const struct flow_table *t)
 {
@@ -336,17 +352,17 @@
 }
 
 /**
- * flow_each() - walk all flows, over as many calls and changes as it takes
+ * flow_each() - iterate over all flows while the table may change
  * @t: table
- * @cursor: 0 to begin with; where the walk is
- * @key: filled
- * @target: filled
+ * @cursor: 0 for the first call, advanced by each; 0 again at the end
+ * @key: set to the flow
+ * @target: set to its target
  *
- * The walk goes from the table's end to its start. Only deletion moves flows,
- * and only towards the start: a flow that stays in the table is never missed,
- * and may be seen twice.
+ * The iteration runs from the table's end to its start. Only deletion moves
+ * flows, and only towards the start: a flow that stays in the table is never
+ * missed, and may be seen twice.
  *
- * Return: 0, or -ENOENT at the end; the cursor then starts over.
+ * Return: 0, or -ENOENT at the end.
  */
 int flow_each(const struct flow_table *t, uint32_t *cursor,
 	      struct flow_key *key, uint64_t *target)
--- a/core/request/flow.h
+++ b/core/request/flow.h
@@ -1,4 +1,4 @@
-/* Table of flows whose target is pinned. */
+/* Table of flows that are pinned to a target. */
 #ifndef CB_FLOW_H
 #define CB_FLOW_H
 
@@ -6,7 +6,7 @@
 
 struct flow_table;
 
-/* Longest idle time that can be set; longer ones are cut to it. */
+/* Longest idle time; a longer one is cut to it. */
 #define FLOW_IDLE_MAX_NS (365ULL * 24 * 3600 * NS_PER_S)
 
 struct flow_table *flow_table_new(uint32_t flows_max, uint64_t idle_ns);
--- a/core/request/flow_list.c
+++ b/core/request/flow_list.c
@@ -3,8 +3,8 @@
 #include "entry_state.h"
 
 /*
- * Slots looked at in one call. The walk runs between datagrams; over all slots
- * of an almost empty table it would hold them up for tens of milliseconds.
+ * Slots examined per call. A call runs between datagrams; over all slots of an
+ * almost empty table it would delay them for tens of milliseconds.
  */
 #define SLOTS_PER_CALL_MAX 8192
 #define CURSOR_END UINT64_MAX
@@ -56,7 +56,7 @@
 	return true;
 }
 
-/* Look at one slot and advance; true when it gave a row. */
+/* Examines one slot and advances; true when it holds a row. */
 static bool next_row(const struct entry *e, uint64_t *cursor,
 		     struct flow_row *row)
 {
@@ -73,15 +73,16 @@
 }
 
 /**
- * entry_flows() - list what an entry holds, a part at a time
+ * entry_flows() - list the requests, feeds and pins of an entry in parts
  * @e: entry
- * @cursor: 0 to begin with; where to go on; UINT64_MAX at the end
+ * @cursor: 0 for the first call, advanced by each; UINT64_MAX at the end
  * @rows: filled
- * @rows_max: room in it
+ * @rows_max: capacity of @rows
  *
- * What comes and goes between two calls may be missed; a row may come twice.
+ * What is created or ends between two calls may be missed, and a row may be
+ * listed twice.
  *
- * Return: rows filled, perhaps 0 before the end too.
+ * Return: number of rows filled; it can be 0 before the end.
  */
 uint32_t entry_flows(const struct entry *e, uint64_t *cursor,
 		     struct flow_row *rows, uint32_t rows_max)
--- a/core/request/flow_list.h
+++ b/core/request/flow_list.h
@@ -1,25 +1,25 @@
-/* List of what an entry holds, for operators. */
+/* List of an entry's requests, feeds and pins for operators. */
 #ifndef CB_FLOW_LIST_H
 #define CB_FLOW_LIST_H
 
 #include "entry.h"
 
 /**
- * enum flow_row_kind - what a row tells of
- * @ROW_REQUEST: request not answered yet
- * @ROW_FEED: feed served here
+ * enum flow_row_kind - kind of a row
+ * @ROW_REQUEST: request that is not answered yet
+ * @ROW_FEED: feed that this entry serves or opens
  * @ROW_FEED_COPY: second copy of another entry's feed
- * @ROW_PIN: flow with a pinned target
+ * @ROW_PIN: flow pinned to a target
  */
 enum flow_row_kind { ROW_REQUEST, ROW_FEED, ROW_FEED_COPY, ROW_PIN };
 
 /**
- * struct flow_row - one thing that an entry holds
+ * struct flow_row - request, feed or pin in the list
  * @kind: enum flow_row_kind
- * @key: its flow
- * @target: its target, ADDR_NONE while it has none
- * @state: where it stands, one word
- * @since_ns: request: arrival; feed: last update; pin: 0
+ * @key: flow
+ * @target: target, or ADDR_NONE while there is none
+ * @state: state, one word; static text
+ * @since_ns: request: time of arrival; feed: time of the last update; pin: 0
  */
 struct flow_row {
 	uint8_t kind;
--- a/core/request/message_id.c
+++ b/core/request/message_id.c
@@ -5,10 +5,10 @@
 #include <string.h>
 
 /*
- * A message ID towards a target may not come back while an old answer or
- * acknowledgement with it could still arrive (RFC 7252 EXCHANGE_LIFETIME).
- * Reuse would show as a caller getting another caller's answer. IDs go round
- * in blocks; a block is entered only when its last use is long enough ago.
+ * A message ID towards a target must not be reused while an old answer or
+ * acknowledgement with it may still arrive (EXCHANGE_LIFETIME in RFC 7252): a
+ * caller would receive another caller's answer. IDs are allocated in sequence;
+ * a block of them is entered only when its last use is older than that.
  */
 #define ID_LIFETIME_NS (247 * NS_PER_S)
 #define ID_BLOCKS 16
@@ -23,7 +23,7 @@
 	uint16_t next_id;
 };
 
-/* msg_id_spaces_init() - room for the targets of a data centre. */
+/* msg_id_spaces_init() - allocate the ID spaces for a data centre's targets. */
 int msg_id_spaces_init(struct entry *e)
 {
 	e->msg_ids = calloc(ID_TARGETS_MAX, sizeof(*e->msg_ids));
@@ -40,7 +40,10 @@
 	return s->target == ADDR_NONE || s->last_ns + ID_LIFETIME_NS <= now_ns;
 }
 
-/* Targets come and go; a space unused for a lifetime is given to another. */
+/*
+ * Finds or assigns a target's ID space. A space that has been unused for a
+ * whole lifetime is reassigned to another target.
+ */
 static struct msg_id_space *find_space(struct entry *e, uint64_t target)
 {
 	uint64_t home = hash_u64(target, 0);
@@ -64,13 +67,13 @@
 }
 
 /**
- * msg_id_next() - next message ID towards a target
+ * msg_id_next() - allocate a message ID towards a target
  * @e: entry
  * @target: target
- * @id: filled
+ * @id: set to the ID; unchanged on failure
  *
- * Return: false when all are too young to be used again; the target takes no
- * more from this entry for now.
+ * Return: false when the next IDs are too recent to be reused, or no ID space
+ * is free; the target accepts no more messages from this entry for now.
  */
 bool msg_id_next(struct entry *e, uint64_t target, uint16_t *id)
 {
--- a/core/request/peer_budget.c
+++ b/core/request/peer_budget.c
@@ -1,14 +1,16 @@
 #include "entry_state.h"
 
 /**
- * peer_budget_take() - spend from the budget of second copies
+ * peer_budget_take() - take bytes from the budget for messages to peers
  * @e: entry
  * @bytes: size of a message
  *
- * A wake on the hour opens thousands of feeds at once; their copies are spread
- * over time, so that control stays within its bytes a second.
+ * A token bucket, refilled at peer_bytes_per_s and at most one second deep. A
+ * load spike on the hour opens thousands of feeds at once; the budget spreads
+ * their second copies over time, so that messages between entries stay within
+ * their rate.
  *
- * Return: false when the budget is spent for now.
+ * Return: false when the budget does not cover the message yet.
  */
 bool peer_budget_take(struct entry *e, uint32_t bytes)
 {
--- a/core/request/reply.c
+++ b/core/request/reply.c
@@ -26,7 +26,11 @@
 	a->size_bytes = r->size_bytes;
 }
 
-/* reply_send() - send the target's answer, kept in the slot, to the caller. */
+/**
+ * reply_send() - send the target's answer, kept in the slot, to the caller
+ * @e: entry
+ * @r: request with the answer stored; its statistics are updated
+ */
 void reply_send(struct entry *e, const struct request *r)
 {
 	struct answer_stats *s =
@@ -56,7 +60,12 @@
 	a->retry_after_s = r->retry_after_s;
 }
 
-/* local_answer_send() - send the balancer's own answer that a request ended with. */
+/**
+ * local_answer_send() - send the local answer that a request ended with
+ * @e: entry
+ * @key: flow
+ * @r: request with its answer and reason set; its statistics are updated
+ */
 void local_answer_send(struct entry *e, const struct flow_key *key,
 		       const struct request *r)
 {
@@ -70,7 +79,12 @@
 	emit_local_answer(e, key, r);
 }
 
-/* local_answer_send_unknown() - the same for a request that holds no slot. */
+/**
+ * local_answer_send_unknown() - answer "outcome unknown" without a request slot
+ * @e: entry
+ * @key: flow
+ * @msg: request as received
+ */
 void local_answer_send_unknown(struct entry *e, const struct flow_key *key,
 			       const struct message *msg)
 {
@@ -91,13 +105,16 @@
 }
 
 /**
- * request_handle_retransmission() - absorb a repeat of a request held here, or answer it
- *	again with the answer it had
+ * request_handle_retransmission() - handle a request that may be a
+ *	retransmission
  * @e: entry
  * @key: flow
  * @msg: request
  *
- * Return: false when it is no repeat of anything held here.
+ * Absorbs the retransmission of a request in progress, and answers that of an
+ * ended request again with its answer.
+ *
+ * Return: false when it is not a retransmission of any request in the table.
  */
 bool request_handle_retransmission(struct entry *e, const struct flow_key *key,
 				   const struct message *msg)
@@ -123,7 +140,7 @@
 	return true;
 }
 
-/* reply_store() - keep the target's answer in the place of the request. */
+/* reply_store() - store the target's answer in place of the request. */
 void reply_store(struct request *r, const struct message *msg)
 {
 	r->answer = ANSWER_RELAYED;
--- a/core/request/request.c
+++ b/core/request/request.c
@@ -6,7 +6,12 @@
 
 #define NO_SLOT_RETRY_AFTER_S 2
 
-/* requests_init() - room for requests_max requests, all of it now. */
+/**
+ * requests_init() - allocate the slots of all requests
+ * @e: entry
+ *
+ * Return: 0, or -ENOMEM.
+ */
 int requests_init(struct entry *e)
 {
 	uint32_t n = e->conf.requests_max;
@@ -83,9 +88,9 @@
 }
 
 /**
- * request_drop() - forget a request without an answer from here
+ * request_drop() - free a request's slot without an answer from here
  * @e: entry
- * @r: request; another entry answers it, or nobody waits
+ * @r: request; another entry answers it, or no caller waits for it
  */
 void request_drop(struct entry *e, struct request *r)
 {
@@ -97,7 +102,8 @@
 }
 
 /**
- * request_new() - take a slot, if need be that of the oldest ended request
+ * request_new() - allocate a slot, if necessary that of the oldest ended
+ *	request
  * @e: entry
  * @key: flow
  *
@@ -129,9 +135,10 @@
 }
 
 /**
- * request_complete() - a request has had its answer
+ * request_complete() - mark a request as answered
  * @e: entry
- * @r: request; kept to answer a repeat, but for internal ones
+ * @r: request; kept for the cover time to answer retransmissions, an internal
+ *	one is freed
  */
 void request_complete(struct entry *e, struct request *r)
 {
@@ -150,10 +157,10 @@
 }
 
 /**
- * request_leave_target() - a request leaves its target, however it ended
+ * request_leave_target() - remove a request from its target and the balancer
  * @e: entry
- * @r: request
- * @outcome: how it ended
+ * @r: request; stays in its slot
+ * @outcome: how it ended at the target
  */
 void request_leave_target(struct entry *e, struct request *r,
 			  enum outcome outcome)
@@ -175,7 +182,10 @@
 	return e->now_ns >= e->owner_since_ns[r->bucket] + e->conf.cover_ns;
 }
 
-/* request_is_idempotent() - whether the method, or the operator, lets it run twice. */
+/*
+ * request_is_idempotent() - whether a request may be executed twice, by its
+ * method, by the service's settings, or because the target only stores it.
+ */
 bool request_is_idempotent(const struct entry *e, const struct request *r)
 {
 	const struct service_conf *s = service_find(e, r->key.vip);
@@ -186,10 +196,11 @@
 }
 
 /*
- * "Not run" is said only when it is known. A non-idempotent request that got
- * this far was granted, so no one else ran it. An idempotent one has no claim:
- * an earlier owner may have run it and died before answering, so a new owner
- * says "unknown" until no caller can be repeating an old request any more.
+ * "Not run" is answered only if it is certain. A non-idempotent request that
+ * got this far was granted, so no other entry executed it. An idempotent one
+ * has no claim: an earlier owner may have executed it and died before it
+ * answered. So a new owner answers "unknown" until the cover time is over and
+ * no caller can be retransmitting an older request.
  */
 static bool known_not_run(const struct entry *e, const struct request *r)
 {
@@ -201,10 +212,10 @@
 }
 
 /**
- * request_end_unknown() - end a request whose outcome nobody can tell
+ * request_end_unknown() - end a request whose outcome can't be known
  * @e: entry
- * @r: request
- * @why: for the log
+ * @r: request; an internal one is a failed renewal of its feed
+ * @why: cause, static text for the log
  */
 void request_end_unknown(struct entry *e, struct request *r, const char *why)
 {
@@ -224,11 +235,11 @@
 }
 
 /**
- * request_refuse() - end a request that does not run, at once
+ * request_refuse() - end a request without executing it
  * @e: entry
- * @r: request
+ * @r: request; ended as unknown when it may have been executed before
  * @reason: enum refusal
- * @retry_after_s: when the caller may come back
+ * @retry_after_s: time after which the caller may retry
  */
 void request_refuse(struct entry *e, struct request *r, uint8_t reason,
 		    uint32_t retry_after_s)
@@ -236,7 +247,8 @@
 	r->reason = reason;
 	r->retry_after_s = retry_after_s;
 	if (r->internal || !known_not_run(e, r)) {
-		request_end_unknown(e, r, "refused, but may have run before");
+		request_end_unknown(
+			e, r, "refused, but may have been executed before");
 		return;
 	}
 	claim_record_outcome(e, r, CLAIM_REFUSED);
@@ -315,7 +327,7 @@
 }
 
 /**
- * request_receive() - a request at the owner of its flow
+ * request_receive() - handle a request as the entry that executes it
  * @e: entry
  * @key: flow
  * @msg: request
--- a/core/request/route.c
+++ b/core/request/route.c
@@ -3,12 +3,12 @@
 /**
  * service_find() - service of a VIP
  * @e: entry
- * @vip: address callers send to
+ * @vip: address that callers send to
  *
- * Routing looks at the VIP alone, so a datagram can't reach the targets of
+ * Routing considers only the VIP, so a datagram can't reach the targets of
  * another service.
  *
- * Return: service, or NULL when no client account in force has it.
+ * Return: service, or NULL when no client account in force has the VIP.
  */
 const struct service_conf *service_find(const struct entry *e, uint64_t vip)
 {
@@ -24,11 +24,12 @@
 
 /**
  * target_token() - token of a request or feed towards targets
- * @feed: whether a feed
+ * @feed: the slot is of a feed, not of a request
  * @slot: slot in its table
- * @generation: of the slot, so that a late answer does not find its successor
- * @seed: of this process, so that an answer to an earlier process at this
- *	address finds nothing
+ * @generation: uses of the slot; a late answer does not match the slot's next
+ *	use
+ * @seed: seed of this process; an answer to an earlier process at this address
+ *	does not match
  *
  * Return: token.
  */
@@ -40,7 +41,9 @@
 	return (uint64_t)(slot << 1 | (feed ? 1 : 0)) << 32 | low;
 }
 
-/* Whether an entry still answers for what it claimed. */
+/*
+ * vm_is_serving() - whether an entry can still answer for its claims: not dead.
+ */
 bool vm_is_serving(const struct entry *e, uint64_t vm)
 {
 	const struct member *m;
@@ -51,7 +54,10 @@
 	return m && m->state != MEMBER_DEAD;
 }
 
-/* Whether an entry may own buckets: it lives, and is neither new nor leaving. */
+/*
+ * vm_may_own() - whether an entry may own buckets: alive, neither new nor
+ * leaving.
+ */
 bool vm_may_own(const struct entry *e, uint64_t vm)
 {
 	const struct member *m = member_find(e->members, vm);
@@ -60,19 +66,19 @@
 }
 
 /**
- * forward_to() - hand a caller's datagram to another entry
+ * forward_to() - forward a caller's datagram to another entry
  * @e: entry
  * @vm: receiver
  * @key: flow
- * @data: datagram
- * @size_bytes: its size
- * @hops: forwards so far
+ * @data: datagram, has to stay valid until the actions are carried out
+ * @size_bytes: size of @data
+ * @hops: number of forwards so far
  * @purpose: enum forward_purpose
  *
- * Two entries that disagree on the owner would hand a datagram to and fro;
- * the hop count ends that, and the caller's repeat finds them agreed.
+ * Two entries that disagree on the owner would forward a datagram back and
+ * forth. The hop count stops that; by the caller's retransmission they agree.
  *
- * Return: false when it has been forwarded too often and is dropped.
+ * Return: false when the datagram is dropped after too many forwards.
  */
 bool forward_to(struct entry *e, uint64_t vm, const struct flow_key *key,
 		const uint8_t *data, uint32_t size_bytes, uint8_t hops,
@@ -95,7 +101,7 @@
 }
 
 /**
- * handle_as_owner() - act on a caller's datagram as the owner of its flow
+ * handle_as_owner() - handle a caller's datagram as the owner of its flow
  * @e: entry
  * @key: flow
  * @msg: datagram
@@ -123,9 +129,9 @@
 }
 
 /*
- * Acknowledgements and resets name an update by message ID. During a handover
- * the entry that sent the update may not be the owner any more, so whoever
- * knows the ID takes it; only the rest goes to the owner.
+ * Acknowledgements and resets refer to an update by its message ID. During a
+ * handover the entry that sent the update may no longer be the owner, so an
+ * entry that knows the ID handles them; only the others go to the owner.
  */
 static bool handled_by_msg_id(struct entry *e, const struct flow_key *key,
 			      const struct message *msg)
@@ -137,7 +143,7 @@
 	return false;
 }
 
-/* An entry that hasn't joined yet hands datagrams to one that has. */
+/* An entry that has not joined yet forwards datagrams to one that has. */
 static void forward_to_joined(struct entry *e, const struct flow_key *key,
 			      const struct message *msg, uint8_t hops)
 {
@@ -195,12 +201,12 @@
 }
 
 /**
- * entry_caller() - a datagram from a caller
+ * entry_caller() - handle a datagram from a caller
  * @e: entry
  * @key: caller and VIP
  * @msg: datagram as parsed
  * @now_ns: time
- * @out: actions to take
+ * @out: filled with the actions to carry out
  */
 void entry_caller(struct entry *e, const struct flow_key *key,
 		  const struct message *msg, uint64_t now_ns,
@@ -230,12 +236,13 @@
 }
 
 /**
- * entry_peer() - a message from another entry
+ * entry_peer() - handle a message from another entry
  * @e: entry
  * @msg: message
- * @forwarded: for PEER_FORWARD the datagram in it as parsed, else NULL
+ * @forwarded: PEER_FORWARD: the datagram in it as parsed, NULL if that failed;
+ *	NULL for other kinds
  * @now_ns: time
- * @out: actions to take
+ * @out: filled with the actions to carry out
  */
 void entry_peer(struct entry *e, const struct peer_msg *msg,
 		const struct message *forwarded, uint64_t now_ns,
@@ -278,12 +285,12 @@
 }
 
 /**
- * entry_target() - a datagram from a target
+ * entry_target() - handle a datagram from a target
  * @e: entry
  * @target: sender
  * @msg: datagram as parsed
  * @now_ns: time
- * @out: actions to take
+ * @out: filled with the actions to carry out
  */
 void entry_target(struct entry *e, uint64_t target, const struct message *msg,
 		  uint64_t now_ns, struct actions *out)
--- a/core/request/send.c
+++ b/core/request/send.c
@@ -11,7 +11,8 @@
 /**
  * request_submit() - ask the balancer for a target
  * @e: entry
- * @r: request; if not idempotent, its claim is granted
+ * @r: request, with its claim granted if it is not idempotent; sent, queued or
+ *	refused here
  */
 void request_submit(struct entry *e, struct request *r)
 {
@@ -36,8 +37,8 @@
 	w.pinned = transfer_target(e, r);
 	ruling = balance_submit(e->balancer, &w, e->now_ns);
 	/*
-	 * A transfer goes on at the target it began on, though operators have
-	 * withdrawn that target since: its other blocks are there.
+	 * A transfer continues at the target that has its earlier blocks, even
+	 * if operators have withdrawn that target since.
 	 */
 	if (ruling.reason == REFUSE_NO_TARGET && w.pinned != ADDR_NONE) {
 		request_send(e, r, w.pinned);
@@ -107,7 +108,7 @@
 /**
  * request_send() - send a request to a target
  * @e: entry
- * @r: request; counted at @target by the balancer when @r->counted
+ * @r: request; with @r->counted the balancer counts it at @target already
  * @target: target
  */
 void request_send(struct entry *e, struct request *r, uint64_t target)
@@ -149,9 +150,9 @@
 }
 
 /*
- * The work of a request that nobody waits for any more would hold a slot. A
- * block of a transfer is short, and a copy of it without its payload would
- * disturb the transfer.
+ * Frees the target's slot that a request without a waiting caller would occupy.
+ * A block of a transfer takes little time, and a copy of it without its payload
+ * would corrupt the transfer, so it is not cancelled.
  */
 static void cancel_at_target(struct entry *e, const struct request *r)
 {
@@ -172,7 +173,10 @@
 	e->counters.cancels++;
 }
 
-/* No answer after several sends: try elsewhere what may run twice. */
+/*
+ * No answer after several transmissions: an idempotent request goes to another
+ * target.
+ */
 static void handle_silent_target(struct entry *e, struct request *r)
 {
 	if (r->internal) {
@@ -207,7 +211,7 @@
 		transmit(e, r);
 }
 
-/* request_timer() - the deadline of a request's slot has come. */
+/* request_timer() - handle an expired timer of a request's slot. */
 void request_timer(struct entry *e, struct request *r)
 {
 	switch (r->state) {
@@ -229,7 +233,9 @@
 	}
 }
 
-/* request_by_target_msg_id() - request a target names by message ID, or NULL. */
+/*
+ * request_by_target_msg_id() - request at a target by its message ID, or NULL.
+ */
 struct request *request_by_target_msg_id(struct entry *e, uint64_t target,
 					 uint16_t id)
 {
@@ -246,7 +252,13 @@
 	return r;
 }
 
-/* A caller cancels its request with a reset of the request's message ID. */
+/**
+ * request_reset_by_caller() - cancel a request whose message ID the caller
+ *	reset
+ * @e: entry
+ * @key: flow
+ * @id: message ID of the request
+ */
 void request_reset_by_caller(struct entry *e, const struct flow_key *key,
 			     uint16_t id)
 {
@@ -305,9 +317,9 @@
 }
 
 /**
- * request_handle_answer() - the target's answer to a request
+ * request_handle_answer() - handle the target's answer to a request
  * @e: entry
- * @r: request at the target
+ * @r: request in REQ_SENT
  * @target: sender
  * @msg: answer
  */
@@ -353,9 +365,9 @@
 	}
 	/*
 	 * This process was paused after the grant. Another entry may own the
-	 * flow by now and have told the caller that the outcome is unknown;
-	 * a send now would run what the caller may have given up. The second
-	 * is asked again, and knows.
+	 * flow now and may have answered "outcome unknown"; a send now would
+	 * execute a request that the caller may have given up. The second,
+	 * which has the current record, is asked for a grant again.
 	 */
 	e->counters.stale_sends_stopped++;
 	request_leave_target(e, r, OUTCOME_CANCELLED);
@@ -363,7 +375,10 @@
 	claim_request_grants(e, r);
 }
 
-/* requests_start_ready() - start or refuse what the balancer has ready. */
+/*
+ * requests_start_ready() - send or refuse the queued requests that the balancer
+ * has decided on.
+ */
 void requests_start_ready(struct entry *e)
 {
 	struct ruling ruling;
--- a/core/request/stream.c
+++ b/core/request/stream.c
@@ -1,9 +1,10 @@
 /*
- * Handing a bucket's history to an entry that joins its pair: the records of
- * its non-idempotent requests, and the numbers of the buckets whose history is
- * known with them. One message at a time to each receiver, repeated until
- * acknowledged. Without it a second loss within the time in which callers
- * repeat would leave nobody who knows what ran.
+ * Sends a bucket's claim history to an entry that joins its pair: the records
+ * of its non-idempotent requests, and the numbers of the buckets whose history
+ * is complete with them. Each receiver gets one message at a time,
+ * retransmitted until it is acknowledged. Without the history, a second loss
+ * within the cover time would leave no entry that knows which requests were
+ * executed.
  */
 #include "entry_state.h"
 
@@ -11,7 +12,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* One to each other entry of the largest data centre: a leave touches all. */
+/*
+ * One to each other entry of the largest data centre: when an entry leaves, the
+ * pairs of all others change.
+ */
 #define STREAMS_MAX 512
 #define STREAM_RETRY_NS (NS_PER_S / 5)
 #define STREAM_SENDS_MAX 25
@@ -22,23 +26,24 @@
 #define BUCKET_NUMBER_BYTES 2
 
 /**
- * struct stream - what one receiver still has to be told
- * @vm: receiver, ADDR_NONE when free
- * @seq: number of the message under way
- * @due: buckets, a bit each
- * @known: of these, the ones whose known history this entry knew
- * @n_due: how many
- * @scan: bucket to go on with
- * @cursor: record of that bucket to go on with, CLAIM_SLOT_NONE at its start
+ * struct stream - claim history to be sent to one receiver
+ * @vm: receiver, ADDR_NONE when the slot is free
+ * @seq: random number of the message in flight
+ * @due: bit set of the buckets to be sent
+ * @known: bit set: of @due, the buckets whose complete history this entry knew
+ * @n_due: number of bits set in @due
+ * @scan: bucket to continue with
+ * @cursor: claim record of that bucket to continue with
  * @in_bucket: @cursor is valid
- * @retry_ns: when to repeat the message under way
- * @in_flight: a message is out
- * @n_claims: its records
- * @sends: times it was sent
- * @refusals: messages in a row of which the receiver refused a part
- * @claims: records
- * @n_complete: buckets complete_numbers as known
- * @complete_numbers: their numbers, 16 bits each, big endian
+ * @retry_ns: time of the next transmission
+ * @in_flight: a message awaits its acknowledgement
+ * @n_claims: number of @claims
+ * @sends: transmissions since the last acknowledgement
+ * @refusals: consecutive messages of which the receiver refused a part
+ * @claims: records of the message in flight
+ * @n_complete: number of @complete_numbers
+ * @complete_numbers: buckets of the message in flight whose history is
+ *	complete, 16 bits each, big endian
  */
 struct stream {
 	uint64_t vm;
@@ -59,16 +64,16 @@
 	uint8_t complete_numbers[BUCKETS_PER_MESSAGE_MAX * BUCKET_NUMBER_BYTES];
 };
 
-static void bucket_number_put(uint8_t *names, uint32_t i, uint32_t bucket)
+static void bucket_number_put(uint8_t *numbers, uint32_t i, uint32_t bucket)
 {
-	names[i * BUCKET_NUMBER_BYTES] = (uint8_t)(bucket >> 8);
-	names[i * BUCKET_NUMBER_BYTES + 1] = (uint8_t)bucket;
+	numbers[i * BUCKET_NUMBER_BYTES] = (uint8_t)(bucket >> 8);
+	numbers[i * BUCKET_NUMBER_BYTES + 1] = (uint8_t)bucket;
 }
 
-static uint32_t bucket_number_get(const uint8_t *names, uint32_t i)
+static uint32_t bucket_number_get(const uint8_t *numbers, uint32_t i)
 {
-	return (uint32_t)names[i * BUCKET_NUMBER_BYTES] << 8 |
-	       names[i * BUCKET_NUMBER_BYTES + 1];
+	return (uint32_t)numbers[i * BUCKET_NUMBER_BYTES] << 8 |
+	       numbers[i * BUCKET_NUMBER_BYTES + 1];
 }
 
 int streams_init(struct entry *e)
@@ -140,13 +145,15 @@
 }
 
 /**
- * history_known() - whether this entry knows all that ran in a bucket
+ * history_known() - whether this entry knows all claims of a bucket
  * @e: entry
  * @bucket: bucket
  *
- * Return: true in its pair for the cover time, or told by one that was; also
- * for what a leaving entry held, since some still have it in their pairs. On
- * the smaller side of a partition what the other side ran is not known.
+ * Return: true if it has been in the bucket's pair for the cover time, or
+ * received the history from an entry that knew it; also for buckets that it
+ * held when it began to leave, since some entries still have it in their pairs.
+ * False without a majority: claims of the other side of a partition are not
+ * known.
  */
 bool history_known(const struct entry *e, uint32_t bucket)
 {
@@ -171,12 +178,13 @@
 }
 
 /**
- * streams_record_known() - note what this entry knows as it begins to leave
+ * streams_record_known() - record which buckets a leaving entry knows
  * @e: entry
  *
  * A leaving entry is out of its own ring at once, while the pairs that the
- * others settle on change more than once when several leave together. So it
- * owes the history of its buckets to every newcomer until it is gone.
+ * others settle on change more than once when several entries leave together.
+ * So it sends the history of its buckets to each new member of their pairs
+ * until it stops.
  */
 void streams_record_known(struct entry *e)
 {
@@ -192,7 +200,9 @@
 	}
 }
 
-/* Whether it is this entry that tells newcomers to a bucket its history. */
+/*
+ * Whether this entry is the one that sends a bucket's history to new members.
+ */
 static bool is_history_sender(const struct entry *e, uint32_t bucket,
 			      struct ring_pair before)
 {
@@ -203,7 +213,9 @@
 	return before.second == self && !vm_is_serving(e, before.owner);
 }
 
-/* streams_pair_changed() - tell a newcomer to a bucket's pair its history. */
+/*
+ * streams_pair_changed() - schedule the history for the new members of a pair.
+ */
 void streams_pair_changed(struct entry *e, uint32_t bucket,
 			  struct ring_pair before, struct ring_pair after)
 {
@@ -238,7 +250,9 @@
 		s->scan = (s->scan + 1) % e->conf.n_buckets;
 }
 
-/* Records of one bucket into the message, and its name when these are all. */
+/*
+ * Adds records of one bucket to the message, and its number after the last one.
+ */
 static void fill_bucket(struct entry *e, struct stream *s)
 {
 	uint32_t slot = claims_newest(e->claims, s->scan);
@@ -249,7 +263,10 @@
 	while (slot != CLAIM_SLOT_NONE && s->n_claims < CLAIMS_MAX) {
 		const struct claim *c = claims_at(e->claims, slot);
 
-		/* Not granted yet: taken for a grant it would become one. */
+		/*
+		 * Not granted yet; the receiver would take it for a granted
+		 * claim.
+		 */
 		if (!claim_is_pending(e, c))
 			s->claims[s->n_claims++] = *c;
 		slot = claims_next_older(e->claims, slot);
@@ -307,7 +324,7 @@
 		send_message(e, s);
 }
 
-/* streams_tick() - send what is due to each receiver. */
+/* streams_tick() - send the messages that are due. */
 void streams_tick(struct entry *e)
 {
 	if (!e->streams_open)
@@ -331,11 +348,12 @@
 }
 
 /*
- * The word that a bucket's history is known counts only for a member of its
- * pair. The sender may have heard of the change before us: taken now, the word
- * would be lost, and after the next change nobody would know the history.
+ * Marks a bucket's history as complete, if this entry is in its pair. The
+ * sender may have learned of the change of the pair earlier than this entry.
+ * Accepted too early, the mark would be lost, and after the next change no
+ * entry would know the history.
  *
- * Return: false when it has to be said again, later.
+ * Return: false when the sender has to send it again later.
  */
 static bool accept_history(struct entry *e, uint32_t bucket)
 {
@@ -351,7 +369,10 @@
 	return true;
 }
 
-/* stream_received() - PEER_RECORD: history of buckets that we joined. */
+/*
+ * stream_received() - PEER_RECORD: claim history of buckets whose pair this
+ * entry joined.
+ */
 void stream_received(struct entry *e, const struct peer_msg *msg)
 {
 	struct peer_msg *m = emit_peer(e, msg->from, PEER_HANDOVER);
@@ -399,7 +420,10 @@
 	advance_stream(e, s);
 }
 
-/* stream_ack_received() - PEER_HANDOVER: the receiver has the message under way. */
+/*
+ * stream_ack_received() - PEER_HANDOVER: the receiver has the message in
+ * flight.
+ */
 void stream_ack_received(struct entry *e, const struct peer_msg *msg)
 {
 	for (uint32_t i = 0; i < STREAMS_MAX; i++) {
--- a/core/request/transfer.c
+++ b/core/request/transfer.c
@@ -1,31 +1,32 @@
 /*
- * Transfers of several blocks. Their blocks belong together at one target, and
- * a target knows a transfer by the address that its blocks come from: so one
- * entry carries it from the first block to the last, also when another has
- * come to own the flow meanwhile.
+ * Transfers of several blocks (RFC 7959). The blocks of a transfer have to
+ * reach the same target, and a target identifies a transfer by the address that
+ * its blocks come from. So one entry, the carrier, sends them from the first
+ * block to the last, even if another entry has become the owner of the flow
+ * meanwhile.
  */
 #include "entry_state.h"
 
 #define TRANSFER_KEEP_NS (60 * NS_PER_S)
 
-/* transfer_only_stores() - whether the target only keeps the block for now. */
+/* transfer_only_stores() - whether the target only stores the block for now. */
 bool transfer_only_stores(const struct request *r)
 {
 	return r->flags & MESSAGE_BODY && r->flags & MESSAGE_MORE;
 }
 
-/* transfer_may_change_target() - whether another target would do as well. */
+/* transfer_may_change_target() - whether another target can serve the block. */
 bool transfer_may_change_target(const struct request *r)
 {
 	return !(r->flags & MESSAGE_BODY) || r->flags & MESSAGE_FIRST_BLOCK;
 }
 
 /**
- * transfer_target() - target that the blocks of a transfer go to
+ * transfer_target() - target that has the earlier blocks of a transfer
  * @e: entry
  * @r: block
  *
- * Return: target, or ADDR_NONE when it may be chosen.
+ * Return: target, or ADDR_NONE when the balancer may choose one.
  */
 uint64_t transfer_target(struct entry *e, const struct request *r)
 {
@@ -34,7 +35,7 @@
 	return flow_lookup(e->pins, &r->key, e->now_ns);
 }
 
-/* transfer_pin() - keep the flow's blocks at the target of this one. */
+/* transfer_pin() - pin the flow to the target of this block. */
 void transfer_pin(struct entry *e, struct request *r)
 {
 	if (flow_lookup(e->pins, &r->key, e->now_ns) == r->target)
@@ -47,13 +48,13 @@
 }
 
 /**
- * transfer_update_pin() - a block was answered
+ * transfer_update_pin() - pin or unpin a flow after an answer
  * @e: entry
  * @r: block, or a request whose answer comes in blocks
- * @answer: the answer
+ * @answer: answer of the target
  *
- * A pin lasts as long as its transfer. Kept longer, it would send the flow's
- * next transfer to the same target, also to one that drains by then.
+ * A pin lasts as long as its transfer. Kept longer, it would direct the flow's
+ * next transfer to the same target, even to one that drains by then.
  */
 void transfer_update_pin(struct entry *e, struct request *r,
 			 const struct message *answer)
@@ -69,12 +70,13 @@
 }
 
 /**
- * transfer_is_carried_here() - whether a block is of a transfer that this entry carries
+ * transfer_is_carried_here() - whether this entry carries a block's transfer
  * @e: entry
  * @key: flow
  * @msg: datagram of a caller
  *
- * Return: true for a later block, whoever owns the flow by now.
+ * Return: true for a later block of a transfer that began here, even if another
+ * entry owns the flow now.
  */
 bool transfer_is_carried_here(struct entry *e, const struct flow_key *key,
 			      const struct message *msg)
@@ -84,7 +86,7 @@
 	return flow_lookup(e->pins, key, e->now_ns) != ADDR_NONE;
 }
 
-/* Whether the entry that owned the flow before may still carry transfers. */
+/* Whether the bucket's previous owner may still carry its transfers. */
 static bool previous_owner_is_carrier(const struct entry *e,
 				      const struct request *r)
 {
@@ -95,7 +97,10 @@
 	       e->now_ns <= e->owner_since_ns[r->bucket] + TRANSFER_KEEP_NS;
 }
 
-/* A new transfer: what is left of one that its caller gave up goes. */
+/*
+ * A new transfer replaces one that its caller gave up: removes the old pin here
+ * and at the previous owner.
+ */
 static void discard_previous_transfer(struct entry *e, const struct request *r)
 {
 	struct peer_msg *m;
@@ -108,16 +113,18 @@
 }
 
 /**
- * transfer_forward_to_carrier() - find out who carries a block's transfer
+ * transfer_forward_to_carrier() - forward a block to the carrier of its
+ *	transfer
  * @e: entry
- * @r: block that arrived at the owner of its flow
+ * @r: block that arrived at the owner of its flow; a first block ends an
+ *	earlier transfer
  *
- * Sent on from here, a later block of a transfer that another entry began
- * would reach the target from an address it does not know, and the whole
+ * If this entry sent a later block of a transfer that another entry began, the
+ * target would receive it from an address that it does not know, and the whole
  * transfer would fail there.
  *
- * Return: true when the entry that owned the flow before, and lives, was given
- * the block, and @r is gone. Else @r is marked if nobody can go on with it.
+ * Return: true when the block was forwarded to the previous owner and @r freed.
+ * Otherwise carrier_lost is set in @r when no entry can continue the transfer.
  */
 bool transfer_forward_to_carrier(struct entry *e, struct request *r)
 {
