--- a/test/account_stats_test.c
+++ b/test/account_stats_test.c
@@ -1,4 +1,4 @@
-/* What callers of a client account were told is counted once each. */
+/* Answers to the callers of a client account are counted once each. */
 #include "account_stats.h"
 #include "testbed.h"
 
@@ -12,25 +12,25 @@
 #define SHED_NS (20 * NS_PER_S)
 #define RUN_NS (25 * NS_PER_S)
 
-struct told {
+struct totals {
 	uint64_t answered;
 	uint64_t refused;
 	uint64_t unknown;
 };
 
-static struct entry *made;
+static struct entry *entry_under_test;
 
-static struct entry *make_and_note(const struct entry_conf *conf,
+static struct entry *make_and_keep(const struct entry_conf *conf,
 				   uint64_t now_ns)
 {
-	made = entry_new(conf, now_ns);
-	return made;
+	entry_under_test = entry_new(conf, now_ns);
+	return entry_under_test;
 }
 
-static struct told told_by(const struct entry *e)
+static struct totals sum_totals(const struct entry *e)
 {
 	const struct answer_stats *s;
-	struct told t = { 0 };
+	struct totals t = { 0 };
 	const char *account;
 	uint32_t cursor = 0;
 	uint8_t class;
@@ -46,12 +46,11 @@
 }
 
 /*
- * Symptom: more refusals and answers on the operators' page than callers saw.
- * Sequence: the link to callers loses some of the answers and targets
- * refuse for a while; callers repeat, and the entry answers again.
- * Cause: a repeat of an answer counted like a first one.
+ * The metrics show more answers and refusals than callers had, because an
+ * answer that is sent again after a retransmission is counted again. The link
+ * to callers loses answers, and targets shed requests for a while.
  */
-static void repeats_are_not_counted(void **unused)
+static void replayed_answers_are_not_counted_again(void **unused)
 {
 	struct testbed_system system = testbed_product;
 	struct testbed_plan plan = {
@@ -63,28 +62,28 @@
 	};
 	struct testbed_verdict v;
 	struct testbed *f;
-	struct told t;
+	struct totals t;
 
 	(void)unused;
-	system.make = make_and_note;
+	system.make = make_and_keep;
 	f = testbed_new(&plan);
 	testbed_link(f, LINK_DOWN, (struct link_faults){ .drop = 60 });
 	for (uint32_t i = 0; i < TARGETS; i++)
 		testbed_at(f, SHED_NS, testbed_target_mode, i, MODE_SHED);
 	testbed_run(f, RUN_NS);
 	v = testbed_finish(f);
-	t = told_by(made);
-	assert_true(entry_counters(made)->answers_replayed > 0);
+	t = sum_totals(entry_under_test);
+	assert_true(entry_counters(entry_under_test)->answers_replayed > 0);
 	assert_true(v.refused > 0);
-	/* A caller that lost every copy of its answer counts it as lost. */
+	/* A caller that receives no copy of its answer counts it as lost. */
 	assert_true(t.answered >= v.answered && t.refused >= v.refused &&
 		    t.unknown >= v.unknown);
 	assert_int_equal(t.answered + t.refused + t.unknown, v.ops);
 	testbed_free(f);
 }
 
-static void put_in_force(struct account_stats *a, const char *name,
-			 uint64_t vip)
+static void apply_account(struct account_stats *a, const char *name,
+			  uint64_t vip)
 {
 	struct service_conf s = { .vip = vip, .class = CLASS_REPORT };
 	struct account_conf account = { .services = &s, .n_services = 1 };
@@ -95,11 +94,10 @@
 }
 
 /*
- * Symptom: a client account asks why it was refused, and nobody can tell.
- * Sequence: the account is withdrawn, others change, it comes back.
- * Cause: counters kept with the configuration in force.
+ * The refusals of a client account can't be explained after it was withdrawn
+ * and added again, because its counters are deleted with its configuration.
  */
-static void counters_outlive_a_withdrawal(void **unused)
+static void counters_survive_withdrawal_of_account(void **unused)
 {
 	struct account_stats *a = account_stats_new();
 	const struct answer_stats *s;
@@ -108,16 +106,16 @@
 	uint8_t class;
 
 	(void)unused;
-	put_in_force(a, "tshwane", 1);
+	apply_account(a, "tshwane", 1);
 	account_stats_find(a, 1, 0)->not_run[REFUSE_SHARE] = 7;
-	put_in_force(a, "ventolario", 2);
-	put_in_force(a, "club", 3);
+	apply_account(a, "ventolario", 2);
+	apply_account(a, "club", 3);
 	assert_null(account_stats_find(a, 1, 0));
 	while (account_stats_next(a, &cursor, &name, &class, &s))
 		if (!strcmp(name, "tshwane") && class == CLASS_REPORT)
 			assert_int_equal(s->not_run[REFUSE_SHARE], 7);
 	assert_int_equal(cursor, 3 * CLASS_COUNT);
-	put_in_force(a, "tshwane", 1);
+	apply_account(a, "tshwane", 1);
 	assert_int_equal(account_stats_find(a, 1, 0)->not_run[REFUSE_SHARE], 7);
 	account_stats_free(a);
 }
@@ -125,8 +123,8 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(repeats_are_not_counted),
-		cmocka_unit_test(counters_outlive_a_withdrawal),
+		cmocka_unit_test(replayed_answers_are_not_counted_again),
+		cmocka_unit_test(counters_survive_withdrawal_of_account),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/entry_next_test.c
+++ b/test/entry_next_test.c
@@ -1,4 +1,4 @@
-/* When an entry asks to be ticked: by its own deadlines, not by luck. */
+/* entry_next_ns() covers each deadline of an entry, and none stays due. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -16,8 +16,8 @@
 static const uint64_t other = ADDR(0x7f460102, 7000);
 static struct actions out;
 
-/* Probes are rare, so that nothing else ticks the entry by chance. */
-static struct entry *make(uint64_t now_ns)
+/* Probes are rare, so that no other deadline is due in a test. */
+static struct entry *make_entry(uint64_t now_ns)
 {
 	const struct entry_conf conf = {
 		.member = { .self = self,
@@ -45,8 +45,11 @@
 	return entry_new(&conf, now_ns);
 }
 
-/* Tick when asked to, as the daemon does; how often until @end_ns. */
-static uint32_t run(struct entry *e, uint64_t *now_ns, uint64_t end_ns)
+/*
+ * Ticks the entry whenever a tick is due, as the daemon does.
+ * Return: number of ticks until @end_ns, at most TICKS_MAX.
+ */
+static uint32_t count_ticks(struct entry *e, uint64_t *now_ns, uint64_t end_ns)
 {
 	uint32_t ticks = 0;
 	uint64_t next_ns;
@@ -62,14 +65,13 @@
 }
 
 /*
- * Symptom: a new entry joins late, by up to a round of probes. Sequence: it
- * knows the fleet; the settle time passes; nothing else is due. Cause: the
- * deadline of joining was none that the entry asked to be ticked for.
+ * A new entry that knows the others joins up to a probe period after the settle
+ * time, because entry_next_ns() omits the deadline for joining.
  */
-static void test_joining_is_due_by_itself(void **state)
+static void next_tick_includes_join_deadline(void **state)
 {
 	uint64_t now_ns = NS_PER_S;
-	struct entry *e = make(now_ns);
+	struct entry *e = make_entry(now_ns);
 
 	(void)state;
 	entry_roster(e, &self, 1, now_ns, &out);
@@ -78,12 +80,12 @@
 	entry_free(e);
 }
 
-/* An entry that finds no majority joins all the same, after 3 s. */
-static void test_joining_alone_is_due_by_itself(void **state)
+/* The same for an entry that joins without a majority after 3 s. */
+static void next_tick_includes_join_deadline_without_majority(void **state)
 {
 	const uint64_t vms[] = { self, other };
 	uint64_t now_ns = NS_PER_S;
-	struct entry *e = make(now_ns);
+	struct entry *e = make_entry(now_ns);
 
 	(void)state;
 	entry_roster(e, vms, 2, now_ns, &out);
@@ -93,32 +95,31 @@
 }
 
 /*
- * Symptom: a process takes a whole core while it stops. Sequence: it is told to
- * leave before it has joined. Cause: the deadline of joining stays due, and
- * nothing that is leaving joins.
+ * A process that has to stop before it has joined uses a whole core, because
+ * the deadline for joining stays due while a leaving entry never joins.
  */
-static void test_a_leaver_that_never_joined_does_not_spin(void **state)
+static void leaving_before_join_does_not_busy_loop(void **state)
 {
 	uint64_t now_ns = NS_PER_S;
-	struct entry *e = make(now_ns);
+	struct entry *e = make_entry(now_ns);
 
 	(void)state;
 	entry_roster(e, &self, 1, now_ns, &out);
 	entry_tick(e, now_ns, &out);
 	entry_leave(e, now_ns, &out);
-	assert_in_range(run(e, &now_ns, now_ns + 3 * NS_PER_S), 0,
+	assert_in_range(count_ticks(e, &now_ns, now_ns + 3 * NS_PER_S), 0,
 			TICKS_MAX - 1);
 	entry_free(e);
 }
 
-static void test_an_entry_that_joined_does_not_spin(void **state)
+static void joined_entry_does_not_busy_loop(void **state)
 {
 	uint64_t now_ns = NS_PER_S;
-	struct entry *e = make(now_ns);
+	struct entry *e = make_entry(now_ns);
 
 	(void)state;
 	entry_roster(e, &self, 1, now_ns, &out);
-	assert_in_range(run(e, &now_ns, now_ns + 3 * NS_PER_S), 1,
+	assert_in_range(count_ticks(e, &now_ns, now_ns + 3 * NS_PER_S), 1,
 			TICKS_MAX - 1);
 	entry_free(e);
 }
@@ -126,10 +127,11 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_joining_is_due_by_itself),
-		cmocka_unit_test(test_joining_alone_is_due_by_itself),
-		cmocka_unit_test(test_a_leaver_that_never_joined_does_not_spin),
-		cmocka_unit_test(test_an_entry_that_joined_does_not_spin),
+		cmocka_unit_test(next_tick_includes_join_deadline),
+		cmocka_unit_test(
+			next_tick_includes_join_deadline_without_majority),
+		cmocka_unit_test(leaving_before_join_does_not_busy_loop),
+		cmocka_unit_test(joined_entry_does_not_busy_loop),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/flow_list_test.c
+++ b/test/flow_list_test.c
@@ -9,7 +9,7 @@
 #include "flow_list.h"
 
 #define REQUESTS 16
-#define FEEDS 20000 /* more than one call looks at */
+#define FEEDS 20000 /* more slots than one call examines */
 #define OPEN_FEEDS 3
 
 static const uint64_t self = ADDR(0x7f460101, 7000);
@@ -35,7 +35,7 @@
 static struct actions out;
 static uint64_t now_ns = NS_PER_S;
 
-static struct entry *entry_alone(void)
+static struct entry *make_ready_entry(void)
 {
 	const struct entry_conf conf = {
 		.member = { .self = self,
@@ -70,7 +70,7 @@
 	return e;
 }
 
-static void ask(struct entry *e, uint16_t id, uint16_t flags)
+static void send_request(struct entry *e, uint16_t id, uint16_t flags)
 {
 	static const uint8_t data[] = { 0x40, 1, 0, 1 };
 	const struct flow_key key = { ADDR(0x7f460801, 40000 + id), vip };
@@ -87,31 +87,30 @@
 }
 
 /*
- * Symptom: an operator's list holds up datagrams, or never ends.
- * Events: a table of many slots is almost empty; the list is read in parts.
- * Cause: one call looks at every slot, or starts over.
+ * Listing the flows of an almost empty table delays datagrams, because one call
+ * examines every slot, or never ends, because a call starts over.
  */
-static void test_list_in_parts_names_everything_once(void **state)
+static void list_in_parts_is_complete_and_bounded_per_call(void **state)
 {
-	struct entry *e = entry_alone();
+	struct entry *e = make_ready_entry();
 	struct flow_row rows[2];
 	uint32_t requests = 0;
 	uint32_t feeds = 0;
 	uint32_t calls = 0;
-	uint64_t at = 0;
+	uint64_t cursor = 0;
 
 	(void)state;
-	ask(e, 1, 0);
+	send_request(e, 1, 0);
 	for (uint16_t i = 0; i < OPEN_FEEDS; i++)
-		ask(e, 10 + i, MESSAGE_FEED_OPEN);
-	while (at != UINT64_MAX && calls++ < 100) {
-		uint32_t n = entry_flows(e, &at, rows, 2);
+		send_request(e, 10 + i, MESSAGE_FEED_OPEN);
+	while (cursor != UINT64_MAX && calls++ < 100) {
+		uint32_t n = entry_flows(e, &cursor, rows, 2);
 
 		for (uint32_t i = 0; i < n; i++) {
 			requests += rows[i].kind == ROW_REQUEST;
 			feeds += rows[i].kind == ROW_FEED;
 			assert_int_equal(rows[i].key.vip, vip);
-			/* An opening feed is at the target of its request. */
+			/* Only its request knows an opening feed's target. */
 			assert_int_equal(rows[i].target,
 					 rows[i].kind == ROW_FEED
 						 ? ADDR_NONE
@@ -121,16 +120,17 @@
 	assert_int_equal(feeds, OPEN_FEEDS);
 	assert_int_equal(requests, 1 + OPEN_FEEDS);
 	assert_in_range(calls, 4, 8);
-	at = REQUESTS + OPEN_FEEDS;
-	assert_int_equal(entry_flows(e, &at, rows, 2), 0);
-	assert_true(at < REQUESTS + FEEDS);
+	cursor = REQUESTS + OPEN_FEEDS;
+	assert_int_equal(entry_flows(e, &cursor, rows, 2), 0);
+	assert_true(cursor < REQUESTS + FEEDS);
 	entry_free(e);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_list_in_parts_names_everything_once),
+		cmocka_unit_test(
+			list_in_parts_is_complete_and_bounded_per_call),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/flow_test.c
+++ b/test/flow_test.c
@@ -26,7 +26,7 @@
 	return ADDR(0x7f32ff00U + i, 5683);
 }
 
-static void pins_and_unpins(void **state)
+static void pin_and_unpin_change_one_flow(void **state)
 {
 	struct flow_table *t = flow_table_new(8, IDLE_NS);
 	struct flow_key key = key_of(1), other = key_of(2);
@@ -46,11 +46,10 @@
 }
 
 /*
- * Symptom: a flow past the cap takes memory, or pushes another flow out.
- * Events: the table is full, one more flow is pinned, one is moved.
- * Cause: a cap that isn't refused at, or that refuses changes too.
+ * A full table grows, evicts another flow, or also refuses to change the target
+ * of a flow that it holds.
  */
-static void refuses_at_cap(void **state)
+static void full_table_refuses_only_new_flows(void **state)
 {
 	struct flow_table *t = flow_table_new(100, IDLE_NS);
 	uint64_t bytes = flow_bytes(t);
@@ -76,16 +75,15 @@
 }
 
 /*
- * Symptom: a feed that talks now and then goes to another target.
- * Events: it is looked up each 50 s; another is not; idle time is 60 s.
- * Cause: idle time counted from the pin and not from the last packet.
+ * A flow with a packet every 50 s and an idle time of 60 s moves to another
+ * target, because its idle time counts from the pin, not from the last lookup.
  */
-static void forgets_idle_flows_only(void **state)
+static void only_idle_flows_expire(void **state)
 {
 	struct flow_table *t = flow_table_new(64, IDLE_NS);
 	struct flow_key busy = key_of(1), idle = key_of(2);
 	uint64_t now_ns = START_NS;
-	uint32_t forgotten = 0, i;
+	uint32_t expired = 0, i;
 
 	(void)state;
 	flow_pin(t, &busy, target_of(1), now_ns);
@@ -95,8 +93,8 @@
 		assert_int_equal(flow_lookup(t, &busy, now_ns), target_of(1));
 	}
 	for (i = 0; i < 200; i++)
-		forgotten += flow_expire(t, now_ns, 16);
-	assert_int_equal(forgotten, 1);
+		expired += flow_expire(t, now_ns, 16);
+	assert_int_equal(expired, 1);
 	assert_int_equal(flow_lookup(t, &idle, now_ns), ADDR_NONE);
 	assert_int_equal(flow_lookup(t, &busy, now_ns), target_of(1));
 	now_ns += IDLE_NS + NS_PER_S;
@@ -106,12 +104,11 @@
 }
 
 /*
- * Symptom: a pinned flow is not found, and moves in the middle of a race.
- * Events: flows that hash side by side are pinned and unpinned at random in
- * a table that is nearly full; each is compared with a plain array.
- * Cause: deletion leaves a gap that ends the search for a later flow.
+ * A pinned flow is not found and moves to another target, because a deletion
+ * leaves a gap that ends the search for a later flow of the same run. Random
+ * pins and unpins in a nearly full table are compared with a plain array.
  */
-static void agrees_with_plain_array(void **state)
+static void deletion_hides_no_other_flow(void **state)
 {
 	struct flow_table *t = flow_table_new(MODEL_FLOWS, IDLE_NS);
 	uint64_t model[2 * MODEL_FLOWS] = { 0 };
@@ -142,12 +139,11 @@
 }
 
 /*
- * Symptom: after a planned stop some pinned flows reach another target.
- * Events: a leaving entry walks its flows to hand them over; between two
- * steps other flows end and new ones begin.
- * Cause: deletion moved a flow that the walk had yet to see behind it.
+ * Some flows are missing from a list of all flows, because a deletion between
+ * two steps of the iteration moves a flow that was not visited yet to a place
+ * that was.
  */
-static void walk_misses_no_flow_that_stays(void **state)
+static void iteration_misses_no_flow_that_stays(void **state)
 {
 	struct flow_table *t = flow_table_new(400, IDLE_NS);
 	struct rng rng = { .s = 7 };
@@ -182,11 +178,11 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(pins_and_unpins),
-		cmocka_unit_test(refuses_at_cap),
-		cmocka_unit_test(forgets_idle_flows_only),
-		cmocka_unit_test(agrees_with_plain_array),
-		cmocka_unit_test(walk_misses_no_flow_that_stays),
+		cmocka_unit_test(pin_and_unpin_change_one_flow),
+		cmocka_unit_test(full_table_refuses_only_new_flows),
+		cmocka_unit_test(only_idle_flows_expire),
+		cmocka_unit_test(deletion_hides_no_other_flow),
+		cmocka_unit_test(iteration_misses_no_flow_that_stays),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
