--- a/bench/bench-faults/baseline.c
+++ b/bench/bench-faults/baseline.c
@@ -78,7 +78,7 @@
 static struct action *act(struct baseline *b, uint8_t kind,
 			  const struct flow_key *key, uint64_t target)
 {
-	struct action *a = &b->out->a[b->out->n++];
+	struct action *a = &b->out->list[b->out->n++];
 
 	memset(a, 0, sizeof(*a));
 	a->kind = kind;
--- a/bench/slopes-entry/pump.c
+++ b/bench/slopes-entry/pump.c
@@ -84,7 +84,7 @@
 	uint8_t buf[WIRE_MAX_BYTES];
 
 	for (uint32_t i = 0; i < p->out->n; i++) {
-		const struct action *a = &p->out->a[i];
+		const struct action *a = &p->out->list[i];
 
 		if (a->kind == ACT_PEER)
 			to_peer(p, n, a);
--- a/cmd/cb-entry/act.c
+++ b/cmd/cb-entry/act.c
@@ -109,7 +109,7 @@
 void act(struct daemon *d)
 {
 	for (uint32_t i = 0; i < d->actions.n; i++) {
-		const struct action *a = &d->actions.a[i];
+		const struct action *a = &d->actions.list[i];
 
 		acts[a->kind](d, a);
 	}
--- a/core/request/account_stats.c
+++ b/core/request/account_stats.c
@@ -46,14 +46,14 @@
 	return calloc(1, sizeof(struct account_stats));
 }
 
-void account_stats_free(struct account_stats *a)
+void account_stats_free(struct account_stats *counters)
 {
-	if (!a)
+	if (!counters)
 		return;
-	free(a->accounts);
-	free(a->services);
-	index_free(a->by_vip);
-	free(a);
+	free(counters->accounts);
+	free(counters->services);
+	index_free(counters->by_vip);
+	free(counters);
 }
 
 static int by_name(const void *name, const void *row)
@@ -65,115 +65,120 @@
  * Return: below 0 if the name of @old comes first, above 0 if that of @new
  * does, 0 if both are the same account.
  */
-static int compare_next(const struct account_stats *a, uint32_t old,
-			const struct config *c, uint32_t new)
+static int compare_next(const struct account_stats *counters, uint32_t old,
+			const struct config *config, uint32_t new)
 {
-	if (old == a->n_accounts)
+	if (old == counters->n_accounts)
 		return 1;
-	if (new == c->n_accounts)
+	if (new == config->n_accounts)
 		return -1;
-	return strcmp(a->accounts[old].name, c->accounts[new].name);
+	return strcmp(counters->accounts[old].name, config->accounts[new].name);
 }
 
 /*
  * Merges two lists that are sorted by name. Return: number of accounts in @to.
  */
 static uint32_t merge_accounts(struct account_entry *to,
-			       const struct account_stats *a,
-			       const struct config *c)
+			       const struct account_stats *counters,
+			       const struct config *config)
 {
 	uint32_t n = 0;
 	uint32_t old = 0;
 	uint32_t new = 0;
 
-	while (old < a->n_accounts || new < c->n_accounts) {
-		int order = compare_next(a, old, c, new);
+	while (old < counters->n_accounts || new < config->n_accounts) {
+		int order = compare_next(counters, old, config, new);
 
 		if (order <= 0)
-			to[n] = a->accounts[old++];
+			to[n] = counters->accounts[old++];
 		else
-			strcpy(to[n].name, c->accounts[new].name);
+			strcpy(to[n].name, config->accounts[new].name);
 		new += order >= 0;
 		n++;
 	}
 	return n;
 }
 
-static int add_accounts(struct account_stats *a, const struct config *c)
+static int add_accounts(struct account_stats *counters,
+			const struct config *config)
 {
-	uint32_t n_max = a->n_accounts + c->n_accounts;
+	uint32_t n_max = counters->n_accounts + config->n_accounts;
 	struct account_entry *grown = calloc(n_max + 1, sizeof(*grown));
 
 	if (!grown)
 		return -ENOMEM;
-	a->n_accounts = merge_accounts(grown, a, c);
-	free(a->accounts);
-	a->accounts = grown;
+	counters->n_accounts = merge_accounts(grown, counters, config);
+	free(counters->accounts);
+	counters->accounts = grown;
 	return 0;
 }
 
-static const struct service_entry *find_service(const struct account_stats *a,
-						uint64_t vip)
+static const struct service_entry *
+find_service(const struct account_stats *counters, uint64_t vip)
 {
 	uint32_t slot;
 
-	if (!a->by_vip)
+	if (!counters->by_vip)
 		return NULL;
-	slot = index_get(a->by_vip, hash_u64(vip, 0));
-	if (slot == INDEX_NONE || a->services[slot].vip != vip)
+	slot = index_get(counters->by_vip, hash_u64(vip, 0));
+	if (slot == INDEX_NONE || counters->services[slot].vip != vip)
 		return NULL;
-	return &a->services[slot];
+	return &counters->services[slot];
 }
 
 /*
  * If two accounts have the same VIP, the first by name keeps it, as in entry.c.
  */
-static void add_services(struct account_stats *a,
+static void add_services(struct account_stats *counters,
 			 const struct account_conf *account)
 {
 	const struct account_entry *row =
-		bsearch(account->name, a->accounts, a->n_accounts, sizeof(*row),
-			by_name);
+		bsearch(account->name, counters->accounts, counters->n_accounts,
+			sizeof(*row), by_name);
 
 	for (uint32_t i = 0; i < account->n_services; i++) {
 		const struct service_conf *s = &account->services[i];
 
-		if (find_service(a, s->vip))
+		if (find_service(counters, s->vip))
 			continue;
-		a->services[a->n_services] = (struct service_entry){
-			.vip = s->vip,
-			.class = s->class,
-			.account = (uint32_t)(row - a->accounts),
-		};
-		index_put(a->by_vip, hash_u64(s->vip, 0), a->n_services++);
+		counters->services[counters->n_services] =
+			(struct service_entry){
+				.vip = s->vip,
+				.class = s->class,
+				.account = (uint32_t)(row - counters->accounts),
+			};
+		index_put(counters->by_vip, hash_u64(s->vip, 0),
+			  counters->n_services++);
 	}
 }
 
 /**
  * account_stats_config() - adopt the accounts and services in force
- * @a: counters; those of accounts that are known already are kept
- * @c: configuration, not kept
+ * @counters: counters; those of accounts that are known already are kept
+ * @config: configuration, not kept
  *
  * Return: 0, or -ENOMEM: no answers are counted then.
  */
-int account_stats_config(struct account_stats *a, const struct config *c)
+int account_stats_config(struct account_stats *counters,
+			 const struct config *config)
 {
 	uint32_t n = 0;
 
-	for (uint32_t i = 0; i < c->n_accounts; i++)
-		n += c->accounts[i].n_services;
-	free(a->services);
-	index_free(a->by_vip);
-	a->n_services = 0;
-	a->services = calloc(n + 1, sizeof(*a->services));
-	a->by_vip = index_new(n + 1);
-	if (!a->services || !a->by_vip || add_accounts(a, c)) {
-		index_free(a->by_vip);
-		a->by_vip = NULL;
+	for (uint32_t i = 0; i < config->n_accounts; i++)
+		n += config->accounts[i].n_services;
+	free(counters->services);
+	index_free(counters->by_vip);
+	counters->n_services = 0;
+	counters->services = calloc(n + 1, sizeof(*counters->services));
+	counters->by_vip = index_new(n + 1);
+	if (!counters->services || !counters->by_vip ||
+	    add_accounts(counters, config)) {
+		index_free(counters->by_vip);
+		counters->by_vip = NULL;
 		return -ENOMEM;
 	}
-	for (uint32_t i = 0; i < c->n_accounts; i++)
-		add_services(a, &c->accounts[i]);
+	for (uint32_t i = 0; i < config->n_accounts; i++)
+		add_services(counters, &config->accounts[i]);
 	return 0;
 }
 
@@ -196,26 +201,26 @@
 
 /**
  * account_stats_find() - counters of a request's account and class
- * @a: counters
+ * @counters: counters of all client accounts
  * @vip: VIP of its service
  * @flags: enum message_flags of the request
  *
  * Return: counters, or NULL when the service is not in force.
  */
-struct answer_stats *account_stats_find(struct account_stats *a, uint64_t vip,
-					uint16_t flags)
+struct answer_stats *account_stats_find(struct account_stats *counters,
+					uint64_t vip, uint16_t flags)
 {
-	const struct service_entry *s = find_service(a, vip);
+	const struct service_entry *s = find_service(counters, vip);
 
 	if (!s)
 		return NULL;
-	return &a->accounts[s->account]
+	return &counters->accounts[s->account]
 			.by_class[request_class(flags, s->class)];
 }
 
 /**
  * account_stats_next() - iterate over the counters of each account and class
- * @a: counters
+ * @counters: counters of all client accounts
  * @cursor: 0 for the first call, advanced by each
  * @account: set to the account's name, valid until the next configuration
  * @class: set to the enum service_class
@@ -223,17 +228,17 @@
  *
  * Return: false at the end; the outputs are unchanged then.
  */
-bool account_stats_next(const struct account_stats *a, uint32_t *cursor,
+bool account_stats_next(const struct account_stats *counters, uint32_t *cursor,
 			const char **account, uint8_t *class,
 			const struct answer_stats **stats)
 {
 	uint32_t row = *cursor / CLASS_COUNT;
 
-	if (row >= a->n_accounts)
+	if (row >= counters->n_accounts)
 		return false;
 	*class = *cursor % CLASS_COUNT;
-	*account = a->accounts[row].name;
-	*stats = &a->accounts[row].by_class[*class];
+	*account = counters->accounts[row].name;
+	*stats = &counters->accounts[row].by_class[*class];
 	(*cursor)++;
 	return true;
 }
--- a/core/request/claiming.c
+++ b/core/request/claiming.c
@@ -12,20 +12,20 @@
 
 /**
  * claim_lease_holds() - whether this entry may act on its earlier grants
- * @e: entry
+ * @entry: state of this entry
  *
  * Return: false when the lease has lapsed, for example after a pause of the
  * process: others may have replaced this entry since.
  */
-bool claim_lease_holds(const struct entry *e)
+bool claim_lease_holds(const struct entry *entry)
 {
-	return member_lease_valid(e->members, e->now_ns);
+	return member_lease_valid(entry->members, entry->now_ns);
 }
 
-static bool claim_is_own(const struct entry *e, const struct claim *c)
+static bool claim_is_own(const struct entry *entry, const struct claim *claim)
 {
-	return c->claimer == e->conf.member.self &&
-	       c->boot == e->conf.member.incarnation;
+	return claim->claimer == entry->conf.member.self &&
+	       claim->boot == entry->conf.member.incarnation;
 }
 
 /*
@@ -33,92 +33,93 @@
  * owners whose pairs have no member in common would both be granted the same
  * request. After a settle time their views differ by one member at most.
  */
-static bool may_claim(const struct entry *e, const struct request *r)
+static bool may_claim(const struct entry *entry, const struct request *req)
 {
-	return claim_lease_holds(e) &&
-	       ring_steady(e->ring, r->bucket, e->now_ns);
+	return claim_lease_holds(entry) &&
+	       ring_steady(entry->ring, req->bucket, entry->now_ns);
 }
 
-static struct claim make_claim(const struct entry *e, const struct request *r,
-			       uint8_t state)
+static struct claim make_claim(const struct entry *entry,
+			       const struct request *req, uint8_t state)
 {
-	struct claim c = { .request = r->claim_id,
-			   .bucket = r->bucket,
-			   .claimer = e->conf.member.self,
-			   .boot = e->conf.member.incarnation,
-			   .target = r->target,
-			   .state = state,
-			   .slot = request_slot(e, r) };
-
-	return c;
+	struct claim claim = { .request = req->claim_id,
+			       .bucket = req->bucket,
+			       .claimer = entry->conf.member.self,
+			       .boot = entry->conf.member.incarnation,
+			       .target = req->target,
+			       .state = state,
+			       .slot = request_slot(entry, req) };
+
+	return claim;
 }
 
-static void send_settlement_to(struct entry *e, const struct claim *c,
+static void send_settlement_to(struct entry *entry, const struct claim *claim,
 			       uint64_t vm)
 {
 	struct peer_msg *m;
 
-	if (vm == ADDR_NONE || vm == e->conf.member.self)
+	if (vm == ADDR_NONE || vm == entry->conf.member.self)
 		return;
-	m = emit_peer(e, vm, PEER_SETTLE);
+	m = emit_peer(entry, vm, PEER_SETTLE);
 	m->n_claims = 1;
-	m->claims[0] = *c;
+	m->claims[0] = *claim;
 }
 
 /*
  * Sent to both members of the pair: when ownership changed while the claim was
  * pending, the second that granted it is the owner now.
  */
-static void send_settlement(struct entry *e, const struct claim *c)
+static void send_settlement(struct entry *entry, const struct claim *claim)
 {
-	struct ring_pair pair = ring_at(e->ring, c->bucket);
+	struct ring_pair pair = ring_at(entry->ring, claim->bucket);
 
-	send_settlement_to(e, c, pair.owner);
-	send_settlement_to(e, c, pair.second);
+	send_settlement_to(entry, claim, pair.owner);
+	send_settlement_to(entry, claim, pair.second);
 }
 
 /**
  * claim_record_outcome() - record how a claimed request ended
- * @e: entry
- * @r: request
+ * @entry: state of this entry
+ * @req: request
  * @state: enum claim_state
  *
  * Only a refusal is sent to the pair. To the second, done and open mean the
  * same, that the request may have been executed; not sending them saves a
  * message per request.
  */
-void claim_record_outcome(struct entry *e, struct request *r, uint8_t state)
+void claim_record_outcome(struct entry *entry, struct request *req,
+			  uint8_t state)
 {
-	struct claim *c = claims_find(e->claims, r->claim_id);
+	struct claim *claim = claims_find(entry->claims, req->claim_id);
 
-	if (!c || !claim_is_own(e, c))
+	if (!claim || !claim_is_own(entry, claim))
 		return;
-	c->state = state;
+	claim->state = state;
 	if (state == CLAIM_REFUSED)
-		send_settlement(e, c);
+		send_settlement(entry, claim);
 }
 
-static void forward_to_claimer(struct entry *e, struct request *r,
+static void forward_to_claimer(struct entry *entry, struct request *req,
 			       uint64_t claimer)
 {
-	forward_to(e, claimer, &r->key, r->data, r->size_bytes, LAST_HOP,
-		   FORWARD_TO_CLAIMER);
-	request_drop(e, r);
+	forward_to(entry, claimer, &req->key, req->data, req->size_bytes,
+		   LAST_HOP, FORWARD_TO_CLAIMER);
+	request_drop(entry, req);
 }
 
 /* Ends or forwards a request that was claimed before. */
-static void handle_existing_claim(struct entry *e, struct request *r,
-				  struct claim *c)
+static void handle_existing_claim(struct entry *entry, struct request *req,
+				  struct claim *claim)
 {
-	bool may_run = c->state == CLAIM_OPEN || c->state == CLAIM_DONE;
+	bool may_run = claim->state == CLAIM_OPEN || claim->state == CLAIM_DONE;
 
-	if (c->state == CLAIM_REFUSED) {
-		request_refuse(e, r, REFUSE_QUEUE, 1);
+	if (claim->state == CLAIM_REFUSED) {
+		request_refuse(entry, req, REFUSE_QUEUE, 1);
 		return;
 	}
-	if (may_run && c->claimer != e->conf.member.self &&
-	    vm_is_serving(e, c->claimer)) {
-		forward_to_claimer(e, r, c->claimer);
+	if (may_run && claim->claimer != entry->conf.member.self &&
+	    vm_is_serving(entry, claim->claimer)) {
+		forward_to_claimer(entry, req, claim->claimer);
 		return;
 	}
 	/*
@@ -126,71 +127,73 @@
 	 * becomes unknown, so that a claimer that was only paused is denied
 	 * when it asks again, and does not send the request.
 	 */
-	c->state = CLAIM_UNKNOWN;
+	claim->state = CLAIM_UNKNOWN;
 	request_end_unknown(
-		e, r, "request was claimed before, its outcome is not known");
+		entry, req,
+		"request was claimed before, its outcome is not known");
 }
 
 /**
  * claim_begin() - claim a non-idempotent request that arrived at its owner
- * @e: entry
- * @r: request; may be ended or forwarded by this call
+ * @entry: state of this entry
+ * @req: request; may be ended or forwarded by this call
  */
-void claim_begin(struct entry *e, struct request *r)
+void claim_begin(struct entry *entry, struct request *req)
 {
-	struct claim own = make_claim(e, r, CLAIM_OPEN);
-	struct claim *c = claims_find(e->claims, r->claim_id);
+	struct claim own = make_claim(entry, req, CLAIM_OPEN);
+	struct claim *claim = claims_find(entry->claims, req->claim_id);
 
-	if (c && c->state != CLAIM_NONE) {
-		handle_existing_claim(e, r, c);
+	if (claim && claim->state != CLAIM_NONE) {
+		handle_existing_claim(entry, req, claim);
 		return;
 	}
-	if (c)
-		*c = own;
+	if (claim)
+		*claim = own;
 	else
-		c = claims_put(e->claims, &own, e->now_ns);
-	if (!c) {
-		request_end_unknown(e, r, "claim table is full");
+		claim = claims_put(entry->claims, &own, entry->now_ns);
+	if (!claim) {
+		request_end_unknown(entry, req, "claim table is full");
 		return;
 	}
-	r->state = REQ_CLAIMING;
-	claim_request_grants(e, r);
+	req->state = REQ_CLAIMING;
+	claim_request_grants(entry, req);
 }
 
-static void claim_completed(struct entry *e, struct request *r)
+static void claim_completed(struct entry *entry, struct request *req)
 {
-	if (!r->granter_knows_history && !history_known(e, r->bucket)) {
-		e->counters.claims_uncovered++;
+	if (!req->granter_knows_history && !history_known(entry, req->bucket)) {
+		entry->counters.claims_uncovered++;
 		request_end_unknown(
-			e, r, "no granting entry knows the bucket's history");
+			entry, req,
+			"no granting entry knows the bucket's history");
 		return;
 	}
-	e->counters.claims_granted++;
-	request_submit(e, r);
+	entry->counters.claims_granted++;
+	request_submit(entry, req);
 }
 
-static bool has_grant_of(const struct entry *e, const struct request *r,
+static bool has_grant_of(const struct entry *entry, const struct request *req,
 			 uint64_t vm)
 {
-	return vm == ADDR_NONE || vm == e->conf.member.self ||
-	       r->granted_by[0] == vm || r->granted_by[1] == vm;
+	return vm == ADDR_NONE || vm == entry->conf.member.self ||
+	       req->granted_by[0] == vm || req->granted_by[1] == vm;
 }
 
 /*
  * The receiver fills in the claimer from the message's sender; a target is not
  * chosen yet.
  */
-static void send_claim(struct entry *e, struct request *r, uint64_t vm)
+static void send_claim(struct entry *entry, struct request *req, uint64_t vm)
 {
 	struct peer_msg *m;
 
-	if (has_grant_of(e, r, vm))
+	if (has_grant_of(entry, req, vm))
 		return;
-	m = emit_peer(e, vm, PEER_CLAIM);
-	e->counters.claims_sent++;
+	m = emit_peer(entry, vm, PEER_CLAIM);
+	entry->counters.claims_sent++;
 	m->n_claims = 1;
-	m->claims[0].request = r->claim_id;
-	m->claims[0].bucket = r->bucket;
+	m->claims[0].request = req->claim_id;
+	m->claims[0].bucket = req->bucket;
 	m->claims[0].state = CLAIM_OPEN;
 }
 
@@ -199,69 +202,71 @@
  * while the caller's next retransmission is likely to reach one that is not. An
  * answer at once would needlessly end the request as unknown.
  */
-static void wait_for_majority(struct entry *e, struct request *r)
+static void wait_for_majority(struct entry *entry, struct request *req)
 {
-	if (e->now_ns < r->arrived_ns + MAJORITY_WAIT_NS)
+	if (entry->now_ns < req->arrived_ns + MAJORITY_WAIT_NS)
 		return;
-	e->counters.no_majority++;
-	request_end_unknown(e, r, "this entry has no majority");
+	entry->counters.no_majority++;
+	request_end_unknown(entry, req, "this entry has no majority");
 }
 
 /**
  * claim_request_grants() - request the missing grants, first or again
- * @e: entry
- * @r: request in REQ_CLAIMING
+ * @entry: state of this entry
+ * @req: request in REQ_CLAIMING
  *
  * Asks the present pair of the bucket: an owner needs the second's grant; an
  * entry that lost the bucket while the claim was pending, or that carries a
  * transfer for the owner, needs both. Submits the request when it has all
  * grants, and ends it as unknown at its deadline.
  */
-void claim_request_grants(struct entry *e, struct request *r)
+void claim_request_grants(struct entry *entry, struct request *req)
 {
-	struct ring_pair pair = ring_at(e->ring, r->bucket);
-	uint64_t next = e->now_ns + e->conf.claim_timeout_ns;
+	struct ring_pair pair = ring_at(entry->ring, req->bucket);
+	uint64_t next = entry->now_ns + entry->conf.claim_timeout_ns;
 
-	if (e->now_ns >= r->deadline_ns) {
-		request_end_unknown(e, r, "claim was not granted in time");
+	if (entry->now_ns >= req->deadline_ns) {
+		request_end_unknown(entry, req,
+				    "claim was not granted in time");
 		return;
 	}
-	timers_set(e->timers, request_slot(e, r),
-		   next < r->deadline_ns ? next : r->deadline_ns);
-	if (!may_claim(e, r))
+	timers_set(entry->timers, request_slot(entry, req),
+		   next < req->deadline_ns ? next : req->deadline_ns);
+	if (!may_claim(entry, req))
 		return;
-	if (!member_majority(e->members)) {
-		wait_for_majority(e, r);
+	if (!member_majority(entry->members)) {
+		wait_for_majority(entry, req);
 		return;
 	}
-	send_claim(e, r, pair.owner);
-	send_claim(e, r, pair.second);
-	if (has_grant_of(e, r, pair.owner) && has_grant_of(e, r, pair.second))
-		claim_completed(e, r);
+	send_claim(entry, req, pair.owner);
+	send_claim(entry, req, pair.second);
+	if (has_grant_of(entry, req, pair.owner) &&
+	    has_grant_of(entry, req, pair.second))
+		claim_completed(entry, req);
 }
 
 /*
  * The request in REQ_CLAIMING that a record of this entry belongs to, or NULL.
  */
-static struct request *pending_request_of(struct entry *e,
-					  const struct claim *c)
+static struct request *pending_request_of(struct entry *entry,
+					  const struct claim *claim)
 {
-	struct request *r;
+	struct request *req;
 
-	if (!claim_is_own(e, c) || c->state != CLAIM_OPEN)
+	if (!claim_is_own(entry, claim) || claim->state != CLAIM_OPEN)
 		return NULL;
-	if (c->slot >= e->conf.requests_max)
+	if (claim->slot >= entry->conf.requests_max)
 		return NULL;
-	r = &e->requests[c->slot];
-	if (r->state != REQ_CLAIMING || r->claim_id != c->request)
+	req = &entry->requests[claim->slot];
+	if (req->state != REQ_CLAIMING || req->claim_id != claim->request)
 		return NULL;
-	return r;
+	return req;
 }
 
 /* claim_is_pending() - whether this entry still awaits grants for a record. */
-bool claim_is_pending(struct entry *e, const struct claim *c)
+bool claim_is_pending(struct entry *entry, const struct claim *claim)
 {
-	return pending_request_of(e, c) != NULL;
+	return pending_request_of(entry, claim) != NULL;
 }
 
 /*
@@ -270,44 +275,46 @@
  * one with the lower address continues. Drops the request here when this entry
  * yields.
  */
-static bool yield_to_lower_address(struct entry *e, const struct claim *c,
-				   uint64_t from)
+static bool yield_to_lower_address(struct entry *entry,
+				   const struct claim *claim, uint64_t from)
 {
-	struct request *r = pending_request_of(e, c);
+	struct request *req = pending_request_of(entry, claim);
 
-	if (!r || from > e->conf.member.self)
+	if (!req || from > entry->conf.member.self)
 		return false;
-	request_drop(e, r);
+	request_drop(entry, req);
 	return true;
 }
 
-static void decide_claim(struct entry *e, struct claim *other, uint64_t from)
+static void decide_claim(struct entry *entry, struct claim *other,
+			 uint64_t from)
 {
-	struct claim *c = claims_find(e->claims, other->request);
+	struct claim *claim = claims_find(entry->claims, other->request);
 
 	other->granted = true;
-	other->covered = history_known(e, other->bucket);
-	if (!c) {
+	other->covered = history_known(entry, other->bucket);
+	if (!claim) {
 		other->granted =
-			claims_put(e->claims, other, e->now_ns) != NULL;
+			claims_put(entry->claims, other, entry->now_ns) != NULL;
 		other->state = other->granted ? CLAIM_OPEN : CLAIM_UNKNOWN;
 		return;
 	}
-	if (c->state == CLAIM_NONE || yield_to_lower_address(e, c, from)) {
-		*c = *other;
+	if (claim->state == CLAIM_NONE ||
+	    yield_to_lower_address(entry, claim, from)) {
+		*claim = *other;
 		return;
 	}
-	if (c->claimer == other->claimer && c->boot == other->boot) {
-		other->granted = c->state == CLAIM_OPEN;
-		other->state = c->state;
+	if (claim->claimer == other->claimer && claim->boot == other->boot) {
+		other->granted = claim->state == CLAIM_OPEN;
+		other->state = claim->state;
 		return;
 	}
-	if (c->state == CLAIM_OPEN && !vm_is_serving(e, c->claimer))
-		c->state = CLAIM_UNKNOWN;
+	if (claim->state == CLAIM_OPEN && !vm_is_serving(entry, claim->claimer))
+		claim->state = CLAIM_UNKNOWN;
 	other->granted = false;
-	other->claimer = c->claimer;
-	other->boot = c->boot;
-	other->state = c->state;
+	other->claimer = claim->claimer;
+	other->boot = claim->boot;
+	other->state = claim->state;
 }
 
 /* A grant carries only the request's hash: the claimer has its own claim. */
@@ -325,36 +332,36 @@
 }
 
 /* claim_requests_received() - PEER_CLAIM: answer another entry's claims. */
-void claim_requests_received(struct entry *e, const struct peer_msg *msg)
+void claim_requests_received(struct entry *entry, const struct peer_msg *msg)
 {
-	struct peer_msg *reply = emit_peer(e, msg->from, PEER_GRANT);
+	struct peer_msg *reply = emit_peer(entry, msg->from, PEER_GRANT);
 
 	for (uint8_t i = 0; i < msg->n_claims; i++) {
 		struct claim other = msg->claims[i];
 
-		if (other.bucket >= e->conf.n_buckets)
+		if (other.bucket >= entry->conf.n_buckets)
 			continue;
 		other.slot = SLOT_NONE;
 		other.claimer = msg->from;
 		other.boot = msg->incarnation;
-		decide_claim(e, &other, msg->from);
+		decide_claim(entry, &other, msg->from);
 		reply->claims[reply->n_claims++] = make_grant(&other);
 	}
 }
 
-static void handle_denial(struct entry *e, struct request *r, struct claim *own,
-			  const struct claim *other)
+static void handle_denial(struct entry *entry, struct request *req,
+			  struct claim *own, const struct claim *other)
 {
-	e->counters.claims_denied++;
+	entry->counters.claims_denied++;
 	own->claimer = other->claimer;
 	own->boot = other->boot;
 	own->state = other->state;
-	handle_existing_claim(e, r, own);
+	handle_existing_claim(entry, req, own);
 }
 
 /**
  * claim_resolve_conflict() - handle a record that names another claimer
- * @e: entry
+ * @entry: state of this entry
  * @own: record in this entry's table
  * @other: record received with a bucket's history
  *
@@ -363,16 +370,16 @@
  * not led to a send. If both claimers are other entries, it is not known which
  * executed the request, and neither is granted it now.
  */
-void claim_resolve_conflict(struct entry *e, struct claim *own,
+void claim_resolve_conflict(struct entry *entry, struct claim *own,
 			    const struct claim *other)
 {
-	struct request *r = pending_request_of(e, own);
+	struct request *req = pending_request_of(entry, own);
 
 	if (other->claimer == own->claimer && other->boot == own->boot)
 		return;
-	if (r)
-		handle_denial(e, r, own, other);
-	else if (!claim_is_own(e, own))
+	if (req)
+		handle_denial(entry, req, own, other);
+	else if (!claim_is_own(entry, own))
 		own->state = CLAIM_UNKNOWN;
 }
 
@@ -380,60 +387,62 @@
  * A claim is complete when both members of the present pair have granted it;
  * grants of other entries do not count.
  */
-static void record_grant(struct entry *e, struct request *r, uint64_t from,
-			 bool covered)
+static void record_grant(struct entry *entry, struct request *req,
+			 uint64_t from, bool covered)
 {
-	struct ring_pair pair = ring_at(e->ring, r->bucket);
+	struct ring_pair pair = ring_at(entry->ring, req->bucket);
 
 	if (from == pair.owner)
-		r->granted_by[0] = from;
+		req->granted_by[0] = from;
 	else if (from == pair.second)
-		r->granted_by[1] = from;
+		req->granted_by[1] = from;
 	else
 		return;
-	r->granter_knows_history |= covered;
-	if (!may_claim(e, r))
+	req->granter_knows_history |= covered;
+	if (!may_claim(entry, req))
 		return;
-	if (has_grant_of(e, r, pair.owner) && has_grant_of(e, r, pair.second))
-		claim_completed(e, r);
+	if (has_grant_of(entry, req, pair.owner) &&
+	    has_grant_of(entry, req, pair.second))
+		claim_completed(entry, req);
 }
 
-static void handle_grant(struct entry *e, const struct claim *other,
+static void handle_grant(struct entry *entry, const struct claim *other,
 			 uint64_t from)
 {
-	struct claim *c = claims_find(e->claims, other->request);
-	struct request *r = c ? pending_request_of(e, c) : NULL;
+	struct claim *claim = claims_find(entry->claims, other->request);
+	struct request *req = claim ? pending_request_of(entry, claim) : NULL;
 
-	if (!r)
+	if (!req)
 		return;
 	if (!other->granted) {
-		handle_denial(e, r, c, other);
+		handle_denial(entry, req, claim, other);
 		return;
 	}
-	record_grant(e, r, from, other->covered);
+	record_grant(entry, req, from, other->covered);
 }
 
 /* claim_grants_received() - PEER_GRANT: answers to claims of this entry. */
-void claim_grants_received(struct entry *e, const struct peer_msg *msg)
+void claim_grants_received(struct entry *entry, const struct peer_msg *msg)
 {
 	for (uint8_t i = 0; i < msg->n_claims; i++)
-		handle_grant(e, &msg->claims[i], msg->from);
-	requests_start_ready(e);
+		handle_grant(entry, &msg->claims[i], msg->from);
+	requests_start_ready(entry);
 }
 
 /*
  * claim_settlements_received() - PEER_SETTLE: outcomes that a claimer reports.
  */
-void claim_settlements_received(struct entry *e, const struct peer_msg *msg)
+void claim_settlements_received(struct entry *entry, const struct peer_msg *msg)
 {
 	for (uint8_t i = 0; i < msg->n_claims; i++) {
 		const struct claim *other = &msg->claims[i];
-		struct claim *c = claims_find(e->claims, other->request);
+		struct claim *claim =
+			claims_find(entry->claims, other->request);
 
-		if (!c || c->claimer != other->claimer ||
-		    c->boot != other->boot)
+		if (!claim || claim->claimer != other->claimer ||
+		    claim->boot != other->boot)
 			continue;
-		if (c->state == CLAIM_OPEN)
-			c->state = other->state;
+		if (claim->state == CLAIM_OPEN)
+			claim->state = other->state;
 	}
 }
--- a/core/request/claims.c
+++ b/core/request/claims.c
@@ -20,9 +20,9 @@
 	uint32_t *heads;
 	struct index *by_request;
 	uint64_t keep_ns;
-	uint32_t max;
+	uint32_t records_max;
 	uint32_t tail;
-	uint32_t n;
+	uint32_t n_records;
 };
 
 /**
@@ -36,128 +36,129 @@
 struct claims *claims_new(uint32_t records_max, uint32_t n_buckets,
 			  uint64_t keep_ns)
 {
-	struct claims *c = calloc(1, sizeof(*c));
+	struct claims *table = calloc(1, sizeof(*table));
 
-	if (!c)
+	if (!table)
 		return NULL;
-	c->records = calloc(records_max, sizeof(*c->records));
-	c->heads = malloc((size_t)n_buckets * sizeof(*c->heads));
-	c->by_request = index_new(records_max);
-	if (!c->records || !c->heads || !c->by_request) {
-		claims_free(c);
+	table->records = calloc(records_max, sizeof(*table->records));
+	table->heads = malloc((size_t)n_buckets * sizeof(*table->heads));
+	table->by_request = index_new(records_max);
+	if (!table->records || !table->heads || !table->by_request) {
+		claims_free(table);
 		return NULL;
 	}
-	memset(c->heads, 0xff, (size_t)n_buckets * sizeof(*c->heads));
-	c->max = records_max;
-	c->keep_ns = keep_ns;
-	return c;
+	memset(table->heads, 0xff, (size_t)n_buckets * sizeof(*table->heads));
+	table->records_max = records_max;
+	table->keep_ns = keep_ns;
+	return table;
 }
 
-void claims_free(struct claims *c)
+void claims_free(struct claims *table)
 {
-	if (!c)
+	if (!table)
 		return;
-	free(c->records);
-	free(c->heads);
-	index_free(c->by_request);
-	free(c);
+	free(table->records);
+	free(table->heads);
+	index_free(table->by_request);
+	free(table);
 }
 
 /**
  * claims_find() - record of a request
- * @c: table
+ * @table: table of claim records
  * @request: hash of the request
  *
  * Return: record, of which the caller may change all but request and bucket, or
  * NULL.
  */
-struct claim *claims_find(struct claims *c, uint64_t request)
+struct claim *claims_find(struct claims *table, uint64_t request)
 {
-	uint32_t slot = index_get(c->by_request, request);
+	uint32_t slot = index_get(table->by_request, request);
 
-	return slot == INDEX_NONE ? NULL : &c->records[slot].claim;
+	return slot == INDEX_NONE ? NULL : &table->records[slot].claim;
 }
 
-static void unlink_oldest(struct claims *c)
+static void unlink_oldest(struct claims *table)
 {
-	struct record *r = &c->records[c->tail];
+	struct record *r = &table->records[table->tail];
 
 	if (r->prev == CLAIM_SLOT_NONE)
-		c->heads[r->claim.bucket] = r->next;
+		table->heads[r->claim.bucket] = r->next;
 	else
-		c->records[r->prev].next = r->next;
+		table->records[r->prev].next = r->next;
 	if (r->next != CLAIM_SLOT_NONE)
-		c->records[r->next].prev = r->prev;
-	index_del(c->by_request, r->claim.request, c->tail);
-	c->tail = (c->tail + 1) % c->max;
-	c->n--;
+		table->records[r->next].prev = r->prev;
+	index_del(table->by_request, r->claim.request, table->tail);
+	table->tail = (table->tail + 1) % table->records_max;
+	table->n_records--;
 }
 
 /**
  * claims_expire() - delete the records whose lifetime is over
- * @c: table
- * @now_ns: time
+ * @table: table of claim records
+ * @now_ns: current time
  */
-void claims_expire(struct claims *c, uint64_t now_ns)
+void claims_expire(struct claims *table, uint64_t now_ns)
 {
-	while (c->n && c->records[c->tail].expires_ns <= now_ns)
-		unlink_oldest(c);
+	while (table->n_records &&
+	       table->records[table->tail].expires_ns <= now_ns)
+		unlink_oldest(table);
 }
 
 /**
  * claims_put() - add a record of a request that has none yet
- * @c: table
+ * @table: table of claim records
  * @claim: record, copied
- * @now_ns: time
+ * @now_ns: current time
  *
  * Return: the record, or NULL when the table is full of records that must be
  * kept; the request can't be executed safely then.
  */
-struct claim *claims_put(struct claims *c, const struct claim *claim,
+struct claim *claims_put(struct claims *table, const struct claim *claim,
 			 uint64_t now_ns)
 {
-	uint32_t slot = (c->tail + c->n) % c->max;
-	struct record *r = &c->records[slot];
+	uint32_t slot = (table->tail + table->n_records) % table->records_max;
+	struct record *r = &table->records[slot];
 
-	claims_expire(c, now_ns);
-	if (c->n == c->max)
+	claims_expire(table, now_ns);
+	if (table->n_records == table->records_max)
 		return NULL;
-	if (index_put(c->by_request, claim->request, slot) < 0)
+	if (index_put(table->by_request, claim->request, slot) < 0)
 		return NULL;
-	c->n++;
+	table->n_records++;
 	r->claim = *claim;
-	r->expires_ns = now_ns + c->keep_ns;
+	r->expires_ns = now_ns + table->keep_ns;
 	r->prev = CLAIM_SLOT_NONE;
-	r->next = c->heads[claim->bucket];
+	r->next = table->heads[claim->bucket];
 	if (r->next != CLAIM_SLOT_NONE)
-		c->records[r->next].prev = slot;
-	c->heads[claim->bucket] = slot;
+		table->records[r->next].prev = slot;
+	table->heads[claim->bucket] = slot;
 	return &r->claim;
 }
 
-uint32_t claims_count(const struct claims *c)
+uint32_t claims_count(const struct claims *table)
 {
-	return c->n;
+	return table->n_records;
 }
 
 /**
  * claims_newest() - newest record of a bucket
- * @c: table
- * @bucket: bucket
+ * @table: table of claim records
+ * @bucket: number of the bucket
  *
  * Return: slot for claims_at() and claims_next_older(), or CLAIM_SLOT_NONE.
  */
-uint32_t claims_newest(const struct claims *c, uint32_t bucket)
+uint32_t claims_newest(const struct claims *table, uint32_t bucket)
 {
-	return c->heads[bucket];
+	return table->heads[bucket];
 }
 
-uint32_t claims_next_older(const struct claims *c, uint32_t slot)
+uint32_t claims_next_older(const struct claims *table, uint32_t slot)
 {
-	return c->records[slot].next;
+	return table->records[slot].next;
 }
 
-const struct claim *claims_at(const struct claims *c, uint32_t slot)
+const struct claim *claims_at(const struct claims *table, uint32_t slot)
 {
-	return &c->records[slot].claim;
+	return &table->records[slot].claim;
 }
--- a/core/request/claims.h
+++ b/core/request/claims.h
@@ -14,14 +14,14 @@
 
 struct claims *claims_new(uint32_t records_max, uint32_t n_buckets,
 			  uint64_t keep_ns);
-void claims_free(struct claims *c);
-struct claim *claims_find(struct claims *c, uint64_t request);
-struct claim *claims_put(struct claims *c, const struct claim *claim,
+void claims_free(struct claims *table);
+struct claim *claims_find(struct claims *table, uint64_t request);
+struct claim *claims_put(struct claims *table, const struct claim *claim,
 			 uint64_t now_ns);
-void claims_expire(struct claims *c, uint64_t now_ns);
-uint32_t claims_count(const struct claims *c);
-uint32_t claims_newest(const struct claims *c, uint32_t bucket);
-uint32_t claims_next_older(const struct claims *c, uint32_t slot);
-const struct claim *claims_at(const struct claims *c, uint32_t slot);
+void claims_expire(struct claims *table, uint64_t now_ns);
+uint32_t claims_count(const struct claims *table);
+uint32_t claims_newest(const struct claims *table, uint32_t bucket);
+uint32_t claims_next_older(const struct claims *table, uint32_t slot);
+const struct claim *claims_at(const struct claims *table, uint32_t slot);
 
 #endif
--- a/core/request/entry.c
+++ b/core/request/entry.c
@@ -11,12 +11,12 @@
 
 static void send_member_message(void *ctx, uint64_t vm, struct peer_msg *msg)
 {
-	struct entry *e = ctx;
+	struct entry *entry = ctx;
 	struct action *a;
 
-	if (!e->out)
+	if (!entry->out)
 		return;
-	a = emit(e, ACT_PEER);
+	a = emit(entry, ACT_PEER);
 	a->vm = vm;
 	a->peer = *msg;
 }
@@ -25,54 +25,55 @@
  * An entry that joins does not know the previous owner. Without it, the
  * bucket's present second would be the owner, and was.
  */
-static void record_ownership(struct entry *e, uint32_t bucket,
+static void record_ownership(struct entry *entry, uint32_t bucket,
 			     struct ring_pair before, struct ring_pair after)
 {
-	e->owner_since_ns[bucket] = e->now_ns;
-	e->previous_owner[bucket] = before.owner;
+	entry->owner_since_ns[bucket] = entry->now_ns;
+	entry->previous_owner[bucket] = before.owner;
 	if (before.owner == ADDR_NONE)
-		e->previous_owner[bucket] = after.second;
+		entry->previous_owner[bucket] = after.second;
 }
 
 static void pair_changed(void *ctx, uint32_t bucket, struct ring_pair before,
 			 struct ring_pair after)
 {
-	struct entry *e = ctx;
-	uint64_t self = e->conf.member.self;
+	struct entry *entry = ctx;
+	uint64_t self = entry->conf.member.self;
 
 	if (after.owner == self && before.owner != self)
-		record_ownership(e, bucket, before, after);
+		record_ownership(entry, bucket, before, after);
 	if (before.owner == ADDR_NONE)
 		return;
-	feeds_pair_changed(e, bucket, before, after);
-	streams_pair_changed(e, bucket, before, after);
+	feeds_pair_changed(entry, bucket, before, after);
+	streams_pair_changed(entry, bucket, before, after);
 }
 
-static int modules_init(struct entry *e)
+static int modules_init(struct entry *entry)
 {
-	struct peer_out port = { e, send_member_message };
-	struct ring_watch watch = { e, pair_changed };
-	struct rng member_rng = { rng_next(&e->rng) | 1 };
-	struct rng balance_rng = { rng_next(&e->rng) | 1 };
-	const struct entry_conf *c = &e->conf;
+	struct peer_out port = { entry, send_member_message };
+	struct ring_watch watch = { entry, pair_changed };
+	struct rng member_rng = { rng_next(&entry->rng) | 1 };
+	struct rng balance_rng = { rng_next(&entry->rng) | 1 };
+	const struct entry_conf *conf = &entry->conf;
 
-	e->members = member_new(&c->member, port, member_rng);
-	e->ring = ring_new(c->n_buckets, c->member.self, c->settle_ns,
-			   c->cover_ns, watch);
-	e->balancer = balance_new(c->requests_max, balance_rng);
-	e->stats = account_stats_new();
-	e->pins = flow_table_new(c->flows_max, FLOW_IDLE_NS);
-	e->claims = claims_new(c->claims_max, c->n_buckets, c->cover_ns);
-	e->timers = timers_new(c->requests_max + c->feeds_max);
-	e->owner_since_ns = calloc(c->n_buckets, sizeof(uint64_t));
-	e->previous_owner = calloc(c->n_buckets, sizeof(uint64_t));
-	if (!e->members || !e->ring || !e->balancer || !e->stats || !e->pins ||
-	    !e->claims || !e->timers || !e->owner_since_ns ||
-	    !e->previous_owner)
+	entry->members = member_new(&conf->member, port, member_rng);
+	entry->ring = ring_new(conf->n_buckets, conf->member.self,
+			       conf->settle_ns, conf->cover_ns, watch);
+	entry->balancer = balance_new(conf->requests_max, balance_rng);
+	entry->stats = account_stats_new();
+	entry->pins = flow_table_new(conf->flows_max, FLOW_IDLE_NS);
+	entry->claims =
+		claims_new(conf->claims_max, conf->n_buckets, conf->cover_ns);
+	entry->timers = timers_new(conf->requests_max + conf->feeds_max);
+	entry->owner_since_ns = calloc(conf->n_buckets, sizeof(uint64_t));
+	entry->previous_owner = calloc(conf->n_buckets, sizeof(uint64_t));
+	if (!entry->members || !entry->ring || !entry->balancer ||
+	    !entry->stats || !entry->pins || !entry->claims || !entry->timers ||
+	    !entry->owner_since_ns || !entry->previous_owner)
 		return -ENOMEM;
-	if (requests_init(e) < 0 || feeds_init(e) < 0)
+	if (requests_init(entry) < 0 || feeds_init(entry) < 0)
 		return -ENOMEM;
-	if (streams_init(e) < 0 || msg_id_spaces_init(e) < 0)
+	if (streams_init(entry) < 0 || msg_id_spaces_init(entry) < 0)
 		return -ENOMEM;
 	return 0;
 }
@@ -80,90 +81,90 @@
 /**
  * entry_new() - allocate an entry
  * @conf: settings, copied
- * @now_ns: time
+ * @now_ns: current time
  *
  * Return: entry, owned by the caller, or NULL when out of memory.
  */
 struct entry *entry_new(const struct entry_conf *conf, uint64_t now_ns)
 {
-	struct entry *e = calloc(1, sizeof(*e));
+	struct entry *entry = calloc(1, sizeof(*entry));
 
-	if (!e)
+	if (!entry)
 		return NULL;
-	e->conf = *conf;
-	e->conf.member.joining = true;
-	e->now_ns = now_ns;
-	e->join_deadline_ns = DEADLINE_NEVER;
-	e->join_latest_ns = DEADLINE_NEVER;
-	e->sweep_deadline_ns = DEADLINE_NEVER;
-	e->minority_since_ns = DEADLINE_NEVER;
+	entry->conf = *conf;
+	entry->conf.member.joining = true;
+	entry->now_ns = now_ns;
+	entry->join_deadline_ns = DEADLINE_NEVER;
+	entry->join_latest_ns = DEADLINE_NEVER;
+	entry->sweep_deadline_ns = DEADLINE_NEVER;
+	entry->minority_since_ns = DEADLINE_NEVER;
 	/*
 	 * Entries may be started with the same seed; their random numbers must
 	 * differ.
 	 */
-	e->rng.s = hash_u64(conf->seed, conf->member.self) | 1;
-	e->peer_budget_refilled_ns = now_ns;
-	e->peer_budget_bytes = conf->peer_bytes_per_s;
-	if (modules_init(e) < 0) {
-		entry_free(e);
+	entry->rng.s = hash_u64(conf->seed, conf->member.self) | 1;
+	entry->peer_budget_refilled_ns = now_ns;
+	entry->peer_budget_bytes = conf->peer_bytes_per_s;
+	if (modules_init(entry) < 0) {
+		entry_free(entry);
 		return NULL;
 	}
 	for (uint32_t i = 0; i < conf->n_buckets; i++)
-		e->owner_since_ns[i] = now_ns;
-	return e;
+		entry->owner_since_ns[i] = now_ns;
+	return entry;
 }
 
-void entry_free(struct entry *e)
+void entry_free(struct entry *entry)
 {
-	if (!e)
+	if (!entry)
 		return;
-	requests_free(e);
-	feeds_free(e);
-	streams_free(e);
-	msg_id_spaces_free(e);
-	member_free(e->members);
-	ring_free(e->ring);
-	balance_free(e->balancer);
-	account_stats_free(e->stats);
-	flow_table_free(e->pins);
-	claims_free(e->claims);
-	timers_free(e->timers);
-	index_free(e->services);
-	free(e->service_list);
-	free(e->owner_since_ns);
-	free(e->previous_owner);
-	free(e);
+	requests_free(entry);
+	feeds_free(entry);
+	streams_free(entry);
+	msg_id_spaces_free(entry);
+	member_free(entry->members);
+	ring_free(entry->ring);
+	balance_free(entry->balancer);
+	account_stats_free(entry->stats);
+	flow_table_free(entry->pins);
+	claims_free(entry->claims);
+	timers_free(entry->timers);
+	index_free(entry->services);
+	free(entry->service_list);
+	free(entry->owner_since_ns);
+	free(entry->previous_owner);
+	free(entry);
 }
 
 /**
  * entry_begin_call() - set the time and the list of actions of a call
- * @e: entry
- * @now_ns: time
+ * @entry: state of this entry
+ * @now_ns: current time
  * @out: list to fill; emptied first
  */
-void entry_begin_call(struct entry *e, uint64_t now_ns, struct actions *out)
+void entry_begin_call(struct entry *entry, uint64_t now_ns, struct actions *out)
 {
 	out->n = 0;
-	e->out = out;
-	e->now_ns = now_ns;
-	entry_check_pause(e);
+	entry->out = out;
+	entry->now_ns = now_ns;
+	entry_check_pause(entry);
 }
 
-static uint32_t count_services(const struct config *c)
+static uint32_t count_services(const struct config *config)
 {
 	uint32_t n = 0;
 
-	for (uint32_t i = 0; i < c->n_accounts; i++)
-		n += c->accounts[i].n_services;
+	for (uint32_t i = 0; i < config->n_accounts; i++)
+		n += config->accounts[i].n_services;
 	return n;
 }
 
-static void list_services(struct entry *e, const struct config *c)
+static void list_services(struct entry *entry, const struct config *config)
 {
 	uint32_t n = 0;
 
-	for (uint32_t i = 0; i < c->n_accounts; i++) {
-		const struct account_conf *a = &c->accounts[i];
+	for (uint32_t i = 0; i < config->n_accounts; i++) {
+		const struct account_conf *a = &config->accounts[i];
 
 		for (uint32_t k = 0; k < a->n_services; k++) {
 			const struct service_conf *s = &a->services[k];
@@ -173,167 +174,171 @@
 			 * the first by name keeps it on every entry; the other
 			 * must not receive its callers.
 			 */
-			if (service_find(e, s->vip))
+			if (service_find(entry, s->vip))
 				continue;
-			e->service_list[n] = s;
-			index_put(e->services, hash_u64(s->vip, 0), n);
+			entry->service_list[n] = s;
+			index_put(entry->services, hash_u64(s->vip, 0), n);
 			n++;
 		}
 	}
-	e->n_services = n;
+	entry->n_services = n;
 }
 
 /**
  * entry_config() - apply a configuration
- * @e: entry
- * @c: all client accounts; has to stay valid until the next call
- * @now_ns: time
+ * @entry: state of this entry
+ * @config: all client accounts; has to stay valid until the next call
+ * @now_ns: current time
  * @out: filled with the actions to carry out
  */
-void entry_config(struct entry *e, const struct config *c, uint64_t now_ns,
-		  struct actions *out)
+void entry_config(struct entry *entry, const struct config *config,
+		  uint64_t now_ns, struct actions *out)
 {
-	uint32_t n = count_services(c);
+	uint32_t n = count_services(config);
 
-	entry_begin_call(e, now_ns, out);
-	index_free(e->services);
-	free(e->service_list);
-	e->services = index_new(n + 1);
-	e->service_list = calloc(n + 1, sizeof(*e->service_list));
-	e->config = c;
-	if (e->services && e->service_list)
-		list_services(e, c);
-	account_stats_config(e->stats, c);
-	balance_config(e->balancer, c, now_ns);
-	moves_check_config(e);
-	requests_start_ready(e);
+	entry_begin_call(entry, now_ns, out);
+	index_free(entry->services);
+	free(entry->service_list);
+	entry->services = index_new(n + 1);
+	entry->service_list = calloc(n + 1, sizeof(*entry->service_list));
+	entry->config = config;
+	if (entry->services && entry->service_list)
+		list_services(entry, config);
+	account_stats_config(entry->stats, config);
+	balance_config(entry->balancer, config, now_ns);
+	moves_check_config(entry);
+	requests_start_ready(entry);
 }
 
 /**
  * entry_roster() - apply the platform's list of VMs
- * @e: entry
+ * @entry: state of this entry
  * @vms: peer addresses of the VMs that are not leaving
  * @n: number of @vms
- * @now_ns: time
+ * @now_ns: current time
  * @out: filled with the actions to carry out
  */
-void entry_roster(struct entry *e, const uint64_t *vms, uint32_t n,
+void entry_roster(struct entry *entry, const uint64_t *vms, uint32_t n,
 		  uint64_t now_ns, struct actions *out)
 {
-	entry_begin_call(e, now_ns, out);
-	member_roster(e->members, vms, n, now_ns);
-	if (!e->roster_known)
-		e->join_latest_ns = now_ns + JOIN_WAIT_NS;
-	e->roster_known = true;
-	entry_update_ring(e);
+	entry_begin_call(entry, now_ns, out);
+	member_roster(entry->members, vms, n, now_ns);
+	if (!entry->roster_known)
+		entry->join_latest_ns = now_ns + JOIN_WAIT_NS;
+	entry->roster_known = true;
+	entry_update_ring(entry);
 }
 
-static void run_timers(struct entry *e)
+static void run_timers(struct entry *entry)
 {
 	uint32_t id;
 
-	while (emit_has_capacity(e) && timers_pop(e->timers, e->now_ns, &id)) {
-		if (id < e->conf.requests_max)
-			request_timer(e, &e->requests[id]);
+	while (emit_has_capacity(entry) &&
+	       timers_pop(entry->timers, entry->now_ns, &id)) {
+		if (id < entry->conf.requests_max)
+			request_timer(entry, &entry->requests[id]);
 		else
-			feed_timer(e, &e->feeds[id - e->conf.requests_max]);
+			feed_timer(
+				entry,
+				&entry->feeds[id - entry->conf.requests_max]);
 	}
 }
 
-static bool all_handed_over(const struct entry *e)
+static bool all_handed_over(const struct entry *entry)
 {
-	return !e->n_active && !e->n_feeds_held && streams_idle(e);
+	return !entry->n_active && !entry->n_feeds_held && streams_idle(entry);
 }
 
-static void update_linger_deadline(struct entry *e)
+static void update_linger_deadline(struct entry *entry)
 {
-	if (!e->leaving)
+	if (!entry->leaving)
 		return;
-	if (!all_handed_over(e))
-		e->linger_deadline_ns = e->now_ns + LINGER_NS;
+	if (!all_handed_over(entry))
+		entry->linger_deadline_ns = entry->now_ns + LINGER_NS;
 }
 
 /**
  * entry_tick() - handle expired deadlines; due at entry_next_ns()
- * @e: entry
- * @now_ns: time
+ * @entry: state of this entry
+ * @now_ns: current time
  * @out: filled with the actions to carry out
  */
-void entry_tick(struct entry *e, uint64_t now_ns, struct actions *out)
+void entry_tick(struct entry *entry, uint64_t now_ns, struct actions *out)
 {
-	entry_begin_call(e, now_ns, out);
-	e->ticked_ns = now_ns;
-	member_tick(e->members, now_ns);
-	entry_check_lease(e);
-	entry_update_ring(e);
-	claims_expire(e->claims, now_ns);
-	run_timers(e);
-	moves_tick(e);
-	requests_start_ready(e);
-	streams_tick(e);
-	flow_expire(e->pins, now_ns, FLOW_EXPIRE_BUDGET);
-	update_linger_deadline(e);
+	entry_begin_call(entry, now_ns, out);
+	entry->ticked_ns = now_ns;
+	member_tick(entry->members, now_ns);
+	entry_check_lease(entry);
+	entry_update_ring(entry);
+	claims_expire(entry->claims, now_ns);
+	run_timers(entry);
+	moves_tick(entry);
+	requests_start_ready(entry);
+	streams_tick(entry);
+	flow_expire(entry->pins, now_ns, FLOW_EXPIRE_BUDGET);
+	update_linger_deadline(entry);
 }
 
 /**
  * entry_leave() - begin a planned stop
- * @e: entry
- * @now_ns: time
+ * @entry: state of this entry
+ * @now_ns: current time
  * @out: filled with the actions to carry out
  */
-void entry_leave(struct entry *e, uint64_t now_ns, struct actions *out)
+void entry_leave(struct entry *entry, uint64_t now_ns, struct actions *out)
 {
-	entry_begin_call(e, now_ns, out);
-	if (e->leaving)
+	entry_begin_call(entry, now_ns, out);
+	if (entry->leaving)
 		return;
-	e->leaving = true;
+	entry->leaving = true;
 	/*
 	 * A leaving entry does not join. If these deadlines stayed due, the
 	 * entry would be ticked in a busy loop.
 	 */
-	e->join_deadline_ns = DEADLINE_NEVER;
-	e->join_latest_ns = DEADLINE_NEVER;
-	e->leave_deadline_ns = now_ns + e->conf.drain_ns;
-	e->linger_deadline_ns = now_ns + LINGER_NS;
-	streams_record_known(e);
-	member_leave(e->members, now_ns);
-	entry_update_ring(e);
+	entry->join_deadline_ns = DEADLINE_NEVER;
+	entry->join_latest_ns = DEADLINE_NEVER;
+	entry->leave_deadline_ns = now_ns + entry->conf.drain_ns;
+	entry->linger_deadline_ns = now_ns + LINGER_NS;
+	streams_record_known(entry);
+	member_leave(entry->members, now_ns);
+	entry_update_ring(entry);
 }
 
 /**
  * entry_has_left() - whether a planned stop is complete
- * @e: entry
+ * @entry: state of this entry
  *
  * Return: true when everything is handed over and the time for late answers is
  * over, or when drain_ns is over.
  */
-bool entry_has_left(const struct entry *e)
+bool entry_has_left(const struct entry *entry)
 {
-	if (!e->leaving)
+	if (!entry->leaving)
 		return false;
-	if (e->now_ns >= e->leave_deadline_ns)
+	if (entry->now_ns >= entry->leave_deadline_ns)
 		return true;
-	return all_handed_over(e) && e->now_ns >= e->linger_deadline_ns;
+	return all_handed_over(entry) &&
+	       entry->now_ns >= entry->linger_deadline_ns;
 }
 
 /**
  * entry_next_ns() - time at which entry_tick() is due
- * @e: entry
+ * @entry: state of this entry
  *
  * Return: time, or DEADLINE_NEVER.
  */
-uint64_t entry_next_ns(const struct entry *e)
+uint64_t entry_next_ns(const struct entry *entry)
 {
-	const uint64_t due[] = { member_next_ns(e->members),
-				 ring_next_ns(e->ring),
-				 timers_next_ns(e->timers),
-				 balance_next_ns(e->balancer),
-				 streams_next_ns(e),
-				 moves_next_ns(e),
-				 e->join_deadline_ns,
-				 e->join_latest_ns,
-				 e->leaving ? e->linger_deadline_ns
-					    : DEADLINE_NEVER };
+	const uint64_t due[] = { member_next_ns(entry->members),
+				 ring_next_ns(entry->ring),
+				 timers_next_ns(entry->timers),
+				 balance_next_ns(entry->balancer),
+				 streams_next_ns(entry),
+				 moves_next_ns(entry),
+				 entry->join_deadline_ns,
+				 entry->join_latest_ns,
+				 entry->leaving ? entry->linger_deadline_ns
+						: DEADLINE_NEVER };
 	uint64_t next = DEADLINE_NEVER;
 
 	for (size_t i = 0; i < sizeof(due) / sizeof(due[0]); i++) {
--- a/core/request/entry.h
+++ b/core/request/entry.h
@@ -67,7 +67,7 @@
  * @flags: enum message_flags
  * @id: message ID
  * @token_len: length of @token in bytes
- * @token: token
+ * @token: token, the first @token_len bytes
  * @timeout_ns: time that the caller will still wait for the answer; 0: not
  *	stated
  * @load: load that the target reports; valid when @has_load
@@ -132,7 +132,7 @@
  * @reason: enum refusal
  * @id: message ID
  * @token_len: length of @token in bytes
- * @token: token
+ * @token: token, the first @token_len bytes
  * @key: flow
  * @target: address of the target, ADDR_NONE when there is none
  * @vm: entry that receives @peer
@@ -167,11 +167,11 @@
 /**
  * struct actions - actions of one call, to be carried out in order
  * @n: number of actions
- * @a: the actions
+ * @list: the actions
  */
 struct actions {
 	uint32_t n;
-	struct action a[ACTIONS_MAX];
+	struct action list[ACTIONS_MAX];
 };
 
 /**
@@ -309,35 +309,36 @@
 
 struct entry;
 
-struct entry_gauges entry_gauges(const struct entry *e);
+struct entry_gauges entry_gauges(const struct entry *entry);
 struct entry *entry_new(const struct entry_conf *conf, uint64_t now_ns);
-void entry_free(struct entry *e);
-void entry_config(struct entry *e, const struct config *c, uint64_t now_ns,
-		  struct actions *out);
-void entry_roster(struct entry *e, const uint64_t *vms, uint32_t n,
+void entry_free(struct entry *entry);
+void entry_config(struct entry *entry, const struct config *config,
+		  uint64_t now_ns, struct actions *out);
+void entry_roster(struct entry *entry, const uint64_t *vms, uint32_t n,
 		  uint64_t now_ns, struct actions *out);
-void entry_caller(struct entry *e, const struct flow_key *key,
+void entry_caller(struct entry *entry, const struct flow_key *key,
 		  const struct message *msg, uint64_t now_ns,
 		  struct actions *out);
-void entry_target(struct entry *e, uint64_t target, const struct message *msg,
-		  uint64_t now_ns, struct actions *out);
-void entry_peer(struct entry *e, const struct peer_msg *msg,
+void entry_target(struct entry *entry, uint64_t target,
+		  const struct message *msg, uint64_t now_ns,
+		  struct actions *out);
+void entry_peer(struct entry *entry, const struct peer_msg *msg,
 		const struct message *forwarded, uint64_t now_ns,
 		struct actions *out);
-void entry_tick(struct entry *e, uint64_t now_ns, struct actions *out);
-void entry_leave(struct entry *e, uint64_t now_ns, struct actions *out);
-bool entry_has_left(const struct entry *e);
-bool entry_ready(const struct entry *e, uint64_t now_ns);
-void entry_load_report(struct entry *e, uint64_t target,
+void entry_tick(struct entry *entry, uint64_t now_ns, struct actions *out);
+void entry_leave(struct entry *entry, uint64_t now_ns, struct actions *out);
+bool entry_has_left(const struct entry *entry);
+bool entry_ready(const struct entry *entry, uint64_t now_ns);
+void entry_load_report(struct entry *entry, uint64_t target,
 		       const struct load_report *report, uint64_t now_ns);
-struct entry_explanation entry_explain(const struct entry *e,
+struct entry_explanation entry_explain(const struct entry *entry,
 				       const struct flow_key *key);
-uint32_t entry_members(const struct entry *e, const struct member **out);
-const struct balancer *entry_balancer(const struct entry *e);
-bool entry_answer_stats_next(const struct entry *e, uint32_t *cursor,
+uint32_t entry_members(const struct entry *entry, const struct member **out);
+const struct balancer *entry_balancer(const struct entry *entry);
+bool entry_answer_stats_next(const struct entry *entry, uint32_t *cursor,
 			     const char **account, uint8_t *class,
 			     const struct answer_stats **stats);
-uint64_t entry_next_ns(const struct entry *e);
-const struct entry_counters *entry_counters(const struct entry *e);
+uint64_t entry_next_ns(const struct entry *entry);
+const struct entry_counters *entry_counters(const struct entry *entry);
 
 #endif
--- a/core/request/entry_membership.c
+++ b/core/request/entry_membership.c
@@ -13,20 +13,21 @@
  * so all of them are dropped until peers have answered again. Checked on every
  * event, since an event loop may deliver datagrams before it runs timers.
  */
-void entry_check_pause(struct entry *e)
+void entry_check_pause(struct entry *entry)
 {
-	if (e->ticked_ns && e->now_ns > e->ticked_ns + e->conf.member.lease_ns)
-		e->stale = true;
+	if (entry->ticked_ns &&
+	    entry->now_ns > entry->ticked_ns + entry->conf.member.lease_ns)
+		entry->stale = true;
 }
 
-static uint32_t live_vms(const struct entry *e, uint64_t *vms)
+static uint32_t live_vms(const struct entry *entry, uint64_t *vms)
 {
 	const struct member *all;
-	uint32_t n_all = member_all(e->members, &all);
+	uint32_t n_all = member_all(entry->members, &all);
 	uint32_t n = 0;
 
 	for (uint32_t i = 0; i < n_all && n < VMS_MAX; i++) {
-		if (all[i].vm == e->conf.member.self && e->leaving)
+		if (all[i].vm == entry->conf.member.self && entry->leaving)
 			continue;
 		if (all[i].state == MEMBER_ALIVE ||
 		    all[i].state == MEMBER_SUSPECT)
@@ -35,14 +36,14 @@
 	return n;
 }
 
-static void update_balancer_peers(struct entry *e, const uint64_t *vms,
+static void update_balancer_peers(struct entry *entry, const uint64_t *vms,
 				  uint32_t n)
 {
 	uint32_t rank = 0;
 
 	for (uint32_t i = 0; i < n; i++)
-		rank += vms[i] < e->conf.member.self;
-	balance_peers(e->balancer, n ? n : 1, rank);
+		rank += vms[i] < entry->conf.member.self;
+	balance_peers(entry->balancer, n ? n : 1, rank);
 }
 
 /*
@@ -51,46 +52,47 @@
  * joins nevertheless after JOIN_WAIT_NS, so that a data centre that is cut off
  * keeps serving.
  */
-static void join_if_ready(struct entry *e)
+static void join_if_ready(struct entry *entry)
 {
-	bool known = member_majority(e->members) &&
-		     member_lease_valid(e->members, e->now_ns);
+	bool known = member_majority(entry->members) &&
+		     member_lease_valid(entry->members, entry->now_ns);
 
-	if (e->joined || e->leaving || !e->roster_known)
+	if (entry->joined || entry->leaving || !entry->roster_known)
 		return;
 	if (!known)
-		e->join_deadline_ns = DEADLINE_NEVER;
-	else if (e->join_deadline_ns == DEADLINE_NEVER)
-		e->join_deadline_ns = e->now_ns + e->conf.settle_ns;
-	if (e->now_ns < e->join_deadline_ns && e->now_ns < e->join_latest_ns)
+		entry->join_deadline_ns = DEADLINE_NEVER;
+	else if (entry->join_deadline_ns == DEADLINE_NEVER)
+		entry->join_deadline_ns = entry->now_ns + entry->conf.settle_ns;
+	if (entry->now_ns < entry->join_deadline_ns &&
+	    entry->now_ns < entry->join_latest_ns)
 		return;
-	e->joined = true;
-	e->join_deadline_ns = DEADLINE_NEVER;
-	e->join_latest_ns = DEADLINE_NEVER;
-	member_join(e->members, e->now_ns);
+	entry->joined = true;
+	entry->join_deadline_ns = DEADLINE_NEVER;
+	entry->join_latest_ns = DEADLINE_NEVER;
+	member_join(entry->members, entry->now_ns);
 }
 
 /*
  * entry_update_ring() - join if it is time to, and update the ring to the
  * membership view.
  */
-void entry_update_ring(struct entry *e)
+void entry_update_ring(struct entry *entry)
 {
 	uint64_t view;
 	uint64_t vms[VMS_MAX];
 	uint32_t n;
 
-	join_if_ready(e);
-	if (!e->joined)
+	join_if_ready(entry);
+	if (!entry->joined)
 		return;
-	view = member_view(e->members);
-	if (view == e->view && ring_next_ns(e->ring) > e->now_ns)
+	view = member_view(entry->members);
+	if (view == entry->view && ring_next_ns(entry->ring) > entry->now_ns)
 		return;
-	n = live_vms(e, vms);
-	if (view != e->view)
-		update_balancer_peers(e, vms, n);
-	e->view = view;
-	ring_update(e->ring, vms, n, e->now_ns);
+	n = live_vms(entry, vms);
+	if (view != entry->view)
+		update_balancer_peers(entry, vms, n);
+	entry->view = view;
+	ring_update(entry->ring, vms, n, entry->now_ns);
 }
 
 /*
@@ -99,18 +101,18 @@
  * it has a majority again, for example because VMs of the other side are
  * replaced, its record of those buckets is not complete.
  */
-static void check_majority(struct entry *e)
+static void check_majority(struct entry *entry)
 {
-	if (!member_majority(e->members)) {
-		if (e->minority_since_ns == DEADLINE_NEVER)
-			e->minority_since_ns = e->now_ns;
+	if (!member_majority(entry->members)) {
+		if (entry->minority_since_ns == DEADLINE_NEVER)
+			entry->minority_since_ns = entry->now_ns;
 		return;
 	}
-	if (e->minority_since_ns != DEADLINE_NEVER &&
-	    e->now_ns >=
-		    e->minority_since_ns + e->conf.member.suspect_timeout_ns)
-		ring_uncover(e->ring, e->now_ns);
-	e->minority_since_ns = DEADLINE_NEVER;
+	if (entry->minority_since_ns != DEADLINE_NEVER &&
+	    entry->now_ns >= entry->minority_since_ns +
+				     entry->conf.member.suspect_timeout_ns)
+		ring_uncover(entry->ring, entry->now_ns);
+	entry->minority_since_ns = DEADLINE_NEVER;
 }
 
 /*
@@ -118,18 +120,18 @@
  * may have been made without it, so it no longer counts as one that knows its
  * buckets' complete history.
  */
-void entry_check_lease(struct entry *e)
+void entry_check_lease(struct entry *entry)
 {
-	bool valid = member_lease_valid(e->members, e->now_ns);
-	uint64_t deaths = member_deaths(e->members);
+	bool valid = member_lease_valid(entry->members, entry->now_ns);
+	uint64_t deaths = member_deaths(entry->members);
 
-	if (!valid && !e->lease_lapsed)
-		e->counters.lease_lapses++;
+	if (!valid && !entry->lease_lapsed)
+		entry->counters.lease_lapses++;
 	if (valid)
-		e->stale = false;
-	e->lease_lapsed = !valid;
-	if (deaths != e->deaths)
-		ring_uncover(e->ring, e->now_ns);
-	e->deaths = deaths;
-	check_majority(e);
+		entry->stale = false;
+	entry->lease_lapsed = !valid;
+	if (deaths != entry->deaths)
+		ring_uncover(entry->ring, entry->now_ns);
+	entry->deaths = deaths;
+	check_majority(entry);
 }
--- a/core/request/entry_state.h
+++ b/core/request/entry_state.h
@@ -259,7 +259,7 @@
  * @join_latest_ns: time to join even without a majority
  * @leave_deadline_ns: latest end of a planned stop
  * @linger_deadline_ns: earliest end of a planned stop, for late answers
- * @counters: counters
+ * @counters: counters of all client accounts
  */
 struct entry {
 	struct entry_conf conf;
@@ -325,171 +325,182 @@
 };
 
 /* emit.c */
-struct action *emit(struct entry *e, uint8_t kind);
-bool emit_has_capacity(const struct entry *e);
-struct peer_msg *emit_peer(struct entry *e, uint64_t vm, uint8_t kind);
-void emit_log(struct entry *e, const char *log_text, const struct flow_key *key,
-	      uint64_t target);
-void emit_signal_target(struct entry *e, uint64_t target, uint8_t type,
+struct action *emit(struct entry *entry, uint8_t kind);
+bool emit_has_capacity(const struct entry *entry);
+struct peer_msg *emit_peer(struct entry *entry, uint64_t vm, uint8_t kind);
+void emit_log(struct entry *entry, const char *log_text,
+	      const struct flow_key *key, uint64_t target);
+void emit_signal_target(struct entry *entry, uint64_t target, uint8_t type,
 			uint16_t id);
-void emit_signal_caller(struct entry *e, const struct flow_key *key,
+void emit_signal_caller(struct entry *entry, const struct flow_key *key,
 			uint8_t type, uint16_t id);
 
 /* entry.c */
-void entry_begin_call(struct entry *e, uint64_t now_ns, struct actions *out);
+void entry_begin_call(struct entry *entry, uint64_t now_ns,
+		      struct actions *out);
 
 /* entry_membership.c */
-void entry_check_pause(struct entry *e);
-void entry_check_lease(struct entry *e);
-void entry_update_ring(struct entry *e);
+void entry_check_pause(struct entry *entry);
+void entry_check_lease(struct entry *entry);
+void entry_update_ring(struct entry *entry);
 
 /* route.c */
-const struct service_conf *service_find(const struct entry *e, uint64_t vip);
-bool forward_to(struct entry *e, uint64_t vm, const struct flow_key *key,
+const struct service_conf *service_find(const struct entry *entry,
+					uint64_t vip);
+bool forward_to(struct entry *entry, uint64_t vm, const struct flow_key *key,
 		const uint8_t *data, uint32_t size_bytes, uint8_t hops,
 		uint8_t purpose);
-void handle_as_owner(struct entry *e, const struct flow_key *key,
+void handle_as_owner(struct entry *entry, const struct flow_key *key,
 		     const struct message *msg);
-bool vm_is_serving(const struct entry *e, uint64_t vm);
-bool vm_may_own(const struct entry *e, uint64_t vm);
+bool vm_is_serving(const struct entry *entry, uint64_t vm);
+bool vm_may_own(const struct entry *entry, uint64_t vm);
 uint64_t target_token(bool feed, uint32_t slot, uint32_t generation,
 		      uint64_t seed);
 
 /* request.c */
-int requests_init(struct entry *e);
-void requests_free(struct entry *e);
-struct request *request_new(struct entry *e, const struct flow_key *key);
-uint32_t request_slot(const struct entry *e, const struct request *r);
-void request_receive(struct entry *e, const struct flow_key *key,
+int requests_init(struct entry *entry);
+void requests_free(struct entry *entry);
+struct request *request_new(struct entry *entry, const struct flow_key *key);
+uint32_t request_slot(const struct entry *entry, const struct request *req);
+void request_receive(struct entry *entry, const struct flow_key *key,
 		     const struct message *msg);
-void request_submit(struct entry *e, struct request *r);
-void request_send(struct entry *e, struct request *r, uint64_t target);
-void request_refuse(struct entry *e, struct request *r, uint8_t reason,
+void request_submit(struct entry *entry, struct request *req);
+void request_send(struct entry *entry, struct request *req, uint64_t target);
+void request_refuse(struct entry *entry, struct request *req, uint8_t reason,
 		    uint32_t retry_after_s);
-void request_end_unknown(struct entry *e, struct request *r, const char *why);
-void request_drop(struct entry *e, struct request *r);
-void request_leave_target(struct entry *e, struct request *r,
+void request_end_unknown(struct entry *entry, struct request *req,
+			 const char *why);
+void request_drop(struct entry *entry, struct request *req);
+void request_leave_target(struct entry *entry, struct request *req,
 			  enum outcome outcome);
-void request_timer(struct entry *e, struct request *r);
-bool request_is_idempotent(const struct entry *e, const struct request *r);
+void request_timer(struct entry *entry, struct request *req);
+bool request_is_idempotent(const struct entry *entry,
+			   const struct request *req);
 uint64_t request_target_msg_id_key(uint64_t target, uint16_t id);
-void request_complete(struct entry *e, struct request *r);
+void request_complete(struct entry *entry, struct request *req);
 
 /* send.c */
-void request_handle_answer(struct entry *e, struct request *r, uint64_t target,
-			   const struct message *msg);
-struct request *request_by_target_msg_id(struct entry *e, uint64_t target,
+void request_handle_answer(struct entry *entry, struct request *req,
+			   uint64_t target, const struct message *msg);
+struct request *request_by_target_msg_id(struct entry *entry, uint64_t target,
 					 uint16_t id);
-void request_reset_by_caller(struct entry *e, const struct flow_key *key,
+void request_reset_by_caller(struct entry *entry, const struct flow_key *key,
 			     uint16_t id);
-void requests_start_ready(struct entry *e);
+void requests_start_ready(struct entry *entry);
 uint64_t request_identity(const struct flow_key *key, uint16_t id);
 
 /* reply.c */
-bool request_handle_retransmission(struct entry *e, const struct flow_key *key,
+bool request_handle_retransmission(struct entry *entry,
+				   const struct flow_key *key,
 				   const struct message *msg);
-void reply_send(struct entry *e, const struct request *r);
-void reply_store(struct request *r, const struct message *msg);
-void local_answer_send(struct entry *e, const struct flow_key *key,
-		       const struct request *r);
-void local_answer_send_unknown(struct entry *e, const struct flow_key *key,
+void reply_send(struct entry *entry, const struct request *req);
+void reply_store(struct request *req, const struct message *msg);
+void local_answer_send(struct entry *entry, const struct flow_key *key,
+		       const struct request *req);
+void local_answer_send_unknown(struct entry *entry, const struct flow_key *key,
 			       const struct message *msg);
 
 /* transfer.c */
-uint64_t transfer_target(struct entry *e, const struct request *r);
-void transfer_pin(struct entry *e, struct request *r);
-void transfer_update_pin(struct entry *e, struct request *r,
+uint64_t transfer_target(struct entry *entry, const struct request *req);
+void transfer_pin(struct entry *entry, struct request *req);
+void transfer_update_pin(struct entry *entry, struct request *req,
 			 const struct message *answer);
-bool transfer_is_carried_here(struct entry *e, const struct flow_key *key,
+bool transfer_is_carried_here(struct entry *entry, const struct flow_key *key,
 			      const struct message *msg);
-bool transfer_forward_to_carrier(struct entry *e, struct request *r);
-bool transfer_only_stores(const struct request *r);
-bool transfer_may_change_target(const struct request *r);
+bool transfer_forward_to_carrier(struct entry *entry, struct request *req);
+bool transfer_only_stores(const struct request *req);
+bool transfer_may_change_target(const struct request *req);
 
 /* answer.c */
-void target_receive(struct entry *e, uint64_t target,
+void target_receive(struct entry *entry, uint64_t target,
 		    const struct message *msg);
 
 /* claiming.c */
-void claim_begin(struct entry *e, struct request *r);
-void claim_request_grants(struct entry *e, struct request *r);
-void claim_record_outcome(struct entry *e, struct request *r, uint8_t state);
-void claim_requests_received(struct entry *e, const struct peer_msg *msg);
-void claim_grants_received(struct entry *e, const struct peer_msg *msg);
-void claim_settlements_received(struct entry *e, const struct peer_msg *msg);
-bool claim_lease_holds(const struct entry *e);
-bool claim_is_pending(struct entry *e, const struct claim *c);
-void claim_resolve_conflict(struct entry *e, struct claim *mine,
+void claim_begin(struct entry *entry, struct request *req);
+void claim_request_grants(struct entry *entry, struct request *req);
+void claim_record_outcome(struct entry *entry, struct request *req,
+			  uint8_t state);
+void claim_requests_received(struct entry *entry, const struct peer_msg *msg);
+void claim_grants_received(struct entry *entry, const struct peer_msg *msg);
+void claim_settlements_received(struct entry *entry,
+				const struct peer_msg *msg);
+bool claim_lease_holds(const struct entry *entry);
+bool claim_is_pending(struct entry *entry, const struct claim *claim);
+void claim_resolve_conflict(struct entry *entry, struct claim *mine,
 			    const struct claim *line);
 
 /* feed.c */
-int feeds_init(struct entry *e);
-void feeds_free(struct entry *e);
-uint32_t feed_slot(const struct entry *e, const struct feed *f);
-struct feed *feed_find(struct entry *e, const struct flow_key *key,
+int feeds_init(struct entry *entry);
+void feeds_free(struct entry *entry);
+uint32_t feed_slot(const struct entry *entry, const struct feed *feed);
+struct feed *feed_find(struct entry *entry, const struct flow_key *key,
 		       const uint8_t *token, uint8_t token_len);
-struct feed *feed_new(struct entry *e, const struct flow_key *key,
+struct feed *feed_new(struct entry *entry, const struct flow_key *key,
 		      const uint8_t *token, uint8_t token_len);
-void feed_drop(struct entry *e, struct feed *f);
-void feed_cancel_at(struct entry *e, const struct feed *f, uint64_t target);
-void feed_end(struct entry *e, struct feed *f, bool cancel);
-void feed_state_set(struct entry *e, struct feed *f, uint8_t state);
-void feed_opened(struct entry *e, struct feed *f, uint64_t target);
-void feed_open_refused(struct entry *e, struct feed *f, struct request *r);
-void feed_update(struct entry *e, struct feed *f, uint64_t target,
+void feed_drop(struct entry *entry, struct feed *feed);
+void feed_cancel_at(struct entry *entry, const struct feed *feed,
+		    uint64_t target);
+void feed_end(struct entry *entry, struct feed *feed, bool cancel);
+void feed_state_set(struct entry *entry, struct feed *feed, uint8_t state);
+void feed_opened(struct entry *entry, struct feed *feed, uint64_t target);
+void feed_open_refused(struct entry *entry, struct feed *feed,
+		       struct request *req);
+void feed_update(struct entry *entry, struct feed *feed, uint64_t target,
 		 const struct message *msg);
-void feed_renew(struct entry *e, struct feed *f, uint64_t avoid);
-void feed_renew_failed(struct entry *e, struct feed *f, struct request *r);
-void feed_keep_target(struct entry *e, struct feed *f);
-bool feed_acked_by_caller(struct entry *e, const struct flow_key *key,
+void feed_renew(struct entry *entry, struct feed *feed, uint64_t avoid);
+void feed_renew_failed(struct entry *entry, struct feed *feed,
+		       struct request *req);
+void feed_keep_target(struct entry *entry, struct feed *feed);
+bool feed_acked_by_caller(struct entry *entry, const struct flow_key *key,
 			  uint16_t id);
-bool feed_reset_by_caller(struct entry *e, const struct flow_key *key,
+bool feed_reset_by_caller(struct entry *entry, const struct flow_key *key,
 			  uint16_t id);
-void feed_timer(struct entry *e, struct feed *f);
-void feed_timer_set(struct entry *e, struct feed *f);
+void feed_timer(struct entry *entry, struct feed *feed);
+void feed_timer_set(struct entry *entry, struct feed *feed);
 
 /* feed_renew.c */
-void feed_ended_by_target(struct entry *e, struct feed *f, uint64_t target,
-			  const struct message *msg);
+void feed_ended_by_target(struct entry *entry, struct feed *feed,
+			  uint64_t target, const struct message *msg);
 
 /* feed_move.c */
-void moves_check_config(struct entry *e);
-void moves_schedule(struct entry *e);
-void moves_tick(struct entry *e);
-uint64_t moves_next_ns(const struct entry *e);
-bool target_is_leaving(const struct entry *e, uint64_t vip, uint64_t target);
+void moves_check_config(struct entry *entry);
+void moves_schedule(struct entry *entry);
+void moves_tick(struct entry *entry);
+uint64_t moves_next_ns(const struct entry *entry);
+bool target_is_leaving(const struct entry *entry, uint64_t vip,
+		       uint64_t target);
 
 /* feed_copy.c */
-void feed_copy_send(struct entry *e, struct feed *f);
-void feed_copy_received(struct entry *e, const struct peer_msg *msg);
-void feed_copy_close_received(struct entry *e, const struct peer_msg *msg);
-void feed_copy_send_close(struct entry *e, struct feed *f);
-void feed_copy_timer(struct entry *e, struct feed *f);
-void feed_hand_over(struct entry *e, struct feed *f);
-void feed_confirm_takeover(struct entry *e, struct feed *f);
-void feeds_pair_changed(struct entry *e, uint32_t bucket,
+void feed_copy_send(struct entry *entry, struct feed *feed);
+void feed_copy_received(struct entry *entry, const struct peer_msg *msg);
+void feed_copy_close_received(struct entry *entry, const struct peer_msg *msg);
+void feed_copy_send_close(struct entry *entry, struct feed *feed);
+void feed_copy_timer(struct entry *entry, struct feed *feed);
+void feed_hand_over(struct entry *entry, struct feed *feed);
+void feed_confirm_takeover(struct entry *entry, struct feed *feed);
+void feeds_pair_changed(struct entry *entry, uint32_t bucket,
 			struct ring_pair before, struct ring_pair after);
 
 /* peer_budget.c */
-bool peer_budget_take(struct entry *e, uint32_t bytes);
+bool peer_budget_take(struct entry *entry, uint32_t bytes);
 
 /* stream.c */
-int streams_init(struct entry *e);
-void streams_free(struct entry *e);
-void streams_record_known(struct entry *e);
-bool history_known(const struct entry *e, uint32_t bucket);
-void streams_pair_changed(struct entry *e, uint32_t bucket,
+int streams_init(struct entry *entry);
+void streams_free(struct entry *entry);
+void streams_record_known(struct entry *entry);
+bool history_known(const struct entry *entry, uint32_t bucket);
+void streams_pair_changed(struct entry *entry, uint32_t bucket,
 			  struct ring_pair before, struct ring_pair after);
-uint32_t streams_pending(const struct entry *e);
-void streams_tick(struct entry *e);
-void stream_received(struct entry *e, const struct peer_msg *msg);
-void stream_ack_received(struct entry *e, const struct peer_msg *msg);
-bool streams_idle(const struct entry *e);
-uint64_t streams_next_ns(const struct entry *e);
+uint32_t streams_pending(const struct entry *entry);
+void streams_tick(struct entry *entry);
+void stream_received(struct entry *entry, const struct peer_msg *msg);
+void stream_ack_received(struct entry *entry, const struct peer_msg *msg);
+bool streams_idle(const struct entry *entry);
+uint64_t streams_next_ns(const struct entry *entry);
 
 /* message_id.c */
-int msg_id_spaces_init(struct entry *e);
-void msg_id_spaces_free(struct entry *e);
-bool msg_id_next(struct entry *e, uint64_t target, uint16_t *id);
+int msg_id_spaces_init(struct entry *entry);
+void msg_id_spaces_free(struct entry *entry);
+bool msg_id_next(struct entry *entry, uint64_t target, uint16_t *id);
 
 #endif
--- a/core/request/feed_move.c
+++ b/core/request/feed_move.c
@@ -14,9 +14,9 @@
 #define SWEEP_AGAIN_NS (2 * NS_PER_S)
 
 /* target_is_leaving() - whether a target drains or was withdrawn. */
-bool target_is_leaving(const struct entry *e, uint64_t vip, uint64_t target)
+bool target_is_leaving(const struct entry *entry, uint64_t vip, uint64_t target)
 {
-	const struct service_conf *s = service_find(e, vip);
+	const struct service_conf *s = service_find(entry, vip);
 
 	for (uint32_t i = 0; s && i < s->n_targets; i++) {
 		if (s->targets[i].addr == target)
@@ -38,64 +38,66 @@
 
 /**
  * moves_check_config() - schedule a sweep if the targets in service changed
- * @e: entry, with its new configuration in force
+ * @entry: entry, with its new configuration in force
  */
-void moves_check_config(struct entry *e)
+void moves_check_config(struct entry *entry)
 {
 	uint64_t digest = 0;
 
-	for (uint32_t i = 0; i < e->n_services; i++)
-		digest ^= digest_of_service(e->service_list[i]);
-	if (digest != e->targets_up_digest)
-		e->sweep_deadline_ns = e->now_ns;
-	e->targets_up_digest = digest;
+	for (uint32_t i = 0; i < entry->n_services; i++)
+		digest ^= digest_of_service(entry->service_list[i]);
+	if (digest != entry->targets_up_digest)
+		entry->sweep_deadline_ns = entry->now_ns;
+	entry->targets_up_digest = digest;
 }
 
 /* moves_schedule() - schedule a sweep for a feed on a draining target. */
-void moves_schedule(struct entry *e)
+void moves_schedule(struct entry *entry)
 {
-	if (e->sweep_deadline_ns == DEADLINE_NEVER)
-		e->sweep_deadline_ns = e->now_ns + SWEEP_AGAIN_NS;
+	if (entry->sweep_deadline_ns == DEADLINE_NEVER)
+		entry->sweep_deadline_ns = entry->now_ns + SWEEP_AGAIN_NS;
 }
 
-static bool needs_move(const struct entry *e, const struct feed *f)
+static bool needs_move(const struct entry *entry, const struct feed *feed)
 {
-	return f->state == FEED_OPEN && f->request == SLOT_NONE &&
-	       f->size_bytes && target_is_leaving(e, f->key.vip, f->target);
+	return feed->state == FEED_OPEN && feed->request == SLOT_NONE &&
+	       feed->size_bytes &&
+	       target_is_leaving(entry, feed->key.vip, feed->target);
 }
 
-static void start_sweep_if_due(struct entry *e)
+static void start_sweep_if_due(struct entry *entry)
 {
-	if (e->sweeping || e->now_ns < e->sweep_deadline_ns)
+	if (entry->sweeping || entry->now_ns < entry->sweep_deadline_ns)
 		return;
-	e->sweep_deadline_ns = DEADLINE_NEVER;
-	e->sweeping = e->feed_slots_used > 0;
-	e->sweep_next = 0;
+	entry->sweep_deadline_ns = DEADLINE_NEVER;
+	entry->sweeping = entry->feed_slots_used > 0;
+	entry->sweep_next = 0;
 }
 
 /**
  * moves_tick() - move a limited number of feeds off draining targets
- * @e: entry
+ * @entry: state of this entry
  *
  * The old target serves a feed until the new one has accepted it.
  */
-void moves_tick(struct entry *e)
+void moves_tick(struct entry *entry)
 {
 	uint32_t budget = SWEEP_BUDGET;
 
-	start_sweep_if_due(e);
-	while (e->sweeping && budget-- && emit_has_capacity(e)) {
-		struct feed *f = &e->feeds[e->sweep_next];
+	start_sweep_if_due(entry);
+	while (entry->sweeping && budget-- && emit_has_capacity(entry)) {
+		struct feed *feed = &entry->feeds[entry->sweep_next];
 
-		if (e->n_feeds_renewing >= RENEWING_MAX)
+		if (entry->n_feeds_renewing >= RENEWING_MAX)
 			return;
-		if (needs_move(e, f))
-			feed_renew(e, f, f->target);
-		e->sweeping = ++e->sweep_next < e->feed_slots_used;
+		if (needs_move(entry, feed))
+			feed_renew(entry, feed, feed->target);
+		entry->sweeping = ++entry->sweep_next < entry->feed_slots_used;
 	}
 }
 
-uint64_t moves_next_ns(const struct entry *e)
+uint64_t moves_next_ns(const struct entry *entry)
 {
-	return e->sweeping ? e->now_ns + SWEEP_PACE_NS : e->sweep_deadline_ns;
+	return entry->sweeping ? entry->now_ns + SWEEP_PACE_NS
+			       : entry->sweep_deadline_ns;
 }
--- a/core/request/feed_renew.c
+++ b/core/request/feed_renew.c
@@ -15,155 +15,158 @@
 
 /**
  * feed_keep_target() - keep a feed at its draining target
- * @e: entry
- * @f: feed that no other target accepted; its target still serves it, and the
- *	next sweep tries again
+ * @entry: state of this entry
+ * @feed: feed that no other target accepted; its target still serves it, and
+ *	the next sweep tries again
  */
-void feed_keep_target(struct entry *e, struct feed *f)
+void feed_keep_target(struct entry *entry, struct feed *feed)
 {
-	feed_state_set(e, f, FEED_OPEN);
-	feed_timer_set(e, f);
-	moves_schedule(e);
+	feed_state_set(entry, feed, FEED_OPEN);
+	feed_timer_set(entry, feed);
+	moves_schedule(entry);
 }
 
 /**
  * feed_ended_by_target() - renew a feed that its target ended
- * @e: entry
- * @f: feed
+ * @entry: state of this entry
+ * @feed: feed
  * @target: sender
  * @msg: last update
  *
  * A target that stops ends its feeds with an error. Another target may serve
  * them; the caller is notified only if none does.
  */
-void feed_ended_by_target(struct entry *e, struct feed *f, uint64_t target,
-			  const struct message *msg)
+void feed_ended_by_target(struct entry *entry, struct feed *feed,
+			  uint64_t target, const struct message *msg)
 {
 	if (msg->flags & MESSAGE_CONFIRM)
-		emit_signal_target(e, target, WIRE_ACK, msg->id);
-	if (f->request == SLOT_NONE)
-		feed_renew(e, f, target);
+		emit_signal_target(entry, target, WIRE_ACK, msg->id);
+	if (feed->request == SLOT_NONE)
+		feed_renew(entry, feed, target);
 }
 
-static void feed_lost(struct entry *e, struct feed *f)
+static void feed_lost(struct entry *entry, struct feed *feed)
 {
-	struct action *a = emit(e, ACT_ANSWER_CALLER);
+	struct action *a = emit(entry, ACT_ANSWER_CALLER);
 
-	e->counters.feeds_lost++;
-	emit_log(e, "feed can't go on", &f->key, f->target);
-	a->key = f->key;
+	entry->counters.feeds_lost++;
+	emit_log(entry, "feed can't go on", &feed->key, feed->target);
+	a->key = feed->key;
 	a->type = WIRE_PLAIN;
-	a->id = (uint16_t)rng_next(&e->rng);
-	a->token_len = f->token_len;
-	memcpy(a->token, f->token, f->token_len);
+	a->id = (uint16_t)rng_next(&entry->rng);
+	a->token_len = feed->token_len;
+	memcpy(a->token, feed->token, feed->token_len);
 	a->answer = ANSWER_FEED_LOST;
-	feed_end(e, f, true);
+	feed_end(entry, feed, true);
 }
 
-static struct request *renewal_request_new(struct entry *e, struct feed *f)
+static struct request *renewal_request_new(struct entry *entry,
+					   struct feed *feed)
 {
-	struct request *r = request_new(e, &f->key);
+	struct request *req = request_new(entry, &feed->key);
 
-	if (!r)
+	if (!req)
 		return NULL;
-	r->internal = true;
-	r->flags = MESSAGE_IDEMPOTENT | MESSAGE_CONFIRM | MESSAGE_FEED_OPEN;
-	r->deadline_ns = e->now_ns + RENEW_TIMEOUT_NS;
-	r->feed = feed_slot(e, f);
-	f->request = request_slot(e, r);
-	r->size_bytes = f->size_bytes;
-	memcpy(r->data, f->opening, f->size_bytes);
-	return r;
+	req->internal = true;
+	req->flags = MESSAGE_IDEMPOTENT | MESSAGE_CONFIRM | MESSAGE_FEED_OPEN;
+	req->deadline_ns = entry->now_ns + RENEW_TIMEOUT_NS;
+	req->feed = feed_slot(entry, feed);
+	feed->request = request_slot(entry, req);
+	req->size_bytes = feed->size_bytes;
+	memcpy(req->data, feed->opening, feed->size_bytes);
+	return req;
 }
 
 /**
  * feed_renew() - request a feed again from a target, without the caller
- * @e: entry
- * @f: feed that is silent, was taken over or has to move
+ * @entry: state of this entry
+ * @feed: feed that is silent, was taken over or has to move
  * @avoid: target not to choose, or ADDR_NONE to ask the feed's present target
  *
  * If a target, or a device on the path to it, has lost its state of a feed, the
  * only sign is silence, while new feeds work. Requesting it again with the same
  * token is idempotent; it either confirms the feed or restores it.
  */
-void feed_renew(struct entry *e, struct feed *f, uint64_t avoid)
+void feed_renew(struct entry *entry, struct feed *feed, uint64_t avoid)
 {
-	struct request *r;
+	struct request *req;
 
-	if (f->request != SLOT_NONE)
+	if (feed->request != SLOT_NONE)
 		return;
-	if (!f->size_bytes) {
-		feed_lost(e, f);
+	if (!feed->size_bytes) {
+		feed_lost(entry, feed);
 		return;
 	}
-	r = renewal_request_new(e, f);
-	if (!r) {
-		f->last_update_ns = e->now_ns;
-		feed_timer_set(e, f);
+	req = renewal_request_new(entry, feed);
+	if (!req) {
+		feed->last_update_ns = entry->now_ns;
+		feed_timer_set(entry, feed);
 		return;
 	}
-	feed_state_set(e, f, FEED_RENEWING);
-	e->counters.feeds_revalidated++;
-	if (avoid == ADDR_NONE && f->target != ADDR_NONE) {
-		request_send(e, r, f->target);
+	feed_state_set(entry, feed, FEED_RENEWING);
+	entry->counters.feeds_revalidated++;
+	if (avoid == ADDR_NONE && feed->target != ADDR_NONE) {
+		request_send(entry, req, feed->target);
 		return;
 	}
-	r->avoid_target = avoid;
-	request_submit(e, r);
+	req->avoid_target = avoid;
+	request_submit(entry, req);
 }
 
 /*
  * Retries soon: targets are busy for now, for example because many feeds move
  * at once.
  */
-static void schedule_renewal(struct entry *e, struct feed *f)
+static void schedule_renewal(struct entry *entry, struct feed *feed)
 {
-	feed_state_set(e, f, FEED_OPEN);
-	f->last_update_ns =
-		e->now_ns - e->conf.probe_idle_ns + RENEW_BACKOFF_NS;
-	feed_timer_set(e, f);
+	feed_state_set(entry, feed, FEED_OPEN);
+	feed->last_update_ns =
+		entry->now_ns - entry->conf.probe_idle_ns + RENEW_BACKOFF_NS;
+	feed_timer_set(entry, feed);
 }
 
 /**
  * feed_renew_failed() - handle a renewal that a target did not accept
- * @e: entry
- * @f: feed; tried at another target, kept at its draining one, or ended
- * @r: request of the renewal; freed here
+ * @entry: state of this entry
+ * @feed: feed; tried at another target, kept at its draining one, or ended
+ * @req: request of the renewal; freed here
  */
-void feed_renew_failed(struct entry *e, struct feed *f, struct request *r)
+void feed_renew_failed(struct entry *entry, struct feed *feed,
+		       struct request *req)
 {
-	uint64_t failed = r->target;
-	uint8_t tries = r->targets_tried;
+	uint64_t failed = req->target;
+	uint8_t tries = req->targets_tried;
 
-	bool moving = r->avoid_target != ADDR_NONE &&
-		      r->avoid_target == f->target &&
-		      e->now_ns < f->last_update_ns + e->conf.probe_idle_ns;
+	bool moving = req->avoid_target != ADDR_NONE &&
+		      req->avoid_target == feed->target &&
+		      entry->now_ns <
+			      feed->last_update_ns + entry->conf.probe_idle_ns;
 
-	bool refused = r->reason != REFUSE_NONE;
+	bool refused = req->reason != REFUSE_NONE;
 
-	f->request = SLOT_NONE;
-	request_drop(e, r);
+	feed->request = SLOT_NONE;
+	request_drop(entry, req);
 	if (moving) {
-		feed_keep_target(e, f);
+		feed_keep_target(entry, feed);
 		return;
 	}
-	if (tries >= RENEW_TARGETS_MAX || ++f->renewals > RENEWALS_MAX) {
-		feed_lost(e, f);
+	if (tries >= RENEW_TARGETS_MAX || ++feed->renewals > RENEWALS_MAX) {
+		feed_lost(entry, feed);
 		return;
 	}
 	if (refused) {
-		schedule_renewal(e, f);
+		schedule_renewal(entry, feed);
 		return;
 	}
-	feed_cancel_at(e, f, failed);
-	r = renewal_request_new(e, f);
-	if (!r) {
-		feed_lost(e, f);
+	feed_cancel_at(entry, feed, failed);
+	req = renewal_request_new(entry, feed);
+	if (!req) {
+		feed_lost(entry, feed);
 		return;
 	}
-	r->targets_tried = (uint8_t)(tries + 1);
-	r->avoid_target = failed;
-	request_submit(e, r);
+	req->targets_tried = (uint8_t)(tries + 1);
+	req->avoid_target = failed;
+	request_submit(entry, req);
 }
 
 /*
@@ -171,33 +174,33 @@
  * the feed again and again would hold the connection of a caller that is gone
  * forever.
  */
-static bool caller_is_gone(const struct entry *e, const struct feed *f)
+static bool caller_is_gone(const struct entry *entry, const struct feed *feed)
 {
-	return f->unacked_since_ns &&
-	       e->now_ns >= f->unacked_since_ns + CALLER_GONE_NS;
+	return feed->unacked_since_ns &&
+	       entry->now_ns >= feed->unacked_since_ns + CALLER_GONE_NS;
 }
 
 /* feed_timer() - handle an expired deadline of a feed. */
-void feed_timer(struct entry *e, struct feed *f)
+void feed_timer(struct entry *entry, struct feed *feed)
 {
-	if (f->state == FEED_FREE)
+	if (feed->state == FEED_FREE)
 		return;
-	if (f->state == FEED_COPY) {
-		feed_copy_timer(e, f);
+	if (feed->state == FEED_COPY) {
+		feed_copy_timer(entry, feed);
 		return;
 	}
-	if (e->now_ns >= f->copy_deadline_ns)
-		feed_copy_send(e, f);
-	if (e->now_ns >= f->handover_deadline_ns)
-		feed_hand_over(e, f);
-	if (e->now_ns >= f->last_update_ns + e->conf.probe_idle_ns) {
-		f->last_update_ns = e->now_ns;
-		if (caller_is_gone(e, f))
-			feed_end(e, f, true);
+	if (entry->now_ns >= feed->copy_deadline_ns)
+		feed_copy_send(entry, feed);
+	if (entry->now_ns >= feed->handover_deadline_ns)
+		feed_hand_over(entry, feed);
+	if (entry->now_ns >= feed->last_update_ns + entry->conf.probe_idle_ns) {
+		feed->last_update_ns = entry->now_ns;
+		if (caller_is_gone(entry, feed))
+			feed_end(entry, feed, true);
 		else
-			feed_renew(e, f, ADDR_NONE);
-		if (f->state == FEED_FREE)
+			feed_renew(entry, feed, ADDR_NONE);
+		if (feed->state == FEED_FREE)
 			return;
 	}
-	feed_timer_set(e, f);
+	feed_timer_set(entry, feed);
 }
--- a/core/request/flow.c
+++ b/core/request/flow.c
@@ -54,9 +54,9 @@
 	struct slot *slots;
 };
 
-static uint32_t home_of(const struct flow_table *t, uint64_t hash)
+static uint32_t home_of(const struct flow_table *table, uint64_t hash)
 {
-	return (uint32_t)(((hash >> 32) * t->n_homes) >> 32);
+	return (uint32_t)(((hash >> 32) * table->n_homes) >> 32);
 }
 
 /*
@@ -118,42 +118,44 @@
  */
 struct flow_table *flow_table_new(uint32_t flows_max, uint64_t idle_ns)
 {
-	struct flow_table *t = calloc(1, sizeof(*t));
+	struct flow_table *table = calloc(1, sizeof(*table));
 
-	if (!t)
+	if (!table)
 		return NULL;
-	t->flows_max = flows_max;
-	t->idle_ns = idle_ns < FLOW_IDLE_MAX_NS ? idle_ns : FLOW_IDLE_MAX_NS;
-	t->n_homes =
+	table->flows_max = flows_max;
+	table->idle_ns =
+		idle_ns < FLOW_IDLE_MAX_NS ? idle_ns : FLOW_IDLE_MAX_NS;
+	table->n_homes =
 		(uint64_t)flows_max * SLOTS_NUMERATOR / SLOTS_DENOMINATOR + 1;
-	t->n_slots = t->n_homes + PROBE_DISTANCE_MAX;
-	t->tags = calloc(t->n_slots + TAGS_PER_WORD, sizeof(*t->tags));
-	t->slots = calloc(t->n_slots, sizeof(*t->slots));
-	if (!t->tags || !t->slots) {
-		flow_table_free(t);
+	table->n_slots = table->n_homes + PROBE_DISTANCE_MAX;
+	table->tags =
+		calloc(table->n_slots + TAGS_PER_WORD, sizeof(*table->tags));
+	table->slots = calloc(table->n_slots, sizeof(*table->slots));
+	if (!table->tags || !table->slots) {
+		flow_table_free(table);
 		return NULL;
 	}
-	return t;
+	return table;
 }
 
 /**
  * flow_table_free() - free a table
- * @t: table, or NULL
+ * @table: table, or NULL
  */
-void flow_table_free(struct flow_table *t)
+void flow_table_free(struct flow_table *table)
 {
-	if (!t)
+	if (!table)
 		return;
-	free(t->tags);
-	free(t->slots);
-	free(t);
+	free(table->tags);
+	free(table->slots);
+	free(table);
 }
 
-static uint64_t load_tags(const struct flow_table *t, uint32_t at)
+static uint64_t load_tags(const struct flow_table *table, uint32_t at)
 {
 	uint64_t word;
 
-	memcpy(&word, &t->tags[at], sizeof(word));
+	memcpy(&word, &table->tags[at], sizeof(word));
 	return le64toh(word);
 }
 
@@ -170,7 +172,7 @@
  * Slot among the eight at @at whose tag matches and that holds @key, or
  * n_slots.
  */
-static uint32_t find_match(const struct flow_table *t,
+static uint32_t find_match(const struct flow_table *table,
 			   const struct flow_key *key, uint32_t at,
 			   uint64_t matches)
 {
@@ -178,182 +180,183 @@
 
 	for (; matches; matches &= matches - 1) {
 		found = at + __builtin_ctzll(matches) / TAG_BITS;
-		if (slot_holds(&t->slots[found], key))
+		if (slot_holds(&table->slots[found], key))
 			return found;
 	}
-	return t->n_slots;
+	return table->n_slots;
 }
 
 /*
  * Slot of the flow, or the first empty slot of its run; n_slots if there is
  * neither.
  */
-static uint32_t find_slot(const struct flow_table *t,
+static uint32_t find_slot(const struct flow_table *table,
 			  const struct flow_key *key, uint64_t hash)
 {
 	uint64_t word, empty, matches, pattern = tag_of(hash) * TAGS_LOW;
-	uint32_t at = home_of(t, hash), end = at + PROBE_DISTANCE_MAX, found;
+	uint32_t at = home_of(table, hash), end = at + PROBE_DISTANCE_MAX,
+		 found;
 
 	for (; at < end; at += TAGS_PER_WORD) {
-		word = load_tags(t, at);
+		word = load_tags(table, at);
 		empty = zero_bytes(word);
 		matches = zero_bytes(word ^ pattern);
 		if (empty)
 			matches &= (empty & -empty) - 1;
-		found = find_match(t, key, at, matches);
-		if (found != t->n_slots)
+		found = find_match(table, key, at, matches);
+		if (found != table->n_slots)
 			return found;
 		if (empty)
 			return at + __builtin_ctzll(empty) / TAG_BITS;
 	}
-	return t->n_slots;
+	return table->n_slots;
 }
 
 /*
  * Empties the slot @gap. Each later flow of the run whose home is at or before
  * the gap moves into it, so that no search ends too early.
  */
-static void close_gap(struct flow_table *t, uint32_t gap)
+static void close_gap(struct flow_table *table, uint32_t gap)
 {
 	struct flow_key key;
 	uint32_t at;
 
-	for (at = gap + 1; t->tags[at] != TAG_EMPTY; at++) {
-		key = slot_key(&t->slots[at]);
-		if (home_of(t, flow_hash(&key)) > gap)
+	for (at = gap + 1; table->tags[at] != TAG_EMPTY; at++) {
+		key = slot_key(&table->slots[at]);
+		if (home_of(table, flow_hash(&key)) > gap)
 			continue;
-		t->slots[gap] = t->slots[at];
-		t->tags[gap] = t->tags[at];
+		table->slots[gap] = table->slots[at];
+		table->tags[gap] = table->tags[at];
 		gap = at;
 	}
-	t->tags[gap] = TAG_EMPTY;
-	t->n_flows--;
+	table->tags[gap] = TAG_EMPTY;
+	table->n_flows--;
 }
 
 /**
  * flow_pin() - set the target of a flow, new or known
- * @t: table
+ * @table: table of pinned flows
  * @key: flow
  * @target: target, not ADDR_NONE
- * @now_ns: time; the idle time starts here
+ * @now_ns: current time; the idle time starts here
  *
  * Return: 0; -EINVAL without a target; -ENOSPC when the table is full, or when
  * there is no empty slot within PROBE_DISTANCE_MAX of the flow's home.
  */
-int flow_pin(struct flow_table *t, const struct flow_key *key, uint64_t target,
-	     uint64_t now_ns)
+int flow_pin(struct flow_table *table, const struct flow_key *key,
+	     uint64_t target, uint64_t now_ns)
 {
 	uint64_t hash = flow_hash(key);
 	uint32_t at;
 
 	if (target == ADDR_NONE)
 		return -EINVAL;
-	at = find_slot(t, key, hash);
-	if (at == t->n_slots)
+	at = find_slot(table, key, hash);
+	if (at == table->n_slots)
 		return -ENOSPC;
-	if (t->tags[at] == TAG_EMPTY) {
-		if (t->n_flows >= t->flows_max)
+	if (table->tags[at] == TAG_EMPTY) {
+		if (table->n_flows >= table->flows_max)
 			return -ENOSPC;
-		t->n_flows++;
-		t->tags[at] = tag_of(hash);
+		table->n_flows++;
+		table->tags[at] = tag_of(hash);
 	}
-	slot_write(&t->slots[at], key, target, now_ns + t->idle_ns);
+	slot_write(&table->slots[at], key, target, now_ns + table->idle_ns);
 	return 0;
 }
 
 /**
  * flow_lookup() - target of a flow; restarts its idle time
- * @t: table
+ * @table: table of pinned flows
  * @key: flow
- * @now_ns: time
+ * @now_ns: current time
  *
  * Return: target, or ADDR_NONE when the flow is not pinned; a flow that was
  * idle for too long is deleted.
  */
-uint64_t flow_lookup(struct flow_table *t, const struct flow_key *key,
+uint64_t flow_lookup(struct flow_table *table, const struct flow_key *key,
 		     uint64_t now_ns)
 {
-	uint32_t at = find_slot(t, key, flow_hash(key));
+	uint32_t at = find_slot(table, key, flow_hash(key));
 	uint64_t target;
 
-	if (at == t->n_slots || t->tags[at] == TAG_EMPTY)
+	if (at == table->n_slots || table->tags[at] == TAG_EMPTY)
 		return ADDR_NONE;
-	if (slot_idle(&t->slots[at], now_ns)) {
-		close_gap(t, at);
+	if (slot_idle(&table->slots[at], now_ns)) {
+		close_gap(table, at);
 		return ADDR_NONE;
 	}
-	target = slot_target(&t->slots[at]);
-	slot_write(&t->slots[at], key, target, now_ns + t->idle_ns);
+	target = slot_target(&table->slots[at]);
+	slot_write(&table->slots[at], key, target, now_ns + table->idle_ns);
 	return target;
 }
 
 /**
  * flow_unpin() - delete a flow
- * @t: table
+ * @table: table of pinned flows
  * @key: flow
  *
  * Return: 0, or -ENOENT.
  */
-int flow_unpin(struct flow_table *t, const struct flow_key *key)
+int flow_unpin(struct flow_table *table, const struct flow_key *key)
 {
-	uint32_t at = find_slot(t, key, flow_hash(key));
+	uint32_t at = find_slot(table, key, flow_hash(key));
 
-	if (at == t->n_slots || t->tags[at] == TAG_EMPTY)
+	if (at == table->n_slots || table->tags[at] == TAG_EMPTY)
 		return -ENOENT;
-	close_gap(t, at);
+	close_gap(table, at);
 	return 0;
 }
 
 /**
  * flow_expire() - delete idle flows in a part of the table
- * @t: table
- * @now_ns: time
+ * @table: table of pinned flows
+ * @now_ns: current time
  * @budget: number of slots to examine; the next call continues after them
  *
  * Return: number of flows deleted.
  */
-uint32_t flow_expire(struct flow_table *t, uint64_t now_ns, uint32_t budget)
+uint32_t flow_expire(struct flow_table *table, uint64_t now_ns, uint32_t budget)
 {
-	uint32_t before = t->n_flows;
+	uint32_t before = table->n_flows;
 
 	while (budget--) {
-		if (t->expire_cursor == t->n_slots)
-			t->expire_cursor = 0;
-		if (t->tags[t->expire_cursor] != TAG_EMPTY &&
-		    slot_idle(&t->slots[t->expire_cursor], now_ns))
-			close_gap(t, t->expire_cursor);
+		if (table->expire_cursor == table->n_slots)
+			table->expire_cursor = 0;
+		if (table->tags[table->expire_cursor] != TAG_EMPTY &&
+		    slot_idle(&table->slots[table->expire_cursor], now_ns))
+			close_gap(table, table->expire_cursor);
 		else
-			t->expire_cursor++;
+			table->expire_cursor++;
 	}
-	return before - t->n_flows;
+	return before - table->n_flows;
 }
 
 /**
  * flow_count() - number of flows
- * @t: table
+ * @table: table of pinned flows
  *
  * Return: number of flows, including idle ones that are not deleted yet.
  */
-uint32_t flow_count(const struct flow_table *t)
+uint32_t flow_count(const struct flow_table *table)
 {
-	return t->n_flows;
+	return table->n_flows;
 }
 
 /**
  * flow_bytes() - memory of a table
- * @t: table
+ * @table: table of pinned flows
  *
  * Return: bytes; constant over the table's lifetime.
  */
-uint64_t flow_bytes(const struct flow_table *t)
+uint64_t flow_bytes(const struct flow_table *table)
 {
-	return sizeof(*t) + t->n_slots + TAGS_PER_WORD +
-	       (uint64_t)t->n_slots * sizeof(*t->slots);
+	return sizeof(*table) + table->n_slots + TAGS_PER_WORD +
+	       (uint64_t)table->n_slots * sizeof(*table->slots);
 }
 
 /**
  * flow_each() - iterate over all flows while the table may change
- * @t: table
+ * @table: table of pinned flows
  * @cursor: 0 for the first call, advanced by each; 0 again at the end
  * @key: set to the flow
  * @target: set to its target
@@ -364,17 +367,17 @@
  *
  * Return: 0, or -ENOENT at the end.
  */
-int flow_each(const struct flow_table *t, uint32_t *cursor,
+int flow_each(const struct flow_table *table, uint32_t *cursor,
 	      struct flow_key *key, uint64_t *target)
 {
-	uint32_t at = *cursor ? *cursor - 1 : t->n_slots;
+	uint32_t at = *cursor ? *cursor - 1 : table->n_slots;
 
 	while (at--) {
-		if (t->tags[at] == TAG_EMPTY)
+		if (table->tags[at] == TAG_EMPTY)
 			continue;
 		*cursor = at + 1;
-		*key = slot_key(&t->slots[at]);
-		*target = slot_target(&t->slots[at]);
+		*key = slot_key(&table->slots[at]);
+		*target = slot_target(&table->slots[at]);
 		return 0;
 	}
 	*cursor = 0;
--- a/core/request/flow_list.c
+++ b/core/request/flow_list.c
@@ -21,34 +21,35 @@
 	[FEED_RENEWING] = "renewing",
 };
 
-static bool request_row(const struct request *r, struct flow_row *row)
+static bool request_row(const struct request *req, struct flow_row *row)
 {
 	*row = (struct flow_row){ .kind = ROW_REQUEST,
-				  .key = r->key,
-				  .target = r->target,
-				  .state = request_states[r->state],
-				  .since_ns = r->arrived_ns };
+				  .key = req->key,
+				  .target = req->target,
+				  .state = request_states[req->state],
+				  .since_ns = req->arrived_ns };
 	return row->state != NULL;
 }
 
-static bool feed_row(const struct feed *f, struct flow_row *row)
+static bool feed_row(const struct feed *feed, struct flow_row *row)
 {
-	*row = (struct flow_row){ .kind = f->state == FEED_COPY ? ROW_FEED_COPY
-								: ROW_FEED,
-				  .key = f->key,
-				  .target = f->target,
-				  .state = feed_states[f->state],
-				  .since_ns = f->last_update_ns };
+	*row = (struct flow_row){ .kind = feed->state == FEED_COPY
+						  ? ROW_FEED_COPY
+						  : ROW_FEED,
+				  .key = feed->key,
+				  .target = feed->target,
+				  .state = feed_states[feed->state],
+				  .since_ns = feed->last_update_ns };
 	return row->state != NULL;
 }
 
-static bool pin_row(const struct entry *e, uint64_t first, uint64_t *cursor,
+static bool pin_row(const struct entry *entry, uint64_t first, uint64_t *cursor,
 		    struct flow_row *row)
 {
 	uint32_t pin_cursor = (uint32_t)(*cursor - first);
 
 	*row = (struct flow_row){ .kind = ROW_PIN, .state = "pinned" };
-	if (flow_each(e->pins, &pin_cursor, &row->key, &row->target)) {
+	if (flow_each(entry->pins, &pin_cursor, &row->key, &row->target)) {
 		*cursor = CURSOR_END;
 		return false;
 	}
@@ -57,24 +58,24 @@
 }
 
 /* Examines one slot and advances; true when it holds a row. */
-static bool next_row(const struct entry *e, uint64_t *cursor,
+static bool next_row(const struct entry *entry, uint64_t *cursor,
 		     struct flow_row *row)
 {
-	uint64_t feeds = e->conf.requests_max;
-	uint64_t pins = feeds + e->conf.feeds_max;
+	uint64_t feeds = entry->conf.requests_max;
+	uint64_t pins = feeds + entry->conf.feeds_max;
 	uint64_t slot = *cursor;
 
 	if (slot >= pins)
-		return pin_row(e, pins, cursor, row);
+		return pin_row(entry, pins, cursor, row);
 	(*cursor)++;
 	if (slot >= feeds)
-		return feed_row(&e->feeds[slot - feeds], row);
-	return request_row(&e->requests[slot], row);
+		return feed_row(&entry->feeds[slot - feeds], row);
+	return request_row(&entry->requests[slot], row);
 }
 
 /**
  * entry_flows() - list the requests, feeds and pins of an entry in parts
- * @e: entry
+ * @entry: state of this entry
  * @cursor: 0 for the first call, advanced by each; UINT64_MAX at the end
  * @rows: filled
  * @rows_max: capacity of @rows
@@ -84,7 +85,7 @@
  *
  * Return: number of rows filled; it can be 0 before the end.
  */
-uint32_t entry_flows(const struct entry *e, uint64_t *cursor,
+uint32_t entry_flows(const struct entry *entry, uint64_t *cursor,
 		     struct flow_row *rows, uint32_t rows_max)
 {
 	uint32_t n = 0;
@@ -92,7 +93,7 @@
 	for (uint32_t i = 0; i < SLOTS_PER_CALL_MAX && n < rows_max; i++) {
 		if (*cursor == CURSOR_END)
 			break;
-		if (next_row(e, cursor, &rows[n]))
+		if (next_row(entry, cursor, &rows[n]))
 			n++;
 	}
 	return n;
--- a/core/request/flow_list.h
+++ b/core/request/flow_list.h
@@ -29,7 +29,7 @@
 	uint64_t since_ns;
 };
 
-uint32_t entry_flows(const struct entry *e, uint64_t *cursor,
+uint32_t entry_flows(const struct entry *entry, uint64_t *cursor,
 		     struct flow_row *rows, uint32_t rows_max);
 
 #endif
--- a/core/request/message_id.c
+++ b/core/request/message_id.c
@@ -24,15 +24,15 @@
 };
 
 /* msg_id_spaces_init() - allocate the ID spaces for a data centre's targets. */
-int msg_id_spaces_init(struct entry *e)
+int msg_id_spaces_init(struct entry *entry)
 {
-	e->msg_ids = calloc(ID_TARGETS_MAX, sizeof(*e->msg_ids));
-	return e->msg_ids ? 0 : -ENOMEM;
+	entry->msg_ids = calloc(ID_TARGETS_MAX, sizeof(*entry->msg_ids));
+	return entry->msg_ids ? 0 : -ENOMEM;
 }
 
-void msg_id_spaces_free(struct entry *e)
+void msg_id_spaces_free(struct entry *entry)
 {
-	free(e->msg_ids);
+	free(entry->msg_ids);
 }
 
 static bool space_is_reusable(const struct msg_id_space *s, uint64_t now_ns)
@@ -44,40 +44,40 @@
  * Finds or assigns a target's ID space. A space that has been unused for a
  * whole lifetime is reassigned to another target.
  */
-static struct msg_id_space *find_space(struct entry *e, uint64_t target)
+static struct msg_id_space *find_space(struct entry *entry, uint64_t target)
 {
 	uint64_t home = hash_u64(target, 0);
 	struct msg_id_space *unused = NULL;
 
 	for (uint32_t n = 0; n < ID_PROBES_MAX; n++) {
 		struct msg_id_space *s =
-			&e->msg_ids[(home + n) % ID_TARGETS_MAX];
+			&entry->msg_ids[(home + n) % ID_TARGETS_MAX];
 
 		if (s->target == target)
 			return s;
-		if (!unused && space_is_reusable(s, e->now_ns))
+		if (!unused && space_is_reusable(s, entry->now_ns))
 			unused = s;
 	}
 	if (!unused)
 		return NULL;
 	memset(unused, 0, sizeof(*unused));
 	unused->target = target;
-	unused->next_id = (uint16_t)rng_next(&e->rng);
+	unused->next_id = (uint16_t)rng_next(&entry->rng);
 	return unused;
 }
 
 /**
  * msg_id_next() - allocate a message ID towards a target
- * @e: entry
- * @target: target
+ * @entry: state of this entry
+ * @target: address of the target
  * @id: set to the ID; unchanged on failure
  *
  * Return: false when the next IDs are too recent to be reused, or no ID space
  * is free; the target accepts no more messages from this entry for now.
  */
-bool msg_id_next(struct entry *e, uint64_t target, uint16_t *id)
+bool msg_id_next(struct entry *entry, uint64_t target, uint16_t *id)
 {
-	struct msg_id_space *s = find_space(e, target);
+	struct msg_id_space *s = find_space(entry, target);
 	uint16_t next;
 	uint32_t block;
 
@@ -87,10 +87,10 @@
 	block = next >> ID_BLOCK_SHIFT;
 	if ((next & ((1 << ID_BLOCK_SHIFT) - 1)) == 0 &&
 	    s->block_used_ns[block] &&
-	    s->block_used_ns[block] + ID_LIFETIME_NS > e->now_ns)
+	    s->block_used_ns[block] + ID_LIFETIME_NS > entry->now_ns)
 		return false;
-	s->block_used_ns[block] = e->now_ns;
-	s->last_ns = e->now_ns;
+	s->block_used_ns[block] = entry->now_ns;
+	s->last_ns = entry->now_ns;
 	*id = next;
 	s->next_id = (uint16_t)(next + 1);
 	return true;
--- a/core/request/request.c
+++ b/core/request/request.c
@@ -8,37 +8,37 @@
 
 /**
  * requests_init() - allocate the slots of all requests
- * @e: entry
+ * @entry: state of this entry
  *
  * Return: 0, or -ENOMEM.
  */
-int requests_init(struct entry *e)
+int requests_init(struct entry *entry)
 {
-	uint32_t n = e->conf.requests_max;
+	uint32_t n = entry->conf.requests_max;
 
-	e->requests = calloc(n, sizeof(*e->requests));
-	e->by_identity = index_new(n);
-	e->by_target_msg_id = index_new(n);
-	if (!e->requests || !e->by_identity || !e->by_target_msg_id)
+	entry->requests = calloc(n, sizeof(*entry->requests));
+	entry->by_identity = index_new(n);
+	entry->by_target_msg_id = index_new(n);
+	if (!entry->requests || !entry->by_identity || !entry->by_target_msg_id)
 		return -ENOMEM;
 	for (uint32_t i = 0; i < n; i++)
-		e->requests[i].next = i + 1 < n ? i + 1 : SLOT_NONE;
-	e->free_request = 0;
-	e->ended_first = SLOT_NONE;
-	e->ended_last = SLOT_NONE;
+		entry->requests[i].next = i + 1 < n ? i + 1 : SLOT_NONE;
+	entry->free_request = 0;
+	entry->ended_first = SLOT_NONE;
+	entry->ended_last = SLOT_NONE;
 	return 0;
 }
 
-void requests_free(struct entry *e)
+void requests_free(struct entry *entry)
 {
-	free(e->requests);
-	index_free(e->by_identity);
-	index_free(e->by_target_msg_id);
+	free(entry->requests);
+	index_free(entry->by_identity);
+	index_free(entry->by_target_msg_id);
 }
 
-uint32_t request_slot(const struct entry *e, const struct request *r)
+uint32_t request_slot(const struct entry *entry, const struct request *req)
 {
-	return (uint32_t)(r - e->requests);
+	return (uint32_t)(req - entry->requests);
 }
 
 uint64_t request_identity(const struct flow_key *key, uint16_t id)
@@ -51,148 +51,150 @@
 	return hash_u64(target, 1ULL << 16 | id);
 }
 
-static void ended_unlink(struct entry *e, struct request *r)
+static void ended_unlink(struct entry *entry, struct request *req)
 {
-	if (r->prev == SLOT_NONE)
-		e->ended_first = r->next;
+	if (req->prev == SLOT_NONE)
+		entry->ended_first = req->next;
 	else
-		e->requests[r->prev].next = r->next;
-	if (r->next == SLOT_NONE)
-		e->ended_last = r->prev;
+		entry->requests[req->prev].next = req->next;
+	if (req->next == SLOT_NONE)
+		entry->ended_last = req->prev;
 	else
-		e->requests[r->next].prev = r->prev;
+		entry->requests[req->next].prev = req->prev;
 }
 
-static void ended_append(struct entry *e, struct request *r)
+static void ended_append(struct entry *entry, struct request *req)
 {
-	uint32_t slot = request_slot(e, r);
+	uint32_t slot = request_slot(entry, req);
 
-	r->next = SLOT_NONE;
-	r->prev = e->ended_last;
-	if (e->ended_last == SLOT_NONE)
-		e->ended_first = slot;
+	req->next = SLOT_NONE;
+	req->prev = entry->ended_last;
+	if (entry->ended_last == SLOT_NONE)
+		entry->ended_first = slot;
 	else
-		e->requests[e->ended_last].next = slot;
-	e->ended_last = slot;
+		entry->requests[entry->ended_last].next = slot;
+	entry->ended_last = slot;
 }
 
-static void release_slot(struct entry *e, struct request *r)
+static void release_slot(struct entry *entry, struct request *req)
 {
-	uint32_t slot = request_slot(e, r);
+	uint32_t slot = request_slot(entry, req);
 
-	index_del(e->by_identity, r->identity, slot);
-	timers_clear(e->timers, slot);
-	r->state = REQ_FREE;
-	r->next = e->free_request;
-	e->free_request = slot;
+	index_del(entry->by_identity, req->identity, slot);
+	timers_clear(entry->timers, slot);
+	req->state = REQ_FREE;
+	req->next = entry->free_request;
+	entry->free_request = slot;
 }
 
 /**
  * request_drop() - free a request's slot without an answer from here
- * @e: entry
- * @r: request; another entry answers it, or no caller waits for it
+ * @entry: state of this entry
+ * @req: request; another entry answers it, or no caller waits for it
  */
-void request_drop(struct entry *e, struct request *r)
+void request_drop(struct entry *entry, struct request *req)
 {
-	if (r->state == REQ_ENDED)
-		ended_unlink(e, r);
+	if (req->state == REQ_ENDED)
+		ended_unlink(entry, req);
 	else
-		e->n_active--;
-	release_slot(e, r);
+		entry->n_active--;
+	release_slot(entry, req);
 }
 
 /**
  * request_new() - allocate a slot, if necessary that of the oldest ended
  *	request
- * @e: entry
+ * @entry: state of this entry
  * @key: flow
  *
  * Return: request, or NULL when every slot is active.
  */
-struct request *request_new(struct entry *e, const struct flow_key *key)
+struct request *request_new(struct entry *entry, const struct flow_key *key)
 {
-	uint32_t slot = e->free_request;
-	struct request *r;
+	uint32_t slot = entry->free_request;
+	struct request *req;
 	uint32_t generation;
 
 	if (slot == SLOT_NONE) {
-		if (e->ended_first == SLOT_NONE)
+		if (entry->ended_first == SLOT_NONE)
 			return NULL;
-		request_drop(e, &e->requests[e->ended_first]);
-		slot = e->free_request;
+		request_drop(entry, &entry->requests[entry->ended_first]);
+		slot = entry->free_request;
 	}
-	r = &e->requests[slot];
-	e->free_request = r->next;
-	generation = r->generation + 1;
-	memset(r, 0, offsetof(struct request, data));
-	r->generation = generation;
-	r->key = *key;
-	r->bucket = ring_bucket(e->ring, key);
-	r->feed = SLOT_NONE;
-	r->arrived_ns = e->now_ns;
-	e->n_active++;
-	return r;
+	req = &entry->requests[slot];
+	entry->free_request = req->next;
+	generation = req->generation + 1;
+	memset(req, 0, offsetof(struct request, data));
+	req->generation = generation;
+	req->key = *key;
+	req->bucket = ring_bucket(entry->ring, key);
+	req->feed = SLOT_NONE;
+	req->arrived_ns = entry->now_ns;
+	entry->n_active++;
+	return req;
 }
 
 /**
  * request_complete() - mark a request as answered
- * @e: entry
- * @r: request; kept for the cover time to answer retransmissions, an internal
+ * @entry: state of this entry
+ * @req: request; kept for the cover time to answer retransmissions, an internal
  *	one is freed
  */
-void request_complete(struct entry *e, struct request *r)
+void request_complete(struct entry *entry, struct request *req)
 {
-	uint32_t slot = request_slot(e, r);
+	uint32_t slot = request_slot(entry, req);
 
-	if (r->feed != SLOT_NONE && e->feeds[r->feed].request == slot)
-		e->feeds[r->feed].request = SLOT_NONE;
-	if (r->internal) {
-		request_drop(e, r);
+	if (req->feed != SLOT_NONE && entry->feeds[req->feed].request == slot)
+		entry->feeds[req->feed].request = SLOT_NONE;
+	if (req->internal) {
+		request_drop(entry, req);
 		return;
 	}
-	r->state = REQ_ENDED;
-	e->n_active--;
-	ended_append(e, r);
-	timers_set(e->timers, slot, e->now_ns + e->conf.cover_ns);
+	req->state = REQ_ENDED;
+	entry->n_active--;
+	ended_append(entry, req);
+	timers_set(entry->timers, slot, entry->now_ns + entry->conf.cover_ns);
 }
 
 /**
  * request_leave_target() - remove a request from its target and the balancer
- * @e: entry
- * @r: request; stays in its slot
+ * @entry: state of this entry
+ * @req: request; stays in its slot
  * @outcome: how it ended at the target
  */
-void request_leave_target(struct entry *e, struct request *r,
+void request_leave_target(struct entry *entry, struct request *req,
 			  enum outcome outcome)
 {
-	if (r->target_msg_id || r->sends)
-		index_del(e->by_target_msg_id,
-			  request_target_msg_id_key(r->target,
-						    r->target_msg_id),
-			  request_slot(e, r));
-	if (!r->counted)
+	if (req->target_msg_id || req->sends)
+		index_del(entry->by_target_msg_id,
+			  request_target_msg_id_key(req->target,
+						    req->target_msg_id),
+			  request_slot(entry, req));
+	if (!req->counted)
 		return;
-	r->counted = false;
-	balance_done(e->balancer, r->key.vip, r->target, outcome,
-		     e->now_ns - r->sent_ns, e->now_ns);
+	req->counted = false;
+	balance_done(entry->balancer, req->key.vip, req->target, outcome,
+		     entry->now_ns - req->sent_ns, entry->now_ns);
 }
 
-static bool owned_long_enough(const struct entry *e, const struct request *r)
+static bool owned_long_enough(const struct entry *entry,
+			      const struct request *req)
 {
-	return e->now_ns >= e->owner_since_ns[r->bucket] + e->conf.cover_ns;
+	return entry->now_ns >=
+	       entry->owner_since_ns[req->bucket] + entry->conf.cover_ns;
 }
 
 /*
  * request_is_idempotent() - whether a request may be executed twice, by its
  * method, by the service's settings, or because the target only stores it.
  */
-bool request_is_idempotent(const struct entry *e, const struct request *r)
+bool request_is_idempotent(const struct entry *entry, const struct request *req)
 {
-	const struct service_conf *s = service_find(e, r->key.vip);
+	const struct service_conf *s = service_find(entry, req->key.vip);
 
-	if (transfer_only_stores(r))
+	if (transfer_only_stores(req))
 		return true;
-	return r->flags & MESSAGE_IDEMPOTENT || (s && s->post_idempotent);
+	return req->flags & MESSAGE_IDEMPOTENT || (s && s->post_idempotent);
 }
 
 /*
@@ -202,168 +204,175 @@
  * answered. So a new owner answers "unknown" until the cover time is over and
  * no caller can be retransmitting an older request.
  */
-static bool known_not_run(const struct entry *e, const struct request *r)
+static bool known_not_run(const struct entry *entry, const struct request *req)
 {
-	if (transfer_only_stores(r))
+	if (transfer_only_stores(req))
 		return true;
-	if (r->may_have_run)
+	if (req->may_have_run)
 		return false;
-	return !request_is_idempotent(e, r) || owned_long_enough(e, r);
+	return !request_is_idempotent(entry, req) ||
+	       owned_long_enough(entry, req);
 }
 
 /**
  * request_end_unknown() - end a request whose outcome can't be known
- * @e: entry
- * @r: request; an internal one is a failed renewal of its feed
+ * @entry: state of this entry
+ * @req: request; an internal one is a failed renewal of its feed
  * @why: cause, static text for the log
  */
-void request_end_unknown(struct entry *e, struct request *r, const char *why)
+void request_end_unknown(struct entry *entry, struct request *req,
+			 const char *why)
 {
-	request_leave_target(e, r, OUTCOME_TIMEOUT);
-	if (r->internal) {
-		feed_renew_failed(e, &e->feeds[r->feed], r);
+	request_leave_target(entry, req, OUTCOME_TIMEOUT);
+	if (req->internal) {
+		feed_renew_failed(entry, &entry->feeds[req->feed], req);
 		return;
 	}
-	emit_log(e, why, &r->key, r->target);
-	claim_record_outcome(e, r, CLAIM_UNKNOWN);
-	e->counters.answered_unknown++;
-	r->answer = ANSWER_UNKNOWN;
-	local_answer_send(e, &r->key, r);
-	if (r->feed != SLOT_NONE)
-		feed_open_refused(e, &e->feeds[r->feed], r);
-	request_complete(e, r);
+	emit_log(entry, why, &req->key, req->target);
+	claim_record_outcome(entry, req, CLAIM_UNKNOWN);
+	entry->counters.answered_unknown++;
+	req->answer = ANSWER_UNKNOWN;
+	local_answer_send(entry, &req->key, req);
+	if (req->feed != SLOT_NONE)
+		feed_open_refused(entry, &entry->feeds[req->feed], req);
+	request_complete(entry, req);
 }
 
 /**
  * request_refuse() - end a request without executing it
- * @e: entry
- * @r: request; ended as unknown when it may have been executed before
+ * @entry: state of this entry
+ * @req: request; ended as unknown when it may have been executed before
  * @reason: enum refusal
  * @retry_after_s: time after which the caller may retry
  */
-void request_refuse(struct entry *e, struct request *r, uint8_t reason,
+void request_refuse(struct entry *entry, struct request *req, uint8_t reason,
 		    uint32_t retry_after_s)
 {
-	r->reason = reason;
-	r->retry_after_s = retry_after_s;
-	if (r->internal || !known_not_run(e, r)) {
+	req->reason = reason;
+	req->retry_after_s = retry_after_s;
+	if (req->internal || !known_not_run(entry, req)) {
 		request_end_unknown(
-			e, r, "refused, but may have been executed before");
+			entry, req,
+			"refused, but may have been executed before");
 		return;
 	}
-	claim_record_outcome(e, r, CLAIM_REFUSED);
-	e->counters.refused_not_run++;
-	r->answer = ANSWER_NOT_RUN;
-	local_answer_send(e, &r->key, r);
-	if (r->feed != SLOT_NONE)
-		feed_open_refused(e, &e->feeds[r->feed], r);
-	request_complete(e, r);
+	claim_record_outcome(entry, req, CLAIM_REFUSED);
+	entry->counters.refused_not_run++;
+	req->answer = ANSWER_NOT_RUN;
+	local_answer_send(entry, &req->key, req);
+	if (req->feed != SLOT_NONE)
+		feed_open_refused(entry, &entry->feeds[req->feed], req);
+	request_complete(entry, req);
 }
 
-static void refuse_without_slot(struct entry *e, const struct flow_key *key,
+static void refuse_without_slot(struct entry *entry, const struct flow_key *key,
 				const struct message *msg)
 {
-	struct request r = { .id = msg->id,
-			     .flags = msg->flags,
-			     .token_len = msg->token_len,
-			     .answer = ANSWER_NOT_RUN,
-			     .reason = REFUSE_MEMORY,
-			     .retry_after_s = NO_SLOT_RETRY_AFTER_S };
-
-	r.bucket = ring_bucket(e->ring, key);
-	memcpy(r.token, msg->token, msg->token_len);
-	if (!(msg->flags & MESSAGE_IDEMPOTENT) || !owned_long_enough(e, &r)) {
-		local_answer_send_unknown(e, key, msg);
+	struct request req = { .id = msg->id,
+			       .flags = msg->flags,
+			       .token_len = msg->token_len,
+			       .answer = ANSWER_NOT_RUN,
+			       .reason = REFUSE_MEMORY,
+			       .retry_after_s = NO_SLOT_RETRY_AFTER_S };
+
+	req.bucket = ring_bucket(entry->ring, key);
+	memcpy(req.token, msg->token, msg->token_len);
+	if (!(msg->flags & MESSAGE_IDEMPOTENT) ||
+	    !owned_long_enough(entry, &req)) {
+		local_answer_send_unknown(entry, key, msg);
 		return;
 	}
-	e->counters.refused_not_run++;
-	local_answer_send(e, key, &r);
+	entry->counters.refused_not_run++;
+	local_answer_send(entry, key, &req);
 }
 
-static uint64_t deadline_of(const struct entry *e, const struct service_conf *s,
+static uint64_t deadline_of(const struct entry *entry,
+			    const struct service_conf *s,
 			    const struct message *msg)
 {
 	uint64_t timeout_ns = s->request_timeout_ns;
 
 	if (msg->timeout_ns && msg->timeout_ns < timeout_ns)
 		timeout_ns = msg->timeout_ns;
-	return e->now_ns + timeout_ns;
+	return entry->now_ns + timeout_ns;
 }
 
-static bool attach_feed(struct entry *e, struct request *r,
+static bool attach_feed(struct entry *entry, struct request *req,
 			const struct message *msg)
 {
-	struct feed *f = feed_find(e, &r->key, msg->token, msg->token_len);
+	struct feed *feed =
+		feed_find(entry, &req->key, msg->token, msg->token_len);
 
 	if (msg->flags & MESSAGE_FEED_CLOSE) {
-		if (f)
-			feed_end(e, f, true);
+		if (feed)
+			feed_end(entry, feed, true);
 		return true;
 	}
 	if (!(msg->flags & MESSAGE_FEED_OPEN))
 		return true;
-	if (!f)
-		f = feed_new(e, &r->key, msg->token, msg->token_len);
-	if (!f)
+	if (!feed)
+		feed = feed_new(entry, &req->key, msg->token, msg->token_len);
+	if (!feed)
 		return false;
-	if (f->request != SLOT_NONE)
+	if (feed->request != SLOT_NONE)
 		return false;
-	f->size_bytes = 0;
+	feed->size_bytes = 0;
 	if (msg->size_bytes <= FEED_REQUEST_MAX_BYTES) {
-		f->size_bytes = (uint16_t)msg->size_bytes;
-		memcpy(f->opening, msg->data, msg->size_bytes);
+		feed->size_bytes = (uint16_t)msg->size_bytes;
+		memcpy(feed->opening, msg->data, msg->size_bytes);
 	}
-	f->request = request_slot(e, r);
-	r->feed = feed_slot(e, f);
+	feed->request = request_slot(entry, req);
+	req->feed = feed_slot(entry, feed);
 	return true;
 }
 
-static uint64_t claim_id_of(const struct request *r)
+static uint64_t claim_id_of(const struct request *req)
 {
 	uint64_t token = 0;
 
-	memcpy(&token, r->token, r->token_len);
-	return hash_u64(token, r->identity + r->token_len);
+	memcpy(&token, req->token, req->token_len);
+	return hash_u64(token, req->identity + req->token_len);
 }
 
 /**
  * request_receive() - handle a request as the entry that executes it
- * @e: entry
+ * @entry: state of this entry
  * @key: flow
  * @msg: request
  */
-void request_receive(struct entry *e, const struct flow_key *key,
+void request_receive(struct entry *entry, const struct flow_key *key,
 		     const struct message *msg)
 {
-	const struct service_conf *s = service_find(e, key->vip);
-	struct request *r;
+	const struct service_conf *s = service_find(entry, key->vip);
+	struct request *req;
 
-	if (request_handle_retransmission(e, key, msg))
+	if (request_handle_retransmission(entry, key, msg))
 		return;
-	r = s ? request_new(e, key) : NULL;
-	if (!r) {
-		refuse_without_slot(e, key, msg);
+	req = s ? request_new(entry, key) : NULL;
+	if (!req) {
+		refuse_without_slot(entry, key, msg);
 		return;
 	}
-	e->counters.requests++;
-	r->id = msg->id;
-	r->flags = msg->flags;
-	r->token_len = msg->token_len;
-	memcpy(r->token, msg->token, msg->token_len);
-	r->identity = request_identity(key, msg->id);
-	r->claim_id = claim_id_of(r);
-	r->deadline_ns = deadline_of(e, s, msg);
-	r->size_bytes = msg->size_bytes;
-	memcpy(r->data, msg->data, msg->size_bytes);
-	index_put(e->by_identity, r->identity, request_slot(e, r));
-	if (!attach_feed(e, r, msg)) {
-		request_refuse(e, r, REFUSE_MEMORY, NO_SLOT_RETRY_AFTER_S);
+	entry->counters.requests++;
+	req->id = msg->id;
+	req->flags = msg->flags;
+	req->token_len = msg->token_len;
+	memcpy(req->token, msg->token, msg->token_len);
+	req->identity = request_identity(key, msg->id);
+	req->claim_id = claim_id_of(req);
+	req->deadline_ns = deadline_of(entry, s, msg);
+	req->size_bytes = msg->size_bytes;
+	memcpy(req->data, msg->data, msg->size_bytes);
+	index_put(entry->by_identity, req->identity, request_slot(entry, req));
+	if (!attach_feed(entry, req, msg)) {
+		request_refuse(entry, req, REFUSE_MEMORY,
+			       NO_SLOT_RETRY_AFTER_S);
 		return;
 	}
-	if (transfer_forward_to_carrier(e, r))
+	if (transfer_forward_to_carrier(entry, req))
 		return;
-	if (request_is_idempotent(e, r))
-		request_submit(e, r);
+	if (request_is_idempotent(entry, req))
+		request_submit(entry, req);
 	else
-		claim_begin(e, r);
+		claim_begin(entry, req);
 }
--- a/core/request/route.c
+++ b/core/request/route.c
@@ -2,7 +2,7 @@
 
 /**
  * service_find() - service of a VIP
- * @e: entry
+ * @entry: state of this entry
  * @vip: address that callers send to
  *
  * Routing considers only the VIP, so a datagram can't reach the targets of
@@ -10,16 +10,16 @@
  *
  * Return: service, or NULL when no client account in force has the VIP.
  */
-const struct service_conf *service_find(const struct entry *e, uint64_t vip)
+const struct service_conf *service_find(const struct entry *entry, uint64_t vip)
 {
 	uint32_t slot;
 
-	if (!e->services)
+	if (!entry->services)
 		return NULL;
-	slot = index_get(e->services, hash_u64(vip, 0));
-	if (slot == INDEX_NONE || e->service_list[slot]->vip != vip)
+	slot = index_get(entry->services, hash_u64(vip, 0));
+	if (slot == INDEX_NONE || entry->service_list[slot]->vip != vip)
 		return NULL;
-	return e->service_list[slot];
+	return entry->service_list[slot];
 }
 
 /**
@@ -44,13 +44,13 @@
 /*
  * vm_is_serving() - whether an entry can still answer for its claims: not dead.
  */
-bool vm_is_serving(const struct entry *e, uint64_t vm)
+bool vm_is_serving(const struct entry *entry, uint64_t vm)
 {
 	const struct member *m;
 
-	if (vm == e->conf.member.self)
+	if (vm == entry->conf.member.self)
 		return true;
-	m = member_find(e->members, vm);
+	m = member_find(entry->members, vm);
 	return m && m->state != MEMBER_DEAD;
 }
 
@@ -58,16 +58,16 @@
  * vm_may_own() - whether an entry may own buckets: alive, neither new nor
  * leaving.
  */
-bool vm_may_own(const struct entry *e, uint64_t vm)
+bool vm_may_own(const struct entry *entry, uint64_t vm)
 {
-	const struct member *m = member_find(e->members, vm);
+	const struct member *m = member_find(entry->members, vm);
 
 	return m && (m->state == MEMBER_ALIVE || m->state == MEMBER_SUSPECT);
 }
 
 /**
  * forward_to() - forward a caller's datagram to another entry
- * @e: entry
+ * @entry: state of this entry
  * @vm: receiver
  * @key: flow
  * @data: datagram, has to stay valid until the actions are carried out
@@ -80,48 +80,48 @@
  *
  * Return: false when the datagram is dropped after too many forwards.
  */
-bool forward_to(struct entry *e, uint64_t vm, const struct flow_key *key,
+bool forward_to(struct entry *entry, uint64_t vm, const struct flow_key *key,
 		const uint8_t *data, uint32_t size_bytes, uint8_t hops,
 		uint8_t purpose)
 {
 	struct peer_msg *m;
 
 	if (hops >= HOPS_MAX) {
-		e->counters.forward_loops++;
+		entry->counters.forward_loops++;
 		return false;
 	}
-	m = emit_peer(e, vm, PEER_FORWARD);
+	m = emit_peer(entry, vm, PEER_FORWARD);
 	m->hops = (uint8_t)(hops + 1);
 	m->key = *key;
 	m->seq = purpose;
 	m->data = data;
 	m->size_bytes = size_bytes;
-	e->counters.forwards++;
+	entry->counters.forwards++;
 	return true;
 }
 
 /**
  * handle_as_owner() - handle a caller's datagram as the owner of its flow
- * @e: entry
+ * @entry: state of this entry
  * @key: flow
  * @msg: datagram
  */
-void handle_as_owner(struct entry *e, const struct flow_key *key,
+void handle_as_owner(struct entry *entry, const struct flow_key *key,
 		     const struct message *msg)
 {
 	switch (msg->kind) {
 	case MESSAGE_REQUEST:
-		request_receive(e, key, msg);
+		request_receive(entry, key, msg);
 		break;
 	case MESSAGE_ACK:
-		feed_acked_by_caller(e, key, msg->id);
+		feed_acked_by_caller(entry, key, msg->id);
 		break;
 	case MESSAGE_RESET:
-		if (!feed_reset_by_caller(e, key, msg->id))
-			request_reset_by_caller(e, key, msg->id);
+		if (!feed_reset_by_caller(entry, key, msg->id))
+			request_reset_by_caller(entry, key, msg->id);
 		break;
 	case MESSAGE_PROBE:
-		emit_signal_caller(e, key, WIRE_RESET, msg->id);
+		emit_signal_caller(entry, key, WIRE_RESET, msg->id);
 		break;
 	default:
 		break;
@@ -133,151 +133,152 @@
  * handover the entry that sent the update may no longer be the owner, so an
  * entry that knows the ID handles them; only the others go to the owner.
  */
-static bool handled_by_msg_id(struct entry *e, const struct flow_key *key,
+static bool handled_by_msg_id(struct entry *entry, const struct flow_key *key,
 			      const struct message *msg)
 {
 	if (msg->kind == MESSAGE_ACK)
-		return feed_acked_by_caller(e, key, msg->id);
+		return feed_acked_by_caller(entry, key, msg->id);
 	if (msg->kind == MESSAGE_RESET)
-		return feed_reset_by_caller(e, key, msg->id);
+		return feed_reset_by_caller(entry, key, msg->id);
 	return false;
 }
 
 /* An entry that has not joined yet forwards datagrams to one that has. */
-static void forward_to_joined(struct entry *e, const struct flow_key *key,
+static void forward_to_joined(struct entry *entry, const struct flow_key *key,
 			      const struct message *msg, uint8_t hops)
 {
 	const struct member *all;
-	uint32_t n = member_all(e->members, &all);
+	uint32_t n = member_all(entry->members, &all);
 	uint64_t first = n ? flow_hash(key) % n : 0;
 
 	for (uint32_t i = 0; i < n; i++) {
 		const struct member *m = &all[(first + i) % n];
 
-		if (m->state != MEMBER_ALIVE || m->vm == e->conf.member.self)
+		if (m->state != MEMBER_ALIVE ||
+		    m->vm == entry->conf.member.self)
 			continue;
-		forward_to(e, m->vm, key, msg->data, msg->size_bytes, hops,
+		forward_to(entry, m->vm, key, msg->data, msg->size_bytes, hops,
 			   FORWARD_TO_OWNER);
 		return;
 	}
 }
 
-static void route(struct entry *e, const struct flow_key *key,
+static void route(struct entry *entry, const struct flow_key *key,
 		  const struct message *msg, uint8_t hops)
 {
 	struct ring_pair pair;
 
 	if (msg->size_bytes > DATAGRAM_MAX_BYTES) {
-		e->counters.oversize++;
+		entry->counters.oversize++;
 		return;
 	}
-	if (e->stale) {
-		e->counters.stale_dropped++;
+	if (entry->stale) {
+		entry->counters.stale_dropped++;
 		return;
 	}
-	if (!service_find(e, key->vip)) {
-		e->counters.no_service++;
+	if (!service_find(entry, key->vip)) {
+		entry->counters.no_service++;
 		return;
 	}
-	if (handled_by_msg_id(e, key, msg))
+	if (handled_by_msg_id(entry, key, msg))
 		return;
 	if (msg->kind == MESSAGE_REQUEST &&
-	    request_handle_retransmission(e, key, msg))
+	    request_handle_retransmission(entry, key, msg))
 		return;
-	if (transfer_is_carried_here(e, key, msg)) {
-		request_receive(e, key, msg);
+	if (transfer_is_carried_here(entry, key, msg)) {
+		request_receive(entry, key, msg);
 		return;
 	}
-	if (!e->joined) {
-		forward_to_joined(e, key, msg, hops);
+	if (!entry->joined) {
+		forward_to_joined(entry, key, msg, hops);
 		return;
 	}
-	pair = ring_at(e->ring, ring_bucket(e->ring, key));
-	if (pair.owner == e->conf.member.self)
-		handle_as_owner(e, key, msg);
+	pair = ring_at(entry->ring, ring_bucket(entry->ring, key));
+	if (pair.owner == entry->conf.member.self)
+		handle_as_owner(entry, key, msg);
 	else if (pair.owner != ADDR_NONE)
-		forward_to(e, pair.owner, key, msg->data, msg->size_bytes, hops,
-			   FORWARD_TO_OWNER);
+		forward_to(entry, pair.owner, key, msg->data, msg->size_bytes,
+			   hops, FORWARD_TO_OWNER);
 }
 
 /**
  * entry_caller() - handle a datagram from a caller
- * @e: entry
+ * @entry: state of this entry
  * @key: caller and VIP
  * @msg: datagram as parsed
- * @now_ns: time
+ * @now_ns: current time
  * @out: filled with the actions to carry out
  */
-void entry_caller(struct entry *e, const struct flow_key *key,
+void entry_caller(struct entry *entry, const struct flow_key *key,
 		  const struct message *msg, uint64_t now_ns,
 		  struct actions *out)
 {
-	entry_begin_call(e, now_ns, out);
-	route(e, key, msg, 0);
+	entry_begin_call(entry, now_ns, out);
+	route(entry, key, msg, 0);
 }
 
-static void handle_forwarded(struct entry *e, const struct peer_msg *msg,
+static void handle_forwarded(struct entry *entry, const struct peer_msg *msg,
 			     const struct message *inner)
 {
 	if (!inner)
 		return;
 	if (msg->seq == FORWARD_TO_OWNER) {
-		route(e, &msg->key, inner, msg->hops);
+		route(entry, &msg->key, inner, msg->hops);
 		return;
 	}
 	if (inner->size_bytes > DATAGRAM_MAX_BYTES)
 		return;
-	if (request_handle_retransmission(e, &msg->key, inner))
+	if (request_handle_retransmission(entry, &msg->key, inner))
 		return;
 	if (msg->seq == FORWARD_TO_CARRIER)
-		request_receive(e, &msg->key, inner);
+		request_receive(entry, &msg->key, inner);
 	else
-		local_answer_send_unknown(e, &msg->key, inner);
+		local_answer_send_unknown(entry, &msg->key, inner);
 }
 
 /**
  * entry_peer() - handle a message from another entry
- * @e: entry
+ * @entry: state of this entry
  * @msg: message
  * @forwarded: PEER_FORWARD: the datagram in it as parsed, NULL if that failed;
  *	NULL for other kinds
- * @now_ns: time
+ * @now_ns: current time
  * @out: filled with the actions to carry out
  */
-void entry_peer(struct entry *e, const struct peer_msg *msg,
+void entry_peer(struct entry *entry, const struct peer_msg *msg,
 		const struct message *forwarded, uint64_t now_ns,
 		struct actions *out)
 {
-	entry_begin_call(e, now_ns, out);
-	member_message(e->members, msg, now_ns);
-	entry_check_lease(e);
+	entry_begin_call(entry, now_ns, out);
+	member_message(entry->members, msg, now_ns);
+	entry_check_lease(entry);
 	switch (msg->kind) {
 	case PEER_FORWARD:
-		handle_forwarded(e, msg, forwarded);
+		handle_forwarded(entry, msg, forwarded);
 		break;
 	case PEER_CLAIM:
-		claim_requests_received(e, msg);
+		claim_requests_received(entry, msg);
 		break;
 	case PEER_GRANT:
-		claim_grants_received(e, msg);
+		claim_grants_received(entry, msg);
 		break;
 	case PEER_SETTLE:
-		claim_settlements_received(e, msg);
+		claim_settlements_received(entry, msg);
 		break;
 	case PEER_FEED:
-		feed_copy_received(e, msg);
+		feed_copy_received(entry, msg);
 		break;
 	case PEER_FEED_CLOSE:
-		feed_copy_close_received(e, msg);
+		feed_copy_close_received(entry, msg);
 		break;
 	case PEER_UNPIN:
-		flow_unpin(e->pins, &msg->key);
+		flow_unpin(entry->pins, &msg->key);
 		break;
 	case PEER_RECORD:
-		stream_received(e, msg);
+		stream_received(entry, msg);
 		break;
 	case PEER_HANDOVER:
-		stream_ack_received(e, msg);
+		stream_ack_received(entry, msg);
 		break;
 	default:
 		break;
@@ -286,19 +287,20 @@
 
 /**
  * entry_target() - handle a datagram from a target
- * @e: entry
+ * @entry: state of this entry
  * @target: sender
  * @msg: datagram as parsed
- * @now_ns: time
+ * @now_ns: current time
  * @out: filled with the actions to carry out
  */
-void entry_target(struct entry *e, uint64_t target, const struct message *msg,
-		  uint64_t now_ns, struct actions *out)
+void entry_target(struct entry *entry, uint64_t target,
+		  const struct message *msg, uint64_t now_ns,
+		  struct actions *out)
 {
-	entry_begin_call(e, now_ns, out);
+	entry_begin_call(entry, now_ns, out);
 	if (msg->size_bytes > DATAGRAM_MAX_BYTES)
-		e->counters.oversize++;
+		entry->counters.oversize++;
 	else
-		target_receive(e, target, msg);
-	requests_start_ready(e);
+		target_receive(entry, target, msg);
+	requests_start_ready(entry);
 }
--- a/core/request/stream.c
+++ b/core/request/stream.c
@@ -76,62 +76,63 @@
 	       numbers[i * BUCKET_NUMBER_BYTES + 1];
 }
 
-int streams_init(struct entry *e)
+int streams_init(struct entry *entry)
 {
-	uint32_t words = (e->conf.n_buckets + 63) / 64;
+	uint32_t words = (entry->conf.n_buckets + 63) / 64;
 
-	e->streams = calloc(STREAMS_MAX, sizeof(*e->streams));
-	e->known_at_leave = calloc(words, sizeof(uint64_t));
-	e->refused_buckets =
+	entry->streams = calloc(STREAMS_MAX, sizeof(*entry->streams));
+	entry->known_at_leave = calloc(words, sizeof(uint64_t));
+	entry->refused_buckets =
 		calloc(BUCKETS_PER_MESSAGE_MAX, BUCKET_NUMBER_BYTES);
-	if (!e->streams || !e->known_at_leave || !e->refused_buckets)
+	if (!entry->streams || !entry->known_at_leave ||
+	    !entry->refused_buckets)
 		return -ENOMEM;
 	for (uint32_t i = 0; i < STREAMS_MAX; i++) {
-		e->streams[i].due = calloc(words, sizeof(uint64_t));
-		e->streams[i].known = calloc(words, sizeof(uint64_t));
-		if (!e->streams[i].due || !e->streams[i].known)
+		entry->streams[i].due = calloc(words, sizeof(uint64_t));
+		entry->streams[i].known = calloc(words, sizeof(uint64_t));
+		if (!entry->streams[i].due || !entry->streams[i].known)
 			return -ENOMEM;
 	}
 	return 0;
 }
 
-void streams_free(struct entry *e)
+void streams_free(struct entry *entry)
 {
-	free(e->known_at_leave);
-	free(e->refused_buckets);
-	if (!e->streams)
+	free(entry->known_at_leave);
+	free(entry->refused_buckets);
+	if (!entry->streams)
 		return;
 	for (uint32_t i = 0; i < STREAMS_MAX; i++) {
-		free(e->streams[i].due);
-		free(e->streams[i].known);
+		free(entry->streams[i].due);
+		free(entry->streams[i].known);
 	}
-	free(e->streams);
+	free(entry->streams);
 }
 
-static struct stream *stream_to(struct entry *e, uint64_t vm)
+static struct stream *stream_to(struct entry *entry, uint64_t vm)
 {
 	struct stream *unused = NULL;
 
 	for (uint32_t i = 0; i < STREAMS_MAX; i++) {
-		if (e->streams[i].vm == vm)
-			return &e->streams[i];
-		if (e->streams[i].vm == ADDR_NONE && !unused)
-			unused = &e->streams[i];
+		if (entry->streams[i].vm == vm)
+			return &entry->streams[i];
+		if (entry->streams[i].vm == ADDR_NONE && !unused)
+			unused = &entry->streams[i];
 	}
 	if (unused) {
 		unused->vm = vm;
-		e->streams_open++;
+		entry->streams_open++;
 	}
 	return unused;
 }
 
-static void stream_close(struct entry *e, struct stream *s)
+static void stream_close(struct entry *entry, struct stream *s)
 {
-	uint32_t words = (e->conf.n_buckets + 63) / 64;
+	uint32_t words = (entry->conf.n_buckets + 63) / 64;
 
 	memset(s->due, 0, words * sizeof(uint64_t));
 	s->vm = ADDR_NONE;
-	e->streams_open--;
+	entry->streams_open--;
 	s->n_due = 0;
 	s->in_flight = false;
 	s->in_bucket = false;
@@ -139,15 +140,15 @@
 	s->refusals = 0;
 }
 
-static bool was_known_at_leave(const struct entry *e, uint32_t bucket)
+static bool was_known_at_leave(const struct entry *entry, uint32_t bucket)
 {
-	return e->known_at_leave[bucket / 64] >> (bucket % 64) & 1;
+	return entry->known_at_leave[bucket / 64] >> (bucket % 64) & 1;
 }
 
 /**
  * history_known() - whether this entry knows all claims of a bucket
- * @e: entry
- * @bucket: bucket
+ * @entry: state of this entry
+ * @bucket: number of the bucket
  *
  * Return: true if it has been in the bucket's pair for the cover time, or
  * received the history from an entry that knew it; also for buckets that it
@@ -155,80 +156,80 @@
  * False without a majority: claims of the other side of a partition are not
  * known.
  */
-bool history_known(const struct entry *e, uint32_t bucket)
+bool history_known(const struct entry *entry, uint32_t bucket)
 {
-	if (!member_majority(e->members))
+	if (!member_majority(entry->members))
 		return false;
-	return was_known_at_leave(e, bucket) ||
-	       ring_covered(e->ring, bucket, e->now_ns);
+	return was_known_at_leave(entry, bucket) ||
+	       ring_covered(entry->ring, bucket, entry->now_ns);
 }
 
-static void add_bucket(struct entry *e, uint64_t vm, uint32_t bucket)
+static void add_bucket(struct entry *entry, uint64_t vm, uint32_t bucket)
 {
-	struct stream *s = stream_to(e, vm);
+	struct stream *s = stream_to(entry, vm);
 	uint64_t bit = 1ULL << (bucket % 64);
 
 	if (!s || s->due[bucket / 64] & bit)
 		return;
 	s->due[bucket / 64] |= bit;
 	s->known[bucket / 64] &= ~bit;
-	if (history_known(e, bucket))
+	if (history_known(entry, bucket))
 		s->known[bucket / 64] |= bit;
 	s->n_due++;
 }
 
 /**
  * streams_record_known() - record which buckets a leaving entry knows
- * @e: entry
+ * @entry: state of this entry
  *
  * A leaving entry is out of its own ring at once, while the pairs that the
  * others settle on change more than once when several entries leave together.
  * So it sends the history of its buckets to each new member of their pairs
  * until it stops.
  */
-void streams_record_known(struct entry *e)
+void streams_record_known(struct entry *entry)
 {
-	uint64_t self = e->conf.member.self;
+	uint64_t self = entry->conf.member.self;
 
-	for (uint32_t i = 0; i < e->conf.n_buckets; i++) {
-		struct ring_pair p = ring_at(e->ring, i);
+	for (uint32_t i = 0; i < entry->conf.n_buckets; i++) {
+		struct ring_pair p = ring_at(entry->ring, i);
 
 		if (p.owner != self && p.second != self)
 			continue;
-		if (ring_covered(e->ring, i, e->now_ns))
-			e->known_at_leave[i / 64] |= 1ULL << (i % 64);
+		if (ring_covered(entry->ring, i, entry->now_ns))
+			entry->known_at_leave[i / 64] |= 1ULL << (i % 64);
 	}
 }
 
 /*
  * Whether this entry is the one that sends a bucket's history to new members.
  */
-static bool is_history_sender(const struct entry *e, uint32_t bucket,
+static bool is_history_sender(const struct entry *entry, uint32_t bucket,
 			      struct ring_pair before)
 {
-	uint64_t self = e->conf.member.self;
+	uint64_t self = entry->conf.member.self;
 
-	if (was_known_at_leave(e, bucket) || before.owner == self)
+	if (was_known_at_leave(entry, bucket) || before.owner == self)
 		return true;
-	return before.second == self && !vm_is_serving(e, before.owner);
+	return before.second == self && !vm_is_serving(entry, before.owner);
 }
 
 /*
  * streams_pair_changed() - schedule the history for the new members of a pair.
  */
-void streams_pair_changed(struct entry *e, uint32_t bucket,
+void streams_pair_changed(struct entry *entry, uint32_t bucket,
 			  struct ring_pair before, struct ring_pair after)
 {
 	const uint64_t members[2] = { after.owner, after.second };
 
-	if (!is_history_sender(e, bucket, before))
+	if (!is_history_sender(entry, bucket, before))
 		return;
 	for (uint32_t i = 0; i < 2; i++) {
 		if (members[i] == ADDR_NONE ||
-		    members[i] == e->conf.member.self ||
+		    members[i] == entry->conf.member.self ||
 		    members[i] == before.owner || members[i] == before.second)
 			continue;
-		add_bucket(e, members[i], bucket);
+		add_bucket(entry, members[i], bucket);
 	}
 }
 
@@ -244,32 +245,32 @@
 	s->in_bucket = false;
 }
 
-static void advance_to_due(const struct entry *e, struct stream *s)
+static void advance_to_due(const struct entry *entry, struct stream *s)
 {
 	while (!(s->due[s->scan / 64] & 1ULL << (s->scan % 64)))
-		s->scan = (s->scan + 1) % e->conf.n_buckets;
+		s->scan = (s->scan + 1) % entry->conf.n_buckets;
 }
 
 /*
  * Adds records of one bucket to the message, and its number after the last one.
  */
-static void fill_bucket(struct entry *e, struct stream *s)
+static void fill_bucket(struct entry *entry, struct stream *s)
 {
-	uint32_t slot = claims_newest(e->claims, s->scan);
+	uint32_t slot = claims_newest(entry->claims, s->scan);
 
 	if (s->in_bucket && s->cursor != CLAIM_SLOT_NONE &&
-	    claims_at(e->claims, s->cursor)->bucket == s->scan)
+	    claims_at(entry->claims, s->cursor)->bucket == s->scan)
 		slot = s->cursor;
 	while (slot != CLAIM_SLOT_NONE && s->n_claims < CLAIMS_MAX) {
-		const struct claim *c = claims_at(e->claims, slot);
+		const struct claim *c = claims_at(entry->claims, slot);
 
 		/*
 		 * Not granted yet; the receiver would take it for a granted
 		 * claim.
 		 */
-		if (!claim_is_pending(e, c))
+		if (!claim_is_pending(entry, c))
 			s->claims[s->n_claims++] = *c;
-		slot = claims_next_older(e->claims, slot);
+		slot = claims_next_older(entry->claims, slot);
 	}
 	s->cursor = slot;
 	s->in_bucket = true;
@@ -277,15 +278,15 @@
 		finish_bucket(s);
 }
 
-static void fill_message(struct entry *e, struct stream *s)
+static void fill_message(struct entry *entry, struct stream *s)
 {
 	s->n_claims = 0;
 	s->n_complete = 0;
-	s->seq = rng_next(&e->rng);
+	s->seq = rng_next(&entry->rng);
 	while (s->n_due && s->n_claims < CLAIMS_MAX &&
 	       s->n_complete < BUCKETS_PER_MESSAGE_MAX) {
-		advance_to_due(e, s);
-		fill_bucket(e, s);
+		advance_to_due(entry, s);
+		fill_bucket(entry, s);
 	}
 	s->in_flight = true;
 }
@@ -296,9 +297,9 @@
 	       s->n_complete * BUCKET_NUMBER_BYTES;
 }
 
-static void send_message(struct entry *e, struct stream *s)
+static void send_message(struct entry *entry, struct stream *s)
 {
-	struct peer_msg *m = emit_peer(e, s->vm, PEER_RECORD);
+	struct peer_msg *m = emit_peer(entry, s->vm, PEER_RECORD);
 
 	m->seq = s->seq;
 	m->n_claims = s->n_claims;
@@ -308,43 +309,43 @@
 	s->sends++;
 }
 
-static void advance_stream(struct entry *e, struct stream *s)
+static void advance_stream(struct entry *entry, struct stream *s)
 {
-	if (e->now_ns < s->retry_ns)
+	if (entry->now_ns < s->retry_ns)
 		return;
 	if (s->sends > STREAM_SENDS_MAX || s->refusals > REFUSALS_MAX ||
-	    !vm_may_own(e, s->vm) || (!s->in_flight && !s->n_due)) {
-		stream_close(e, s);
+	    !vm_may_own(entry, s->vm) || (!s->in_flight && !s->n_due)) {
+		stream_close(entry, s);
 		return;
 	}
 	if (!s->in_flight)
-		fill_message(e, s);
-	s->retry_ns = e->now_ns + STREAM_RETRY_NS;
-	if (peer_budget_take(e, stream_bytes(s)))
-		send_message(e, s);
+		fill_message(entry, s);
+	s->retry_ns = entry->now_ns + STREAM_RETRY_NS;
+	if (peer_budget_take(entry, stream_bytes(s)))
+		send_message(entry, s);
 }
 
 /* streams_tick() - send the messages that are due. */
-void streams_tick(struct entry *e)
+void streams_tick(struct entry *entry)
 {
-	if (!e->streams_open)
+	if (!entry->streams_open)
 		return;
-	for (uint32_t i = 0; i < STREAMS_MAX && emit_has_capacity(e); i++) {
-		if (e->streams[i].vm != ADDR_NONE)
-			advance_stream(e, &e->streams[i]);
+	for (uint32_t i = 0; i < STREAMS_MAX && emit_has_capacity(entry); i++) {
+		if (entry->streams[i].vm != ADDR_NONE)
+			advance_stream(entry, &entry->streams[i]);
 	}
 }
 
-static void store_record(struct entry *e, const struct claim *claim)
+static void store_record(struct entry *entry, const struct claim *claim)
 {
-	struct claim *c = claims_find(e->claims, claim->request);
+	struct claim *c = claims_find(entry->claims, claim->request);
 
 	if (!c)
-		claims_put(e->claims, claim, e->now_ns);
+		claims_put(entry->claims, claim, entry->now_ns);
 	else if (c->state == CLAIM_NONE)
 		*c = *claim;
 	else
-		claim_resolve_conflict(e, c, claim);
+		claim_resolve_conflict(entry, c, claim);
 }
 
 /*
@@ -355,17 +356,17 @@
  *
  * Return: false when the sender has to send it again later.
  */
-static bool accept_history(struct entry *e, uint32_t bucket)
+static bool accept_history(struct entry *entry, uint32_t bucket)
 {
 	struct ring_pair pair;
 
-	if (bucket >= e->conf.n_buckets)
+	if (bucket >= entry->conf.n_buckets)
 		return true;
-	pair = ring_at(e->ring, bucket);
-	if (pair.owner != e->conf.member.self &&
-	    pair.second != e->conf.member.self)
+	pair = ring_at(entry->ring, bucket);
+	if (pair.owner != entry->conf.member.self &&
+	    pair.second != entry->conf.member.self)
 		return false;
-	ring_cover(e->ring, bucket);
+	ring_cover(entry->ring, bucket);
 	return true;
 }
 
@@ -373,89 +374,89 @@
  * stream_received() - PEER_RECORD: claim history of buckets whose pair this
  * entry joined.
  */
-void stream_received(struct entry *e, const struct peer_msg *msg)
+void stream_received(struct entry *entry, const struct peer_msg *msg)
 {
-	struct peer_msg *m = emit_peer(e, msg->from, PEER_HANDOVER);
+	struct peer_msg *m = emit_peer(entry, msg->from, PEER_HANDOVER);
 	uint32_t refused = 0;
 
 	for (uint8_t i = 0; i < msg->n_claims; i++) {
-		if (msg->claims[i].bucket < e->conf.n_buckets)
-			store_record(e, &msg->claims[i]);
+		if (msg->claims[i].bucket < entry->conf.n_buckets)
+			store_record(entry, &msg->claims[i]);
 	}
 	for (uint32_t i = 0; i < msg->size_bytes / BUCKET_NUMBER_BYTES; i++) {
 		uint32_t bucket = bucket_number_get(msg->data, i);
 
 		if (refused < BUCKETS_PER_MESSAGE_MAX &&
-		    !accept_history(e, bucket))
-			bucket_number_put(e->refused_buckets, refused++,
+		    !accept_history(entry, bucket))
+			bucket_number_put(entry->refused_buckets, refused++,
 					  bucket);
 	}
 	m->seq = msg->seq;
-	m->data = e->refused_buckets;
+	m->data = entry->refused_buckets;
 	m->size_bytes = refused * BUCKET_NUMBER_BYTES;
 }
 
-static void requeue_bucket(const struct entry *e, struct stream *s,
+static void requeue_bucket(const struct entry *entry, struct stream *s,
 			   uint32_t bucket)
 {
 	uint64_t bit = 1ULL << (bucket % 64);
 
-	if (bucket >= e->conf.n_buckets || s->due[bucket / 64] & bit)
+	if (bucket >= entry->conf.n_buckets || s->due[bucket / 64] & bit)
 		return;
 	s->due[bucket / 64] |= bit;
 	s->n_due++;
 }
 
-static void handle_ack(struct entry *e, struct stream *s,
+static void handle_ack(struct entry *entry, struct stream *s,
 		       const struct peer_msg *msg)
 {
 	uint32_t refused = msg->size_bytes / BUCKET_NUMBER_BYTES;
 
 	s->in_flight = false;
 	s->sends = 0;
-	s->retry_ns = e->now_ns + (refused ? STREAM_RETRY_NS : 0);
+	s->retry_ns = entry->now_ns + (refused ? STREAM_RETRY_NS : 0);
 	s->refusals = refused ? s->refusals + 1 : 0;
 	for (uint32_t i = 0; i < refused; i++)
-		requeue_bucket(e, s, bucket_number_get(msg->data, i));
-	advance_stream(e, s);
+		requeue_bucket(entry, s, bucket_number_get(msg->data, i));
+	advance_stream(entry, s);
 }
 
 /*
  * stream_ack_received() - PEER_HANDOVER: the receiver has the message in
  * flight.
  */
-void stream_ack_received(struct entry *e, const struct peer_msg *msg)
+void stream_ack_received(struct entry *entry, const struct peer_msg *msg)
 {
 	for (uint32_t i = 0; i < STREAMS_MAX; i++) {
-		struct stream *s = &e->streams[i];
+		struct stream *s = &entry->streams[i];
 
 		if (s->vm == msg->from && s->in_flight && s->seq == msg->seq)
-			handle_ack(e, s, msg);
+			handle_ack(entry, s, msg);
 	}
 }
 
-uint32_t streams_pending(const struct entry *e)
+uint32_t streams_pending(const struct entry *entry)
 {
 	uint32_t n = 0;
 
 	for (uint32_t i = 0; i < STREAMS_MAX; i++)
-		n += e->streams[i].n_due + e->streams[i].in_flight;
+		n += entry->streams[i].n_due + entry->streams[i].in_flight;
 	return n;
 }
 
-bool streams_idle(const struct entry *e)
+bool streams_idle(const struct entry *entry)
 {
-	return streams_pending(e) == 0;
+	return streams_pending(entry) == 0;
 }
 
-uint64_t streams_next_ns(const struct entry *e)
+uint64_t streams_next_ns(const struct entry *entry)
 {
 	uint64_t next = DEADLINE_NEVER;
 
-	if (!e->streams_open)
+	if (!entry->streams_open)
 		return next;
 	for (uint32_t i = 0; i < STREAMS_MAX; i++) {
-		const struct stream *s = &e->streams[i];
+		const struct stream *s = &entry->streams[i];
 
 		if (s->vm != ADDR_NONE && s->retry_ns < next)
 			next = s->retry_ns;
--- a/test/testbed_node.c
+++ b/test/testbed_node.c
@@ -219,7 +219,7 @@
 	uint64_t at_ns;
 
 	for (uint32_t a = 0; a < f->out->n; a++)
-		performers[f->out->a[a].kind](f, i, &f->out->a[a]);
+		performers[f->out->list[a].kind](f, i, &f->out->list[a]);
 	f->out->n = 0;
 	if (n->leaving && f->system->left(n->state)) {
 		trace_line(f, "e%u left", i);
