--- a/core/request/stream.c
+++ b/core/request/stream.c
@@ -309,7 +309,7 @@
 	s->sends++;
 }
 
-static void advance_stream(struct entry *entry, struct stream *s)
+static void stream_advance(struct entry *entry, struct stream *s)
 {
 	if (entry->now_ns < s->retry_ns)
 		return;
@@ -332,7 +332,7 @@
 		return;
 	for (uint32_t i = 0; i < STREAMS_MAX && emit_has_capacity(entry); i++) {
 		if (entry->streams[i].vm != ADDR_NONE)
-			advance_stream(entry, &entry->streams[i]);
+			stream_advance(entry, &entry->streams[i]);
 	}
 }
 
@@ -418,7 +418,7 @@
 	s->refusals = refused ? s->refusals + 1 : 0;
 	for (uint32_t i = 0; i < refused; i++)
 		requeue_bucket(entry, s, bucket_number_get(msg->data, i));
-	advance_stream(entry, s);
+	stream_advance(entry, s);
 }
 
 /*
