--- a/core/request/answer.c
+++ b/core/request/answer.c
@@ -100,7 +100,7 @@
 	if (!req)
 		return;
 	req->acked = true;
-	req->repeat_deadline_ns = DEADLINE_NEVER;
+	req->retransmit_deadline_ns = DEADLINE_NEVER;
 	timers_set(entry->timers, request_slot(entry, req), req->deadline_ns);
 }
 
--- a/core/request/claiming.c
+++ b/core/request/claiming.c
@@ -159,7 +159,7 @@
 	claim_request_grants(entry, req);
 }
 
-static void claim_completed(struct entry *entry, struct request *req)
+static void complete_claim(struct entry *entry, struct request *req)
 {
 	if (!req->granter_knows_history && !history_known(entry, req->bucket)) {
 		entry->counters.claims_uncovered++;
@@ -242,7 +242,7 @@
 	send_claim(entry, req, pair.second);
 	if (has_grant_of(entry, req, pair.owner) &&
 	    has_grant_of(entry, req, pair.second))
-		claim_completed(entry, req);
+		complete_claim(entry, req);
 }
 
 /*
@@ -403,7 +403,7 @@
 		return;
 	if (has_grant_of(entry, req, pair.owner) &&
 	    has_grant_of(entry, req, pair.second))
-		claim_completed(entry, req);
+		complete_claim(entry, req);
 }
 
 static void handle_grant(struct entry *entry, const struct claim *other,
--- a/core/request/claims.c
+++ b/core/request/claims.c
@@ -4,6 +4,13 @@
 #include <stdlib.h>
 #include <string.h>
 
+/**
+ * struct record - claim record in its slot
+ * @claim: the record
+ * @expires_ns: end of its lifetime
+ * @next: next older record of its bucket, or CLAIM_SLOT_NONE
+ * @prev: next newer record of its bucket, or CLAIM_SLOT_NONE
+ */
 struct record {
 	struct claim claim;
 	uint64_t expires_ns;
@@ -11,7 +18,16 @@
 	uint32_t prev;
 };
 
-/*
+/**
+ * struct claims - table of claim records
+ * @records: records_max slots
+ * @heads: by bucket: its newest record, or CLAIM_SLOT_NONE
+ * @by_request: index of @records by the request's hash
+ * @keep_ns: lifetime of a record
+ * @records_max: capacity
+ * @tail: slot of the oldest record
+ * @n_records: records in the table
+ *
  * All records have the same lifetime, so the slots form a ring buffer: the
  * oldest record is at the tail, and expiry needs no timer per record.
  */
--- a/core/request/entry_state.h
+++ b/core/request/entry_state.h
@@ -40,7 +40,7 @@
  * @arrived_ns: time of arrival
  * @sent_ns: time at which the present target was chosen
  * @deadline_ns: time at which the request is given up
- * @repeat_deadline_ns: time of the next retransmission to the target
+ * @retransmit_deadline_ns: time of the next retransmission to the target
  * @feed: slot of the feed that it opens, renews or moves; SLOT_NONE for others
  * @next: next slot of the list of ended or of free requests
  * @prev: previous slot of the list of ended requests
@@ -77,7 +77,7 @@
 	uint64_t arrived_ns;
 	uint64_t sent_ns;
 	uint64_t deadline_ns;
-	uint64_t repeat_deadline_ns;
+	uint64_t retransmit_deadline_ns;
 	uint32_t feed;
 	uint32_t next;
 	uint32_t prev;
--- a/core/request/feed_copy.c
+++ b/core/request/feed_copy.c
@@ -244,7 +244,7 @@
 		feed_drop(entry, feed);
 }
 
-static void handle_reply(struct entry *entry, const struct peer_msg *msg)
+static void handle_confirmation(struct entry *entry, const struct peer_msg *msg)
 {
 	struct feed *feed =
 		feed_find(entry, &msg->key, msg->token, msg->token_len);
@@ -300,7 +300,7 @@
 	struct feed *feed;
 
 	if (!msg->size_bytes) {
-		handle_reply(entry, msg);
+		handle_confirmation(entry, msg);
 		return;
 	}
 	if (msg->size_bytes > FEED_REQUEST_MAX_BYTES)
--- a/core/request/flow.c
+++ b/core/request/flow.c
@@ -43,6 +43,17 @@
 	uint64_t target;
 };
 
+/**
+ * struct flow_table - hash table of pinned flows
+ * @n_homes: slots that a hash can select as a flow's home
+ * @n_slots: slots in all, PROBE_DISTANCE_MAX beyond the homes
+ * @n_flows: flows in the table
+ * @flows_max: capacity
+ * @expire_cursor: slot at which flow_expire() continues
+ * @idle_ns: idle time after which a flow is deleted
+ * @tags: by slot: byte of the hash, TAG_EMPTY when the slot is free
+ * @slots: n_slots slots
+ */
 struct flow_table {
 	uint32_t n_homes;
 	uint32_t n_slots;
--- a/core/request/message_id.c
+++ b/core/request/message_id.c
@@ -16,6 +16,13 @@
 #define ID_TARGETS_MAX 16384
 #define ID_PROBES_MAX 32
 
+/**
+ * struct msg_id_space - message IDs towards one target
+ * @target: address of the target, ADDR_NONE when never used
+ * @block_used_ns: by block of IDs: time of the last allocation
+ * @last_ns: time of the last allocation of any ID
+ * @next_id: ID to allocate next
+ */
 struct msg_id_space {
 	uint64_t target;
 	uint64_t block_used_ns[ID_BLOCKS];
--- a/core/request/request.c
+++ b/core/request/request.c
@@ -177,8 +177,8 @@
 		     entry->now_ns - req->sent_ns, entry->now_ns);
 }
 
-static bool owned_long_enough(const struct entry *entry,
-			      const struct request *req)
+static bool owned_for_cover_time(const struct entry *entry,
+				 const struct request *req)
 {
 	return entry->now_ns >=
 	       entry->owner_since_ns[req->bucket] + entry->conf.cover_ns;
@@ -211,7 +211,7 @@
 	if (req->may_have_run)
 		return false;
 	return !request_is_idempotent(entry, req) ||
-	       owned_long_enough(entry, req);
+	       owned_for_cover_time(entry, req);
 }
 
 /**
@@ -278,7 +278,7 @@
 	req.bucket = ring_bucket(entry->ring, key);
 	memcpy(req.token, msg->token, msg->token_len);
 	if (!(msg->flags & MESSAGE_IDEMPOTENT) ||
-	    !owned_long_enough(entry, &req)) {
+	    !owned_for_cover_time(entry, &req)) {
 		local_answer_send_unknown(entry, key, msg);
 		return;
 	}
--- a/core/request/send.c
+++ b/core/request/send.c
@@ -70,12 +70,12 @@
 	uint64_t first = req->internal ? RENEW_RETRANSMIT_NS : RETRANSMIT_NS;
 	uint64_t next = req->deadline_ns;
 
-	req->repeat_deadline_ns = DEADLINE_NEVER;
+	req->retransmit_deadline_ns = DEADLINE_NEVER;
 	if (!req->acked && may_retransmit(entry, req))
-		req->repeat_deadline_ns =
+		req->retransmit_deadline_ns =
 			entry->now_ns + (first << (req->sends - 1));
-	if (req->repeat_deadline_ns < next)
-		next = req->repeat_deadline_ns;
+	if (req->retransmit_deadline_ns < next)
+		next = req->retransmit_deadline_ns;
 	timers_set(entry->timers, request_slot(entry, req), next);
 }
 
@@ -190,7 +190,7 @@
 	}
 	if (!request_is_idempotent(entry, req) ||
 	    !may_retry_elsewhere(entry, req)) {
-		req->repeat_deadline_ns = DEADLINE_NEVER;
+		req->retransmit_deadline_ns = DEADLINE_NEVER;
 		timers_set(entry->timers, request_slot(entry, req),
 			   req->deadline_ns);
 		return;
