--- a/bench/slopes-entry/pump.c
+++ b/bench/slopes-entry/pump.c
@@ -84,7 +84,7 @@
 	uint8_t buf[WIRE_MAX_BYTES];
 
 	for (uint32_t i = 0; i < p->out->n; i++) {
-		const struct action *a = &p->out->a[i];
+		const struct action *a = &p->out->list[i];
 
 		if (a->kind == ACT_PEER)
 			to_peer(p, n, a);
@@ -139,7 +139,7 @@
 	uint64_t next = entry_next_ns(n->e);
 
 	n->next_ns = next < p->now_ns + MS ? p->now_ns + MS : next;
-	if (n->leaving && entry_left(n->e)) {
+	if (n->leaving && entry_has_left(n->e)) {
 		entry_free(n->e);
 		n->e = NULL;
 	}
--- a/core/request/flow.c
+++ b/core/request/flow.c
@@ -1,8 +1,8 @@
 /*
- * Open addressing with linear probing. One byte of the hash a slot stands in
- * an array of its own, so that a miss, the usual case, reads tags only.
- * Deletion moves later flows of the run back instead of leaving tombstones;
- * no other call moves a flow.
+ * Open addressing with linear probing. One byte of each slot's hash is kept in
+ * an array of its own, so that a miss, the usual case, reads these tags only.
+ * Deletion moves later flows of the run back instead of leaving tombstones; no
+ * other call moves a flow.
  */
 #include "flow.h"
 
@@ -16,45 +16,64 @@
 #define TAG_EMPTY 0
 #define TAG_BITS 8
 
-/* Tags are searched eight at a time. */
+/* Tags are compared eight at a time, in one 64-bit word. */
 #define TAGS_PER_WORD 8
 #define TAGS_LOW 0x0101010101010101ULL
 #define TAGS_HIGH 0x8080808080808080ULL
 
-/* Slots a flow may stand from its home: bounds the cost of every call. */
-#define PROBE_MAX 1024
+/*
+ * Longest distance of a flow from its home slot: bounds the cost of every call.
+ */
+#define PROBE_DISTANCE_MAX 1024
 
-/* Slots a flow: 5/4, so the table is never more than 80 % full. */
+/* Slots per flow: 5/4, so that the table is at most 80 % full. */
 #define SLOTS_NUMERATOR 5
 #define SLOTS_DENOMINATOR 4
 
-/* A deadline is kept in 48 bits of 2^16 ns (66 us). */
+/* A deadline is stored in 48 bits, in units of 2^16 ns (66 us). */
 #define DEADLINE_SHIFT 16
 
-/* Three addresses of 48 bits; their high 16 bits hold the deadline. */
+/*
+ * Addresses take the low 48 bits; the high 16 bits of the three words hold the
+ * deadline.
+ */
 struct slot {
 	uint64_t caller;
 	uint64_t vip;
 	uint64_t target;
 };
 
+/**
+ * struct flow_table - hash table of pinned flows
+ * @n_homes: slots that a hash can select as a flow's home
+ * @n_slots: slots in all, PROBE_DISTANCE_MAX beyond the homes
+ * @n_flows: flows in the table
+ * @flows_max: capacity
+ * @expire_cursor: slot at which flow_expire() continues
+ * @idle_ns: idle time after which a flow is deleted
+ * @tags: by slot: byte of the hash, TAG_EMPTY when the slot is free
+ * @slots: n_slots slots
+ */
 struct flow_table {
-	uint32_t homes;
-	uint32_t slots;
-	uint32_t flows;
+	uint32_t n_homes;
+	uint32_t n_slots;
+	uint32_t n_flows;
 	uint32_t flows_max;
-	uint32_t hand;
+	uint32_t expire_cursor;
 	uint64_t idle_ns;
-	uint8_t *tag;
-	struct slot *slot;
+	uint8_t *tags;
+	struct slot *slots;
 };
 
-static uint32_t home_of(const struct flow_table *t, uint64_t hash)
+static uint32_t home_of(const struct flow_table *table, uint64_t hash)
 {
-	return (uint32_t)(((hash >> 32) * t->homes) >> 32);
+	return (uint32_t)(((hash >> 32) * table->n_homes) >> 32);
 }
 
-/* The low bits choose the ring's bucket: an owner's flows share some. */
+/*
+ * The tag comes from higher bits: the low ones choose the ring's bucket, and
+ * the flows of one owner have some of them in common.
+ */
 static uint8_t tag_of(uint64_t hash)
 {
 	uint8_t tag = hash >> (32 - TAG_BITS);
@@ -101,263 +120,275 @@
 }
 
 /**
- * flow_table_new() - table allocated once, for its whole life
- * @flows_max: most flows it holds
- * @idle_ns: a flow not looked up for this long is forgotten
+ * flow_table_new() - allocate a table at its full size
+ * @flows_max: capacity in flows
+ * @idle_ns: a flow that is not looked up for this long is deleted; at most
+ *	FLOW_IDLE_MAX_NS
  *
- * Return: table, or NULL when memory is short.
+ * Return: table, owned by the caller, or NULL when out of memory.
  */
 struct flow_table *flow_table_new(uint32_t flows_max, uint64_t idle_ns)
 {
-	struct flow_table *t = calloc(1, sizeof(*t));
+	struct flow_table *table = calloc(1, sizeof(*table));
 
-	if (!t)
+	if (!table)
 		return NULL;
-	t->flows_max = flows_max;
-	t->idle_ns = idle_ns < FLOW_IDLE_MAX_NS ? idle_ns : FLOW_IDLE_MAX_NS;
-	t->homes =
+	table->flows_max = flows_max;
+	table->idle_ns =
+		idle_ns < FLOW_IDLE_MAX_NS ? idle_ns : FLOW_IDLE_MAX_NS;
+	table->n_homes =
 		(uint64_t)flows_max * SLOTS_NUMERATOR / SLOTS_DENOMINATOR + 1;
-	t->slots = t->homes + PROBE_MAX;
-	t->tag = calloc(t->slots + TAGS_PER_WORD, sizeof(*t->tag));
-	t->slot = calloc(t->slots, sizeof(*t->slot));
-	if (!t->tag || !t->slot) {
-		flow_table_free(t);
+	table->n_slots = table->n_homes + PROBE_DISTANCE_MAX;
+	table->tags =
+		calloc(table->n_slots + TAGS_PER_WORD, sizeof(*table->tags));
+	table->slots = calloc(table->n_slots, sizeof(*table->slots));
+	if (!table->tags || !table->slots) {
+		flow_table_free(table);
 		return NULL;
 	}
-	return t;
+	return table;
 }
 
 /**
- * flow_table_free() - give back a table
- * @t: table, or NULL
+ * flow_table_free() - free a table
+ * @table: table, or NULL
  */
-void flow_table_free(struct flow_table *t)
+void flow_table_free(struct flow_table *table)
 {
-	if (!t)
+	if (!table)
 		return;
-	free(t->tag);
-	free(t->slot);
-	free(t);
+	free(table->tags);
+	free(table->slots);
+	free(table);
 }
 
-static uint64_t load_tags(const struct flow_table *t, uint32_t at)
+static uint64_t load_tags(const struct flow_table *table, uint32_t at)
 {
 	uint64_t word;
 
-	memcpy(&word, &t->tag[at], sizeof(word));
+	memcpy(&word, &table->tags[at], sizeof(word));
 	return le64toh(word);
 }
 
 /*
- * High bit of each byte of @word that is zero. Bytes above the lowest zero
- * may be reported wrongly, which a comparison of keys finds out.
+ * Sets the high bit of each byte of @word that is zero. Bytes above the lowest
+ * zero byte may be reported wrongly; the comparison of keys rejects them.
  */
 static uint64_t zero_bytes(uint64_t word)
 {
 	return (word - TAGS_LOW) & ~word & TAGS_HIGH;
 }
 
-/* The tag's matches among the eight slots at @at that hold @key. */
-static uint32_t match(const struct flow_table *t, const struct flow_key *key,
-		      uint32_t at, uint64_t matches)
+/*
+ * Slot among the eight at @at whose tag matches and that holds @key, or
+ * n_slots.
+ */
+static uint32_t find_match(const struct flow_table *table,
+			   const struct flow_key *key, uint32_t at,
+			   uint64_t matches)
 {
 	uint32_t found;
 
 	for (; matches; matches &= matches - 1) {
 		found = at + __builtin_ctzll(matches) / TAG_BITS;
-		if (slot_holds(&t->slot[found], key))
+		if (slot_holds(&table->slots[found], key))
 			return found;
 	}
-	return t->slots;
+	return table->n_slots;
 }
 
-/* Slot of the flow, or the first empty one of its run; t->slots if neither. */
-static uint32_t find(const struct flow_table *t, const struct flow_key *key,
-		     uint64_t hash)
+/*
+ * Slot of the flow, or the first empty slot of its run; n_slots if there is
+ * neither.
+ */
+static uint32_t find_slot(const struct flow_table *table,
+			  const struct flow_key *key, uint64_t hash)
 {
 	uint64_t word, empty, matches, pattern = tag_of(hash) * TAGS_LOW;
-	uint32_t at = home_of(t, hash), end = at + PROBE_MAX, found;
+	uint32_t at = home_of(table, hash), end = at + PROBE_DISTANCE_MAX,
+		 found;
 
 	for (; at < end; at += TAGS_PER_WORD) {
-		word = load_tags(t, at);
+		word = load_tags(table, at);
 		empty = zero_bytes(word);
 		matches = zero_bytes(word ^ pattern);
 		if (empty)
 			matches &= (empty & -empty) - 1;
-		found = match(t, key, at, matches);
-		if (found != t->slots)
+		found = find_match(table, key, at, matches);
+		if (found != table->n_slots)
 			return found;
 		if (empty)
 			return at + __builtin_ctzll(empty) / TAG_BITS;
 	}
-	return t->slots;
+	return table->n_slots;
 }
 
 /*
- * Close the gap at @gap: each later flow of the run that stands past its home
- * by enough moves into it, so that no search ends too early.
+ * Empties the slot @gap. Each later flow of the run whose home is at or before
+ * the gap moves into it, so that no search ends too early.
  */
-static void close_gap(struct flow_table *t, uint32_t gap)
+static void close_gap(struct flow_table *table, uint32_t gap)
 {
 	struct flow_key key;
 	uint32_t at;
 
-	for (at = gap + 1; t->tag[at] != TAG_EMPTY; at++) {
-		key = slot_key(&t->slot[at]);
-		if (home_of(t, flow_hash(&key)) > gap)
+	for (at = gap + 1; table->tags[at] != TAG_EMPTY; at++) {
+		key = slot_key(&table->slots[at]);
+		if (home_of(table, flow_hash(&key)) > gap)
 			continue;
-		t->slot[gap] = t->slot[at];
-		t->tag[gap] = t->tag[at];
+		table->slots[gap] = table->slots[at];
+		table->tags[gap] = table->tags[at];
 		gap = at;
 	}
-	t->tag[gap] = TAG_EMPTY;
-	t->flows--;
+	table->tags[gap] = TAG_EMPTY;
+	table->n_flows--;
 }
 
 /**
- * flow_pin() - set a flow's target, new or changed
- * @t: table
+ * flow_pin() - set the target of a flow, new or known
+ * @table: table of pinned flows
  * @key: flow
- * @target: its target, not ADDR_NONE
- * @now_ns: now; the flow's idle time starts here
+ * @target: target, not ADDR_NONE
+ * @now_ns: current time; the idle time starts here
  *
- * Return: 0; -EINVAL without a target; -ENOSPC when the table is full, or
- * when PROBE_MAX flows hash alike.
+ * Return: 0; -EINVAL without a target; -ENOSPC when the table is full, or when
+ * there is no empty slot within PROBE_DISTANCE_MAX of the flow's home.
  */
-int flow_pin(struct flow_table *t, const struct flow_key *key, uint64_t target,
-	     uint64_t now_ns)
+int flow_pin(struct flow_table *table, const struct flow_key *key,
+	     uint64_t target, uint64_t now_ns)
 {
 	uint64_t hash = flow_hash(key);
 	uint32_t at;
 
 	if (target == ADDR_NONE)
 		return -EINVAL;
-	at = find(t, key, hash);
-	if (at == t->slots)
+	at = find_slot(table, key, hash);
+	if (at == table->n_slots)
 		return -ENOSPC;
-	if (t->tag[at] == TAG_EMPTY) {
-		if (t->flows >= t->flows_max)
+	if (table->tags[at] == TAG_EMPTY) {
+		if (table->n_flows >= table->flows_max)
 			return -ENOSPC;
-		t->flows++;
-		t->tag[at] = tag_of(hash);
+		table->n_flows++;
+		table->tags[at] = tag_of(hash);
 	}
-	slot_write(&t->slot[at], key, target, now_ns + t->idle_ns);
+	slot_write(&table->slots[at], key, target, now_ns + table->idle_ns);
 	return 0;
 }
 
 /**
- * flow_lookup() - target of a flow; a hit starts its idle time anew
- * @t: table
+ * flow_lookup() - target of a flow; restarts its idle time
+ * @table: table of pinned flows
  * @key: flow
- * @now_ns: now
+ * @now_ns: current time
  *
- * Return: target, or ADDR_NONE when the flow isn't pinned or was idle.
+ * Return: target, or ADDR_NONE when the flow is not pinned; a flow that was
+ * idle for too long is deleted.
  */
-uint64_t flow_lookup(struct flow_table *t, const struct flow_key *key,
+uint64_t flow_lookup(struct flow_table *table, const struct flow_key *key,
 		     uint64_t now_ns)
 {
-	uint32_t at = find(t, key, flow_hash(key));
+	uint32_t at = find_slot(table, key, flow_hash(key));
 	uint64_t target;
 
-	if (at == t->slots || t->tag[at] == TAG_EMPTY)
+	if (at == table->n_slots || table->tags[at] == TAG_EMPTY)
 		return ADDR_NONE;
-	if (slot_idle(&t->slot[at], now_ns)) {
-		close_gap(t, at);
+	if (slot_idle(&table->slots[at], now_ns)) {
+		close_gap(table, at);
 		return ADDR_NONE;
 	}
-	target = slot_target(&t->slot[at]);
-	slot_write(&t->slot[at], key, target, now_ns + t->idle_ns);
+	target = slot_target(&table->slots[at]);
+	slot_write(&table->slots[at], key, target, now_ns + table->idle_ns);
 	return target;
 }
 
 /**
- * flow_unpin() - forget a flow
- * @t: table
+ * flow_unpin() - delete a flow
+ * @table: table of pinned flows
  * @key: flow
  *
  * Return: 0, or -ENOENT.
  */
-int flow_unpin(struct flow_table *t, const struct flow_key *key)
+int flow_unpin(struct flow_table *table, const struct flow_key *key)
 {
-	uint32_t at = find(t, key, flow_hash(key));
+	uint32_t at = find_slot(table, key, flow_hash(key));
 
-	if (at == t->slots || t->tag[at] == TAG_EMPTY)
+	if (at == table->n_slots || table->tags[at] == TAG_EMPTY)
 		return -ENOENT;
-	close_gap(t, at);
+	close_gap(table, at);
 	return 0;
 }
 
 /**
- * flow_expire() - forget idle flows, a part of the table at a time
- * @t: table
- * @now_ns: now
- * @budget: slots to look at; the next call goes on from there
+ * flow_expire() - delete idle flows in a part of the table
+ * @table: table of pinned flows
+ * @now_ns: current time
+ * @budget: number of slots to examine; the next call continues after them
  *
- * Return: flows forgotten.
+ * Return: number of flows deleted.
  */
-uint32_t flow_expire(struct flow_table *t, uint64_t now_ns, uint32_t budget)
+uint32_t flow_expire(struct flow_table *table, uint64_t now_ns, uint32_t budget)
 {
-	uint32_t before = t->flows;
+	uint32_t before = table->n_flows;
 
 	while (budget--) {
-		if (t->hand == t->slots)
-			t->hand = 0;
-		if (t->tag[t->hand] != TAG_EMPTY &&
-		    slot_idle(&t->slot[t->hand], now_ns))
-			close_gap(t, t->hand);
+		if (table->expire_cursor == table->n_slots)
+			table->expire_cursor = 0;
+		if (table->tags[table->expire_cursor] != TAG_EMPTY &&
+		    slot_idle(&table->slots[table->expire_cursor], now_ns))
+			close_gap(table, table->expire_cursor);
 		else
-			t->hand++;
+			table->expire_cursor++;
 	}
-	return before - t->flows;
+	return before - table->n_flows;
 }
 
 /**
- * flow_count() - flows held
- * @t: table
+ * flow_count() - number of flows
+ * @table: table of pinned flows
  *
- * Return: how many, idle ones not yet forgotten included.
+ * Return: number of flows, including idle ones that are not deleted yet.
  */
-uint32_t flow_count(const struct flow_table *t)
+uint32_t flow_count(const struct flow_table *table)
 {
-	return t->flows;
+	return table->n_flows;
 }
 
 /**
- * flow_bytes() - memory of the table
- * @t: table
+ * flow_bytes() - memory of a table
+ * @table: table of pinned flows
  *
- * Return: bytes, the same for its whole life.
+ * Return: bytes; constant over the table's lifetime.
  */
-uint64_t flow_bytes(const struct flow_table *t)
+uint64_t flow_bytes(const struct flow_table *table)
 {
-	return sizeof(*t) + t->slots + TAGS_PER_WORD +
-	       (uint64_t)t->slots * sizeof(*t->slot);
+	return sizeof(*table) + table->n_slots + TAGS_PER_WORD +
+	       (uint64_t)table->n_slots * sizeof(*table->slots);
 }
 
 /**
- * flow_each() - walk all flows, over as many calls and changes as it takes
- * @t: table
- * @cursor: 0 to begin with; where the walk is
- * @key: filled
- * @target: filled
+ * flow_each() - iterate over all flows while the table may change
+ * @table: table of pinned flows
+ * @cursor: 0 for the first call, advanced by each; 0 again at the end
+ * @key: set to the flow
+ * @target: set to its target
  *
- * The walk goes from the table's end to its start. Only deletion moves flows,
- * and only towards the start: a flow that stays in the table is never missed,
- * and may be seen twice.
+ * The iteration runs from the table's end to its start. Only deletion moves
+ * flows, and only towards the start: a flow that stays in the table is never
+ * missed, and may be seen twice.
  *
- * Return: 0, or -ENOENT at the end; the cursor then starts over.
+ * Return: 0, or -ENOENT at the end.
  */
-int flow_each(const struct flow_table *t, uint32_t *cursor,
+int flow_each(const struct flow_table *table, uint32_t *cursor,
 	      struct flow_key *key, uint64_t *target)
 {
-	uint32_t at = *cursor ? *cursor - 1 : t->slots;
+	uint32_t at = *cursor ? *cursor - 1 : table->n_slots;
 
 	while (at--) {
-		if (t->tag[at] == TAG_EMPTY)
+		if (table->tags[at] == TAG_EMPTY)
 			continue;
 		*cursor = at + 1;
-		*key = slot_key(&t->slot[at]);
-		*target = slot_target(&t->slot[at]);
+		*key = slot_key(&table->slots[at]);
+		*target = slot_target(&table->slots[at]);
 		return 0;
 	}
 	*cursor = 0;
--- a/core/request/message_id.c
+++ b/core/request/message_id.c
@@ -5,88 +5,100 @@
 #include <string.h>
 
 /*
- * A message ID towards a target may not come back while an old answer or
- * acknowledgement with it could still arrive (RFC 7252 EXCHANGE_LIFETIME).
- * Reuse would show as a caller getting another caller's answer. IDs go round
- * in blocks; a block is entered only when its last use is long enough ago.
+ * A message ID towards a target must not be reused while an old answer or
+ * acknowledgement with it may still arrive (EXCHANGE_LIFETIME in RFC 7252): a
+ * caller would receive another caller's answer. IDs are allocated in sequence;
+ * a block of them is entered only when its last use is older than that.
  */
 #define ID_LIFETIME_NS (247 * NS_PER_S)
 #define ID_BLOCKS 16
 #define ID_BLOCK_SHIFT 12
 #define ID_TARGETS_MAX 16384
-#define ID_PROBES 32
+#define ID_PROBES_MAX 32
 
-struct id_space {
+/**
+ * struct msg_id_space - message IDs towards one target
+ * @target: address of the target, ADDR_NONE when never used
+ * @block_used_ns: by block of IDs: time of the last allocation
+ * @last_ns: time of the last allocation of any ID
+ * @next_id: ID to allocate next
+ */
+struct msg_id_space {
 	uint64_t target;
-	uint64_t used_ns[ID_BLOCKS];
+	uint64_t block_used_ns[ID_BLOCKS];
 	uint64_t last_ns;
-	uint16_t next;
+	uint16_t next_id;
 };
 
-/* id_spaces_init() - room for the targets of a data centre. */
-int id_spaces_init(struct entry *e)
+/* msg_id_spaces_init() - allocate the ID spaces for a data centre's targets. */
+int msg_id_spaces_init(struct entry *entry)
 {
-	e->ids = calloc(ID_TARGETS_MAX, sizeof(*e->ids));
-	return e->ids ? 0 : -ENOMEM;
+	entry->msg_ids = calloc(ID_TARGETS_MAX, sizeof(*entry->msg_ids));
+	return entry->msg_ids ? 0 : -ENOMEM;
 }
 
-void id_spaces_free(struct entry *e)
+void msg_id_spaces_free(struct entry *entry)
 {
-	free(e->ids);
+	free(entry->msg_ids);
 }
 
-static bool reusable(const struct id_space *s, uint64_t now_ns)
+static bool space_is_reusable(const struct msg_id_space *s, uint64_t now_ns)
 {
 	return s->target == ADDR_NONE || s->last_ns + ID_LIFETIME_NS <= now_ns;
 }
 
-/* Targets come and go; a space unused for a lifetime is given to another. */
-static struct id_space *space_of(struct entry *e, uint64_t target)
+/*
+ * Finds or assigns a target's ID space. A space that has been unused for a
+ * whole lifetime is reassigned to another target.
+ */
+static struct msg_id_space *find_space(struct entry *entry, uint64_t target)
 {
 	uint64_t home = hash_u64(target, 0);
-	struct id_space *take = NULL;
+	struct msg_id_space *unused = NULL;
 
-	for (uint32_t n = 0; n < ID_PROBES; n++) {
-		struct id_space *s = &e->ids[(home + n) % ID_TARGETS_MAX];
+	for (uint32_t n = 0; n < ID_PROBES_MAX; n++) {
+		struct msg_id_space *s =
+			&entry->msg_ids[(home + n) % ID_TARGETS_MAX];
 
 		if (s->target == target)
 			return s;
-		if (!take && reusable(s, e->now_ns))
-			take = s;
+		if (!unused && space_is_reusable(s, entry->now_ns))
+			unused = s;
 	}
-	if (!take)
+	if (!unused)
 		return NULL;
-	memset(take, 0, sizeof(*take));
-	take->target = target;
-	take->next = (uint16_t)rng_next(&e->rng);
-	return take;
+	memset(unused, 0, sizeof(*unused));
+	unused->target = target;
+	unused->next_id = (uint16_t)rng_next(&entry->rng);
+	return unused;
 }
 
 /**
- * id_next() - next message ID towards a target
- * @e: entry
- * @target: target
- * @id: filled
+ * msg_id_next() - allocate a message ID towards a target
+ * @entry: state of this entry
+ * @target: address of the target
+ * @id: set to the ID; unchanged on failure
  *
- * Return: false when all are too young to be used again; the target takes no
- * more from this entry for now.
+ * Return: false when the next IDs are too recent to be reused, or no ID space
+ * is free; the target accepts no more messages from this entry for now.
  */
-bool id_next(struct entry *e, uint64_t target, uint16_t *id)
+bool msg_id_next(struct entry *entry, uint64_t target, uint16_t *id)
 {
-	struct id_space *s = space_of(e, target);
+	struct msg_id_space *s = find_space(entry, target);
 	uint16_t next;
 	uint32_t block;
 
 	if (!s)
 		return false;
-	next = s->next;
+	next = s->next_id;
 	block = next >> ID_BLOCK_SHIFT;
-	if ((next & ((1 << ID_BLOCK_SHIFT) - 1)) == 0 && s->used_ns[block] &&
-	    s->used_ns[block] + ID_LIFETIME_NS > e->now_ns)
+	if ((next & ((1 << ID_BLOCK_SHIFT) - 1)) == 0 &&
+	    s->block_used_ns[block] &&
+	    s->block_used_ns[block] + ID_LIFETIME_NS > entry->now_ns)
 		return false;
-	s->used_ns[block] = e->now_ns;
-	s->last_ns = e->now_ns;
+	s->block_used_ns[block] = entry->now_ns;
+	s->last_ns = entry->now_ns;
 	*id = next;
-	s->next = (uint16_t)(next + 1);
+	s->next_id = (uint16_t)(next + 1);
 	return true;
 }
--- a/core/request/stream.c
+++ b/core/request/stream.c
@@ -1,9 +1,10 @@
 /*
- * Handing a bucket's history to an entry that joins its pair: the records of
- * its non-idempotent requests, and the numbers of the buckets whose history is
- * whole with them. One message at a time to each receiver, repeated until
- * acknowledged. Without it a second loss within the time in which callers
- * repeat would leave nobody who knows what ran.
+ * Sends a bucket's claim history to an entry that joins its pair: the records
+ * of its non-idempotent requests, and the numbers of the buckets whose history
+ * is complete with them. Each receiver gets one message at a time,
+ * retransmitted until it is acknowledged. Without the history, a second loss
+ * within the cover time would leave no entry that knows which requests were
+ * executed.
  */
 #include "entry_state.h"
 
@@ -11,417 +12,451 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* One to each other entry of the largest data centre: a leave touches all. */
+/*
+ * One to each other entry of the largest data centre: when an entry leaves, the
+ * pairs of all others change.
+ */
 #define STREAMS_MAX 512
 #define STREAM_RETRY_NS (NS_PER_S / 5)
-#define STREAM_TRIES_MAX 25
-#define REFUSED_MAX 50
-#define LINE_BYTES 40
-#define MESSAGE_BYTES 64
-#define NAMED_MAX 640
-#define NAME_BYTES 2
+#define STREAM_SENDS_MAX 25
+#define REFUSALS_MAX 50
+#define CLAIM_BYTES 40
+#define MESSAGE_OVERHEAD_BYTES 64
+#define BUCKETS_PER_MESSAGE_MAX 640
+#define BUCKET_NUMBER_BYTES 2
 
 /**
- * struct stream - what one receiver still has to be told
- * @vm: receiver, ADDR_NONE when free
- * @seq: number of the message under way
- * @due: buckets, a bit each
- * @whole: of these, the ones whose whole history this entry knew
- * @n_due: how many
- * @scan: bucket to go on with
- * @cursor: record of that bucket to go on with, CLAIM_SLOT_NONE at its start
+ * struct stream - claim history to be sent to one receiver
+ * @vm: receiver, ADDR_NONE when the slot is free
+ * @seq: random number of the message in flight
+ * @due: bit set of the buckets to be sent
+ * @known: bit set: of @due, the buckets whose complete history this entry knew
+ * @n_due: number of bits set in @due
+ * @scan: bucket to continue with
+ * @cursor: claim record of that bucket to continue with
  * @in_bucket: @cursor is valid
- * @retry_ns: when to repeat the message under way
- * @under_way: a message is out
- * @n_lines: its records
- * @tries: times it was sent
- * @refused: messages in a row of which the receiver refused a part
- * @lines: records
- * @n_named: buckets named as whole
- * @named: their numbers, 16 bits each, big endian
+ * @retry_ns: time of the next transmission
+ * @in_flight: a message awaits its acknowledgement
+ * @n_claims: number of @claims
+ * @sends: transmissions since the last acknowledgement
+ * @refusals: consecutive messages of which the receiver refused a part
+ * @claims: records of the message in flight
+ * @n_complete: number of @complete_numbers
+ * @complete_numbers: buckets of the message in flight whose history is
+ *	complete, 16 bits each, big endian
  */
 struct stream {
 	uint64_t vm;
 	uint64_t seq;
 	uint64_t *due;
-	uint64_t *whole;
+	uint64_t *known;
 	uint32_t n_due;
 	uint32_t scan;
 	uint32_t cursor;
 	bool in_bucket;
 	uint64_t retry_ns;
-	bool under_way;
-	uint8_t n_lines;
-	uint8_t tries;
-	uint8_t refused;
-	uint16_t n_named;
-	struct claim lines[CLAIMS_MAX];
-	uint8_t named[NAMED_MAX * NAME_BYTES];
+	bool in_flight;
+	uint8_t n_claims;
+	uint8_t sends;
+	uint8_t refusals;
+	uint16_t n_complete;
+	struct claim claims[CLAIMS_MAX];
+	uint8_t complete_numbers[BUCKETS_PER_MESSAGE_MAX * BUCKET_NUMBER_BYTES];
 };
 
-static void name_put(uint8_t *names, uint32_t i, uint32_t bucket)
+static void bucket_number_put(uint8_t *numbers, uint32_t i, uint32_t bucket)
 {
-	names[i * NAME_BYTES] = (uint8_t)(bucket >> 8);
-	names[i * NAME_BYTES + 1] = (uint8_t)bucket;
+	numbers[i * BUCKET_NUMBER_BYTES] = (uint8_t)(bucket >> 8);
+	numbers[i * BUCKET_NUMBER_BYTES + 1] = (uint8_t)bucket;
 }
 
-static uint32_t name_get(const uint8_t *names, uint32_t i)
+static uint32_t bucket_number_get(const uint8_t *numbers, uint32_t i)
 {
-	return (uint32_t)names[i * NAME_BYTES] << 8 | names[i * NAME_BYTES + 1];
+	return (uint32_t)numbers[i * BUCKET_NUMBER_BYTES] << 8 |
+	       numbers[i * BUCKET_NUMBER_BYTES + 1];
 }
 
-int streams_init(struct entry *e)
+int streams_init(struct entry *entry)
 {
-	uint32_t words = (e->conf.n_buckets + 63) / 64;
-
-	e->streams = calloc(STREAMS_MAX, sizeof(*e->streams));
-	e->held_when_leaving = calloc(words, sizeof(uint64_t));
-	e->refused_names = calloc(NAMED_MAX, NAME_BYTES);
-	if (!e->streams || !e->held_when_leaving || !e->refused_names)
+	uint32_t words = (entry->conf.n_buckets + 63) / 64;
+
+	entry->streams = calloc(STREAMS_MAX, sizeof(*entry->streams));
+	entry->known_at_leave = calloc(words, sizeof(uint64_t));
+	entry->refused_buckets =
+		calloc(BUCKETS_PER_MESSAGE_MAX, BUCKET_NUMBER_BYTES);
+	if (!entry->streams || !entry->known_at_leave ||
+	    !entry->refused_buckets)
 		return -ENOMEM;
 	for (uint32_t i = 0; i < STREAMS_MAX; i++) {
-		e->streams[i].due = calloc(words, sizeof(uint64_t));
-		e->streams[i].whole = calloc(words, sizeof(uint64_t));
-		if (!e->streams[i].due || !e->streams[i].whole)
+		entry->streams[i].due = calloc(words, sizeof(uint64_t));
+		entry->streams[i].known = calloc(words, sizeof(uint64_t));
+		if (!entry->streams[i].due || !entry->streams[i].known)
 			return -ENOMEM;
 	}
 	return 0;
 }
 
-void streams_free(struct entry *e)
+void streams_free(struct entry *entry)
 {
-	free(e->held_when_leaving);
-	free(e->refused_names);
-	if (!e->streams)
+	free(entry->known_at_leave);
+	free(entry->refused_buckets);
+	if (!entry->streams)
 		return;
 	for (uint32_t i = 0; i < STREAMS_MAX; i++) {
-		free(e->streams[i].due);
-		free(e->streams[i].whole);
+		free(entry->streams[i].due);
+		free(entry->streams[i].known);
 	}
-	free(e->streams);
+	free(entry->streams);
 }
 
-static struct stream *stream_to(struct entry *e, uint64_t vm)
+static struct stream *stream_to(struct entry *entry, uint64_t vm)
 {
 	struct stream *unused = NULL;
 
 	for (uint32_t i = 0; i < STREAMS_MAX; i++) {
-		if (e->streams[i].vm == vm)
-			return &e->streams[i];
-		if (e->streams[i].vm == ADDR_NONE && !unused)
-			unused = &e->streams[i];
+		if (entry->streams[i].vm == vm)
+			return &entry->streams[i];
+		if (entry->streams[i].vm == ADDR_NONE && !unused)
+			unused = &entry->streams[i];
 	}
 	if (unused) {
 		unused->vm = vm;
-		e->streams_open++;
+		entry->streams_open++;
 	}
 	return unused;
 }
 
-static void stream_close(struct entry *e, struct stream *s)
+static void stream_close(struct entry *entry, struct stream *s)
 {
-	uint32_t words = (e->conf.n_buckets + 63) / 64;
+	uint32_t words = (entry->conf.n_buckets + 63) / 64;
 
 	memset(s->due, 0, words * sizeof(uint64_t));
 	s->vm = ADDR_NONE;
-	e->streams_open--;
+	entry->streams_open--;
 	s->n_due = 0;
-	s->under_way = false;
+	s->in_flight = false;
 	s->in_bucket = false;
-	s->tries = 0;
-	s->refused = 0;
+	s->sends = 0;
+	s->refusals = 0;
 }
 
-static bool held(const struct entry *e, uint32_t bucket)
+static bool was_known_at_leave(const struct entry *entry, uint32_t bucket)
 {
-	return e->held_when_leaving[bucket / 64] >> (bucket % 64) & 1;
+	return entry->known_at_leave[bucket / 64] >> (bucket % 64) & 1;
 }
 
 /**
- * history_known() - whether this entry knows all that ran in a bucket
- * @e: entry
- * @bucket: bucket
+ * history_known() - whether this entry knows all claims of a bucket
+ * @entry: state of this entry
+ * @bucket: number of the bucket
  *
- * Return: true in its pair for the cover time, or told by one that was; also
- * for what a leaving entry held, since some still have it in their pairs. On
- * the smaller side of a partition what the other side ran is not known.
+ * Return: true if it has been in the bucket's pair for the cover time, or
+ * received the history from an entry that knew it; also for buckets that it
+ * held when it began to leave, since some entries still have it in their pairs.
+ * False without a majority: claims of the other side of a partition are not
+ * known.
  */
-bool history_known(const struct entry *e, uint32_t bucket)
+bool history_known(const struct entry *entry, uint32_t bucket)
 {
-	if (!member_has_majority(e->members))
+	if (!member_has_majority(entry->members))
 		return false;
-	return held(e, bucket) || ring_is_covered(e->ring, bucket, e->now_ns);
+	return was_known_at_leave(entry, bucket) ||
+	       ring_is_covered(entry->ring, bucket, entry->now_ns);
 }
 
-static void add(struct entry *e, uint64_t vm, uint32_t bucket)
+static void add_bucket(struct entry *entry, uint64_t vm, uint32_t bucket)
 {
-	struct stream *s = stream_to(e, vm);
+	struct stream *s = stream_to(entry, vm);
 	uint64_t bit = 1ULL << (bucket % 64);
 
 	if (!s || s->due[bucket / 64] & bit)
 		return;
 	s->due[bucket / 64] |= bit;
-	s->whole[bucket / 64] &= ~bit;
-	if (history_known(e, bucket))
-		s->whole[bucket / 64] |= bit;
+	s->known[bucket / 64] &= ~bit;
+	if (history_known(entry, bucket))
+		s->known[bucket / 64] |= bit;
 	s->n_due++;
 }
 
 /**
- * streams_leave() - note what this entry knows as it begins to leave
- * @e: entry
+ * streams_record_known() - record which buckets a leaving entry knows
+ * @entry: state of this entry
  *
  * A leaving entry is out of its own ring at once, while the pairs that the
- * others settle on change more than once when several leave together. So it
- * owes the history of its buckets to every newcomer until it is gone.
+ * others settle on change more than once when several entries leave together.
+ * So it sends the history of its buckets to each new member of their pairs
+ * until it stops.
  */
-void streams_leave(struct entry *e)
+void streams_record_known(struct entry *entry)
 {
-	uint64_t self = e->conf.member.self;
+	uint64_t self = entry->conf.member.self;
 
-	for (uint32_t i = 0; i < e->conf.n_buckets; i++) {
-		struct ring_pair p = ring_current_pair(e->ring, i);
+	for (uint32_t i = 0; i < entry->conf.n_buckets; i++) {
+		struct ring_pair p = ring_current_pair(entry->ring, i);
 
 		if (p.owner != self && p.second != self)
 			continue;
-		if (ring_is_covered(e->ring, i, e->now_ns))
-			e->held_when_leaving[i / 64] |= 1ULL << (i % 64);
+		if (ring_is_covered(entry->ring, i, entry->now_ns))
+			entry->known_at_leave[i / 64] |= 1ULL << (i % 64);
 	}
 }
 
-/* Whether it is this entry that tells newcomers to a bucket its history. */
-static bool teller(const struct entry *e, uint32_t bucket,
-		   struct ring_pair before)
+/*
+ * Whether this entry is the one that sends a bucket's history to new members.
+ */
+static bool is_history_sender(const struct entry *entry, uint32_t bucket,
+			      struct ring_pair before)
 {
-	uint64_t self = e->conf.member.self;
+	uint64_t self = entry->conf.member.self;
 
-	if (held(e, bucket) || before.owner == self)
+	if (was_known_at_leave(entry, bucket) || before.owner == self)
 		return true;
-	return before.second == self && !vm_serves(e, before.owner);
+	return before.second == self && !vm_is_serving(entry, before.owner);
 }
 
-/* streams_pair_changed() - tell a newcomer to a bucket's pair its history. */
-void streams_pair_changed(struct entry *e, uint32_t bucket,
+/*
+ * streams_pair_changed() - schedule the history for the new members of a pair.
+ */
+void streams_pair_changed(struct entry *entry, uint32_t bucket,
 			  struct ring_pair before, struct ring_pair after)
 {
-	const uint64_t now[2] = { after.owner, after.second };
+	const uint64_t members[2] = { after.owner, after.second };
 
-	if (!teller(e, bucket, before))
+	if (!is_history_sender(entry, bucket, before))
 		return;
 	for (uint32_t i = 0; i < 2; i++) {
-		if (now[i] == ADDR_NONE || now[i] == e->conf.member.self ||
-		    now[i] == before.owner || now[i] == before.second)
+		if (members[i] == ADDR_NONE ||
+		    members[i] == entry->conf.member.self ||
+		    members[i] == before.owner || members[i] == before.second)
 			continue;
-		add(e, now[i], bucket);
+		add_bucket(entry, members[i], bucket);
 	}
 }
 
-static void bucket_done(struct stream *s)
+static void finish_bucket(struct stream *s)
 {
 	uint64_t bit = 1ULL << (s->scan % 64);
 
-	if (s->whole[s->scan / 64] & bit)
-		name_put(s->named, s->n_named++, s->scan);
+	if (s->known[s->scan / 64] & bit)
+		bucket_number_put(s->complete_numbers, s->n_complete++,
+				  s->scan);
 	s->due[s->scan / 64] &= ~bit;
 	s->n_due--;
 	s->in_bucket = false;
 }
 
-static void next_due(const struct entry *e, struct stream *s)
+static void advance_to_due(const struct entry *entry, struct stream *s)
 {
 	while (!(s->due[s->scan / 64] & 1ULL << (s->scan % 64)))
-		s->scan = (s->scan + 1) % e->conf.n_buckets;
+		s->scan = (s->scan + 1) % entry->conf.n_buckets;
 }
 
-/* Records of one bucket into the message, and its name when these are all. */
-static void fill_bucket(struct entry *e, struct stream *s)
+/*
+ * Adds records of one bucket to the message, and its number after the last one.
+ */
+static void fill_bucket(struct entry *entry, struct stream *s)
 {
-	uint32_t slot = claims_first(e->claims, s->scan);
+	uint32_t slot = claims_newest(entry->claims, s->scan);
 
 	if (s->in_bucket && s->cursor != CLAIM_SLOT_NONE &&
-	    claims_at(e->claims, s->cursor)->bucket == s->scan)
+	    claims_at(entry->claims, s->cursor)->bucket == s->scan)
 		slot = s->cursor;
-	while (slot != CLAIM_SLOT_NONE && s->n_lines < CLAIMS_MAX) {
-		const struct claim *c = claims_at(e->claims, slot);
-
-		/* Not granted yet: taken for a grant it would become one. */
-		if (!claim_is_out(e, c))
-			s->lines[s->n_lines++] = *c;
-		slot = claims_after(e->claims, slot);
+	while (slot != CLAIM_SLOT_NONE && s->n_claims < CLAIMS_MAX) {
+		const struct claim *c = claims_at(entry->claims, slot);
+
+		/*
+		 * Not granted yet; the receiver would take it for a granted
+		 * claim.
+		 */
+		if (!claim_is_pending(entry, c))
+			s->claims[s->n_claims++] = *c;
+		slot = claims_next_older(entry->claims, slot);
 	}
 	s->cursor = slot;
 	s->in_bucket = true;
 	if (slot == CLAIM_SLOT_NONE)
-		bucket_done(s);
+		finish_bucket(s);
 }
 
-static void fill(struct entry *e, struct stream *s)
+static void fill_message(struct entry *entry, struct stream *s)
 {
-	s->n_lines = 0;
-	s->n_named = 0;
-	s->seq = rng_next(&e->rng);
-	while (s->n_due && s->n_lines < CLAIMS_MAX && s->n_named < NAMED_MAX) {
-		next_due(e, s);
-		fill_bucket(e, s);
+	s->n_claims = 0;
+	s->n_complete = 0;
+	s->seq = rng_next(&entry->rng);
+	while (s->n_due && s->n_claims < CLAIMS_MAX &&
+	       s->n_complete < BUCKETS_PER_MESSAGE_MAX) {
+		advance_to_due(entry, s);
+		fill_bucket(entry, s);
 	}
-	s->under_way = true;
+	s->in_flight = true;
 }
 
 static uint32_t stream_bytes(const struct stream *s)
 {
-	return MESSAGE_BYTES + s->n_lines * LINE_BYTES +
-	       s->n_named * NAME_BYTES;
+	return MESSAGE_OVERHEAD_BYTES + s->n_claims * CLAIM_BYTES +
+	       s->n_complete * BUCKET_NUMBER_BYTES;
 }
 
-static void send_message(struct entry *e, struct stream *s)
+static void send_message(struct entry *entry, struct stream *s)
 {
-	struct peer_msg *m = emit_peer(e, s->vm, PEER_RECORD);
+	struct peer_msg *m = emit_peer(entry, s->vm, PEER_RECORD);
 
 	m->seq = s->seq;
-	m->n_claims = s->n_lines;
-	memcpy(m->claims, s->lines, s->n_lines * sizeof(s->lines[0]));
-	m->data = s->named;
-	m->size_bytes = s->n_named * NAME_BYTES;
-	s->tries++;
+	m->n_claims = s->n_claims;
+	memcpy(m->claims, s->claims, s->n_claims * sizeof(s->claims[0]));
+	m->data = s->complete_numbers;
+	m->size_bytes = s->n_complete * BUCKET_NUMBER_BYTES;
+	s->sends++;
 }
 
-static void stream_go_on(struct entry *e, struct stream *s)
+static void stream_advance(struct entry *entry, struct stream *s)
 {
-	if (e->now_ns < s->retry_ns)
+	if (entry->now_ns < s->retry_ns)
 		return;
-	if (s->tries > STREAM_TRIES_MAX || s->refused > REFUSED_MAX ||
-	    !vm_owns(e, s->vm) || (!s->under_way && !s->n_due)) {
-		stream_close(e, s);
+	if (s->sends > STREAM_SENDS_MAX || s->refusals > REFUSALS_MAX ||
+	    !vm_may_own(entry, s->vm) || (!s->in_flight && !s->n_due)) {
+		stream_close(entry, s);
 		return;
 	}
-	if (!s->under_way)
-		fill(e, s);
-	s->retry_ns = e->now_ns + STREAM_RETRY_NS;
-	if (allowance_take(e, stream_bytes(s)))
-		send_message(e, s);
+	if (!s->in_flight)
+		fill_message(entry, s);
+	s->retry_ns = entry->now_ns + STREAM_RETRY_NS;
+	if (peer_budget_take(entry, stream_bytes(s)))
+		send_message(entry, s);
 }
 
-/* streams_tick() - send what is due to each receiver. */
-void streams_tick(struct entry *e)
+/* streams_tick() - send the messages that are due. */
+void streams_tick(struct entry *entry)
 {
-	if (!e->streams_open)
+	if (!entry->streams_open)
 		return;
-	for (uint32_t i = 0; i < STREAMS_MAX && emit_room(e); i++) {
-		if (e->streams[i].vm != ADDR_NONE)
-			stream_go_on(e, &e->streams[i]);
+	for (uint32_t i = 0; i < STREAMS_MAX && emit_has_capacity(entry); i++) {
+		if (entry->streams[i].vm != ADDR_NONE)
+			stream_advance(entry, &entry->streams[i]);
 	}
 }
 
-static void take_record(struct entry *e, const struct claim *line)
+static void store_record(struct entry *entry, const struct claim *claim)
 {
-	struct claim *c = claims_find(e->claims, line->request);
+	struct claim *c = claims_find(entry->claims, claim->request);
 
 	if (!c)
-		claims_put(e->claims, line, e->now_ns);
+		claims_put(entry->claims, claim, entry->now_ns);
 	else if (c->state == CLAIM_NONE)
-		*c = *line;
+		*c = *claim;
 	else
-		claim_overruled(e, c, line);
+		claim_resolve_conflict(entry, c, claim);
 }
 
 /*
- * The word that a bucket's history is whole counts only for a member of its
- * pair. The sender may have heard of the change before us: taken now, the word
- * would be lost, and after the next change nobody would know the history.
+ * Marks a bucket's history as complete, if this entry is in its pair. The
+ * sender may have learned of the change of the pair earlier than this entry.
+ * Accepted too early, the mark would be lost, and after the next change no
+ * entry would know the history.
  *
- * Return: false when it has to be said again, later.
+ * Return: false when the sender has to send it again later.
  */
-static bool take_name(struct entry *e, uint32_t bucket)
+static bool accept_history(struct entry *entry, uint32_t bucket)
 {
 	struct ring_pair pair;
 
-	if (bucket >= e->conf.n_buckets)
+	if (bucket >= entry->conf.n_buckets)
 		return true;
-	pair = ring_current_pair(e->ring, bucket);
-	if (pair.owner != e->conf.member.self &&
-	    pair.second != e->conf.member.self)
+	pair = ring_current_pair(entry->ring, bucket);
+	if (pair.owner != entry->conf.member.self &&
+	    pair.second != entry->conf.member.self)
 		return false;
-	ring_mark_covered(e->ring, bucket);
+	ring_mark_covered(entry->ring, bucket);
 	return true;
 }
 
-/* stream_received() - PEER_RECORD: history of buckets that we joined. */
-void stream_received(struct entry *e, const struct peer_msg *msg)
+/*
+ * stream_received() - PEER_RECORD: claim history of buckets whose pair this
+ * entry joined.
+ */
+void stream_received(struct entry *entry, const struct peer_msg *msg)
 {
-	struct peer_msg *m = emit_peer(e, msg->from, PEER_HANDOVER);
+	struct peer_msg *m = emit_peer(entry, msg->from, PEER_HANDOVER);
 	uint32_t refused = 0;
 
 	for (uint8_t i = 0; i < msg->n_claims; i++) {
-		if (msg->claims[i].bucket < e->conf.n_buckets)
-			take_record(e, &msg->claims[i]);
+		if (msg->claims[i].bucket < entry->conf.n_buckets)
+			store_record(entry, &msg->claims[i]);
 	}
-	for (uint32_t i = 0; i < msg->size_bytes / NAME_BYTES; i++) {
-		uint32_t bucket = name_get(msg->data, i);
+	for (uint32_t i = 0; i < msg->size_bytes / BUCKET_NUMBER_BYTES; i++) {
+		uint32_t bucket = bucket_number_get(msg->data, i);
 
-		if (refused < NAMED_MAX && !take_name(e, bucket))
-			name_put(e->refused_names, refused++, bucket);
+		if (refused < BUCKETS_PER_MESSAGE_MAX &&
+		    !accept_history(entry, bucket))
+			bucket_number_put(entry->refused_buckets, refused++,
+					  bucket);
 	}
 	m->seq = msg->seq;
-	m->data = e->refused_names;
-	m->size_bytes = refused * NAME_BYTES;
+	m->data = entry->refused_buckets;
+	m->size_bytes = refused * BUCKET_NUMBER_BYTES;
 }
 
-static void due_again(const struct entry *e, struct stream *s, uint32_t bucket)
+static void requeue_bucket(const struct entry *entry, struct stream *s,
+			   uint32_t bucket)
 {
 	uint64_t bit = 1ULL << (bucket % 64);
 
-	if (bucket >= e->conf.n_buckets || s->due[bucket / 64] & bit)
+	if (bucket >= entry->conf.n_buckets || s->due[bucket / 64] & bit)
 		return;
 	s->due[bucket / 64] |= bit;
 	s->n_due++;
 }
 
-static void acked(struct entry *e, struct stream *s, const struct peer_msg *msg)
+static void handle_ack(struct entry *entry, struct stream *s,
+		       const struct peer_msg *msg)
 {
-	uint32_t refused = msg->size_bytes / NAME_BYTES;
+	uint32_t refused = msg->size_bytes / BUCKET_NUMBER_BYTES;
 
-	s->under_way = false;
-	s->tries = 0;
-	s->retry_ns = e->now_ns + (refused ? STREAM_RETRY_NS : 0);
-	s->refused = refused ? s->refused + 1 : 0;
+	s->in_flight = false;
+	s->sends = 0;
+	s->retry_ns = entry->now_ns + (refused ? STREAM_RETRY_NS : 0);
+	s->refusals = refused ? s->refusals + 1 : 0;
 	for (uint32_t i = 0; i < refused; i++)
-		due_again(e, s, name_get(msg->data, i));
-	stream_go_on(e, s);
+		requeue_bucket(entry, s, bucket_number_get(msg->data, i));
+	stream_advance(entry, s);
 }
 
-/* stream_acked() - PEER_HANDOVER: the receiver has the message under way. */
-void stream_acked(struct entry *e, const struct peer_msg *msg)
+/*
+ * stream_ack_received() - PEER_HANDOVER: the receiver has the message in
+ * flight.
+ */
+void stream_ack_received(struct entry *entry, const struct peer_msg *msg)
 {
 	for (uint32_t i = 0; i < STREAMS_MAX; i++) {
-		struct stream *s = &e->streams[i];
+		struct stream *s = &entry->streams[i];
 
-		if (s->vm == msg->from && s->under_way && s->seq == msg->seq)
-			acked(e, s, msg);
+		if (s->vm == msg->from && s->in_flight && s->seq == msg->seq)
+			handle_ack(entry, s, msg);
 	}
 }
 
-uint32_t stream_lines_pending(const struct entry *e)
+uint32_t streams_pending(const struct entry *entry)
 {
 	uint32_t n = 0;
 
 	for (uint32_t i = 0; i < STREAMS_MAX; i++)
-		n += e->streams[i].n_due + e->streams[i].under_way;
+		n += entry->streams[i].n_due + entry->streams[i].in_flight;
 	return n;
 }
 
-bool streams_idle(const struct entry *e)
+bool streams_idle(const struct entry *entry)
 {
-	return stream_lines_pending(e) == 0;
+	return streams_pending(entry) == 0;
 }
 
-uint64_t streams_next_ns(const struct entry *e)
+uint64_t streams_next_ns(const struct entry *entry)
 {
 	uint64_t next = DEADLINE_NEVER;
 
-	if (!e->streams_open)
+	if (!entry->streams_open)
 		return next;
 	for (uint32_t i = 0; i < STREAMS_MAX; i++) {
-		const struct stream *s = &e->streams[i];
+		const struct stream *s = &entry->streams[i];
 
 		if (s->vm != ADDR_NONE && s->retry_ns < next)
 			next = s->retry_ns;
