--- a/adapters/hello_codec.c
+++ b/adapters/hello_codec.c
@@ -82,7 +82,7 @@
 	msgpack_pack_uint64(&p, h->newest.revision);
 	msgpack_pack_uint64(&p, h->retained_digest);
 	msgpack_pack_uint64(&p, h->epoch_age_ms);
-	msgpack_pack_uint64(&p, h->fault_age_ms);
+	msgpack_pack_uint64(&p, h->platform_failed_age_ms);
 	put_lists(&p, h);
 	if (buf.size <= HELLO_MAX_BYTES) {
 		size_bytes = (uint32_t)buf.size;
@@ -201,7 +201,7 @@
 	h->reply = flags & HELLO_REPLY;
 	h->has_loads = flags & HELLO_LOADS;
 	h->epoch_age_ms = (uint32_t)age;
-	h->fault_age_ms = (uint32_t)trouble;
+	h->platform_failed_age_ms = (uint32_t)trouble;
 	return get_peers(&f[10], h) && get_loads(&f[11], h) &&
 	       get_dead(&f[12], h) && get_failing(&f[13], h) &&
 	       get_claims(&f[14], h);
--- a/core/packet/common/policy.h
+++ b/core/packet/common/policy.h
@@ -1,11 +1,11 @@
-/* Parameters and switches of all decisions on opaque flows. */
+/* Limits and switches of all decisions on opaque flows. */
 #ifndef CB_POLICY_H
 #define CB_POLICY_H
 
 #include "types.h"
 
 /**
- * struct policy - parameters of the decisions; the defaults are policy_default
+ * struct policy - limits and switches; policy_default has the defaults
  * @choices: a new flow goes to the least loaded of this many targets drawn at
  *	random; 0 for all targets. With all of them, every entry chooses the
  *	same target until the next heartbeat: one that has just started gets
--- a/core/packet/node.c
+++ b/core/packet/node.c
@@ -376,7 +376,7 @@
 	documents_tick(n->documents, now_ns);
 	clock = (struct directory_clock){
 		now_ns,
-		peer_set_platform_fault_ns(n->peers),
+		peer_set_platform_failed_ns(n->peers),
 		peer_set_last_contact_ns(n->peers),
 	};
 	directory_tick(n->directory, &clock);
--- a/core/packet/node_calls.c
+++ b/core/packet/node_calls.c
@@ -168,7 +168,7 @@
 		    "answer of epoch %llu, known is epoch %llu",
 		    (unsigned long long)epoch, (unsigned long long)known);
 	if (epoch > known)
-		peer_set_note_platform_fault(n->peers, n->now_ns, n->now_ns);
+		peer_set_note_platform_failure(n->peers, n->now_ns, n->now_ns);
 }
 
 /**
@@ -244,8 +244,8 @@
 		return;
 	}
 	n->counters.platform_calls_failed++;
-	peer_set_note_platform_fault(n->peers, n->now_ns - SOURCE_CONTACT_NS,
-				     n->now_ns);
+	peer_set_note_platform_failure(n->peers, n->now_ns - SOURCE_CONTACT_NS,
+				       n->now_ns);
 }
 
 /* The first of a row is logged. */
--- a/core/packet/node_published.c
+++ b/core/packet/node_published.c
@@ -217,7 +217,7 @@
 		take_evacuation(n, doc, news.data_centre);
 	else if (news.kind == DOCUMENT_TARGET && doc->deleted)
 		take_absent(n, doc, &news.target,
-			    peer_set_platform_fault_ns(n->peers));
+			    peer_set_platform_failed_ns(n->peers));
 	else if (news.kind == DOCUMENT_TARGET)
 		take_target(n, doc, &news.target);
 	return err != -ENOENT;
--- a/core/packet/peers/loads.c
+++ b/core/packet/peers/loads.c
@@ -63,7 +63,7 @@
  *	heartbeat
  * @directory: targets
  * @hello: heartbeat
- * @policy: parameters
+ * @policy: limits and switches
  * @now_ns: current time
  *
  * In a large data centre, an entry sends a target one request in several
--- a/core/packet/peers/peer_set.c
+++ b/core/packet/peers/peer_set.c
@@ -34,18 +34,19 @@
 #define SEEDS_PART 4
 #define SEEDS_PERIOD_MAX_NS (100 * NS_PER_MS)
 /* A VM receives ten heartbeats a second from other data centres, or two where
- * there are few VMs. Without any for this long its data centre is cut off. */
+ * there are few VMs. Without any for this long its data centre is
+ * partitioned from the others. */
 #define REMOTE_HELLO_NS NS_PER_S
 #define RANK_SEED 0x72616e6bULL
-/* A fault of the platform is advertised for this long. */
-#define FAULT_ADVERTISED_NS (10 * NS_PER_S)
+/* A failure of the platform is advertised for this long. */
+#define FAILURE_ADVERTISED_NS (10 * NS_PER_S)
 
 /*
  * @next_ns is the time of the next round of heartbeats, @alone_ns when this VM
  * became alone or without documents, 0 when it is neither, @seeds_ns the
  * earliest time of the next heartbeat to the seeds, @remote_ns the time of the
- * last heartbeat from another data centre, @fault_ns of the last known fault of
- * the platform.
+ * last heartbeat from another data centre, @failed_ns of the last known failure
+ * of the platform.
  */
 struct peer_set {
 	struct peer_set_conf conf;
@@ -58,7 +59,7 @@
 	uint32_t round;
 	struct read_claims claims;
 	uint64_t remote_ns;
-	uint64_t fault_ns;
+	uint64_t failed_ns;
 };
 
 /**
@@ -194,7 +195,7 @@
 		      uint64_t now_ns)
 {
 	struct peer_vm *p = add(set, hello->from, hello->zone);
-	uint64_t fault_ns;
+	uint64_t failed_ns;
 	bool newer;
 
 	if (!p)
@@ -216,9 +217,10 @@
 		if (hello->peers[i].age_ms <= GOSSIP_MAX_MS)
 			receive_gossip(set, &hello->peers[i], now_ns);
 	receive_claims(set, hello, now_ns);
-	fault_ns = time_of_age(now_ns, hello->fault_age_ms);
-	if (hello->fault_age_ms != UINT32_MAX && fault_ns > set->fault_ns)
-		set->fault_ns = fault_ns;
+	failed_ns = time_of_age(now_ns, hello->platform_failed_age_ms);
+	if (hello->platform_failed_age_ms != UINT32_MAX &&
+	    failed_ns > set->failed_ns)
+		set->failed_ns = failed_ns;
 	return newer;
 }
 
@@ -396,8 +398,8 @@
 }
 
 /**
- * peer_set_fill_hello() - put the sender, peers, claims and a fault into a
- *	heartbeat
+ * peer_set_fill_hello() - put the sender, peers, claims and a failure of the
+ *	platform into a heartbeat
  * @set: peers; its random source advances
  * @hello: heartbeat
  * @now_ns: current time
@@ -411,9 +413,9 @@
 	hello->zone = set->conf.zone;
 	hello->boot = set->conf.boot;
 	fill_claims(set, hello, now_ns);
-	hello->fault_age_ms = UINT32_MAX;
-	if (set->fault_ns && set->fault_ns + FAULT_ADVERTISED_NS > now_ns)
-		hello->fault_age_ms = age_ms(now_ns, set->fault_ns);
+	hello->platform_failed_age_ms = UINT32_MAX;
+	if (set->failed_ns && set->failed_ns + FAILURE_ADVERTISED_NS > now_ns)
+		hello->platform_failed_age_ms = age_ms(now_ns, set->failed_ns);
 	for (uint32_t i = 0; i < set->n && hello->n_peers < HELLO_PEERS_MAX;
 	     i++) {
 		const struct peer_vm *p = &set->peers[(from + i) % set->n];
@@ -441,25 +443,25 @@
 }
 
 /**
- * peer_set_note_platform_fault() - record a fault of the platform
+ * peer_set_note_platform_failure() - record a failure of the platform
  * @set: peers
  * @contact_ns: the claim of this VM is set back to this contact, so that the VM
  *	next in rank reads soon
  * @now_ns: current time
  *
- * A fault is a failed call, or an answer of a new epoch.
+ * A failure is a failed call, or an answer of a new epoch.
  */
-void peer_set_note_platform_fault(struct peer_set *set, uint64_t contact_ns,
-				  uint64_t now_ns)
+void peer_set_note_platform_failure(struct peer_set *set, uint64_t contact_ns,
+				    uint64_t now_ns)
 {
-	set->fault_ns = now_ns;
+	set->failed_ns = now_ns;
 	read_claims_withdraw(&set->claims, set->conf.zone, set->conf.self,
 			     contact_ns);
 }
 
-uint64_t peer_set_platform_fault_ns(const struct peer_set *set)
+uint64_t peer_set_platform_failed_ns(const struct peer_set *set)
 {
-	return set->fault_ns;
+	return set->failed_ns;
 }
 
 /*
--- a/core/packet/peers/peer_set.h
+++ b/core/packet/peers/peer_set.h
@@ -78,7 +78,7 @@
  * struct hello - heartbeat between entries
  * @from: sender's address for peers
  * @zone: hash of the name of the sender's data centre
- * @boot: random number that identifies the sender's process
+ * @boot: number that identifies the sender's process
  * @leaving: the sender is about to stop
  * @reply: an answer is wanted: the sender has no documents, or knows fewer than
  *	two live peers
@@ -86,7 +86,8 @@
  * @retained_digest: documents_retained_digest() of the sender
  * @epoch_age_ms: time since any entry first saw the epoch of @newest;
  *	UINT32_MAX when that no longer matters
- * @fault_age_ms: time since any entry last found a fault of the platform;
+ * @platform_failed_age_ms: time since a call to the platform last failed at
+ *	any entry, or was answered with a new epoch;
  *	UINT32_MAX for none recently
  * @n_peers: number of third VMs
  * @peers: those VMs
@@ -109,7 +110,7 @@
 	struct position newest;
 	uint64_t retained_digest;
 	uint32_t epoch_age_ms;
-	uint32_t fault_age_ms;
+	uint32_t platform_failed_age_ms;
 	uint32_t n_peers;
 	struct hello_peer peers[HELLO_PEERS_MAX];
 	bool has_loads;
@@ -127,7 +128,7 @@
  * struct peer_vm - another VM
  * @addr: its address for peers
  * @zone: hash of the name of its data centre
- * @boot: random number that identifies its process; 0 before its first
+ * @boot: number that identifies its process; 0 before its first
  *	heartbeat
  * @seen_ns: last sign of life, from its own heartbeat or reported by another VM
  * @hello_ns: when its last own heartbeat arrived; 0 for never
@@ -159,7 +160,7 @@
  * struct peer_set_conf - configuration
  * @self: this VM's address for peers
  * @zone: hash of the name of its data centre
- * @boot: random number that identifies this process
+ * @boot: number that identifies this process
  * @period_ns: heartbeat interval
  * @n_seeds: number of seeds
  * @seeds: addresses for peers to begin with; @self may be among them
@@ -202,11 +203,11 @@
 			 uint64_t now_ns);
 void peer_set_note_contact(struct peer_set *set, struct position position,
 			   uint64_t now_ns);
-void peer_set_note_platform_fault(struct peer_set *set, uint64_t contact_ns,
-				  uint64_t now_ns);
+void peer_set_note_platform_failure(struct peer_set *set, uint64_t contact_ns,
+				    uint64_t now_ns);
 uint32_t peer_set_readers_before(const struct peer_set *set, uint64_t since_ns,
 				 uint64_t now_ns);
-uint64_t peer_set_platform_fault_ns(const struct peer_set *set);
+uint64_t peer_set_platform_failed_ns(const struct peer_set *set);
 uint64_t peer_set_others_contact_ns(const struct peer_set *set,
 				    uint64_t now_ns);
 uint64_t peer_set_last_contact_ns(const struct peer_set *set);
--- a/core/packet/publish/documents.c
+++ b/core/packet/publish/documents.c
@@ -55,13 +55,13 @@
 /* A peer may still have an earlier value for this long. */
 #define EARLIER_KEEP_NS (20 * NS_PER_S)
 
-static void document_free(struct document *d)
+static void document_free(struct document *doc)
 {
-	for (uint32_t i = 0; d->earlier && i < DOCUMENT_EARLIER_MAX; i++)
-		free(d->earlier[i].bytes);
-	free(d->earlier);
-	free(d->value);
-	free(d);
+	for (uint32_t i = 0; doc->earlier && i < DOCUMENT_EARLIER_MAX; i++)
+		free(doc->earlier[i].bytes);
+	free(doc->earlier);
+	free(doc->value);
+	free(doc);
 }
 
 void documents_free(struct documents *docs)
@@ -86,7 +86,7 @@
 
 static struct document *add(struct documents *docs, const char *key)
 {
-	struct document *d;
+	struct document *doc;
 
 	if (docs->n == docs->capacity) {
 		uint32_t capacity = docs->capacity ? docs->capacity * 2 : 64;
@@ -98,37 +98,39 @@
 		docs->all = grown;
 		docs->capacity = capacity;
 	}
-	d = calloc(1, sizeof(*d));
-	if (!d || index_put(docs->by_key, hash_text(key), docs->n)) {
-		free(d);
+	doc = calloc(1, sizeof(*doc));
+	if (!doc || index_put(docs->by_key, hash_text(key), docs->n)) {
+		free(doc);
 		return NULL;
 	}
-	memcpy(d->key, key, strnlen(key, DOCUMENT_KEY_MAX_BYTES));
-	docs->all[docs->n++] = d;
-	return d;
+	memcpy(doc->key, key, strnlen(key, DOCUMENT_KEY_MAX_BYTES));
+	docs->all[docs->n++] = doc;
+	return doc;
 }
 
 /* Moves a large value to the earlier ones; frees a small one. */
-static void keep_earlier(struct document *d, uint64_t now_ns)
+static void keep_earlier(struct document *doc, uint64_t now_ns)
 {
 	struct document_value *last = NULL;
 
-	if (d->size_bytes >= DOCUMENT_LARGE_BYTES && !d->earlier)
-		d->earlier = calloc(DOCUMENT_EARLIER_MAX, sizeof(*d->earlier));
-	if (d->size_bytes < DOCUMENT_LARGE_BYTES || !d->earlier) {
-		free(d->value);
+	if (doc->size_bytes >= DOCUMENT_LARGE_BYTES && !doc->earlier)
+		doc->earlier =
+			calloc(DOCUMENT_EARLIER_MAX, sizeof(*doc->earlier));
+	if (doc->size_bytes < DOCUMENT_LARGE_BYTES || !doc->earlier) {
+		free(doc->value);
 		return;
 	}
-	last = &d->earlier[DOCUMENT_EARLIER_MAX - 1];
+	last = &doc->earlier[DOCUMENT_EARLIER_MAX - 1];
 	free(last->bytes);
-	memmove(d->earlier + 1, d->earlier,
-		(DOCUMENT_EARLIER_MAX - 1) * sizeof(*d->earlier));
-	d->earlier[0] = (struct document_value){ document_position(d),
-						 now_ns + EARLIER_KEEP_NS,
-						 d->value, d->size_bytes };
+	memmove(doc->earlier + 1, doc->earlier,
+		(DOCUMENT_EARLIER_MAX - 1) * sizeof(*doc->earlier));
+	doc->earlier[0] =
+		(struct document_value){ document_position(doc),
+					 now_ns + EARLIER_KEEP_NS, doc->value,
+					 doc->size_bytes };
 }
 
-static int store_value(struct document *d, const struct document *update,
+static int store_value(struct document *doc, const struct document *update,
 		       uint64_t now_ns)
 {
 	uint8_t *copy;
@@ -141,27 +143,27 @@
 	if (update->size_bytes)
 		memcpy(copy, update->value, update->size_bytes);
 	copy[update->size_bytes] = '\0';
-	keep_earlier(d, now_ns);
-	d->value = copy;
-	d->size_bytes = update->size_bytes;
+	keep_earlier(doc, now_ns);
+	doc->value = copy;
+	doc->size_bytes = update->size_bytes;
 	return 0;
 }
 
-static void report_change(struct documents *docs, struct document *d)
+static void report_change(struct documents *docs, struct document *doc)
 {
 	docs->change_count++;
-	d->deferred = !docs->port.changed(docs->port.ctx, d);
+	doc->deferred = !docs->port.changed(docs->port.ctx, doc);
 }
 
-static void delete_at(struct documents *docs, struct document *d,
+static void delete_at(struct documents *docs, struct document *doc,
 		      struct position at, uint64_t now_ns)
 {
-	d->epoch = at.epoch;
-	d->revision = at.revision;
-	d->stale_at = (struct position){ 0 };
-	d->deleted = true;
-	d->forget_ns = now_ns + docs->expiry.deleted_ns;
-	report_change(docs, d);
+	doc->epoch = at.epoch;
+	doc->revision = at.revision;
+	doc->stale_at = (struct position){ 0 };
+	doc->deleted = true;
+	doc->forget_ns = now_ns + docs->expiry.deleted_ns;
+	report_change(docs, doc);
 }
 
 static bool same_value(const struct document *a, const struct document *b)
@@ -194,24 +196,24 @@
 }
 
 /*
- * Returns whether @update, which is of another epoch than @d, is the later
+ * Returns whether @update, which is of another epoch than @doc, is the later
  * version. The copy that an epoch begins with may have an older version than
  * the one known here, and a peer may have retained one that the copy lacks.
- * Then the contents decide, and @d records that the platform has an older
+ * Then the contents decide, and @doc records that the platform has an older
  * version.
  */
-static bool resolve_across_epochs(struct documents *docs, struct document *d,
+static bool resolve_across_epochs(struct documents *docs, struct document *doc,
 				  const struct document *update)
 {
 	int order = update->deleted
 			    ? 0
 			    : docs->port.compare(docs->port.ctx, update);
 
-	if (update->epoch < d->epoch)
-		return order > 0 && !d->deleted;
+	if (update->epoch < doc->epoch)
+		return order > 0 && !doc->deleted;
 	if (order >= 0)
 		return true;
-	d->stale_at = document_position(update);
+	doc->stale_at = document_position(update);
 	docs->change_count++;
 	return false;
 }
@@ -236,17 +238,17 @@
  * platform has.
  */
 static struct position stale_at_after(const struct documents *docs,
-				      const struct document *d,
+				      const struct document *doc,
 				      const struct document *update)
 {
-	return update->epoch < d->epoch ? document_position(d)
-					: stale_at_of_peer(docs, update);
+	return update->epoch < doc->epoch ? document_position(doc)
+					  : stale_at_of_peer(docs, update);
 }
 
 /*
  * Whether @update may be added under a new key. Of an earlier epoch, only
  * documents that a peer still retains may, and deleted ones: these identify
- * targets that are gone.
+ * absent targets.
  */
 static bool may_add(const struct documents *docs, const struct document *update,
 		    uint64_t now_ns)
@@ -258,7 +260,7 @@
 
 /**
  * documents_put() - merge a version of a document
- * @docs: documents
+ * @docs: replica of the documents
  * @update: the version; its value is copied
  * @origin: how it arrived
  * @now_ns: current time
@@ -269,60 +271,61 @@
 int documents_put(struct documents *docs, const struct document *update,
 		  enum document_origin origin, uint64_t now_ns)
 {
-	struct document *d = find(docs, update->key);
+	struct document *doc = find(docs, update->key);
 	bool same = false;
 	int err;
 
 	/* Neither a deletion nor a retained document in a peer's full state
 	 * shows that the later version known here still exists. */
-	if (d && origin == DOCUMENT_LISTED && !update->deleted &&
-	    update->epoch >= d->epoch)
-		d->listing = docs->listing;
-	if (d && update->epoch == d->epoch && update->revision <= d->revision) {
+	if (doc && origin == DOCUMENT_LISTED && !update->deleted &&
+	    update->epoch >= doc->epoch)
+		doc->listing = docs->listing;
+	if (doc && update->epoch == doc->epoch &&
+	    update->revision <= doc->revision) {
 		if (origin == DOCUMENT_LISTED)
-			d->stale_at = update->stale_at;
+			doc->stale_at = update->stale_at;
 		return -EALREADY;
 	}
-	if (d ? update->epoch != d->epoch &&
-			    !resolve_across_epochs(docs, d, update)
-	      : !may_add(docs, update, now_ns))
+	if (doc ? update->epoch != doc->epoch &&
+			    !resolve_across_epochs(docs, doc, update)
+		: !may_add(docs, update, now_ns))
 		return -EALREADY;
 	if (!docs->complete && !docs->synced)
 		enter_epoch(docs, update->epoch, now_ns);
-	if (d)
-		same = update->epoch > d->epoch && same_value(d, update);
+	if (doc)
+		same = update->epoch > doc->epoch && same_value(doc, update);
 	else
-		d = add(docs, update->key);
-	if (!d)
+		doc = add(docs, update->key);
+	if (!doc)
 		return -ENOMEM;
 	/* A large value is stored again, so that it stays known at its earlier
 	 * position: peers that have it there need no other. */
-	err = same && d->size_bytes < DOCUMENT_LARGE_BYTES
+	err = same && doc->size_bytes < DOCUMENT_LARGE_BYTES
 		      ? 0
-		      : store_value(d, update, now_ns);
+		      : store_value(doc, update, now_ns);
 	if (err)
 		return err;
-	d->stale_at = origin == DOCUMENT_LISTED
-			      ? update->stale_at
-			      : stale_at_after(docs, d, update);
-	d->epoch = update->epoch;
-	d->revision = update->revision;
+	doc->stale_at = origin == DOCUMENT_LISTED
+				? update->stale_at
+				: stale_at_after(docs, doc, update);
+	doc->epoch = update->epoch;
+	doc->revision = update->revision;
 	if (update->created)
-		d->created = update->created;
-	d->deleted = update->deleted;
-	d->forget_ns = now_ns + docs->expiry.deleted_ns;
+		doc->created = update->created;
+	doc->deleted = update->deleted;
+	doc->forget_ns = now_ns + docs->expiry.deleted_ns;
 	if (origin == DOCUMENT_LISTED)
-		d->listing = docs->listing;
-	documents_raise_newest(docs, document_position(d));
+		doc->listing = docs->listing;
+	documents_raise_newest(docs, document_position(doc));
 	docs->change_count++;
 	if (!same)
-		report_change(docs, d);
+		report_change(docs, doc);
 	return 0;
 }
 
 /**
  * documents_redeliver() - report again the changes that could not be applied
- * @docs: documents
+ * @docs: replica of the documents
  */
 void documents_redeliver(struct documents *docs)
 {
@@ -333,7 +336,7 @@
 
 /**
  * documents_list_begin() - begin a full listing
- * @docs: documents
+ * @docs: replica of the documents
  *
  * The documents of the listing are put as DOCUMENT_LISTED, up to
  * documents_list_end().
@@ -345,7 +348,7 @@
 
 /**
  * documents_list_end() - end a full listing after its last page
- * @docs: documents
+ * @docs: replica of the documents
  * @at: lowest position of its pages
  * @floor: compaction floor of the listing: it lacks the deletions up to there.
  *	For a listing of the platform this is @at, for the full state of a peer
@@ -362,14 +365,14 @@
 	if (at.epoch < docs->epoch)
 		return;
 	for (uint32_t i = 0; i < docs->n; i++) {
-		struct document *d = docs->all[i];
+		struct document *doc = docs->all[i];
 
-		if (d->listing == docs->listing || d->deleted ||
-		    position_after(document_position(d), at))
+		if (doc->listing == docs->listing || doc->deleted ||
+		    position_after(document_position(doc), at))
 			continue;
-		d->stale_at = (struct position){ 0 };
-		if (d->epoch == at.epoch || !may_retain(docs, now_ns))
-			delete_at(docs, d, at, now_ns);
+		doc->stale_at = (struct position){ 0 };
+		if (doc->epoch == at.epoch || !may_retain(docs, now_ns))
+			delete_at(docs, doc, at, now_ns);
 	}
 	documents_raise_newest(docs, at);
 	docs->floor = floor.revision;
@@ -380,7 +383,7 @@
 /**
  * documents_advance_synced() - record that every change up to a position is
  *	known, from an answer that was not stale
- * @docs: documents
+ * @docs: replica of the documents
  * @at: that position
  * @now_ns: current time; start of the epoch of @at if that is a new one
  */
@@ -399,7 +402,7 @@
 /**
  * documents_raise_newest() - raise the newest position after a peer sent all
  *	its changes
- * @docs: documents
+ * @docs: replica of the documents
  * @newest: newest position of the peer; the document may be gone, when it was a
  *	deletion that has expired since
  */
@@ -411,7 +414,7 @@
 
 /**
  * documents_lower_epoch_start() - record that a peer saw an epoch begin earlier
- * @docs: documents
+ * @docs: replica of the documents
  * @epoch: epoch; ignored unless it is the current one
  * @start_ns: when the peer, or one that it learned it from, first saw the epoch
  *
@@ -428,11 +431,11 @@
 
 static void forget(struct documents *docs, uint32_t i)
 {
-	struct document *d = docs->all[i];
+	struct document *doc = docs->all[i];
 
-	index_del(docs->by_key, hash_text(d->key), i);
-	if (d->epoch == docs->epoch && d->revision > docs->floor)
-		docs->floor = d->revision;
+	index_del(docs->by_key, hash_text(doc->key), i);
+	if (doc->epoch == docs->epoch && doc->revision > docs->floor)
+		docs->floor = doc->revision;
 	docs->change_count++;
 	docs->n--;
 	if (i != docs->n) {
@@ -441,13 +444,13 @@
 		index_put(docs->by_key, hash_text(last->key), i);
 		docs->all[i] = last;
 	}
-	document_free(d);
+	document_free(doc);
 }
 
-static void forget_earlier(struct document *d, uint64_t now_ns)
+static void forget_earlier(struct document *doc, uint64_t now_ns)
 {
-	for (uint32_t i = 0; d->earlier && i < DOCUMENT_EARLIER_MAX; i++) {
-		struct document_value *v = &d->earlier[i];
+	for (uint32_t i = 0; doc->earlier && i < DOCUMENT_EARLIER_MAX; i++) {
+		struct document_value *v = &doc->earlier[i];
 
 		if (!v->bytes || now_ns < v->forget_ns)
 			continue;
@@ -456,23 +459,24 @@
 	}
 }
 
-/* Deletes documents that the platform lost and nobody wrote again in time. */
+/* Deletes retained documents of which the platform has no version at all: their
+ * writers did not write them again in time. */
 static void delete_retained(struct documents *docs, uint64_t now_ns)
 {
 	struct position at = { docs->epoch, docs->complete };
 
 	for (uint32_t i = 0; i < docs->n; i++) {
-		struct document *d = docs->all[i];
+		struct document *doc = docs->all[i];
 
-		if (documents_is_retained(docs, d) &&
-		    d->stale_at.epoch != docs->epoch)
-			delete_at(docs, d, at, now_ns);
+		if (documents_is_retained(docs, doc) &&
+		    doc->stale_at.epoch != docs->epoch)
+			delete_at(docs, doc, at, now_ns);
 	}
 }
 
 /**
  * documents_tick() - remove expired documents and earlier values
- * @docs: documents
+ * @docs: replica of the documents
  * @now_ns: current time
  *
  * Deletes retained documents whose time is over, and reports that.
@@ -490,7 +494,7 @@
 
 /**
  * documents_complete() - position up to which every change is known
- * @docs: documents
+ * @docs: replica of the documents
  *
  * After a listing of stale pages, the platform may have been seconds ahead of
  * it when it answered.
@@ -505,7 +509,7 @@
 /**
  * documents_synced() - position up to which every change is known, from an
  *	answer that was not stale
- * @docs: documents
+ * @docs: replica of the documents
  *
  * Return: position in the current epoch; revision 0 before the first such
  * answer.
@@ -517,7 +521,7 @@
 
 /**
  * documents_newest() - latest position of a known document
- * @docs: documents
+ * @docs: replica of the documents
  *
  * Peers compare it to see whether there is anything to fetch.
  * documents_synced() would not do: it grows with every heartbeat of a target.
@@ -532,7 +536,7 @@
 /**
  * documents_floor() - compaction floor: deletions up to this position may be
  *	missing
- * @docs: documents
+ * @docs: replica of the documents
  *
  * They have expired, or came before a listing, which contains only what exists.
  *
@@ -547,7 +551,7 @@
 /**
  * documents_epoch_start_ns() - when the current epoch was first seen, here or
  *	at a peer
- * @docs: documents
+ * @docs: replica of the documents
  *
  * Return: time in nanoseconds.
  */
@@ -558,7 +562,7 @@
 
 /**
  * documents_change_count() - number of changes so far
- * @docs: documents
+ * @docs: replica of the documents
  *
  * Return: number that grows with each change of a document, an epoch or a
  * @stale_at.
@@ -571,20 +575,20 @@
 /**
  * documents_is_retained() - whether a document is retained from an earlier
  *	epoch
- * @docs: documents
- * @d: one of them
+ * @docs: replica of the documents
+ * @doc: one of them
  *
  * Return: true when it is not deleted and the platform has no version as late.
  */
 bool documents_is_retained(const struct documents *docs,
-			   const struct document *d)
+			   const struct document *doc)
 {
-	return !d->deleted && d->epoch < docs->epoch;
+	return !doc->deleted && doc->epoch < docs->epoch;
 }
 
 /**
  * documents_retained_digest() - digest of the retained documents
- * @docs: documents; the digest is cached until the next change
+ * @docs: replica of the documents; the digest is cached until the next change
  *
  * Return: a sum of hashes, the same at two entries that retain the same
  * documents; 0 when there are none.
@@ -596,20 +600,21 @@
 	docs->digest_change_count = docs->change_count;
 	docs->retained_digest = 0;
 	for (uint32_t i = 0; i < docs->n; i++) {
-		const struct document *d = docs->all[i];
+		const struct document *doc = docs->all[i];
 
-		if (documents_is_retained(docs, d))
-			docs->retained_digest += hash_u64(
-				hash_text(d->key) ^ d->revision, d->epoch);
+		if (documents_is_retained(docs, doc))
+			docs->retained_digest +=
+				hash_u64(hash_text(doc->key) ^ doc->revision,
+					 doc->epoch);
 	}
 	return docs->retained_digest;
 }
 
 /**
  * documents_peer_lacks() - whether a peer has to be sent a document
- * @docs: documents
+ * @docs: replica of the documents
  * @after: position of the current epoch up to which the peer knows every change
- * @d: one of @docs
+ * @doc: one of @docs
  *
  * A retained document has no position in the current epoch, so every peer is
  * sent it.
@@ -617,15 +622,15 @@
  * Return: true when it is retained or later than @after.
  */
 bool documents_peer_lacks(const struct documents *docs, struct position after,
-			  const struct document *d)
+			  const struct document *doc)
 {
-	return documents_is_retained(docs, d) ||
-	       position_after(document_position(d), after);
+	return documents_is_retained(docs, doc) ||
+	       position_after(document_position(doc), after);
 }
 
 /**
  * documents_peer_needs_full() - whether a peer has to be sent the full state
- * @docs: documents
+ * @docs: replica of the documents
  * @after: position up to which the peer knows every change; revision 0 for none
  *
  * Return: true when deletions since @after may be missing here, or @after is of
@@ -652,7 +657,7 @@
 
 /**
  * documents_largest() - the largest document
- * @docs: documents
+ * @docs: replica of the documents
  *
  * Return: a document that is not deleted, of DOCUMENT_LARGE_BYTES or more; NULL
  * when there is none. Owned by @docs.
@@ -662,40 +667,40 @@
 	const struct document *best = NULL;
 
 	for (uint32_t i = 0; i < docs->n; i++) {
-		const struct document *d = docs->all[i];
+		const struct document *doc = docs->all[i];
 
-		if (d->deleted || d->size_bytes < DOCUMENT_LARGE_BYTES)
+		if (doc->deleted || doc->size_bytes < DOCUMENT_LARGE_BYTES)
 			continue;
-		if (!best || d->size_bytes > best->size_bytes)
-			best = d;
+		if (!best || doc->size_bytes > best->size_bytes)
+			best = doc;
 	}
 	return best;
 }
 
 /**
  * document_value_at() - value that a document got at a position
- * @d: document
+ * @doc: document
  * @since: that position
  *
- * Return: the current or an earlier value, owned by @d; its bytes are NULL when
- * it is not known.
+ * Return: the current or an earlier value, owned by @doc; its bytes are NULL
+ * when it is not known.
  */
-struct document_value document_value_at(const struct document *d,
+struct document_value document_value_at(const struct document *doc,
 					struct position since)
 {
-	if (!position_compare(document_position(d), since) && !d->deleted)
-		return (struct document_value){ since, 0, d->value,
-						d->size_bytes };
-	for (uint32_t i = 0; d->earlier && i < DOCUMENT_EARLIER_MAX; i++)
-		if (d->earlier[i].bytes &&
-		    !position_compare(d->earlier[i].since, since))
-			return d->earlier[i];
+	if (!position_compare(document_position(doc), since) && !doc->deleted)
+		return (struct document_value){ since, 0, doc->value,
+						doc->size_bytes };
+	for (uint32_t i = 0; doc->earlier && i < DOCUMENT_EARLIER_MAX; i++)
+		if (doc->earlier[i].bytes &&
+		    !position_compare(doc->earlier[i].since, since))
+			return doc->earlier[i];
 	return (struct document_value){ 0 };
 }
 
 /**
  * documents_value_at() - value of the document with a given hash of its key
- * @docs: documents
+ * @docs: replica of the documents
  * @key_hash: hash_text() of the key
  * @since: position at which the document got the value
  *
--- a/core/packet/publish/documents.h
+++ b/core/packet/publish/documents.h
@@ -7,8 +7,8 @@
  * When the platform is restored from an older copy of itself, a new epoch
  * begins. Documents known before that are missing in the copy are retained:
  * they were acknowledged, and their writers write them again. A document is
- * retained until the new epoch has a later version of it, or for a limited
- * time.
+ * retained until the new epoch has a later version of it; one that the platform
+ * has no version of at all is deleted after a limited time.
  */
 #ifndef CB_DOCUMENTS_H
 #define CB_DOCUMENTS_H
@@ -82,22 +82,23 @@
 /**
  * struct documents_port - callbacks of the owner of the documents
  * @ctx: first argument of the callbacks
- * @changed: @d is new, changed or deleted. Return: whether the change was
+ * @changed: @doc is new, changed or deleted. Return: whether the change was
  *	applied; if not, documents_redeliver() reports it again.
- * @compare: order @d and the version known under its key by their contents.
- *	Return: positive when @d is later, negative when it is earlier, 0 when
+ * @compare: order @doc and the version known under its key by their contents.
+ *	Return: positive when @doc is later, negative when it is earlier, 0 when
  *	the contents do not tell.
  */
 struct documents_port {
 	void *ctx;
-	bool (*changed)(void *ctx, const struct document *d);
-	int (*compare)(void *ctx, const struct document *d);
+	bool (*changed)(void *ctx, const struct document *doc);
+	int (*compare)(void *ctx, const struct document *doc);
 };
 
 /**
  * struct documents_expiry - how long documents are kept
  * @deleted_ns: deleted documents, from their deletion
- * @retained_ns: documents that the platform lost, from the start of its epoch
+ * @retained_ns: documents that a restored platform has no version of, from the
+ *	start of its epoch
  */
 struct documents_expiry {
 	uint64_t deleted_ns;
@@ -129,9 +130,9 @@
 uint64_t documents_change_count(const struct documents *docs);
 uint64_t documents_retained_digest(struct documents *docs);
 bool documents_is_retained(const struct documents *docs,
-			   const struct document *d);
+			   const struct document *doc);
 bool documents_peer_lacks(const struct documents *docs, struct position after,
-			  const struct document *d);
+			  const struct document *doc);
 bool documents_peer_needs_full(const struct documents *docs,
 			       struct position after);
 const struct document *documents_at(const struct documents *docs, uint32_t i);
@@ -140,12 +141,12 @@
 struct document_value documents_value_at(const struct documents *docs,
 					 uint64_t key_hash,
 					 struct position since);
-struct document_value document_value_at(const struct document *d,
+struct document_value document_value_at(const struct document *doc,
 					struct position since);
 
-static inline struct position document_position(const struct document *d)
+static inline struct position document_position(const struct document *doc)
 {
-	return (struct position){ d->epoch, d->revision };
+	return (struct position){ doc->epoch, doc->revision };
 }
 
 #endif
--- a/core/packet/publish/evacuations.h
+++ b/core/packet/publish/evacuations.h
@@ -30,20 +30,21 @@
 	struct evacuation all[EVACUATIONS_MAX];
 };
 
-int evacuations_begin(struct evacuations *e, const char *name);
-int evacuations_end(struct evacuations *e, const char *name);
+int evacuations_begin(struct evacuations *evacuations, const char *name);
+int evacuations_end(struct evacuations *evacuations, const char *name);
 
 /**
  * evacuations_has() - whether a data centre is evacuated
- * @e: evacuations
+ * @evacuations: set of evacuated data centres
  * @zone: hash of its name
  *
  * Return: true when it is.
  */
-static inline bool evacuations_has(const struct evacuations *e, uint32_t zone)
+static inline bool evacuations_has(const struct evacuations *evacuations,
+				   uint32_t zone)
 {
-	for (uint32_t i = 0; i < e->n; i++)
-		if (e->all[i].zone == zone)
+	for (uint32_t i = 0; i < evacuations->n; i++)
+		if (evacuations->all[i].zone == zone)
 			return true;
 	return false;
 }
--- a/core/packet/publish/read_claims.c
+++ b/core/packet/publish/read_claims.c
@@ -27,7 +27,7 @@
 
 /**
  * read_claims_merge() - merge a claim that a peer relayed
- * @claims: claims
+ * @claims: claims of all known data centres
  * @update: the claim; copied
  *
  * Return: true when it is later than the known claim of its data centre. It is
@@ -50,7 +50,7 @@
 
 /**
  * read_claims_renew() - claim to read for a data centre, after an answer
- * @claims: claims
+ * @claims: claims of all known data centres
  * @zone: hash of the name of this VM's data centre
  * @self: address for peers of this VM
  * @position: position of the platform in the answer; revision 0 when it had
@@ -72,7 +72,7 @@
 
 /**
  * read_claims_withdraw() - shorten the claim of this VM after a failed call
- * @claims: claims
+ * @claims: claims of all known data centres
  * @zone: hash of the name of this VM's data centre
  * @self: address for peers of this VM
  * @contact_ns: the claim's contact is set back to this time, so that the VM
@@ -93,7 +93,7 @@
 
 /**
  * read_claims_get() - the claim of a data centre
- * @claims: claims
+ * @claims: claims of all known data centres
  * @zone: hash of the name of the data centre
  *
  * Return: claim, owned by @claims; NULL when none is known.
@@ -106,7 +106,7 @@
 
 /**
  * read_claims_last_contact_ns() - when the platform last answered any reader
- * @claims: claims
+ * @claims: claims of all known data centres
  *
  * Return: time in nanoseconds; 0 for never.
  */
@@ -123,7 +123,7 @@
 /**
  * read_claims_readers_before() - number of data centres with a reader that
  *	precede one
- * @claims: claims
+ * @claims: claims of all known data centres
  * @zone: hash of the name of that one; it need not have a claim
  * @since_ns: a data centre whose last contact is not later has no reader
  *
@@ -169,7 +169,7 @@
 
 /**
  * read_claims_select() - select the claims for a heartbeat
- * @claims: claims
+ * @claims: claims of all known data centres
  * @zone: hash of the name of a data centre, whose claim comes first
  * @out: filled with copies, after that claim the ones with the latest contacts
  * @out_max: number of elements of @out
--- a/core/packet/publish/route_table.c
+++ b/core/packet/publish/route_table.c
@@ -89,7 +89,7 @@
 /**
  * route_allows() - whether a flow of a route may be at a service
  * @route: route
- * @service: number of the service's name
+ * @service: number of the service in the directory
  * @now_ns: current time
  *
  * Return: true when new flows go there, or flows opened earlier may still be
@@ -111,7 +111,7 @@
  * @route: route with at least one share
  * @hash: hash of the flow, so that copies of its SYN go to the same service
  *
- * Return: number of the service's name.
+ * Return: number of the service in the directory.
  */
 uint32_t route_select_service(const struct route *route, uint64_t hash)
 {
--- a/core/packet/publish/route_table.h
+++ b/core/packet/publish/route_table.h
@@ -19,7 +19,7 @@
 
 /**
  * struct route_share - a service and its part of the new flows of a route
- * @service: number of the service's name in the directory
+ * @service: number of the service in the directory
  * @weight: part, relative to the weights of the other services
  */
 struct route_share {
@@ -37,7 +37,7 @@
  * @n_shares: number of services that new flows go to
  * @shares: those services
  * @n_past: number of services that only flows opened earlier may still be at
- * @past: numbers of those services
+ * @past: numbers of those services in the directory
  * @past_until_ns: latest time at which such a flow may still be open
  */
 struct route {
@@ -55,7 +55,7 @@
 
 /**
  * struct service_cold - limits of a service's targets after their start
- * @service: number of the service's name in the directory
+ * @service: number of the service in the directory
  * @cold_ms: time for which a target is cold
  * @flows_per_s: new flows a second that a cold target can take from all entries
  *	together; 0 when no rate is published
--- a/core/packet/publish/source.c
+++ b/core/packet/publish/source.c
@@ -104,7 +104,7 @@
 
 /**
  * source_next() - decide on the next call
- * @source: state
+ * @source: state of the reads
  * @view: input of the decision
  *
  * Return: SOURCE_WAIT when no call is due; otherwise the call to make, after
@@ -135,7 +135,7 @@
 
 /**
  * source_begin() - record that a call was started
- * @source: state
+ * @source: state of the reads
  * @step: SOURCE_LIST or SOURCE_WATCH
  */
 void source_begin(struct source *source, enum source_step step)
@@ -147,7 +147,7 @@
 
 /**
  * source_may_send() - whether to send the request over a connection just made
- * @source: state
+ * @source: state of the reads
  * @view: input of the decision
  * @connect_ns: time that the connection took
  *
@@ -164,7 +164,7 @@
 /**
  * source_cancel_listing() - end a listing that a peer's documents made
  *	unnecessary
- * @source: state
+ * @source: state of the reads
  *
  * A call for a page of it no longer counts as in progress; a watch does.
  */
@@ -211,7 +211,7 @@
 
 /**
  * source_end() - record that a call ended and schedule the next one
- * @source: state
+ * @source: state of the reads
  * @outcome: how the call ended
  * @has_more: the listing has further pages; only with SOURCE_OK
  * @changed: the answer contained changes
--- a/core/packet/publish/source.h
+++ b/core/packet/publish/source.h
@@ -27,7 +27,7 @@
 
 /**
  * struct source_view - input of the decisions
- * @policy: parameters
+ * @policy: limits and switches
  * @now_ns: current time
  * @rank: rank of this VM among the live ones of its data centre, from 0
  * @complete: revision up to which every change is known, after which a watch
--- a/test/packet_documents_test.c
+++ b/test/packet_documents_test.c
@@ -230,7 +230,7 @@
 	documents_free(s);
 }
 
-/* An acknowledged document must not be deleted because the store lost it. */
+/* An acknowledged document must not be deleted because the platform lost it. */
 static void
 test_document_lost_in_restore_is_retained_for_limited_time(void **state)
 {
@@ -270,7 +270,7 @@
 	documents_free(s);
 }
 
-/* A configuration must not go back when the store does. */
+/* A configuration must not go back when the platform is restored. */
 static void test_older_version_of_restored_copy_is_ignored(void **state)
 {
 	struct documents *s =
--- a/test/packet_peers_test.c
+++ b/test/packet_peers_test.c
@@ -177,11 +177,11 @@
 }
 
 /*
- * Changes reach a data centre late when it is cut off from the two others that
- * read for all. It must not wait for their claims to expire when no heartbeat
- * of another data centre arrives any more.
+ * Changes reach a data centre late when it is partitioned from the two others
+ * that read for all. It must not wait for their claims to expire when no
+ * heartbeat of another data centre arrives any more.
  */
-static void test_data_centre_that_is_cut_off_reads_itself(void **state)
+static void test_partitioned_data_centre_reads_itself(void **state)
 {
 	uint32_t before = 0;
 	struct net n;
@@ -212,8 +212,8 @@
 
 /*
  * After a partition the two sides never find each other again. Some VMs, seeds
- * among them, are cut off for longer than they count as live, and nobody tries
- * VMs that are not live.
+ * among them, are partitioned for longer than they count as live, and nobody
+ * tries VMs that are not live.
  */
 static void test_vms_rediscover_each_other_after_partition(void **state)
 {
@@ -241,11 +241,11 @@
 	(void)state;
 	net_open(&n);
 	net_pass(&n, 2 * NS_PER_S);
-	assert_int_equal(peer_set_platform_fault_ns(n.vm[8]), 0);
-	peer_set_note_platform_fault(n.vm[0], n.now_ns, n.now_ns);
+	assert_int_equal(peer_set_platform_failed_ns(n.vm[8]), 0);
+	peer_set_note_platform_failure(n.vm[0], n.now_ns, n.now_ns);
 	net_pass(&n, 2 * NS_PER_S);
 	for (uint32_t i = 0; i < NET_VMS; i++)
-		assert_int_not_equal(peer_set_platform_fault_ns(n.vm[i]), 0);
+		assert_int_not_equal(peer_set_platform_failed_ns(n.vm[i]), 0);
 	net_close(&n);
 }
 
@@ -269,7 +269,7 @@
 	net_close(&n);
 }
 
-/* Entries must fetch from one that has read the restored store. */
+/* Entries must fetch from one that has read the restored platform. */
 static void test_peer_of_later_epoch_is_ahead(void **state)
 {
 	struct sync_state before = { { 1, 50 }, 0, 0 };
@@ -336,8 +336,8 @@
 
 /*
  * In a large fleet an entry does not know the VMs of its data centre, reads the
- * store although another one does, and learns of changes late: thousands of VMs
- * elsewhere, named to it first, fill its table.
+ * platform although another one does, and learns of changes late: thousands of
+ * VMs elsewhere, named to it first, fill its table.
  */
 static void test_remote_peers_do_not_fill_table(void **state)
 {
@@ -409,7 +409,7 @@
 		.newest = { UINT64_MAX, UINT64_MAX },
 		.retained_digest = UINT64_MAX,
 		.epoch_age_ms = UINT32_MAX,
-		.fault_age_ms = UINT32_MAX,
+		.platform_failed_age_ms = UINT32_MAX,
 		.n_peers = HELLO_PEERS_MAX,
 		.has_loads = true,
 		.n_loads = HELLO_LOADS_MAX,
@@ -477,7 +477,7 @@
 		cmocka_unit_test(test_all_vms_discover_each_other),
 		cmocka_unit_test(test_each_data_centre_has_one_reader),
 		cmocka_unit_test(test_many_vms_agree_on_one_reader),
-		cmocka_unit_test(test_data_centre_that_is_cut_off_reads_itself),
+		cmocka_unit_test(test_partitioned_data_centre_reads_itself),
 		cmocka_unit_test(
 			test_vms_rediscover_each_other_after_partition),
 		cmocka_unit_test(test_platform_fault_reaches_all_vms),
--- a/test/read_claims_test.c
+++ b/test/read_claims_test.c
@@ -136,7 +136,7 @@
 	assert_int_equal(out[0].zone, 5);
 }
 
-/* A claim from before a restore of the store must not count forever. */
+/* A claim from before a restore of the platform must not count forever. */
 static void test_claim_of_later_epoch_wins(void **state)
 {
 	struct read_claims a = { 0 };
