--- a/test/packet_peers_test.c
+++ b/test/packet_peers_test.c
@@ -234,7 +234,7 @@
 	net_close(&n);
 }
 
-static void test_platform_fault_reaches_all_vms(void **state)
+static void test_platform_failure_reaches_all_vms(void **state)
 {
 	struct net n;
 
@@ -480,7 +480,7 @@
 		cmocka_unit_test(test_partitioned_data_centre_reads_itself),
 		cmocka_unit_test(
 			test_vms_rediscover_each_other_after_partition),
-		cmocka_unit_test(test_platform_fault_reaches_all_vms),
+		cmocka_unit_test(test_platform_failure_reaches_all_vms),
 		cmocka_unit_test(test_peer_with_newer_documents_is_found),
 		cmocka_unit_test(test_short_interval_of_lone_vm_is_limited),
 		cmocka_unit_test(test_remote_peers_do_not_fill_table),
