--- a/core/packet/link/pacer.c
+++ b/core/packet/link/pacer.c
@@ -11,18 +11,19 @@
 #define HEADER_BYTES 28
 #define COPY_ID_SEED 0x70616365ULL
 #define PERCENT 100
-/* Numbers of slots start at 1. */
-#define NO_SLOT 0
+/* Numbers of buffers start at 1; this one marks the end of a list. */
+#define NO_BUFFER 0
 
 /**
- * struct slot - storage for a queued datagram
+ * struct buffer - storage for a queued datagram
  * @destination: as in struct datagram
  * @copy_id: as in struct datagram
  * @n_bytes: used length of @bytes
- * @next: next slot of the same queue or of the free list, NO_SLOT at its end
+ * @next: next buffer of the same queue or of the free list, NO_BUFFER at its
+ *	end
  * @bytes: both parts of the datagram
  */
-struct slot {
+struct buffer {
 	uint64_t destination;
 	uint64_t copy_id;
 	uint32_t n_bytes;
@@ -32,8 +33,8 @@
 
 /**
  * struct queue - datagrams of one class in order of arrival
- * @first: slot of the oldest, NO_SLOT when empty
- * @last: slot of the newest
+ * @first: buffer of the oldest, NO_BUFFER when empty
+ * @last: buffer of the newest
  * @bytes: total size, headers included
  */
 struct queue {
@@ -47,22 +48,22 @@
  * @bytes_per_s: rate at which datagrams are sent; 0 for no pacing
  * @ahead_ns: longest backlog handed to the link
  * @link_free_ns: when the link has carried all that was handed to it
- * @slots: storage for the queues, from index 1
- * @slots_max: number of @slots
- * @used: slots that were ever in use; those above have never been
- * @free_slot: first of the free list, NO_SLOT when empty
+ * @buffers: storage for the queues, from index 1
+ * @buffers_max: number of @buffers
+ * @used: buffers that were ever in use; those above have never been
+ * @free_buffer: first of the free list, NO_BUFFER when empty
  * @queued: datagrams in all queues
- * @by_copy_id: slots of queued datagrams with a copy id
+ * @by_copy_id: buffers of queued datagrams with a copy id
  * @queues: by enum pacer_class
  */
 struct pacer {
 	uint64_t bytes_per_s;
 	uint64_t ahead_ns;
 	uint64_t link_free_ns;
-	struct slot *slots;
-	uint32_t slots_max;
+	struct buffer *buffers;
+	uint32_t buffers_max;
 	uint32_t used;
-	uint32_t free_slot;
+	uint32_t free_buffer;
 	uint32_t queued;
 	struct index *by_copy_id;
 	struct queue queues[PACER_CLASS_COUNT];
@@ -84,10 +85,10 @@
 		return NULL;
 	p->bytes_per_s = link_bytes_per_s * policy->link_percent / PERCENT;
 	p->ahead_ns = policy->link_ahead_ns;
-	p->slots_max = policy->link_waiting_max;
-	p->slots = calloc(p->slots_max + 1, sizeof(*p->slots));
-	p->by_copy_id = index_new(p->slots_max + 1);
-	if (p->slots && p->by_copy_id)
+	p->buffers_max = policy->link_waiting_max;
+	p->buffers = calloc(p->buffers_max + 1, sizeof(*p->buffers));
+	p->by_copy_id = index_new(p->buffers_max + 1);
+	if (p->buffers && p->by_copy_id)
 		return p;
 	pacer_free(p);
 	return NULL;
@@ -98,7 +99,7 @@
 	if (!p)
 		return;
 	index_free(p->by_copy_id);
-	free(p->slots);
+	free(p->buffers);
 	free(p);
 }
 
@@ -176,7 +177,7 @@
 	if (!p->bytes_per_s)
 		return true;
 	for (uint32_t i = 0; i <= c; i++)
-		if (p->queues[i].first != NO_SLOT)
+		if (p->queues[i].first != NO_BUFFER)
 			return false;
 	if (!link_accepts(p, now_ns))
 		return false;
@@ -184,26 +185,26 @@
 	return true;
 }
 
-static uint32_t allocate_slot(struct pacer *p)
+static uint32_t allocate_buffer(struct pacer *p)
 {
-	uint32_t i = p->free_slot;
+	uint32_t i = p->free_buffer;
 
-	if (i != NO_SLOT) {
-		p->free_slot = p->slots[i].next;
+	if (i != NO_BUFFER) {
+		p->free_buffer = p->buffers[i].next;
 		return i;
 	}
-	return p->used < p->slots_max ? ++p->used : NO_SLOT;
+	return p->used < p->buffers_max ? ++p->used : NO_BUFFER;
 }
 
 static void append(struct pacer *p, struct queue *q, uint32_t i)
 {
-	p->slots[i].next = NO_SLOT;
-	if (q->first == NO_SLOT)
+	p->buffers[i].next = NO_BUFFER;
+	if (q->first == NO_BUFFER)
 		q->first = i;
 	else
-		p->slots[q->last].next = i;
+		p->buffers[q->last].next = i;
 	q->last = i;
-	q->bytes += p->slots[i].n_bytes + HEADER_BYTES;
+	q->bytes += p->buffers[i].n_bytes + HEADER_BYTES;
 	p->queued++;
 }
 
@@ -220,23 +221,23 @@
 int pacer_enqueue(struct pacer *p, enum pacer_class c, const struct datagram *d)
 {
 	uint32_t n_bytes = d->head_bytes + d->data_bytes;
-	struct slot *s;
+	struct buffer *b;
 	uint32_t i;
 
 	if (n_bytes > PACER_DATAGRAM_MAX_BYTES)
 		return -EMSGSIZE;
 	if (d->copy_id && index_get(p->by_copy_id, d->copy_id) != INDEX_NONE)
 		return -EALREADY;
-	i = allocate_slot(p);
-	if (i == NO_SLOT)
+	i = allocate_buffer(p);
+	if (i == NO_BUFFER)
 		return -ENOBUFS;
-	s = &p->slots[i];
-	s->destination = d->destination;
-	s->copy_id = d->copy_id;
-	s->n_bytes = n_bytes;
-	memcpy(s->bytes, d->head, d->head_bytes);
+	b = &p->buffers[i];
+	b->destination = d->destination;
+	b->copy_id = d->copy_id;
+	b->n_bytes = n_bytes;
+	memcpy(b->bytes, d->head, d->head_bytes);
 	if (d->data_bytes)
-		memcpy(s->bytes + d->head_bytes, d->data, d->data_bytes);
+		memcpy(b->bytes + d->head_bytes, d->data, d->data_bytes);
 	if (d->copy_id)
 		index_put(p->by_copy_id, d->copy_id, i);
 	append(p, &p->queues[c], i);
@@ -246,7 +247,7 @@
 static struct queue *most_urgent_queue(struct pacer *p)
 {
 	for (uint32_t i = 0; i < PACER_CLASS_COUNT; i++)
-		if (p->queues[i].first != NO_SLOT)
+		if (p->queues[i].first != NO_BUFFER)
 			return &p->queues[i];
 	return NULL;
 }
@@ -264,25 +265,25 @@
 bool pacer_dequeue(struct pacer *p, uint64_t now_ns, struct datagram *out)
 {
 	struct queue *q = most_urgent_queue(p);
-	struct slot *s;
+	struct buffer *b;
 	uint32_t i;
 
 	if (!q || !link_accepts(p, now_ns))
 		return false;
 	i = q->first;
-	s = &p->slots[i];
-	q->first = s->next;
-	q->bytes -= s->n_bytes + HEADER_BYTES;
-	if (s->copy_id)
-		index_del(p->by_copy_id, s->copy_id, i);
-	s->next = p->free_slot;
-	p->free_slot = i;
+	b = &p->buffers[i];
+	q->first = b->next;
+	q->bytes -= b->n_bytes + HEADER_BYTES;
+	if (b->copy_id)
+		index_del(p->by_copy_id, b->copy_id, i);
+	b->next = p->free_buffer;
+	p->free_buffer = i;
 	p->queued--;
-	pacer_charge(p, s->n_bytes, now_ns);
-	*out = (struct datagram){ .destination = s->destination,
-				  .copy_id = s->copy_id,
-				  .head = s->bytes,
-				  .head_bytes = s->n_bytes };
+	pacer_charge(p, b->n_bytes, now_ns);
+	*out = (struct datagram){ .destination = b->destination,
+				  .copy_id = b->copy_id,
+				  .head = b->bytes,
+				  .head_bytes = b->n_bytes };
 	return true;
 }
 
--- a/core/packet/target/directory.c
+++ b/core/packet/target/directory.c
@@ -107,9 +107,9 @@
  *
  * An address has one process at a time: when a later one is published there,
  * the earlier one has ended and gets no new flows. It counts as dead only after
- * it also left a packet unanswered: otherwise a foreign entry that merely names
- * the address of a target would reset all flows of that target. Entries arrive
- * in any order, so @t may be the earlier process.
+ * it also left a packet unanswered: otherwise an entry written by somebody else
+ * that merely names the address of a target would reset all its flows. Entries
+ * arrive in any order, so @t may be the earlier process.
  */
 static void claim_address(struct directory *d, struct target *t,
 			  uint64_t now_ns)
@@ -410,8 +410,8 @@
  * directory_start_times_published() - whether targets publish their start time
  * @d: directory
  *
- * Return: true when most do. An entry without a start time is then foreign and
- * gets no new flows.
+ * Return: true when most do. An entry without a start time is then taken for
+ * one that no target wrote, and gets no new flows.
  */
 bool directory_start_times_published(const struct directory *d)
 {
@@ -467,8 +467,8 @@
  * @t: target
  *
  * Return: true when it is published as serving or presumed alive, its process
- * is not known to have ended, its entry is not foreign and its data centre is
- * not evacuated.
+ * is not known to have ended, its entry has a start time if most entries have,
+ * and its data centre is not evacuated.
  */
 bool directory_is_serving(const struct directory *d, const struct target *t)
 {
--- a/core/packet/target/target.h
+++ b/core/packet/target/target.h
@@ -20,8 +20,8 @@
  *	power
  * @HEALTH_DEAD: its process has ended; another one may start under its id
  *
- * Ordered from best to worst: assign_target() prefers lower values, and from
- * HEALTH_SILENT on a target is probed periodically.
+ * Ordered from best to worst: assign_target() ranks targets by it, and a target
+ * is probed periodically from HEALTH_SILENT on.
  */
 enum target_health {
 	HEALTH_GOOD,
--- a/test/packet_cold_test.c
+++ b/test/packet_cold_test.c
@@ -33,6 +33,7 @@
 				cold_allocate(per_s, &bounds[b]);
 
 			assert_true(flows_max(&s, s.permits) <= in_a_second);
+			/* With one permit too many in use. */
 			if (in_a_second >= 2)
 				assert_true(flows_max(&s, s.permits + 1) <=
 					    in_a_second + 0.01f);
@@ -67,11 +68,11 @@
 static struct target *start_target(struct bed *b, uint64_t id, uint32_t cold_ms)
 {
 	struct target *t = bed_target(b, id, SERVICE, ZONE);
-	struct target_advertisement news = t->advertised;
+	struct target_advertisement update = t->advertised;
 
-	news.cold_ms = cold_ms;
-	news.sequence++;
-	return bed_publish(b, &news);
+	update.cold_ms = cold_ms;
+	update.sequence++;
+	return bed_publish(b, &update);
 }
 
 static uint32_t open_flows(struct bed *b, uint32_t flows, uint64_t id)
