--- a/core/member/member_gossip.c
+++ b/core/member/member_gossip.c
@@ -58,9 +58,9 @@
 /*
  * A member that refuted its suspicion in time for others, but too late for this
  * entry, does not know that it was dead here and has to be notified. A death
- * that was declared without a majority is not reported: an entry that was cut
- * off from all others granted nothing without them, and its notifications would
- * make the whole fleet validate its view again.
+ * that was declared without a majority is not reported: an entry that was
+ * partitioned from all others granted nothing without them, and its
+ * notifications would make all entries validate their views again.
  */
 static void record_unreported_death(struct membership *m, uint32_t i,
 				    const struct gossip *g)
--- a/core/member/member_impl.h
+++ b/core/member/member_impl.h
@@ -116,8 +116,8 @@
  * @n_probes: their number
  * @seq: sequence number of the last probe
  * @run_deadline_ns: when a tick comes later than this, the process was paused
- * @ack_deadline_ns: unless a later ping is acked, this entry is cut off from
- *	then
+ * @ack_deadline_ns: unless a later ping is acked, this entry is partitioned
+ *	from then on
  * @round_deadline_ns: next round of probes
  * @push_deadline_ns: next push of updates, or DEADLINE_NEVER_NS
  * @sync_deadline_ns: when a view still differs then, it is requested whole
--- a/core/member/member_lease.c
+++ b/core/member/member_lease.c
@@ -73,11 +73,11 @@
 }
 
 /*
- * Cut off from the others: no ack for as long as it takes them to declare this
- * entry dead, or acks of less than half of the probes, as on the smaller side
- * of a partition.
+ * Partitioned from the others: no ack for as long as it takes them to declare
+ * this entry dead, or acks of less than half of the probes, as on the smaller
+ * side of a partition.
  */
-static bool is_cut_off(const struct membership *m, uint64_t now_ns)
+static bool is_partitioned(const struct membership *m, uint64_t now_ns)
 {
 	uint32_t mask = (1U << m->n_outcomes) - 1;
 	uint32_t answered = __builtin_popcount(m->outcomes & mask);
@@ -129,5 +129,5 @@
 	if (m->majority && now_ns < m->majority_valid_from_ns)
 		return false;
 	return now_ns < m->run_deadline_ns && is_validated(m) &&
-	       !is_cut_off(m, now_ns);
+	       !is_partitioned(m, now_ns);
 }
--- a/core/member/peer.h
+++ b/core/member/peer.h
@@ -95,7 +95,7 @@
  * @state: enum claim_state
  * @granted: in a grant: the claimer may run the request
  * @covered: in a grant: the granter has every claim of the bucket whose request
- *	a caller may still repeat
+ *	a caller may still retransmit
  * @slot: request slot at the claimer itself; not encoded
  */
 struct claim {
--- a/core/member/ring.c
+++ b/core/member/ring.c
@@ -30,7 +30,7 @@
  * @self: address of this VM
  * @settle_ns: least time between two changes of a bucket's pair; has to be
  *	longer than membership updates take to reach all entries
- * @cover_ns: longest time over which a caller repeats a request
+ * @cover_ns: longest time over which a caller retransmits a request
  * @observer: callback for changes, called by ring_update()
  *
  * Return: ring, to be freed with ring_free(); NULL when memory is short.
@@ -223,8 +223,8 @@
  * @now_ns: current time
  *
  * An entry that starts assigns its buckets at once; a running one changes a
- * member per settle time. While views change fast, as when a fleet starts, the
- * two can have pairs without a common member, and both would be granted a
+ * member per settle time. While views change fast, as when all entries start,
+ * the two can have pairs without a common member, and both would be granted a
  * claim. Two settled pairs without a common member would need views that differ
  * for longer than updates take to arrive.
  *
@@ -242,7 +242,7 @@
 
 /**
  * ring_is_covered() - whether this entry has every claim of a bucket whose
- *	request a caller may still repeat
+ *	request a caller may still retransmit
  * @r: ring
  * @bucket: index of the bucket
  * @now_ns: current time
@@ -276,7 +276,7 @@
  *
  * To be called when this entry learns that others had declared it dead, for
  * example during a pause. Its own pairs have not changed, but claims were made
- * without it, and it would treat a repeat of such a request as new.
+ * without it, and it would treat a retransmission of such a request as new.
  */
 void ring_reset_cover(struct ring *r, uint64_t now_ns)
 {
--- a/test/member_prop.cc
+++ b/test/member_prop.cc
@@ -143,12 +143,12 @@
 	bool ok = true;
 
 	/*
-	 * Guards against running entries that stay out of the fleet, or without
-	 * a lease, until they are restarted: after any kills, pauses of 10 s,
-	 * partitions, leaves, losses and stale rosters have ended, a state must
-	 * not remain that nothing can change.
+	 * Guards against running entries that stay out of the membership, or
+	 * without a lease, until they are restarted: after any kills, pauses of
+	 * 10 s, partitions, leaves, losses and stale rosters have ended, a
+	 * state must not remain that nothing can change.
 	 */
-	ok &= rc::check("the fleet converges after faults", [] {
+	ok &= rc::check("all entries converge after faults", [] {
 		Fleet fleet(*rc::gen::inRange<uint32_t>(2, 13),
 			    *rc::gen::inRange<uint64_t>(1, 1000000));
 		struct fleet *f = fleet.f;
--- a/test/spread_prop.cc
+++ b/test/spread_prop.cc
@@ -1,5 +1,5 @@
-// Random faults and publications. Versions in force never regress at any VM, and
-// all VMs converge after the faults have ended.
+// Random faults and publications. Versions in force never regress at any VM,
+// and all VMs converge after the faults have ended.
 #include "spread_net.h"
 
 #include <rapidcheck.h>
