--- a/cmd/cb-packet/clients.c
+++ b/cmd/cb-packet/clients.c
@@ -1,6 +1,7 @@
 /*
- * Datagrams of clients: read in batches, decided on, handed to targets or
- * answered with a reset. A batch costs two system calls, not two a datagram.
+ * Datagrams of clients: received in batches, forwarded to targets or answered
+ * with a reset. recvmmsg() and sendmmsg() handle a batch with two system calls
+ * instead of two for each datagram.
  */
 #define _GNU_SOURCE
 #include "daemon.h"
@@ -13,12 +14,12 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* A burst of the whole fleet's clients for some 100 ms. */
-#define RECEIVE_BUFFER_BYTES (1 << 20)
-/* Batches read in one turn of the loop before others have theirs. */
-#define BATCHES_A_TURN 8
+/* A burst of about 100 ms from the clients of all VMs. */
+#define SOCKET_BUFFER_BYTES (1 << 20)
+/* Limits a callback, so that other handles of the loop are served too. */
+#define BATCHES_PER_CALLBACK 8
 
-static struct sockaddr_in address(uint64_t addr)
+static struct sockaddr_in sockaddr_from_addr(uint64_t addr)
 {
 	return (struct sockaddr_in){
 		.sin_family = AF_INET,
@@ -28,62 +29,68 @@
 }
 
 /**
- * clients_flush() - send what was decided
+ * clients_flush() - send the batch of outgoing datagrams
  * @d: process
+ *
+ * Datagrams that the socket doesn't accept are counted and dropped.
  */
 void clients_flush(struct packet_daemon *d)
 {
-	struct outbox *o = &d->out;
-	struct sockaddr_in to[BATCH];
-	struct iovec parts[BATCH][2];
-	struct mmsghdr messages[BATCH] = { 0 };
+	struct send_batch *batch = &d->batch;
+	struct sockaddr_in to[DATAGRAM_BATCH];
+	struct iovec parts[DATAGRAM_BATCH][2];
+	struct mmsghdr messages[DATAGRAM_BATCH] = { 0 };
 	int sent;
 
-	if (!o->n)
+	if (!batch->n)
 		return;
-	for (uint32_t i = 0; i < o->n; i++) {
-		to[i] = address(o->to[i]);
-		parts[i][0] = (struct iovec){ o->head[i], o->head_bytes[i] };
-		parts[i][1] =
-			(struct iovec){ (void *)o->data[i], o->data_bytes[i] };
+	for (uint32_t i = 0; i < batch->n; i++) {
+		to[i] = sockaddr_from_addr(batch->to[i]);
+		parts[i][0] =
+			(struct iovec){ batch->head[i], batch->head_bytes[i] };
+		parts[i][1] = (struct iovec){ (void *)batch->data[i],
+					      batch->data_bytes[i] };
 		messages[i].msg_hdr = (struct msghdr){
 			.msg_name = &to[i],
 			.msg_namelen = sizeof(to[i]),
 			.msg_iov = parts[i],
-			.msg_iovlen = o->data_bytes[i] ? 2 : 1,
+			.msg_iovlen = batch->data_bytes[i] ? 2 : 1,
 		};
 	}
-	sent = sendmmsg(d->clients_fd, messages, o->n, 0);
+	sent = sendmmsg(d->clients_fd, messages, batch->n, 0);
 	if (sent < 0)
 		sent = 0;
-	/* Nothing waits here: the link is full, and the sender repeats. */
+	/* No queue here: the link is full, and the sender retransmits. */
 	d->counters.datagrams_sent += (uint32_t)sent;
-	d->counters.datagrams_unsent += o->n - (uint32_t)sent;
-	o->n = 0;
+	d->counters.datagrams_unsent += batch->n - (uint32_t)sent;
+	batch->n = 0;
 }
 
-static uint32_t room(struct packet_daemon *d)
+static uint32_t next_batch_slot(struct packet_daemon *d)
 {
-	if (d->out.n == BATCH)
+	if (d->batch.n == DATAGRAM_BATCH)
 		clients_flush(d);
-	d->out.data_bytes[d->out.n] = 0;
-	return d->out.n++;
+	d->batch.data_bytes[d->batch.n] = 0;
+	return d->batch.n++;
 }
 
-/* Without copying its data: what it points at stays until the next flush. */
-static void put(struct packet_daemon *d, const struct datagram *g)
+/*
+ * @g's data isn't copied: it has to stay valid until the next
+ * clients_flush().
+ */
+static void batch_add(struct packet_daemon *d, const struct datagram *g)
 {
-	uint32_t i = room(d);
+	uint32_t i = next_batch_slot(d);
 
-	d->out.to[i] = g->destination;
-	memcpy(d->out.head[i], g->head, g->head_bytes);
-	d->out.head_bytes[i] = g->head_bytes;
-	d->out.data[i] = g->data;
-	d->out.data_bytes[i] = g->data_bytes;
+	d->batch.to[i] = g->destination;
+	memcpy(d->batch.head[i], g->head, g->head_bytes);
+	d->batch.head_bytes[i] = g->head_bytes;
+	d->batch.data[i] = g->data;
+	d->batch.data_bytes[i] = g->data_bytes;
 }
 
-static void hold(struct packet_daemon *d, enum pacer_class c,
-		 const struct datagram *g)
+static void enqueue(struct packet_daemon *d, enum pacer_class c,
+		    const struct datagram *g)
 {
 	int err = pacer_enqueue(d->node->pacer, c, g);
 
@@ -92,82 +99,83 @@
 	d->counters.datagrams_crowded += err && err != -EALREADY;
 }
 
-static void send_out(struct packet_daemon *d, enum pacer_class c,
-		     const struct datagram *g)
+static void send_or_enqueue(struct packet_daemon *d, enum pacer_class c,
+			    const struct datagram *g)
 {
 	uint32_t n_bytes = g->head_bytes + g->data_bytes;
 
 	if (pacer_try_send(d->node->pacer, c, n_bytes, d->now_ns))
-		put(d, g);
+		batch_add(d, g);
 	else
-		hold(d, c, g);
+		enqueue(d, c, g);
 }
 
-/* The packet goes to a target, with @name as its copies have it. */
-static void to_target(struct packet_daemon *d, const struct target *t,
-		      enum pacer_class c, uint64_t name, const uint8_t *data,
-		      uint32_t size_bytes)
+/* @copy_id is the same for all transmissions of the packet; 0 for none. */
+static void forward_to_target(struct packet_daemon *d, const struct target *t,
+			      enum pacer_class c, uint64_t copy_id,
+			      const uint8_t *data, uint32_t size_bytes)
 {
 	uint8_t head[ENVELOPE_MAX_BYTES];
 	struct datagram g = {
 		.destination = t->advertised.addr,
-		.copy_id = name,
+		.copy_id = copy_id,
 		.head = head,
 		.head_bytes = d->platform->envelope(t, head),
 		.data = data,
 		.data_bytes = size_bytes,
 	};
 
-	send_out(d, c, &g);
+	send_or_enqueue(d, c, &g);
 }
 
 static void on_pace(uv_timer_t *timer)
 {
 	struct packet_daemon *d = timer->data;
 
-	daemon_turn(d);
-	clients_pace(d);
+	daemon_begin_event(d);
+	clients_send_paced(d);
 }
 
-/* When the next of those that wait may go, the loop has to run. */
-static void wake(struct packet_daemon *d)
+/* Run again when the pacer may send its next datagram. */
+static void arm_pace_timer(struct packet_daemon *d)
 {
 	uint64_t due_ns = pacer_due_ns(d->node->pacer);
-	uint64_t in_ns = due_ns > d->now_ns ? due_ns - d->now_ns : 0;
+	uint64_t delay_ns = due_ns > d->now_ns ? due_ns - d->now_ns : 0;
 
-	if (due_ns && !uv_is_active((uv_handle_t *)&d->pace))
-		uv_timer_start(&d->pace, on_pace, in_ns / NS_PER_MS + 1, 0);
+	if (due_ns && !uv_is_active((uv_handle_t *)&d->pace_timer))
+		uv_timer_start(&d->pace_timer, on_pace,
+			       delay_ns / NS_PER_MS + 1, 0);
 }
 
 /**
- * clients_pace() - send what has waited for the link, and what was decided
+ * clients_send_paced() - send the batch and the datagrams that the pacer releases
  * @d: process
  */
-void clients_pace(struct packet_daemon *d)
+void clients_send_paced(struct packet_daemon *d)
 {
 	struct datagram g;
 
 	clients_flush(d);
 	while (pacer_dequeue(d->node->pacer, d->now_ns, &g)) {
-		uint32_t i = room(d);
+		uint32_t i = next_batch_slot(d);
 
-		d->out.to[i] = g.destination;
-		d->out.head_bytes[i] = 0;
-		d->out.data[i] = g.head;
-		d->out.data_bytes[i] = g.head_bytes;
+		d->batch.to[i] = g.destination;
+		d->batch.head_bytes[i] = 0;
+		d->batch.data[i] = g.head;
+		d->batch.data_bytes[i] = g.head_bytes;
 	}
-	clients_flush(d); /* before a place is used again */
-	wake(d);
+	clients_flush(d); /* before the pacer reuses a slot */
+	arm_pace_timer(d);
 }
 
 /**
- * clients_reset() - tell a client that its flow has ended
+ * clients_send_reset() - reset a flow at its client
  * @d: process
- * @flow: flow
- * @ack: acknowledgement that the client sent last
+ * @flow: key of the flow
+ * @ack: last acknowledgement number that the client sent
  */
-void clients_reset(struct packet_daemon *d, const struct flow_key *flow,
-		   uint32_t ack)
+void clients_send_reset(struct packet_daemon *d, const struct flow_key *flow,
+			uint32_t ack)
 {
 	uint8_t head[RESET_MAX_BYTES];
 	struct datagram g = {
@@ -178,46 +186,46 @@
 	};
 
 	d->counters.resets++;
-	send_out(d, PACER_CONTROL, &g);
+	send_or_enqueue(d, PACER_CONTROL, &g);
 }
 
 /**
- * clients_send() - hand a packet that has waited to its flow's target
- * @ctx: process
- * @f: flow
- * @bytes: packet, valid during the call
- * @n_bytes: its size
+ * clients_send_queued() - forward a queued packet to the target of its flow
+ * @ctx: struct packet_daemon
+ * @f: flow, with its target
+ * @bytes: packet, valid during the call only
+ * @n_bytes: size of @bytes
  */
-void clients_send(void *ctx, const struct flow_seen *f, const uint8_t *bytes,
-		  uint32_t n_bytes)
+void clients_send_queued(void *ctx, const struct flow_seen *f,
+			 const uint8_t *bytes, uint32_t n_bytes)
 {
 	struct packet_daemon *d = ctx;
 	struct packet k;
 
 	if (d->platform->read_packet(bytes, n_bytes, &k))
 		return;
-	to_target(d, f->target, pacer_classify(&k, f->kind), pacer_copy_id(&k),
-		  bytes, n_bytes);
-	clients_flush(d); /* before @bytes go */
+	forward_to_target(d, f->target, pacer_classify(&k, f->kind),
+			  pacer_copy_id(&k), bytes, n_bytes);
+	clients_flush(d); /* @bytes become invalid */
 }
 
 /**
- * clients_again() - hand a flow's kept packet to the target that it has now
+ * clients_resend() - send the packet that is kept of a flow to its target
  * @d: process
- * @f: flow
+ * @f: flow, with its current target
  */
-void clients_again(struct packet_daemon *d, const struct flow_seen *f)
+void clients_resend(struct packet_daemon *d, const struct flow_seen *f)
 {
 	uint8_t copy[KEPT_MAX_BYTES];
 
 	memcpy(copy, f->kept, f->kept_bytes);
 	d->platform->pin(copy, f->target->cookie);
-	to_target(d, f->target, PACER_CONTROL, 0, copy, f->kept_bytes);
-	clients_flush(d); /* before @copy goes */
+	forward_to_target(d, f->target, PACER_CONTROL, 0, copy, f->kept_bytes);
+	clients_flush(d); /* @copy goes out of scope */
 }
 
-static void decide(struct packet_daemon *d, uint8_t *data, uint32_t size_bytes,
-		   uint64_t now_ns)
+static void handle_packet(struct packet_daemon *d, uint8_t *data,
+			  uint32_t size_bytes, uint64_t now_ns)
 {
 	struct packet k;
 	struct path_verdict v;
@@ -227,75 +235,80 @@
 		return;
 	}
 	node_packet(d->node, &k, now_ns, &v);
-	decisions_packet(d, &k, &v);
+	decision_log_packet(d, &k, &v);
 	if (v.action == PATH_RESET) {
-		clients_reset(d, &k.flow, v.ack);
+		clients_send_reset(d, &k.flow, v.ack);
 	} else if (v.action == PATH_FORWARD) {
 		if (k.flags & PACKET_SYN)
 			d->platform->pin(data, v.target->cookie);
-		to_target(d, v.target, pacer_classify(&k, v.kind),
-			  pacer_copy_id(&k), data, size_bytes);
+		forward_to_target(d, v.target, pacer_classify(&k, v.kind),
+				  pacer_copy_id(&k), data, size_bytes);
 	}
 }
 
-static int receive(struct packet_daemon *d, struct mmsghdr messages[BATCH],
-		   struct iovec parts[BATCH])
+static int receive_batch(struct packet_daemon *d,
+			 struct mmsghdr messages[DATAGRAM_BATCH],
+			 struct iovec parts[DATAGRAM_BATCH])
 {
-	for (uint32_t i = 0; i < BATCH; i++) {
-		parts[i] = (struct iovec){ d->rooms[i], RECEIVE_ROOM_BYTES };
+	for (uint32_t i = 0; i < DATAGRAM_BATCH; i++) {
+		parts[i] = (struct iovec){ d->receive_buffers[i],
+					   PACKET_BUFFER_BYTES };
 		messages[i].msg_hdr = (struct msghdr){ .msg_iov = &parts[i],
 						       .msg_iovlen = 1 };
 	}
-	return recvmmsg(d->clients_fd, messages, BATCH, MSG_DONTWAIT, NULL);
+	return recvmmsg(d->clients_fd, messages, DATAGRAM_BATCH, MSG_DONTWAIT,
+			NULL);
 }
 
-static void on_clients(uv_poll_t *poll, int status, int events)
+static void on_clients_readable(uv_poll_t *poll, int status, int events)
 {
 	struct packet_daemon *d = poll->data;
-	struct mmsghdr messages[BATCH];
-	struct iovec parts[BATCH];
-	uint64_t now_ns = daemon_turn(d);
-	int n = BATCH;
+	struct mmsghdr messages[DATAGRAM_BATCH];
+	struct iovec parts[DATAGRAM_BATCH];
+	uint64_t now_ns = daemon_begin_event(d);
+	int n = DATAGRAM_BATCH;
 
 	(void)status;
 	(void)events;
-	for (int turn = 0; turn < BATCHES_A_TURN && n == BATCH; turn++) {
-		n = receive(d, messages, parts);
+	for (int i_batch = 0;
+	     i_batch < BATCHES_PER_CALLBACK && n == DATAGRAM_BATCH; i_batch++) {
+		n = receive_batch(d, messages, parts);
 		for (int i = 0; i < n; i++) {
 			d->counters.datagrams++;
-			decide(d, d->rooms[i], messages[i].msg_len, now_ns);
+			handle_packet(d, d->receive_buffers[i],
+				      messages[i].msg_len, now_ns);
 		}
-		clients_pace(d);
+		clients_send_paced(d);
 	}
 }
 
 /**
- * clients_discard() - drop what waits in the socket
+ * clients_discard_received() - drop the datagrams that wait in the clients' socket
  * @d: process
  */
-void clients_discard(struct packet_daemon *d)
+void clients_discard_received(struct packet_daemon *d)
 {
-	struct mmsghdr messages[BATCH];
-	struct iovec parts[BATCH];
-	int n = BATCH;
+	struct mmsghdr messages[DATAGRAM_BATCH];
+	struct iovec parts[DATAGRAM_BATCH];
+	int n = DATAGRAM_BATCH;
 
-	while (n == BATCH) {
-		n = receive(d, messages, parts);
+	while (n == DATAGRAM_BATCH) {
+		n = receive_batch(d, messages, parts);
 		if (n > 0)
 			d->counters.datagrams_stale += (uint32_t)n;
 	}
 }
 
 /**
- * clients_open() - listen for clients
+ * clients_open() - open the socket for datagrams of clients
  * @d: process
  *
  * Return: 0 or a negative error.
  */
 int clients_open(struct packet_daemon *d)
 {
-	struct sockaddr_in at = address(d->settings.listen);
-	int buffer_bytes = RECEIVE_BUFFER_BYTES;
+	struct sockaddr_in at = sockaddr_from_addr(d->settings.listen);
+	int buffer_bytes = SOCKET_BUFFER_BYTES;
 	int fd = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
 
 	d->clients_fd = fd;
@@ -304,26 +317,28 @@
 	if (setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &buffer_bytes,
 		       sizeof(buffer_bytes)))
 		log_line(LOG_WARNING, "clients", NULL,
-			 "receive buffer stays small: %s", strerror(errno));
+			 "can't enlarge the receive buffer: %s",
+			 strerror(errno));
 	if (bind(fd, (struct sockaddr *)&at, sizeof(at)))
 		return -errno;
-	uv_poll_init(d->loop, &d->clients, fd);
-	d->clients.data = d;
-	uv_timer_init(d->loop, &d->pace);
-	d->pace.data = d;
-	return uv_poll_start(&d->clients, UV_READABLE, on_clients);
+	uv_poll_init(d->loop, &d->clients_poll, fd);
+	d->clients_poll.data = d;
+	uv_timer_init(d->loop, &d->pace_timer);
+	d->pace_timer.data = d;
+	return uv_poll_start(&d->clients_poll, UV_READABLE,
+			     on_clients_readable);
 }
 
 /**
- * clients_close() - stop listening
+ * clients_close() - close the socket and its timer
  * @d: process
  */
 void clients_close(struct packet_daemon *d)
 {
-	if (d->clients.data)
-		uv_close((uv_handle_t *)&d->clients, NULL);
-	if (d->pace.data)
-		uv_close((uv_handle_t *)&d->pace, NULL);
+	if (d->clients_poll.data)
+		uv_close((uv_handle_t *)&d->clients_poll, NULL);
+	if (d->pace_timer.data)
+		uv_close((uv_handle_t *)&d->pace_timer, NULL);
 	if (d->clients_fd > 0)
 		close(d->clients_fd);
 }
--- a/cmd/cb-packet/daemon.c
+++ b/cmd/cb-packet/daemon.c
@@ -1,3 +1,4 @@
+/* Start, timers, reload of the settings and planned stop of cb-packet. */
 #include "daemon.h"
 
 #include "log.h"
@@ -10,17 +11,25 @@
 #include <sys/stat.h>
 #include <time.h>
 
-/* Short enough for the 40 ms after which an unanswered SYN goes elsewhere. */
+/*
+ * Half of the 40 ms after which an unanswered SYN is sent to another target.
+ */
 #define TICK_MS 20
 #define LINE_BYTES 512
 #define BYTES_PER_S_PER_MBPS 125000
-/* Part of the time until it is killed that a planned stop may take; the rest is
- * for a process that is held up. */
+/*
+ * Share of the grace period, after which the process is killed, that a planned
+ * stop may take. The rest is a reserve for a process that stalls.
+ */
 #define STOP_PERCENT 75
-/* The settings may change without a signal; what is taken can wait so long. */
-#define SETTINGS_LOOK_NS (5 * NS_PER_S)
+/*
+ * The settings file may change without a signal. The settings that a reload
+ * applies are not urgent.
+ */
+#define SETTINGS_CHECK_PERIOD_NS (5 * NS_PER_S)
 
-static uint64_t boot_gap_ns(void)
+/* CLOCK_BOOTTIME counts the time that the machine is suspended. */
+static uint64_t read_total_suspended_ns(void)
 {
 	struct timespec boot, steady;
 
@@ -32,39 +41,42 @@
 }
 
 /**
- * daemon_turn() - the loop runs; to be called first in each callback that
- *	brings something from outside
+ * daemon_begin_event() - update the clock and detect a stall of the process
  * @d: process
  *
- * Return: time.
+ * Called first by each callback that handles an event from outside. After a
+ * long stall, or a suspension of the machine, the datagrams that wait in the
+ * clients' socket are discarded.
+ *
+ * Return: current time in nanoseconds (uv_hrtime()).
  */
-uint64_t daemon_turn(struct packet_daemon *d)
+uint64_t daemon_begin_event(struct packet_daemon *d)
 {
 	uint64_t now_ns = uv_hrtime();
 	uint64_t suspended_ns = 0;
-	uint64_t gap_ns = now_ns - d->turn_ns;
-	uint64_t boot_ns;
+	uint64_t gap_ns = now_ns - d->stall_checked_ns;
+	uint64_t total_ns;
 
 	d->now_ns = now_ns;
 	if (gap_ns < TICK_MS * NS_PER_MS)
 		return now_ns;
-	boot_ns = boot_gap_ns();
-	if (boot_ns > d->boot_gap_ns)
-		suspended_ns = boot_ns - d->boot_gap_ns;
-	d->boot_gap_ns = boot_ns;
-	d->turn_ns = now_ns;
+	total_ns = read_total_suspended_ns();
+	if (total_ns > d->total_suspended_ns)
+		suspended_ns = total_ns - d->total_suspended_ns;
+	d->total_suspended_ns = total_ns;
+	d->stall_checked_ns = now_ns;
 	gap_ns += suspended_ns;
 	if (node_late(d->node, gap_ns, now_ns))
-		clients_discard(d);
+		clients_discard_received(d);
 	return now_ns;
 }
 
-static uint32_t seeds(const struct packet_settings *s,
-		      uint64_t out[PACKET_SEEDS_MAX])
+static uint32_t seed_addrs(const struct packet_settings *s,
+			   uint64_t out[PACKET_SEEDS_MAX])
 {
 	uint32_t n = 0;
 
-	/* A seed names a VM; peers listen on one port everywhere. */
+	/* A seed is the address of a VM; all peers listen on the same port. */
 	for (uint32_t i = 0; i < PACKET_SEEDS_MAX; i++)
 		if (s->seeds[i])
 			out[n++] =
@@ -72,8 +84,8 @@
 	return n;
 }
 
-/* Return: when the settings file changed last; 0 when it can't be told. */
-static int64_t settings_changed_ns(const struct packet_daemon *d)
+/* Modification time of the settings file; 0 when it can't be read. */
+static int64_t read_settings_mtime_ns(const struct packet_daemon *d)
 {
 	struct stat st;
 
@@ -89,13 +101,14 @@
 	struct mistakes m = { 0 };
 	uint64_t addrs[PACKET_SEEDS_MAX];
 
-	d->settings_file_ns = settings_changed_ns(d);
+	d->settings_mtime_ns = read_settings_mtime_ns(d);
 	if (packet_settings_read(d->settings_path, &next, &m)) {
 		log_line(LOG_ERROR, "reload", d->settings_path,
-			 "refused, the settings in force stay");
+			 "invalid file, the settings in force stay");
 		mistakes_print(&m, stderr);
 	} else {
-		peer_set_set_seeds(d->node->peers, addrs, seeds(&next, addrs));
+		peer_set_set_seeds(d->node->peers, addrs,
+				   seed_addrs(&next, addrs));
 		d->settings.decisions_per_s = next.decisions_per_s;
 		log_open("cb-packet", &next.log);
 		log_line(LOG_INFO, "reload", d->settings_path,
@@ -110,31 +123,31 @@
 	reload(signal->data);
 }
 
-static void look_at_settings(struct packet_daemon *d, uint64_t now_ns)
+static void reload_if_changed(struct packet_daemon *d, uint64_t now_ns)
 {
-	if (now_ns < d->settings_look_ns)
+	if (now_ns < d->settings_check_ns)
 		return;
-	d->settings_look_ns = now_ns + SETTINGS_LOOK_NS;
-	if (settings_changed_ns(d) != d->settings_file_ns)
+	d->settings_check_ns = now_ns + SETTINGS_CHECK_PERIOD_NS;
+	if (read_settings_mtime_ns(d) != d->settings_mtime_ns)
 		reload(d);
 }
 
 static void on_tick(uv_timer_t *timer)
 {
 	struct packet_daemon *d = timer->data;
-	uint64_t now_ns = daemon_turn(d);
+	uint64_t now_ns = daemon_begin_event(d);
 
 	probes_tick(d, now_ns);
 	node_tick(d->node, now_ns);
-	clients_pace(d);
-	look_at_settings(d, now_ns);
+	clients_send_paced(d);
+	reload_if_changed(d, now_ns);
 	d->log_tokens += (double)d->settings.decisions_per_s * TICK_MS / 1000;
 	if (d->log_tokens > d->settings.decisions_per_s)
 		d->log_tokens = d->settings.decisions_per_s;
 	if (!node_stopped(d->node, now_ns))
 		return;
 	log_line(LOG_INFO, "stop", NULL,
-		 "after %llu ms, last datagram %llu ms ago",
+		 "exiting after %llu ms, last client packet %llu ms ago",
 		 (unsigned long long)((now_ns - d->node->stop_ns) / NS_PER_MS),
 		 (unsigned long long)((now_ns - d->node->client_ns) /
 				      NS_PER_MS));
@@ -146,20 +159,20 @@
 	struct packet_daemon *d = signal->data;
 
 	log_line(LOG_INFO, "stop", NULL,
-		 "signal %d, not ready from now, forwarding goes on", number);
-	node_stop(d->node, daemon_turn(d));
+		 "signal %d: reporting not ready, still forwarding", number);
+	node_stop(d->node, daemon_begin_event(d));
 }
 
-static void send_again(void *ctx, const struct flow_seen *f, uint8_t reason)
+static void resend_packet(void *ctx, const struct flow_seen *f, uint8_t reason)
 {
-	decisions_again(ctx, f, reason);
-	clients_again(ctx, f);
+	decision_log_resend(ctx, f, reason);
+	clients_resend(ctx, f);
 }
 
 static void reset_flow(void *ctx, const struct flow_seen *f)
 {
-	decisions_reset(ctx, f);
-	clients_reset(ctx, &f->key, f->ack);
+	decision_log_reset(ctx, f);
+	clients_send_reset(ctx, &f->key, f->ack);
 }
 
 static void write_log(void *ctx, enum node_log level, const char *step,
@@ -200,27 +213,27 @@
 	};
 	struct node_port port = {
 		.ctx = d,
-		.list = reading_list,
-		.watch = reading_watch,
-		.cancel = reading_cancel,
-		.fetch = reading_fetch,
+		.list = sync_list,
+		.watch = sync_watch,
+		.cancel = sync_cancel,
+		.fetch = sync_fetch,
 		.hello = peers_send,
 		.probe = probes_start,
-		.again = send_again,
-		.send = clients_send,
+		.again = resend_packet,
+		.send = clients_send_queued,
 		.reset = reset_flow,
-		.health = decisions_health,
+		.health = decision_log_health,
 		.decode = d->platform->read_document,
 		.log = write_log,
 	};
 
 	strcpy(conf.data_centre, d->settings.data_centre);
-	conf.n_seeds = seeds(&d->settings, conf.seeds);
+	conf.n_seeds = seed_addrs(&d->settings, conf.seeds);
 	d->node = node_new(&conf, port, now_ns);
 	return d->node ? 0 : -ENOMEM;
 }
 
-static void watch_signal(struct packet_daemon *d, uv_signal_t *s, int number,
+static void start_signal(struct packet_daemon *d, uv_signal_t *s, int number,
 			 uv_signal_cb cb)
 {
 	uv_signal_init(d->loop, s);
@@ -228,7 +241,8 @@
 	uv_signal_start(s, cb, number);
 }
 
-static int failed(const char *step, int err)
+/* Return: @err. */
+static int log_if_failed(const char *step, int err)
 {
 	if (err)
 		log_line(LOG_ERROR, step, NULL, "%s", strerror(-err));
@@ -236,36 +250,36 @@
 }
 
 /**
- * daemon_open() - start all of it
- * @d: process; settings, platform, loop and boot are set
+ * daemon_open() - open all sockets and start the timers
+ * @d: process; @settings, @settings_path, @platform, @loop and @boot are set
  *
- * Return: 0, or a negative error that was logged with its step.
+ * Return: 0, or a negative error, which has been logged with its step.
  */
 int daemon_open(struct packet_daemon *d)
 {
 	int err;
 
 	signal(SIGPIPE, SIG_IGN);
-	d->now_ns = d->turn_ns = uv_hrtime();
-	d->boot_gap_ns = boot_gap_ns();
-	d->settings_file_ns = settings_changed_ns(d);
-	err = failed("start", make_node(d, d->now_ns));
+	d->now_ns = d->stall_checked_ns = uv_hrtime();
+	d->total_suspended_ns = read_total_suspended_ns();
+	d->settings_mtime_ns = read_settings_mtime_ns(d);
+	err = log_if_failed("start", make_node(d, d->now_ns));
 	if (!err)
-		err = failed("clients", clients_open(d));
+		err = log_if_failed("clients", clients_open(d));
 	if (!err)
-		err = failed("peers", peers_open(d));
+		err = log_if_failed("peers", peers_open(d));
 	if (!err)
-		err = failed("platform", reading_open(d));
+		err = log_if_failed("platform", sync_open(d));
 	if (!err)
-		err = failed("http", operators_open(d));
+		err = log_if_failed("http", operators_open(d));
 	if (err)
 		return err;
-	watch_signal(d, &d->sigterm, SIGTERM, on_stop);
-	watch_signal(d, &d->sigint, SIGINT, on_stop);
-	watch_signal(d, &d->sighup, SIGHUP, on_reload);
-	uv_timer_init(d->loop, &d->tick);
-	d->tick.data = d;
-	uv_timer_start(&d->tick, on_tick, 0, TICK_MS);
+	start_signal(d, &d->sigterm, SIGTERM, on_stop);
+	start_signal(d, &d->sigint, SIGINT, on_stop);
+	start_signal(d, &d->sighup, SIGHUP, on_reload);
+	uv_timer_init(d->loop, &d->tick_timer);
+	d->tick_timer.data = d;
+	uv_timer_start(&d->tick_timer, on_tick, 0, TICK_MS);
 	return 0;
 }
 
@@ -276,17 +290,17 @@
 }
 
 /**
- * daemon_close() - end all of it, also after a daemon_open() that failed
- * @d: process
+ * daemon_close() - close all handles and free the entry
+ * @d: process, also when daemon_open() failed
  */
 void daemon_close(struct packet_daemon *d)
 {
-	close_handle((uv_handle_t *)&d->tick);
+	close_handle((uv_handle_t *)&d->tick_timer);
 	close_handle((uv_handle_t *)&d->sigterm);
 	close_handle((uv_handle_t *)&d->sigint);
 	close_handle((uv_handle_t *)&d->sighup);
 	operators_close(d);
-	reading_close(d);
+	sync_close(d);
 	probes_close(d);
 	peers_close(d);
 	clients_close(d);
--- a/cmd/cb-packet/daemon.h
+++ b/cmd/cb-packet/daemon.h
@@ -1,6 +1,6 @@
 /*
- * cb-packet: carries opaque flows of one VM to their targets. One loop, one
- * thread; each file below owns its sockets.
+ * cb-packet: forwards opaque flows that arrive at one VM to their targets. The
+ * process has one thread and one loop; each file below owns its sockets.
  */
 #ifndef CB_PACKET_DAEMON_H
 #define CB_PACKET_DAEMON_H
@@ -13,11 +13,13 @@
 
 #include <uv.h>
 
-#define BATCH 64
-#define RECEIVE_ROOM_BYTES 1536
+/* Datagrams of one recvmmsg() or sendmmsg(). */
+#define DATAGRAM_BATCH 64
+/* Size of a receive buffer; longer datagrams are truncated. */
+#define PACKET_BUFFER_BYTES 1536
 #define PROBES_MAX 64
 
-/* Counters that no module of the core keeps; docs/OPERATIONS.md names each. */
+/* Counters of the daemon itself; docs/OPERATIONS.md explains each. */
 #define PACKET_COUNTERS(X)     \
 	X(datagrams)           \
 	X(datagrams_malformed) \
@@ -42,48 +44,93 @@
 #undef X
 };
 
-/* Datagrams on their way out. */
-struct outbox {
+/**
+ * struct send_batch - outgoing datagrams that clients_flush() sends
+ * @n: number of datagrams
+ * @to: their destinations
+ * @head: first part of each, copied
+ * @head_bytes: size of each first part
+ * @data: second part of each, not copied
+ * @data_bytes: size of each second part, 0 for none
+ */
+struct send_batch {
 	uint32_t n;
-	uint64_t to[BATCH];
-	uint8_t head[BATCH][RESET_MAX_BYTES];
-	uint32_t head_bytes[BATCH];
-	const uint8_t *data[BATCH];
-	uint32_t data_bytes[BATCH];
+	uint64_t to[DATAGRAM_BATCH];
+	uint8_t head[DATAGRAM_BATCH][RESET_MAX_BYTES];
+	uint32_t head_bytes[DATAGRAM_BATCH];
+	const uint8_t *data[DATAGRAM_BATCH];
+	uint32_t data_bytes[DATAGRAM_BATCH];
 };
 
-/*
- * Everything that is published, encoded, for VMs that know nothing: when all
- * start at once hundreds ask the first that knows, and it would encode all of
- * it for each.
+/**
+ * struct relay_cache - encoded documents for peers
+ * @body: all documents, for peers that have none; NULL before the first request
+ * @change_count: documents_change_count() when @body was encoded
+ * @delta: encoded difference of the document that was requested last
+ *
+ * When all entries start at once, hundreds of them request all documents from
+ * the first entry that has them. It encodes them once, not once for each peer.
  */
 struct relay_cache {
 	GString *body;
-	uint64_t changes;
+	uint64_t change_count;
 	struct relay_delta delta;
 };
 
+/**
+ * struct probe - a connection to a target, see probes.c
+ * @tcp: connection; its handle's data is the probe
+ * @connect: connection request
+ * @daemon: process
+ * @target: process of the target that is probed
+ * @start_ns: when the connection was started
+ * @deadline_ns: when probes_tick() acts on it next
+ * @reported_silent: the first timeout has passed and was reported
+ * @closing: the probe has left the daemon's table and is freed when @tcp is
+ *	closed
+ */
 struct probe {
 	uv_tcp_t tcp;
 	uv_connect_t connect;
 	struct packet_daemon *daemon;
-	struct incarnation who;
-	uint64_t since_ns;
+	struct incarnation target;
+	uint64_t start_ns;
 	uint64_t deadline_ns;
-	bool late;
-	bool judged;
+	bool reported_silent;
+	bool closing;
 };
 
 /**
  * struct packet_daemon - the process
- * @boot: number of this process
- * @now_ns: when the loop last brought something from outside
- * @turn_ns: last time that the loop ran
- * @boot_gap_ns: CLOCK_BOOTTIME beyond the steady clock; grows when the machine
- *	was suspended
- * @settings_file_ns: when the settings file read last was written
- * @settings_look_ns: when to look at it next
- * @log_tokens: lines about single flows that may be logged now
+ * @settings_path: path of the settings file
+ * @settings: settings in force
+ * @platform: formats and paths of the platform
+ * @loop: the only loop
+ * @counters: counters that no module of core/ keeps
+ * @node: decisions of this entry
+ * @boot: number of this process, differs from that of earlier processes
+ * @now_ns: time of the last event from outside
+ * @stall_checked_ns: time of the last check for a stall
+ * @total_suspended_ns: total time that the machine has been suspended
+ * @settings_mtime_ns: modification time of the settings file that was read last
+ * @settings_check_ns: when to check the modification time next
+ * @log_tokens: decisions that may be logged now
+ * @exit_code: exit code of the process
+ * @tick_timer: runs node_tick()
+ * @clients_fd: socket for clients and targets
+ * @clients_poll: reports that @clients_fd is readable
+ * @pace_timer: expires when the pacer may send its next datagram
+ * @receive_buffers: datagrams of the last recvmmsg()
+ * @batch: datagrams for the next sendmmsg()
+ * @peer_socket: heartbeats
+ * @peer_buffer: heartbeat that is being received
+ * @platform_client: HTTP client for the platform
+ * @peer_client: HTTP client for documents of peers
+ * @fetch_peer: address of the peer that is asked by @peer_client
+ * @probes: probes in progress; NULL where a slot is free
+ * @relay: encoded documents
+ * @http: server for operators and peers
+ * @ready_http: server for the platform's readiness checks
  */
 struct packet_daemon {
 	const char *settings_path;
@@ -94,30 +141,30 @@
 	struct node *node;
 	uint64_t boot;
 	uint64_t now_ns;
-	uint64_t turn_ns;
-	uint64_t boot_gap_ns;
-	int64_t settings_file_ns;
-	uint64_t settings_look_ns;
+	uint64_t stall_checked_ns;
+	uint64_t total_suspended_ns;
+	int64_t settings_mtime_ns;
+	uint64_t settings_check_ns;
 	double log_tokens;
 	int exit_code;
 
-	uv_timer_t tick;
+	uv_timer_t tick_timer;
 	uv_signal_t sigterm;
 	uv_signal_t sigint;
 	uv_signal_t sighup;
 
 	int clients_fd;
-	uv_poll_t clients;
-	uv_timer_t pace;
-	uint8_t rooms[BATCH][RECEIVE_ROOM_BYTES];
-	struct outbox out;
+	uv_poll_t clients_poll;
+	uv_timer_t pace_timer;
+	uint8_t receive_buffers[DATAGRAM_BATCH][PACKET_BUFFER_BYTES];
+	struct send_batch batch;
 
-	uv_udp_t peers;
-	uint8_t peer_room[RECEIVE_ROOM_BYTES];
+	uv_udp_t peer_socket;
+	uint8_t peer_buffer[PACKET_BUFFER_BYTES];
 
-	struct http_caller *platform_caller;
-	struct http_caller *peer_caller;
-	uint64_t peer_call_from;
+	struct http_caller *platform_client;
+	struct http_caller *peer_client;
+	uint64_t fetch_peer;
 
 	struct probe *probes[PROBES_MAX];
 
@@ -126,22 +173,22 @@
 	struct http_server *ready_http;
 };
 
-/* daemon.c */
+/* daemon.c: start, timers, signals, stop. */
 int daemon_open(struct packet_daemon *d);
 void daemon_close(struct packet_daemon *d);
-uint64_t daemon_turn(struct packet_daemon *d);
+uint64_t daemon_begin_event(struct packet_daemon *d);
 
-/* clients.c: datagrams of clients, to targets, resets. */
+/* clients.c: datagrams from clients and to targets, and resets. */
 int clients_open(struct packet_daemon *d);
 void clients_close(struct packet_daemon *d);
-void clients_discard(struct packet_daemon *d);
+void clients_discard_received(struct packet_daemon *d);
 void clients_flush(struct packet_daemon *d);
-void clients_pace(struct packet_daemon *d);
-void clients_reset(struct packet_daemon *d, const struct flow_key *flow,
-		   uint32_t ack);
-void clients_send(void *ctx, const struct flow_seen *f, const uint8_t *bytes,
-		  uint32_t n_bytes);
-void clients_again(struct packet_daemon *d, const struct flow_seen *f);
+void clients_send_paced(struct packet_daemon *d);
+void clients_send_reset(struct packet_daemon *d, const struct flow_key *flow,
+			uint32_t ack);
+void clients_send_queued(void *ctx, const struct flow_seen *f,
+			 const uint8_t *bytes, uint32_t n_bytes);
+void clients_resend(struct packet_daemon *d, const struct flow_seen *f);
 
 /* peers.c: heartbeats. */
 int peers_open(struct packet_daemon *d);
@@ -149,29 +196,29 @@
 void peers_send(void *ctx, const uint64_t *to, uint32_t n,
 		const struct hello *h);
 
-/* reading.c: the platform and the peers' documents. */
-int reading_open(struct packet_daemon *d);
-void reading_close(struct packet_daemon *d);
-void reading_list(void *ctx, const char *after_key, bool exact);
-void reading_watch(void *ctx, uint64_t after, uint64_t wait_ns);
-void reading_cancel(void *ctx);
-void reading_fetch(void *ctx, uint64_t peer, struct position after);
+/* sync.c: documents of the platform and of peers. */
+int sync_open(struct packet_daemon *d);
+void sync_close(struct packet_daemon *d);
+void sync_list(void *ctx, const char *after_key, bool exact);
+void sync_watch(void *ctx, uint64_t after, uint64_t wait_ns);
+void sync_cancel(void *ctx);
+void sync_fetch(void *ctx, uint64_t peer, struct position after);
 
-/* probes.c: connection attempts to targets. */
+/* probes.c: connections that test whether a target is running. */
 void probes_start(void *ctx, const struct target *t);
 void probes_tick(struct packet_daemon *d, uint64_t now_ns);
 void probes_close(struct packet_daemon *d);
 
-/* operators.c: HTTP. */
+/* operators.c: HTTP servers. */
 int operators_open(struct packet_daemon *d);
 void operators_close(struct packet_daemon *d);
 
-/* decisions.c: log lines about flows and targets. */
-void decisions_packet(struct packet_daemon *d, const struct packet *k,
-		      const struct path_verdict *v);
-void decisions_health(void *ctx, const struct target *t, uint8_t before);
-void decisions_reset(struct packet_daemon *d, const struct flow_seen *f);
-void decisions_again(struct packet_daemon *d, const struct flow_seen *f,
-		     uint8_t reason);
+/* decision_log.c: log lines about flows and targets. */
+void decision_log_packet(struct packet_daemon *d, const struct packet *k,
+			 const struct path_verdict *v);
+void decision_log_health(void *ctx, const struct target *t, uint8_t before);
+void decision_log_reset(struct packet_daemon *d, const struct flow_seen *f);
+void decision_log_resend(struct packet_daemon *d, const struct flow_seen *f,
+			 uint8_t reason);
 
 #endif
--- a/cmd/cb-packet/main.c
+++ b/cmd/cb-packet/main.c
@@ -1,4 +1,4 @@
-/* cb-packet: carries opaque flows of one VM to their targets. */
+/* cb-packet: forwards opaque flows that arrive at one VM to their targets. */
 #include "daemon.h"
 
 #include "daemon_args.h"
@@ -10,8 +10,8 @@
 
 #define VERSION "0.1.0"
 
-/* Tells this process from an earlier one at its address; not a time. */
-static uint64_t boot_number(const struct packet_settings *s)
+/* Distinguishes this process from earlier ones at its address; not a time. */
+static uint64_t make_boot_number(const struct packet_settings *s)
 {
 	struct timespec t = { 0 };
 
@@ -28,7 +28,7 @@
 	if (!d->loop)
 		return DAEMON_FAULT;
 	d->platform = users_platform();
-	d->boot = boot_number(&d->settings);
+	d->boot = make_boot_number(&d->settings);
 	if (daemon_open(d)) {
 		d->exit_code = DAEMON_FAULT;
 	} else {
@@ -42,9 +42,9 @@
 	return d->exit_code;
 }
 
-static int with_settings(const char *path, bool check)
+static int run_with_settings(const char *path, bool check)
 {
-	/* Large for a stack: it holds the room for a batch of datagrams. */
+	/* Too large for the stack: it contains buffers for a batch of datagrams. */
 	struct packet_daemon *d = calloc(1, sizeof(*d));
 	struct mistakes m = { 0 };
 	int code = DAEMON_USAGE;
@@ -69,7 +69,7 @@
 	static const struct daemon_about about = {
 		"cb-packet", VERSION,
 		"Carries opaque flows of one VM to their targets.",
-		with_settings
+		run_with_settings
 	};
 
 	return daemon_args(&about, argc, argv);
--- a/cmd/cb-packet/operators.c
+++ b/cmd/cb-packet/operators.c
@@ -1,4 +1,7 @@
-/* HTTP: readiness for the platform, documents for peers, the rest for people. */
+/*
+ * HTTP servers: readiness for the platform, documents for peers, and status,
+ * metrics and explanations for operators.
+ */
 #include "daemon.h"
 
 #include "histogram_text.h"
@@ -7,12 +10,12 @@
 
 #include <string.h>
 
-#define OK 200
-#define BAD_REQUEST 400
-#define NOT_FOUND 404
-#define UNAVAILABLE 503
+#define HTTP_OK 200
+#define HTTP_BAD_REQUEST 400
+#define HTTP_NOT_FOUND 404
+#define HTTP_UNAVAILABLE 503
 
-static int answer_ready(void *ctx, struct http_request *req, const char *method,
+static int handle_ready(void *ctx, struct http_request *req, const char *method,
 			const char *path, const char *query, const GString *in,
 			GString *body)
 {
@@ -24,8 +27,8 @@
 	(void)in;
 	(void)body;
 	if (strcmp(path, d->platform->ready_path))
-		return NOT_FOUND;
-	return d->node->ready ? OK : UNAVAILABLE;
+		return HTTP_NOT_FOUND;
+	return d->node->ready ? HTTP_OK : HTTP_UNAVAILABLE;
 }
 
 static void counter(GString *out, const char *name, uint64_t value)
@@ -39,7 +42,7 @@
 	g_string_append_printf(out, "cb_packet_%s %g\n", name, value);
 }
 
-static void write_times(const struct packet_daemon *d, GString *out)
+static void write_latencies(const struct packet_daemon *d, GString *out)
 {
 	static const char *const labels[ROUTE_KINDS] = {
 		[ROUTE_FEED] = "class=\"feed\"",
@@ -78,7 +81,7 @@
 			"%" G_GUINT64_FORMAT "\n",
 			path_reason_names[i], reasons[i]);
 	counter(out, "log_lines_lost", log_lost());
-	write_times(d, out);
+	write_latencies(d, out);
 	gauge(out, "flows", path_flows(d->node->path));
 	gauge(out, "waiting", path_waiting(d->node->path));
 	gauge(out, "link_waiting", pacer_queue_length(d->node->pacer));
@@ -118,7 +121,7 @@
 		cold_ns && t->has_cold_permit);
 }
 
-/* What limits the requests that go to each service. */
+/* Limits of the requests to each service. */
 static void write_limits(const struct packet_daemon *d, GString *out)
 {
 	for (uint32_t i = 0; i < directory_service_count(d->node->directory);
@@ -147,14 +150,14 @@
 {
 	const struct route_table *table =
 		directory_route_table(d->node->directory);
-	struct position through = documents_synced(d->node->documents);
+	struct position synced = documents_synced(d->node->documents);
 	char addr[32];
 
 	g_string_append_printf(
 		out, "ready %u configuration %llu epoch %llu revision %llu\n",
 		d->node->ready, table ? (unsigned long long)table->version : 0,
-		(unsigned long long)through.epoch,
-		(unsigned long long)through.revision);
+		(unsigned long long)synced.epoch,
+		(unsigned long long)synced.revision);
 	for (uint32_t i = 0; i < peer_set_count(d->node->peers); i++) {
 		const struct peer_vm *p = peer_set_at(d->node->peers, i);
 
@@ -196,7 +199,7 @@
 	g_string_append_c(out, '\n');
 }
 
-/* Where a flow goes, and what speaks for it. */
+/* Route, state and target of the flow that the query names. */
 static int write_explanation(const struct packet_daemon *d, const char *query,
 			     GString *out)
 {
@@ -210,7 +213,7 @@
 	    !http_query(query, "vip", vip, sizeof(vip)) ||
 	    addr_parse(caller, &key.caller) || addr_parse(vip, &key.vip)) {
 		g_string_append(out, "expected caller=IP:PORT&vip=IP:PORT\n");
-		return BAD_REQUEST;
+		return HTTP_BAD_REQUEST;
 	}
 	r = route_table_find(directory_route_table(d->node->directory),
 			     key.vip);
@@ -221,17 +224,17 @@
 	f = path_flow(d->node->path, &key);
 	if (!f) {
 		g_string_append(out, "flow not seen here of late\n");
-		return OK;
+		return HTTP_OK;
 	}
 	g_string_append_printf(
 		out, "flow %s busy %u waits %u seen_ms_ago %llu\n",
 		stages[f->stage], f->busy, f->waiting != 0,
 		(unsigned long long)((uv_hrtime() - f->seen_ns) / NS_PER_MS));
 	write_target(d, f->target, out);
-	return OK;
+	return HTTP_OK;
 }
 
-static uint64_t asked_number(const char *query, const char *name)
+static uint64_t query_u64(const char *query, const char *name)
 {
 	char text[32] = "0";
 
@@ -242,11 +245,11 @@
 static void write_documents(struct packet_daemon *d, const char *query,
 			    GString *out)
 {
-	struct position after = { asked_number(query, "epoch"),
-				  asked_number(query, "after") };
-	struct relay_base base = { asked_number(query, "key"),
-				   { asked_number(query, "since_epoch"),
-				     asked_number(query, "since") } };
+	struct position after = { query_u64(query, "epoch"),
+				  query_u64(query, "after") };
+	struct relay_base base = { query_u64(query, "key"),
+				   { query_u64(query, "since_epoch"),
+				     query_u64(query, "since") } };
 	const struct documents *s = d->node->documents;
 	struct relay_cache *c = &d->relay;
 
@@ -254,18 +257,18 @@
 		relay_encode(s, after, &base, &c->delta, out);
 		return;
 	}
-	if (!c->body || c->changes != documents_change_count(s)) {
+	if (!c->body || c->change_count != documents_change_count(s)) {
 		if (!c->body)
 			c->body = g_string_new(NULL);
 		relay_encode(s, after, &base, &c->delta, c->body);
-		c->changes = documents_change_count(s);
+		c->change_count = documents_change_count(s);
 	}
 	g_string_append_len(out, c->body->str, (gssize)c->body->len);
 }
 
-static int answer(void *ctx, struct http_request *req, const char *method,
-		  const char *path, const char *query, const GString *in,
-		  GString *body)
+static int handle_request(void *ctx, struct http_request *req,
+			  const char *method, const char *path,
+			  const char *query, const GString *in, GString *body)
 {
 	struct packet_daemon *d = ctx;
 
@@ -283,28 +286,32 @@
 	} else if (!strcmp(path, "/explain")) {
 		return write_explanation(d, query, body);
 	} else {
-		return NOT_FOUND;
+		return HTTP_NOT_FOUND;
 	}
-	return OK;
+	return HTTP_OK;
 }
 
 /**
- * operators_open() - serve HTTP
+ * operators_open() - open the HTTP servers
  * @d: process
  *
  * Return: 0 or a negative error.
  */
 int operators_open(struct packet_daemon *d)
 {
-	struct http_handler all = { d, answer };
-	struct http_handler ready = { d, answer_ready };
-	int err = http_open(d->loop, d->settings.http, all, &d->http);
+	struct http_handler pages = { d, handle_request };
+	struct http_handler ready = { d, handle_ready };
+	int err = http_open(d->loop, d->settings.http, pages, &d->http);
 
 	if (err)
 		return err;
 	return http_open(d->loop, d->settings.ready, ready, &d->ready_http);
 }
 
+/**
+ * operators_close() - close the HTTP servers and free the cached documents
+ * @d: process
+ */
 void operators_close(struct packet_daemon *d)
 {
 	if (d->http)
--- a/cmd/cb-packet/peers.c
+++ b/cmd/cb-packet/peers.c
@@ -1,4 +1,4 @@
-/* Heartbeats between the entries, over UDP. */
+/* Heartbeats between the entries (struct hello), over UDP. */
 #include "daemon.h"
 
 #include "hello_codec.h"
@@ -16,17 +16,18 @@
 		.sin_addr.s_addr = htonl(ADDR_IP(addr)),
 	};
 
-	/* Lost ones are made up for by the next. */
-	if (uv_udp_try_send(&d->peers, &buf, 1, (struct sockaddr *)&to) >= 0)
+	/* A lost heartbeat is replaced by the next one. */
+	if (uv_udp_try_send(&d->peer_socket, &buf, 1, (struct sockaddr *)&to) >=
+	    0)
 		d->counters.hellos_sent++;
 	pacer_charge(d->node->pacer, size_bytes, d->now_ns);
 }
 
 /**
- * peers_send() - send a heartbeat
- * @ctx: process
- * @to: addresses
- * @n: how many
+ * peers_send() - send a heartbeat to several peers
+ * @ctx: struct packet_daemon
+ * @to: addresses of the peers
+ * @n: number of addresses
  * @h: heartbeat
  */
 void peers_send(void *ctx, const uint64_t *to, uint32_t n,
@@ -45,10 +46,10 @@
 	struct packet_daemon *d = handle->data;
 
 	(void)suggested;
-	*buf = uv_buf_init((char *)d->peer_room, RECEIVE_ROOM_BYTES);
+	*buf = uv_buf_init((char *)d->peer_buffer, PACKET_BUFFER_BYTES);
 }
 
-static uint64_t sender(const struct sockaddr *from)
+static uint64_t sender_addr(const struct sockaddr *from)
 {
 	const struct sockaddr_in *in = (const struct sockaddr_in *)from;
 
@@ -63,19 +64,19 @@
 
 	if (n <= 0 || !from || flags & UV_UDP_PARTIAL)
 		return;
-	/* A heartbeat speaks for the VM that sent it, and for no other. */
+	/* A heartbeat is accepted from the VM that it describes only. */
 	if (hello_decode((uint8_t *)buf->base, (uint32_t)n, &h) ||
-	    h.from != sender(from)) {
+	    h.from != sender_addr(from)) {
 		d->counters.hellos_malformed++;
 		return;
 	}
 	d->counters.hellos_received++;
-	node_hello(d->node, &h, daemon_turn(d));
-	clients_pace(d);
+	node_hello(d->node, &h, daemon_begin_event(d));
+	clients_send_paced(d);
 }
 
 /**
- * peers_open() - listen for heartbeats
+ * peers_open() - open the socket for heartbeats
  * @d: process
  *
  * Return: 0 or a negative error.
@@ -89,18 +90,19 @@
 	};
 	int err;
 
-	uv_udp_init(d->loop, &d->peers);
-	d->peers.data = d;
-	err = uv_udp_bind(&d->peers, (struct sockaddr *)&at, 0);
-	return err ? err : uv_udp_recv_start(&d->peers, on_alloc, on_hello);
+	uv_udp_init(d->loop, &d->peer_socket);
+	d->peer_socket.data = d;
+	err = uv_udp_bind(&d->peer_socket, (struct sockaddr *)&at, 0);
+	return err ? err
+		   : uv_udp_recv_start(&d->peer_socket, on_alloc, on_hello);
 }
 
 /**
- * peers_close() - stop listening
+ * peers_close() - close the socket
  * @d: process
  */
 void peers_close(struct packet_daemon *d)
 {
-	if (d->peers.data)
-		uv_close((uv_handle_t *)&d->peers, NULL);
+	if (d->peer_socket.data)
+		uv_close((uv_handle_t *)&d->peer_socket, NULL);
 }
--- a/cmd/cb-packet/probes.c
+++ b/cmd/cb-packet/probes.c
@@ -1,7 +1,7 @@
 /*
- * Connection attempts to targets that left a packet unanswered. Nothing is
- * asked: the handshake alone tells a live process from an ended one, and takes
- * no slot of the target.
+ * TCP connections to targets that left a packet unanswered. No request is sent:
+ * the handshake alone distinguishes a running process from one that has ended,
+ * and occupies no slot of the target.
  */
 #include "daemon.h"
 #include "probe_outcome.h"
@@ -14,48 +14,52 @@
 	free(handle->data);
 }
 
-static void give_back(struct packet_daemon *d, struct probe *p)
+static void release_probe(struct packet_daemon *d, struct probe *p)
 {
 	for (uint32_t i = 0; i < PROBES_MAX; i++)
 		if (d->probes[i] == p)
 			d->probes[i] = NULL;
-	p->judged = true;
+	p->closing = true;
 	uv_close((uv_handle_t *)&p->tcp, on_closed);
 }
 
-static void tell(struct packet_daemon *d, const struct incarnation *who,
-		 enum probe_outcome outcome, uint64_t since_ns)
+static void report_outcome(struct packet_daemon *d,
+			   const struct incarnation *target,
+			   enum probe_outcome outcome, uint64_t start_ns)
 {
 	d->counters.probes_refused += outcome == PROBE_REFUSED;
 	d->counters.probes_silent += outcome == PROBE_SILENT;
-	node_probed(d->node, who, outcome, since_ns, daemon_turn(d));
-	clients_pace(d);
+	node_probed(d->node, target, outcome, start_ns, daemon_begin_event(d));
+	clients_send_paced(d);
 }
 
-static void judge(struct probe *p, enum probe_outcome outcome)
+static void finish_probe(struct probe *p, enum probe_outcome outcome)
 {
 	struct packet_daemon *d = p->daemon;
-	struct incarnation who = p->who;
-	uint64_t since_ns = p->since_ns;
+	struct incarnation target = p->target;
+	uint64_t start_ns = p->start_ns;
 
-	if (p->judged)
+	if (p->closing)
 		return;
-	give_back(d, p);
-	tell(d, &who, outcome, since_ns);
+	release_probe(d, p);
+	report_outcome(d, &target, outcome, start_ns);
 }
 
-/* It takes too long: silent so far, and for good when it is over. */
-static void overdue(struct packet_daemon *d, struct probe *p)
+/*
+ * The first timeout reports the target silent, the second ends the probe. An
+ * outcome between them is still reported.
+ */
+static void handle_timeout(struct packet_daemon *d, struct probe *p)
 {
-	struct incarnation who = p->who;
+	struct incarnation target = p->target;
 
-	if (!p->late) {
-		p->late = true;
+	if (!p->reported_silent) {
+		p->reported_silent = true;
 		p->deadline_ns =
-			p->since_ns + d->settings.policy.probe_wait_max_ns;
-		tell(d, &who, PROBE_SILENT, p->since_ns);
+			p->start_ns + d->settings.policy.probe_wait_max_ns;
+		report_outcome(d, &target, PROBE_SILENT, p->start_ns);
 	} else {
-		give_back(d, p);
+		release_probe(d, p);
 	}
 }
 
@@ -64,10 +68,10 @@
 	struct probe *p = connect->data;
 
 	if (status != UV_ECANCELED)
-		judge(p, probe_outcome(status));
+		finish_probe(p, probe_outcome(status));
 }
 
-static uint32_t free_place(const struct packet_daemon *d)
+static uint32_t find_free_slot(const struct packet_daemon *d)
 {
 	uint32_t i = 0;
 
@@ -76,73 +80,79 @@
 	return i;
 }
 
-/* Of those that were told silent nobody waits for the answer. */
-static uint32_t place_for_one(struct packet_daemon *d)
+/*
+ * Ends probes that have been reported silent until a slot is free. Return:
+ * PROBES_MAX when there is none.
+ */
+static uint32_t make_free_slot(struct packet_daemon *d)
 {
-	for (uint32_t i = 0; free_place(d) == PROBES_MAX && i < PROBES_MAX; i++)
-		if (d->probes[i]->late)
-			give_back(d, d->probes[i]);
-	return free_place(d);
+	for (uint32_t i = 0; find_free_slot(d) == PROBES_MAX && i < PROBES_MAX;
+	     i++)
+		if (d->probes[i]->reported_silent)
+			release_probe(d, d->probes[i]);
+	return find_free_slot(d);
 }
 
 /**
- * probes_start() - try to connect to a target
- * @ctx: process
+ * probes_start() - start a connection to a target
+ * @ctx: struct packet_daemon
  * @t: target
+ *
+ * The outcome goes to node_probed(); it is inconclusive when no slot is free.
  */
 void probes_start(void *ctx, const struct target *t)
 {
 	struct packet_daemon *d = ctx;
-	uint32_t place = place_for_one(d);
-	struct probe *p = place < PROBES_MAX ? calloc(1, sizeof(*p)) : NULL;
+	uint32_t slot = make_free_slot(d);
+	struct probe *p = slot < PROBES_MAX ? calloc(1, sizeof(*p)) : NULL;
 	struct sockaddr_in to = {
 		.sin_family = AF_INET,
 		.sin_port = htons(ADDR_PORT(t->advertised.addr)),
 		.sin_addr.s_addr = htonl(ADDR_IP(t->advertised.addr)),
 	};
-	struct incarnation who = target_incarnation(t);
+	struct incarnation target = target_incarnation(t);
 	int err;
 
 	if (!p) {
-		node_probed(d->node, &who, PROBE_INCONCLUSIVE, d->now_ns,
+		node_probed(d->node, &target, PROBE_INCONCLUSIVE, d->now_ns,
 			    d->now_ns);
 		return;
 	}
 	d->counters.probes++;
-	d->probes[place] = p;
+	d->probes[slot] = p;
 	p->daemon = d;
-	p->who = who;
-	p->since_ns = uv_hrtime();
+	p->target = target;
+	p->start_ns = uv_hrtime();
 	p->deadline_ns =
-		p->since_ns + path_probe_wait_ns(d->node->path, p->since_ns);
+		p->start_ns + path_probe_wait_ns(d->node->path, p->start_ns);
 	uv_tcp_init(d->loop, &p->tcp);
 	p->tcp.data = p;
 	p->connect.data = p;
 	err = uv_tcp_connect(&p->connect, &p->tcp, (struct sockaddr *)&to,
 			     on_connect);
 	if (err)
-		judge(p, probe_outcome(err));
+		finish_probe(p, probe_outcome(err));
 }
 
 /**
- * probes_tick() - give up those that take too long
+ * probes_tick() - handle probes that are past their deadline
  * @d: process
- * @now_ns: time
+ * @now_ns: current time
  */
 void probes_tick(struct packet_daemon *d, uint64_t now_ns)
 {
 	for (uint32_t i = 0; i < PROBES_MAX; i++)
 		if (d->probes[i] && now_ns >= d->probes[i]->deadline_ns)
-			overdue(d, d->probes[i]);
+			handle_timeout(d, d->probes[i]);
 }
 
 /**
- * probes_close() - give up all
+ * probes_close() - end all probes without reporting them
  * @d: process
  */
 void probes_close(struct packet_daemon *d)
 {
 	for (uint32_t i = 0; i < PROBES_MAX; i++)
 		if (d->probes[i])
-			give_back(d, d->probes[i]);
+			release_probe(d, d->probes[i]);
 }
--- a/test/process/replay_test.sh
+++ b/test/process/replay_test.sh
@@ -27,13 +27,13 @@
 	line 06.200000 flow.reset 10.0.0.1:1000 "vip 10.9.0.1:80 swept target ab12 at 10.1.0.1:8000 health dead"
 	line 06.100000 target.health 10.1.0.1:8000 "target ab12 dead, was doubted"
 	line 06.150000 target.health 10.1.0.2:8000 "target cd34 doubted, was good"
-	line 04.000000 platform "" "lost: connection timed out"
+	line 04.000000 platform "" "call failed: connection timed out, status 0"
 	echo "not a line of a log"
 } | sed 's/^/12.5 entry-two /' >"$dir/collected.log"
 {
 	line 05.800000 target.eject forecast "target ab12 gets no new flows for 3000 ms"
 	line 05.900000 target servers/i-ab12 "absent, service forecast"
-	line 05.000000 platform "" "lost: of an entry that never saw the flow"
+	line 05.000000 platform "" "call failed: of an entry that never saw the flow"
 } >"$dir/three.log"
 
 logs="$dir/one.log $dir/collected.log $dir/three.log"
