--- a/cmd/cb-entry/act.c
+++ b/cmd/cb-entry/actions.c
@@ -1,11 +1,11 @@
-/* Carries out what the decisions want done. */
+/* Executes the actions that struct entry returns. */
 #include "coap_wire.h"
 #include "daemon.h"
 #include "log.h"
 
-#define NOTES_PER_S 50
+#define LOG_LINES_PER_S 50
 
-static void to_caller(struct daemon *d, const struct action *a)
+static void forward_to_caller(struct daemon *d, const struct action *a)
 {
 	uint8_t buf[SEND_MAX_BYTES];
 	int32_t n = coap_wire_rewrite(a, buf, sizeof(buf));
@@ -27,7 +27,7 @@
 		callers_send(d, &a->key, buf, (uint32_t)n);
 }
 
-static void signal_caller(struct daemon *d, const struct action *a)
+static void send_empty_to_caller(struct daemon *d, const struct action *a)
 {
 	uint8_t buf[SEND_MAX_BYTES];
 	int32_t n = coap_wire_empty(a->type, a->id, buf, sizeof(buf));
@@ -35,7 +35,7 @@
 	callers_send(d, &a->key, buf, (uint32_t)n);
 }
 
-static void to_target(struct daemon *d, const struct action *a)
+static void forward_to_target(struct daemon *d, const struct action *a)
 {
 	uint8_t buf[SEND_MAX_BYTES];
 	int32_t n = coap_wire_rewrite(a, buf, sizeof(buf));
@@ -46,7 +46,7 @@
 		targets_send(d, a->target, buf, (uint32_t)n);
 }
 
-static void signal_target(struct daemon *d, const struct action *a)
+static void send_empty_to_target(struct daemon *d, const struct action *a)
 {
 	uint8_t buf[SEND_MAX_BYTES];
 	int32_t n = coap_wire_empty(a->type, a->id, buf, sizeof(buf));
@@ -65,66 +65,69 @@
 		targets_send(d, a->target, buf, (uint32_t)n);
 }
 
-static void to_peer(struct daemon *d, const struct action *a)
+static void send_to_peer(struct daemon *d, const struct action *a)
 {
 	peers_send(d, a->vm, &a->peer);
 }
 
-static void note(struct daemon *d, const struct action *a)
+static void log_flow(struct daemon *d, const struct action *a)
 {
 	char target[32];
 	char caller[32];
 	char vip[32];
 
 	/*
-	 * One fault can touch every flow at once. Lines by the hundred
-	 * thousand would stall the loop that has to repair it.
+	 * One fault can affect all flows at once. Hundreds of thousands of
+	 * lines would stall the loop that has to handle the fault.
 	 */
-	if (!d->notes_left) {
-		d->notes_suppressed++;
+	if (!d->log_lines_left) {
+		d->log_lines_suppressed++;
 		return;
 	}
-	d->notes_left--;
+	d->log_lines_left--;
 	log_line(LOG_INFO, "flow", addr_text(a->target, target, sizeof(target)),
 		 "%s caller=%s vip=%s", a->log_text,
 		 addr_text(a->key.caller, caller, sizeof(caller)),
 		 addr_text(a->key.vip, vip, sizeof(vip)));
 }
 
-static void (*const acts[])(struct daemon *d, const struct action *a) = {
-	[ACT_TO_CALLER] = to_caller,
-	[ACT_TO_TARGET] = to_target,
+static void (*const executors[])(struct daemon *d, const struct action *a) = {
+	[ACT_TO_CALLER] = forward_to_caller,
+	[ACT_TO_TARGET] = forward_to_target,
 	[ACT_ANSWER_CALLER] = answer_caller,
-	[ACT_SIGNAL_CALLER] = signal_caller,
-	[ACT_SIGNAL_TARGET] = signal_target,
+	[ACT_SIGNAL_CALLER] = send_empty_to_caller,
+	[ACT_SIGNAL_TARGET] = send_empty_to_target,
 	[ACT_CANCEL_TARGET] = cancel_target,
-	[ACT_PEER] = to_peer,
-	[ACT_LOG] = note,
+	[ACT_PEER] = send_to_peer,
+	[ACT_LOG] = log_flow,
 };
 
 /**
- * act() - carry out the actions of the last call into the decisions
+ * actions_execute() - execute and clear the actions of the last call into the
+ *	entry
  * @d: daemon
  */
-void act(struct daemon *d)
+void actions_execute(struct daemon *d)
 {
 	for (uint32_t i = 0; i < d->actions.n; i++) {
 		const struct action *a = &d->actions.list[i];
 
-		acts[a->kind](d, a);
+		executors[a->kind](d, a);
 	}
 	d->actions.n = 0;
 }
 
 /**
- * act_second() - once a second: allow new log lines
+ * actions_reset_log_limit() - called each second: allow new log lines and report
+ *	suppressed ones
  * @d: daemon
  */
-void act_second(struct daemon *d)
+void actions_reset_log_limit(struct daemon *d)
 {
-	if (d->notes_suppressed)
-		log_line(LOG_WARNING, "flow", NULL, "%llu more lines left out",
-			 (unsigned long long)d->notes_suppressed);
-	d->notes_suppressed = 0;
-	d->notes_left = NOTES_PER_S;
+	if (d->log_lines_suppressed)
+		log_line(LOG_WARNING, "flow", NULL,
+			 "%llu lines suppressed by the rate limit",
+			 (unsigned long long)d->log_lines_suppressed);
+	d->log_lines_suppressed = 0;
+	d->log_lines_left = LOG_LINES_PER_S;
 }
--- a/cmd/cb-entry/callers.c
+++ b/cmd/cb-entry/callers.c
@@ -1,6 +1,7 @@
 /*
- * The side towards callers: one socket that the fabric sends to, or one for
- * each VIP of the configuration.
+ * Datagrams from and to callers. In fabric mode one socket receives those that
+ * the fabric forwards, with a PROXY header; in direct mode each VIP of the
+ * configuration has its own socket.
  */
 #include "coap_wire.h"
 #include "daemon.h"
@@ -10,25 +11,36 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A VIP bound on this VM. */
+/**
+ * struct vip_socket - socket bound to a VIP
+ * @socket: socket; its data is this struct
+ * @vip: endpoint
+ * @in_config: the configuration in force has the VIP
+ */
 struct vip_socket {
 	uv_udp_t socket;
 	uint64_t vip;
-	bool wanted;
+	bool in_config;
 };
 
-/* VIPs bound on this VM, sorted. */
+/**
+ * struct vip_sockets - sockets of all VIPs, in direct mode
+ * @list: sockets, sorted by VIP
+ * @n: number of sockets
+ * @capacity: allocated number of entries of @list
+ * @bind_failed: a VIP of the configuration could not be bound
+ */
 struct vip_sockets {
 	struct vip_socket **list;
 	uint32_t n;
 	uint32_t capacity;
-	bool failed;
+	bool bind_failed;
 };
 
-static void received(struct daemon *d, const struct flow_key *key,
-		     const uint8_t *buf, uint32_t size_bytes)
+static void handle_datagram(struct daemon *d, const struct flow_key *key,
+			    const uint8_t *buf, uint32_t size_bytes)
 {
-	uint64_t now_ns = daemon_catch_up(d);
+	uint64_t now_ns = daemon_run_due_tick(d);
 	struct message msg;
 
 	if (coap_wire_read(buf, size_bytes, &msg)) {
@@ -36,11 +48,11 @@
 		return;
 	}
 	entry_caller(d->entry, key, &msg, now_ns, &d->actions);
-	act(d);
+	actions_execute(d);
 }
 
-static void fabric_received(uv_udp_t *socket, ssize_t n, const uv_buf_t *buf,
-			    const struct sockaddr *from, unsigned int flags)
+static void on_fabric_datagram(uv_udp_t *socket, ssize_t n, const uv_buf_t *buf,
+			       const struct sockaddr *from, unsigned int flags)
 {
 	struct daemon *d = socket->loop->data;
 	const uint8_t *bytes = (const uint8_t *)buf->base;
@@ -55,11 +67,12 @@
 		d->dropped[DROP_PROXY]++;
 		return;
 	}
-	received(d, &key, bytes + header_bytes, (uint32_t)(n - header_bytes));
+	handle_datagram(d, &key, bytes + header_bytes,
+			(uint32_t)(n - header_bytes));
 }
 
-static void vip_received(uv_udp_t *socket, ssize_t n, const uv_buf_t *buf,
-			 const struct sockaddr *from, unsigned int flags)
+static void on_vip_datagram(uv_udp_t *socket, ssize_t n, const uv_buf_t *buf,
+			    const struct sockaddr *from, unsigned int flags)
 {
 	const struct vip_socket *v = socket->data;
 	struct flow_key key = { .vip = v->vip };
@@ -67,30 +80,31 @@
 	(void)flags;
 	if (n <= 0 || !from)
 		return;
-	key.caller = addr_of(from);
-	received(socket->loop->data, &key, (const uint8_t *)buf->base,
-		 (uint32_t)n);
+	key.caller = addr_from_sockaddr(from);
+	handle_datagram(socket->loop->data, &key, (const uint8_t *)buf->base,
+			(uint32_t)n);
 }
 
 /**
- * callers_open() - be ready for callers
+ * callers_open() - open the socket for callers, in fabric mode
  * @d: daemon
  *
- * Return: 0 or a negative error number. In direct mode the sockets follow the
- * configuration.
+ * In direct mode callers_apply_config() opens the sockets.
+ *
+ * Return: 0 or a negative error number.
  */
 int callers_open(struct daemon *d)
 {
 	char text[32];
 	int err;
 
-	d->vips = calloc(1, sizeof(*d->vips));
-	if (!d->vips)
+	d->vip_sockets = calloc(1, sizeof(*d->vip_sockets));
+	if (!d->vip_sockets)
 		return UV_ENOMEM;
 	if (d->settings.callers_mode == CALLERS_DIRECT)
 		return 0;
 	err = datagram_open(d, &d->fabric_socket, d->settings.callers_listen,
-			    fabric_received);
+			    on_fabric_datagram);
 	if (err)
 		log_line(LOG_ERROR, "callers.bind",
 			 addr_text(d->settings.callers_listen, text,
@@ -109,8 +123,8 @@
 	uv_close((uv_handle_t *)&v->socket, vip_closed);
 }
 
-/* First VIP that isn't below @vip. */
-static uint32_t vip_place(const struct vip_sockets *s, uint64_t vip)
+/* Index of the first VIP that is not below @vip. */
+static uint32_t vip_lower_bound(const struct vip_sockets *s, uint64_t vip)
 {
 	uint32_t low = 0;
 	uint32_t high = s->n;
@@ -152,33 +166,33 @@
 	if (!v)
 		return;
 	v->vip = vip;
-	v->wanted = true;
-	err = datagram_open(d, &v->socket, vip, vip_received);
+	v->in_config = true;
+	err = datagram_open(d, &v->socket, vip, on_vip_datagram);
 	v->socket.data = v;
-	if (!err && vip_insert(d->vips, at, v))
+	if (!err && vip_insert(d->vip_sockets, at, v))
 		return;
-	d->vips->failed = true;
+	d->vip_sockets->bind_failed = true;
 	log_line(LOG_ERROR, "callers.bind", addr_text(vip, text, sizeof(text)),
 		 "%s", uv_strerror(err ? err : UV_ENOMEM));
 	vip_close(v);
 }
 
-static void vip_want(struct daemon *d, uint64_t vip)
+static void vip_keep_or_open(struct daemon *d, uint64_t vip)
 {
-	uint32_t at = vip_place(d->vips, vip);
+	uint32_t at = vip_lower_bound(d->vip_sockets, vip);
 
-	if (at < d->vips->n && d->vips->list[at]->vip == vip)
-		d->vips->list[at]->wanted = true;
+	if (at < d->vip_sockets->n && d->vip_sockets->list[at]->vip == vip)
+		d->vip_sockets->list[at]->in_config = true;
 	else
 		vip_open(d, at, vip);
 }
 
-static void vips_close_unwanted(struct vip_sockets *s)
+static void vips_close_removed(struct vip_sockets *s)
 {
 	uint32_t kept = 0;
 
 	for (uint32_t i = 0; i < s->n; i++) {
-		if (s->list[i]->wanted)
+		if (s->list[i]->in_config)
 			s->list[kept++] = s->list[i];
 		else
 			vip_close(s->list[i]);
@@ -187,38 +201,37 @@
 }
 
 /**
- * callers_config() - bind the VIPs of the configuration, and no others
+ * callers_apply_config() - bind the VIPs of the configuration, close the others
  * @d: daemon
  */
-void callers_config(struct daemon *d)
+void callers_apply_config(struct daemon *d)
 {
-	struct vip_sockets *s = d->vips;
+	struct vip_sockets *s = d->vip_sockets;
 
 	if (d->settings.callers_mode != CALLERS_DIRECT)
 		return;
-	s->failed = false;
+	s->bind_failed = false;
 	for (uint32_t i = 0; i < s->n; i++)
-		s->list[i]->wanted = false;
+		s->list[i]->in_config = false;
 	for (uint32_t i = 0; i < d->config.n_accounts; i++) {
 		const struct account_conf *a = &d->config.accounts[i];
 
 		for (uint32_t k = 0; k < a->n_services; k++)
-			vip_want(d, a->services[k].vip);
+			vip_keep_or_open(d, a->services[k].vip);
 	}
-	vips_close_unwanted(s);
+	vips_close_removed(s);
 }
 
 /**
- * callers_retry() - bind the VIPs again that could not be bound
+ * callers_retry_binds() - try again to bind VIPs that could not be bound
  * @d: daemon
  *
- * The address may have been held by another process, or not have been given
- * to the VM yet.
+ * Another process may have used the address, or the VM may not have had it yet.
  */
-void callers_retry(struct daemon *d)
+void callers_retry_binds(struct daemon *d)
 {
-	if (d->vips->failed)
-		callers_config(d);
+	if (d->vip_sockets->bind_failed)
+		callers_apply_config(d);
 }
 
 static bool fabric_send(struct daemon *d, const struct flow_key *key,
@@ -233,24 +246,26 @@
 }
 
 /*
- * The VIP's own socket, so that the caller sees the address it sent to. In
- * fabric mode the header carries it.
+ * Sends from the socket of the VIP, so that the caller gets the answer from the
+ * address that it sent to. In fabric mode the PROXY header contains that
+ * address.
  */
 static bool vip_send(struct daemon *d, const struct flow_key *key,
 		     const uint8_t *buf, uint32_t size_bytes)
 {
-	uint32_t at = vip_place(d->vips, key->vip);
+	uint32_t at = vip_lower_bound(d->vip_sockets, key->vip);
 
-	if (at == d->vips->n || d->vips->list[at]->vip != key->vip)
+	if (at == d->vip_sockets->n ||
+	    d->vip_sockets->list[at]->vip != key->vip)
 		return false;
-	return datagram_send(&d->vips->list[at]->socket, key->caller, buf,
-			     size_bytes);
+	return datagram_send(&d->vip_sockets->list[at]->socket, key->caller,
+			     buf, size_bytes);
 }
 
 /**
  * callers_send() - send a datagram to a caller
  * @d: daemon
- * @key: flow
+ * @key: caller and VIP
  * @buf: datagram
  * @size_bytes: its size, at most SEND_MAX_BYTES
  */
@@ -268,31 +283,32 @@
 }
 
 /**
- * callers_lost() - datagrams of callers that came while a socket was full
+ * callers_overflow_count() - datagrams of callers dropped by full sockets
  * @d: daemon
  *
- * Return: number, without those of VIPs that were closed since.
+ * Return: number, without those at VIPs that have been closed since.
  */
-uint64_t callers_lost(const struct daemon *d)
+uint64_t callers_overflow_count(const struct daemon *d)
 {
-	uint64_t lost = datagram_lost(&d->fabric_socket);
+	uint64_t lost = datagram_overflow_count(&d->fabric_socket);
 
-	for (uint32_t i = 0; i < d->vips->n; i++)
-		lost += datagram_lost(&d->vips->list[i]->socket);
+	for (uint32_t i = 0; i < d->vip_sockets->n; i++)
+		lost += datagram_overflow_count(
+			&d->vip_sockets->list[i]->socket);
 	return lost;
 }
 
 /**
- * callers_close() - close the VIPs
+ * callers_close() - close the sockets of VIPs
  * @d: daemon
  */
 void callers_close(struct daemon *d)
 {
-	if (!d->vips)
+	if (!d->vip_sockets)
 		return;
-	for (uint32_t i = 0; i < d->vips->n; i++)
-		vip_close(d->vips->list[i]);
-	free(d->vips->list);
-	free(d->vips);
-	d->vips = NULL;
+	for (uint32_t i = 0; i < d->vip_sockets->n; i++)
+		vip_close(d->vip_sockets->list[i]);
+	free(d->vip_sockets->list);
+	free(d->vip_sockets);
+	d->vip_sockets = NULL;
 }
--- a/cmd/cb-entry/daemon.c
+++ b/cmd/cb-entry/daemon.c
@@ -1,4 +1,4 @@
-/* Life of the daemon: start, ticks of the decisions, planned stop. */
+/* Start of the daemon, its timers and the planned stop. */
 #include "daemon.h"
 #include "log.h"
 
@@ -6,7 +6,7 @@
 #include <sodium.h>
 #include <sys/time.h>
 
-#define PROBES 3
+#define PROBES_PER_PERIOD 3
 #define INDIRECT_PROBES 3
 #define SECOND_MS 1000
 #define SIGNALS_TO_ABORT 2
@@ -19,9 +19,9 @@
 	return (uint64_t)tv.tv_sec * 1000 + (uint64_t)tv.tv_usec / 1000;
 }
 
-static uint64_t ms(uint32_t milliseconds)
+static uint64_t ms_to_ns(uint32_t ms)
 {
-	return milliseconds * NS_PER_MS;
+	return ms * NS_PER_MS;
 }
 
 static uint64_t random_u64(void)
@@ -32,45 +32,45 @@
 	return x;
 }
 
-static struct member_conf member_conf_of(const struct daemon *d)
+static struct member_conf make_member_conf(const struct daemon *d)
 {
 	const struct entry_settings *s = &d->settings;
 
 	return (struct member_conf){
 		.self = s->peer,
 		.incarnation = d->incarnation,
-		.probe_period_ns = ms(s->probe_period_ms),
-		.probe_timeout_ns = ms(s->probe_timeout_ms),
-		.suspect_timeout_ns = ms(s->suspect_timeout_ms),
-		.lease_ns = ms(s->lease_ms),
-		.probes_per_period = PROBES,
+		.probe_period_ns = ms_to_ns(s->probe_period_ms),
+		.probe_timeout_ns = ms_to_ns(s->probe_timeout_ms),
+		.suspect_timeout_ns = ms_to_ns(s->suspect_timeout_ms),
+		.lease_ns = ms_to_ns(s->lease_ms),
+		.probes_per_period = PROBES_PER_PERIOD,
 		.indirect_probes = INDIRECT_PROBES,
 	};
 }
 
-static struct entry_conf entry_conf_of(const struct daemon *d)
+static struct entry_conf make_entry_conf(const struct daemon *d)
 {
 	const struct entry_settings *s = &d->settings;
 
 	return (struct entry_conf){
-		.member = member_conf_of(d),
+		.member = make_member_conf(d),
 		.requests_max = s->requests,
 		.feeds_max = s->feeds,
 		.claims_max = s->claims,
 		.flows_max = s->flows,
-		.settle_ns = ms(s->settle_ms),
-		.cover_ns = ms(s->cover_ms),
-		.claim_timeout_ns = ms(s->claim_timeout_ms),
-		.probe_idle_ns = ms(s->probe_idle_ms),
-		.drain_ns = ms(s->drain_ms),
+		.settle_ns = ms_to_ns(s->settle_ms),
+		.cover_ns = ms_to_ns(s->cover_ms),
+		.claim_timeout_ns = ms_to_ns(s->claim_timeout_ms),
+		.probe_idle_ns = ms_to_ns(s->probe_idle_ms),
+		.drain_ns = ms_to_ns(s->drain_ms),
 		.peer_bytes_per_s = s->peer_bytes_per_s,
 		.n_buckets = RING_BUCKETS,
 		.seed = random_u64(),
 	};
 }
 
-/* Stop when what the planned stop waits for is done. */
-static void watch_leaving(struct daemon *d)
+/* End the loop when a planned stop has completed. */
+static void stop_when_left(struct daemon *d)
 {
 	const struct entry_counters *c = entry_counters(d->entry);
 	struct entry_gauges g;
@@ -89,74 +89,79 @@
 static void tick(struct daemon *d, uint64_t now_ns)
 {
 	entry_tick(d->entry, now_ns, &d->actions);
-	act(d);
-	d->armed_ns = entry_next_ns(d->entry);
-	watch_leaving(d);
+	actions_execute(d);
+	d->tick_due_ns = entry_next_ns(d->entry);
+	stop_when_left(d);
 }
 
-/* Time by which the loop is late, beyond the deadline it waited for. */
-static uint64_t late_ns(const struct daemon *d, uint64_t now_ns)
+/* Time since the tick was due, or since the loop began to wait if that is later. */
+static uint64_t lateness_ns(const struct daemon *d, uint64_t now_ns)
 {
-	uint64_t due_ns = d->armed_ns > d->turn_ns ? d->armed_ns : d->turn_ns;
+	uint64_t due_ns = d->tick_due_ns > d->wait_start_ns ? d->tick_due_ns
+							    : d->wait_start_ns;
 
 	return now_ns > due_ns ? now_ns - due_ns : 0;
 }
 
-/* Later than a lease lasts: the process, or its VM, stood still. */
-static void note_pause(const struct daemon *d, uint64_t now_ns)
+/*
+ * Lateness of more than a lease means that the process, or its VM, did not run.
+ */
+static void log_stall(const struct daemon *d, uint64_t now_ns)
 {
-	uint64_t late = late_ns(d, now_ns);
+	uint64_t late_ns = lateness_ns(d, now_ns);
 
-	if (late > ms(d->settings.lease_ms))
-		log_line(LOG_WARNING, "pause", NULL, "stood still for %llu ms",
-			 (unsigned long long)(late / NS_PER_MS));
+	if (late_ns > ms_to_ns(d->settings.lease_ms))
+		log_line(LOG_WARNING, "pause", NULL,
+			 "process did not run for %llu ms",
+			 (unsigned long long)(late_ns / NS_PER_MS));
 }
 
 /**
- * daemon_catch_up() - act on deadlines that have passed, before an event
+ * daemon_run_due_tick() - run entry_tick() if it is due, before an event
  * @d: daemon
  *
- * After a pause (of the process, or of its VM) the loop hands over waiting
- * datagrams before it runs timers. The decisions would act on them with a
- * lease that ended long ago; so the tick that is due goes first.
+ * After the process or its VM did not run for a while, libuv delivers the
+ * datagrams that wait in the sockets before it runs timers. The entry would
+ * handle them under a lease that expired long ago. So each callback for an event
+ * runs a tick that is due first.
  *
- * Return: time of the event.
+ * Return: time of the event in nanoseconds (uv_hrtime()).
  */
-uint64_t daemon_catch_up(struct daemon *d)
+uint64_t daemon_run_due_tick(struct daemon *d)
 {
 	uint64_t now_ns = uv_hrtime();
 
-	if (now_ns < d->armed_ns)
+	if (now_ns < d->tick_due_ns)
 		return now_ns;
-	note_pause(d, now_ns);
+	log_stall(d, now_ns);
 	tick(d, now_ns);
 	return now_ns;
 }
 
 static void on_tick(uv_timer_t *timer)
 {
-	daemon_catch_up(timer->loop->data);
+	daemon_run_due_tick(timer->loop->data);
 }
 
 static void on_second(uv_timer_t *timer)
 {
 	struct daemon *d = timer->loop->data;
 
-	act_second(d);
-	callers_retry(d);
+	actions_reset_log_limit(d);
+	callers_retry_binds(d);
 }
 
-/* Arm the timer once a turn of the loop, not once a datagram. */
-static void before_wait(uv_prepare_t *prepare)
+/* Start the timer once in each iteration of the loop, not for each datagram. */
+static void on_prepare(uv_prepare_t *prepare)
 {
 	struct daemon *d = prepare->loop->data;
 	uint64_t now_ns = uv_hrtime();
 	uint64_t wait_ms = 0;
 
-	d->turn_ns = now_ns;
-	d->armed_ns = entry_next_ns(d->entry);
-	if (d->armed_ns > now_ns)
-		wait_ms = (d->armed_ns - now_ns + NS_PER_MS - 1) / NS_PER_MS;
+	d->wait_start_ns = now_ns;
+	d->tick_due_ns = entry_next_ns(d->entry);
+	if (d->tick_due_ns > now_ns)
+		wait_ms = (d->tick_due_ns - now_ns + NS_PER_MS - 1) / NS_PER_MS;
 	uv_update_time(d->loop);
 	uv_timer_start(&d->tick_timer, on_tick, wait_ms, 0);
 }
@@ -174,43 +179,44 @@
 		return;
 	}
 	log_line(LOG_INFO, "leave", NULL, "signal %d: leaving", number);
-	now_ns = daemon_catch_up(d);
+	now_ns = daemon_run_due_tick(d);
 	d->leaving = true;
 	entry_leave(d->entry, now_ns, &d->actions);
-	act(d);
+	actions_execute(d);
 }
 
 static void open_timers(struct daemon *d)
 {
 	uv_timer_init(d->loop, &d->tick_timer);
-	uv_timer_init(d->loop, &d->second_timer);
+	uv_timer_init(d->loop, &d->one_second_timer);
 	uv_prepare_init(d->loop, &d->prepare);
 	uv_signal_init(d->loop, &d->sigterm);
 	uv_signal_init(d->loop, &d->sigint);
-	uv_timer_start(&d->second_timer, on_second, 0, SECOND_MS);
-	uv_prepare_start(&d->prepare, before_wait);
+	uv_timer_start(&d->one_second_timer, on_second, 0, SECOND_MS);
+	uv_prepare_start(&d->prepare, on_prepare);
 	uv_signal_start(&d->sigterm, on_stop, SIGTERM);
 	uv_signal_start(&d->sigint, on_stop, SIGINT);
 }
 
 /**
- * daemon_open() - make the decisions and open every socket
- * @d: daemon with its settings
+ * daemon_open() - create the entry, open all sockets and start the timers
+ * @d: daemon; @settings and @loop are set
  *
- * Return: 0 or a negative error number, with the step and the peer logged.
+ * Return: 0 or a negative error number. Errors of a socket have been logged with
+ * their step and address.
  */
 int daemon_open(struct daemon *d)
 {
 	static int (*const opens[])(struct daemon * d) = {
-		callers_open, targets_open,  polls_open,
-		peers_open,   operator_open, intake_open,
+		callers_open, targets_open,   polls_open,
+		peers_open,   operators_open, intake_open,
 	};
 	struct entry_conf conf;
 
 	d->incarnation = wall_clock_ms();
-	d->armed_ns = UINT64_MAX;
-	d->turn_ns = uv_hrtime();
-	conf = entry_conf_of(d);
+	d->tick_due_ns = UINT64_MAX;
+	d->wait_start_ns = uv_hrtime();
+	conf = make_entry_conf(d);
 	d->entry = entry_new(&conf, uv_hrtime());
 	if (!d->entry)
 		return -ENOMEM;
@@ -232,8 +238,8 @@
 }
 
 /**
- * daemon_close() - close all that is open
- * @d: daemon, also one that daemon_open() could not open
+ * daemon_close() - close all handles and free the entry
+ * @d: daemon, also when daemon_open() failed
  */
 void daemon_close(struct daemon *d)
 {
--- a/cmd/cb-entry/daemon.h
+++ b/cmd/cb-entry/daemon.h
@@ -1,6 +1,7 @@
 /*
- * What the parts of cb-entry share. One thread, one loop; struct entry decides,
- * the files here carry datagrams to it and its actions out.
+ * Interfaces between the files of cb-entry. The process has one thread and one
+ * loop. struct entry makes the decisions; the files here pass received
+ * datagrams to it and execute the actions that it returns.
  */
 #ifndef CB_DAEMON_H
 #define CB_DAEMON_H
@@ -14,23 +15,25 @@
 
 #include <uv.h>
 
+/* libuv divides the buffer of recvmmsg() into chunks of this size. */
+#define RECV_CHUNK_BYTES 65536
 #define RECV_CHUNKS 16
-#define RECV_CHUNK_BYTES 65536 /* libuv cuts its buffer by this */
 #define SEND_MAX_BYTES 4096
 
 /**
- * enum drop - why a datagram went no further
- * @DROP_PROXY: fabric's header is wrong
- * @DROP_CALLER_FORMAT: caller's datagram is malformed
- * @DROP_TARGET_FORMAT: target's datagram is malformed
- * @DROP_PEER_MAC: peer's datagram isn't authentic
- * @DROP_PEER_VERSION: peer runs another version of the protocol
- * @DROP_PEER_FORMAT: peer's datagram is malformed
- * @DROP_PEER_INNER: datagram that a peer forwarded is malformed
- * @DROP_ENCODE: an action that can't be coded
- * @DROP_SEND_CALLER: socket towards callers refused it
- * @DROP_SEND_TARGET: socket towards targets refused it
- * @DROP_SEND_PEER: socket towards peers refused it
+ * enum drop - why a datagram was dropped
+ * @DROP_PROXY: invalid PROXY header of the fabric
+ * @DROP_CALLER_FORMAT: malformed datagram of a caller
+ * @DROP_TARGET_FORMAT: malformed datagram of a target
+ * @DROP_PEER_MAC: datagram of a peer whose MAC is wrong
+ * @DROP_PEER_VERSION: datagram of a peer with another protocol version
+ * @DROP_PEER_FORMAT: malformed datagram of a peer
+ * @DROP_PEER_INNER: a peer forwarded a malformed datagram
+ * @DROP_ENCODE: an action could not be encoded
+ * @DROP_SEND_CALLER: the socket for callers did not accept the datagram
+ * @DROP_SEND_TARGET: the socket for targets did not accept the datagram
+ * @DROP_SEND_PEER: the socket for peers did not accept the datagram
+ * @DROP_COUNT: number of reasons
  */
 enum drop {
 	DROP_PROXY,
@@ -48,8 +51,8 @@
 };
 
 /**
- * struct peer_traffic - what went over the peer socket in one direction
- * @messages: by enum peer_kind
+ * struct peer_traffic - messages on the peer socket in one direction
+ * @messages: number of messages, by enum peer_kind
  * @bytes: UDP payload, by enum peer_kind
  */
 struct peer_traffic {
@@ -62,22 +65,38 @@
 struct intake;
 
 /**
- * struct daemon - cb-entry
- * @settings: settings
- * @loop: the only loop
- * @entry: the decisions
- * @actions: what the last call into @entry wants done
+ * struct daemon - the process
+ * @settings: settings in force
+ * @loop: the only loop; its data is this struct
+ * @entry: makes the decisions
+ * @actions: actions of the last call into @entry
  * @config: all client accounts in force
- * @armed_ns: when entry_tick() is due
- * @turn_ns: when the loop last began to wait
- * @leaving: a planned stop is under way
- * @exit_code: of the process
- * @dropped: by enum drop
- * @sent: to peers
- * @received: from peers
- * @notes_left: log lines the decisions may still write this second
- * @notes_suppressed: those they could not
- * @recv: room for incoming datagrams, shared: each is used up in its callback
+ * @incarnation: wall clock time in ms at the start of the process
+ * @tick_due_ns: when entry_tick() is due
+ * @wait_start_ns: when the loop last began to wait for events
+ * @leaving: a planned stop is in progress
+ * @exit_code: exit code of the process
+ * @dropped: dropped datagrams, by enum drop
+ * @peer_sent: messages sent to peers
+ * @peer_received: messages received from peers
+ * @log_lines_left: lines that may still be logged about flows this second
+ * @log_lines_suppressed: lines beyond that limit this second
+ * @http: server for operators
+ * @link: connection to cb-watch
+ * @vip_sockets: sockets of VIPs, in direct mode
+ * @load_polls: polls of the targets' load
+ * @intake: configuration received from cb-watch and not applied yet
+ * @fabric_socket: socket for callers, in fabric mode
+ * @target_socket: socket for targets
+ * @peer_socket: socket for other entries
+ * @tick_timer: expires at @tick_due_ns
+ * @one_second_timer: expires each second
+ * @apply_timer: applies @intake in the next iteration of the loop
+ * @prepare: runs before the loop waits for events
+ * @sigterm: begins a planned stop; a second signal ends the process at once
+ * @sigint: the same
+ * @receive_buffer: buffer for received datagrams, shared by all sockets: a
+ *	receive callback doesn't keep references to it
  */
 struct daemon {
 	struct entry_settings settings;
@@ -86,85 +105,85 @@
 	struct actions actions;
 	struct config config;
 	uint64_t incarnation;
-	uint64_t armed_ns;
-	uint64_t turn_ns;
+	uint64_t tick_due_ns;
+	uint64_t wait_start_ns;
 	bool leaving;
 	int exit_code;
 	uint64_t dropped[DROP_COUNT];
-	struct peer_traffic sent;
-	struct peer_traffic received;
-	uint32_t notes_left;
-	uint64_t notes_suppressed;
+	struct peer_traffic peer_sent;
+	struct peer_traffic peer_received;
+	uint32_t log_lines_left;
+	uint64_t log_lines_suppressed;
 	struct http_server *http;
 	struct entry_link *link;
-	struct vip_sockets *vips;
-	struct load_polls *polls;
+	struct vip_sockets *vip_sockets;
+	struct load_polls *load_polls;
 	struct intake *intake;
 	uv_udp_t fabric_socket;
 	uv_udp_t target_socket;
 	uv_udp_t peer_socket;
 	uv_timer_t tick_timer;
-	uv_timer_t second_timer;
+	uv_timer_t one_second_timer;
 	uv_timer_t apply_timer;
 	uv_prepare_t prepare;
 	uv_signal_t sigterm;
 	uv_signal_t sigint;
-	char recv[RECV_CHUNKS * RECV_CHUNK_BYTES];
+	char receive_buffer[RECV_CHUNKS * RECV_CHUNK_BYTES];
 };
 
-/* daemon.c */
+/* daemon.c: start, timers, planned stop. */
 int daemon_open(struct daemon *d);
 void daemon_close(struct daemon *d);
-uint64_t daemon_catch_up(struct daemon *d);
+uint64_t daemon_run_due_tick(struct daemon *d);
 
-/* datagram.c */
-struct sockaddr_in sockaddr_of(uint64_t addr);
-uint64_t addr_of(const struct sockaddr *sa);
+/* datagram.c: UDP sockets. */
+struct sockaddr_in sockaddr_from_addr(uint64_t addr);
+uint64_t addr_from_sockaddr(const struct sockaddr *sa);
 int datagram_open(struct daemon *d, uv_udp_t *socket, uint64_t addr,
-		  uv_udp_recv_cb received);
+		  uv_udp_recv_cb on_datagram);
 bool datagram_send(uv_udp_t *socket, uint64_t to, const uint8_t *buf,
 		   uint32_t size_bytes);
-uint64_t datagram_lost(const uv_udp_t *socket);
+uint64_t datagram_overflow_count(const uv_udp_t *socket);
 
-/* callers.c */
+/* callers.c: sockets for callers. */
 int callers_open(struct daemon *d);
-uint64_t callers_lost(const struct daemon *d);
-void callers_config(struct daemon *d);
-void callers_retry(struct daemon *d);
+uint64_t callers_overflow_count(const struct daemon *d);
+void callers_apply_config(struct daemon *d);
+void callers_retry_binds(struct daemon *d);
 void callers_send(struct daemon *d, const struct flow_key *key,
 		  const uint8_t *buf, uint32_t size_bytes);
 void callers_close(struct daemon *d);
 
-/* targets.c */
+/* targets.c: socket for targets. */
 int targets_open(struct daemon *d);
 void targets_send(struct daemon *d, uint64_t target, const uint8_t *buf,
 		  uint32_t size_bytes);
 
-/* polls.c */
+/* polls.c: polls of the targets' load. */
 int polls_open(struct daemon *d);
-void polls_config(struct daemon *d);
+void polls_apply_config(struct daemon *d);
 void polls_close(struct daemon *d);
 
-/* peers.c */
+/* peers.c: socket for other entries. */
 int peers_open(struct daemon *d);
 void peers_send(struct daemon *d, uint64_t vm, const struct peer_msg *m);
 
-/* intake.c */
+/* intake.c: configuration from cb-watch. */
 int intake_open(struct daemon *d);
 void intake_close(struct daemon *d);
 
-/* act.c */
-void act(struct daemon *d);
-void act_second(struct daemon *d);
+/* actions.c: execution of the actions that struct entry returns. */
+void actions_execute(struct daemon *d);
+void actions_reset_log_limit(struct daemon *d);
 
-/* operator.c */
-int operator_open(struct daemon *d);
+/* operators.c: HTTP server for operators. */
+int operators_open(struct daemon *d);
 
-/* metrics.c */
+/* metrics.c: metrics of the process. */
 void metrics_write(const struct daemon *d, GString *to);
 
-/* metrics_accounts.c */
-void metrics_accounts(const struct daemon *d, GString *to);
-void status_accounts(const struct daemon *d, GString *to);
+/* metrics_accounts.c: metrics of the client accounts. */
+void metrics_write_accounts(const struct daemon *d, GString *to);
+void status_write_accounts(const struct daemon *d, GString *to);
 
 #endif
--- a/cmd/cb-entry/datagram.c
+++ b/cmd/cb-entry/datagram.c
@@ -1,4 +1,4 @@
-/* UDP sockets of the daemon, on libuv. */
+/* UDP sockets, on libuv. */
 #include "daemon.h"
 
 #include <arpa/inet.h>
@@ -8,12 +8,12 @@
 #define SOCKET_BUFFER_BYTES (4 << 20)
 
 /**
- * sockaddr_of() - endpoint as the system knows it
- * @addr: endpoint
+ * sockaddr_from_addr() - socket address of an endpoint
+ * @addr: endpoint, see ADDR()
  *
  * Return: socket address.
  */
-struct sockaddr_in sockaddr_of(uint64_t addr)
+struct sockaddr_in sockaddr_from_addr(uint64_t addr)
 {
 	struct sockaddr_in in = { .sin_family = AF_INET };
 
@@ -23,12 +23,12 @@
 }
 
 /**
- * addr_of() - endpoint of a socket address
+ * addr_from_sockaddr() - endpoint of a socket address
  * @sa: IPv4 socket address
  *
  * Return: endpoint, ADDR_NONE for another family.
  */
-uint64_t addr_of(const struct sockaddr *sa)
+uint64_t addr_from_sockaddr(const struct sockaddr *sa)
 {
 	const struct sockaddr_in *in = (const struct sockaddr_in *)sa;
 
@@ -37,27 +37,27 @@
 	return ADDR(ntohl(in->sin_addr.s_addr), ntohs(in->sin_port));
 }
 
-static void room(uv_handle_t *handle, size_t suggested, uv_buf_t *buf)
+static void on_alloc(uv_handle_t *handle, size_t suggested, uv_buf_t *buf)
 {
 	struct daemon *d = handle->loop->data;
 
 	(void)suggested;
-	*buf = uv_buf_init(d->recv, sizeof(d->recv));
+	*buf = uv_buf_init(d->receive_buffer, sizeof(d->receive_buffer));
 }
 
 /**
  * datagram_open() - bind a socket and receive on it
  * @d: daemon
- * @socket: socket; open even on error, to be closed with uv_close()
- * @addr: where to bind; port 0 takes any
- * @received: told of each datagram
+ * @socket: socket; also after an error the owner closes it with uv_close()
+ * @addr: local endpoint; with port 0 the system chooses a port
+ * @on_datagram: called for each datagram
  *
  * Return: 0 or a negative error number.
  */
 int datagram_open(struct daemon *d, uv_udp_t *socket, uint64_t addr,
-		  uv_udp_recv_cb received)
+		  uv_udp_recv_cb on_datagram)
 {
-	struct sockaddr_in in = sockaddr_of(addr);
+	struct sockaddr_in in = sockaddr_from_addr(addr);
 	int size_bytes = SOCKET_BUFFER_BYTES;
 	int err;
 
@@ -68,29 +68,31 @@
 	if (err)
 		return err;
 	/*
-	 * The default holds a few hundred datagrams: a burst on the hour would
-	 * be dropped by the system unseen. It grants less where it must.
+	 * The default buffer holds a few hundred datagrams, and a burst on the
+	 * hour would overflow it. The system may grant less than requested.
 	 */
 	uv_recv_buffer_size((uv_handle_t *)socket, &size_bytes);
 	size_bytes = SOCKET_BUFFER_BYTES;
 	uv_send_buffer_size((uv_handle_t *)socket, &size_bytes);
-	return uv_udp_recv_start(socket, room, received);
+	return uv_udp_recv_start(socket, on_alloc, on_datagram);
 }
 
 /**
- * datagram_send() - send at once or not at all
+ * datagram_send() - send a datagram without queueing it
  * @socket: socket
  * @to: receiver
  * @buf: datagram
  * @size_bytes: its size
  *
- * Return: whether the system took it. A full socket drops it, as the network
- * might: senders repeat what matters, and a queue here would only grow.
+ * A datagram is dropped when the socket's buffer is full, as the network might
+ * drop it: senders retransmit what matters, and a queue here would only grow.
+ *
+ * Return: whether the system accepted the datagram.
  */
 bool datagram_send(uv_udp_t *socket, uint64_t to, const uint8_t *buf,
 		   uint32_t size_bytes)
 {
-	struct sockaddr_in in = sockaddr_of(to);
+	struct sockaddr_in in = sockaddr_from_addr(to);
 	uv_buf_t b = uv_buf_init((char *)buf, size_bytes);
 
 	return uv_udp_try_send(socket, &b, 1, (const struct sockaddr *)&in) >=
@@ -98,15 +100,15 @@
 }
 
 /**
- * datagram_lost() - datagrams that came while the socket was full
+ * datagram_overflow_count() - datagrams dropped because the buffer was full
  * @socket: open socket, or one that was never opened
  *
- * Nothing else tells of them: a process that is too slow on the hour would
- * look idle and its callers' repeats like more work.
+ * No other counter shows them: a process that is too slow for a burst on the
+ * hour would look idle, and retransmissions by its callers like more load.
  *
- * Return: number since the socket was opened.
+ * Return: number since the socket was opened, 0 when it can't be read.
  */
-uint64_t datagram_lost(const uv_udp_t *socket)
+uint64_t datagram_overflow_count(const uv_udp_t *socket)
 {
 	uint32_t info[SK_MEMINFO_VARS] = { 0 };
 	socklen_t size_bytes = sizeof(info);
--- a/cmd/cb-entry/intake.c
+++ b/cmd/cb-entry/intake.c
@@ -1,7 +1,8 @@
 /*
- * Accounts and the list of VMs, as cb-watch sends them. What arrives in one
- * turn of the loop is put in force in one go in the next: a new process gets
- * every account at once, and each change rebuilds the tables.
+ * Client accounts and the list of VMs, received from cb-watch. All changes that
+ * arrive in one iteration of the loop are applied together in the next one: a
+ * new process receives all accounts at once, and each application rebuilds the
+ * tables.
  */
 #include "daemon.h"
 #include "log.h"
@@ -10,14 +11,27 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* An account to put in force, or the name of one that was withdrawn. */
-struct change {
+/**
+ * struct account_change - a change of one client account
+ * @account: account to put in force, owned; NULL for a withdrawal
+ * @withdrawn: name of the account that was withdrawn
+ */
+struct account_change {
 	struct account_conf *account;
-	char gone[NAME_MAX_BYTES];
+	char withdrawn[NAME_MAX_BYTES];
 };
 
+/**
+ * struct intake - what was received and is not applied yet
+ * @changes: changes of accounts, in the order of their arrival
+ * @n_changes: number of @changes
+ * @capacity: allocated number of @changes
+ * @vms: addresses of the VMs that was received last
+ * @n_vms: number of @vms
+ * @vms_changed: @vms was not applied yet
+ */
 struct intake {
-	struct change *changes;
+	struct account_change *changes;
 	uint32_t n_changes;
 	uint32_t capacity;
 	uint64_t *vms;
@@ -25,18 +39,18 @@
 	bool vms_changed;
 };
 
-static void apply(uv_timer_t *timer);
+static void apply_pending(uv_timer_t *timer);
 
-/* A timer, since it also keeps the loop from waiting before it has run. */
-static void apply_soon(struct daemon *d)
+/* A timer that is due also keeps the loop from waiting for events before it. */
+static void schedule_apply(struct daemon *d)
 {
-	uv_timer_start(&d->apply_timer, apply, 0, 0);
+	uv_timer_start(&d->apply_timer, apply_pending, 0, 0);
 }
 
-static struct change *change_add(struct daemon *d)
+static struct account_change *add_change(struct daemon *d)
 {
 	struct intake *in = d->intake;
-	struct change *grown = in->changes;
+	struct account_change *grown = in->changes;
 
 	if (in->n_changes == in->capacity) {
 		in->capacity = in->capacity ? in->capacity * 2 : 16;
@@ -45,34 +59,34 @@
 	if (!grown)
 		return NULL;
 	in->changes = grown;
-	grown[in->n_changes] = (struct change){ 0 };
-	apply_soon(d);
+	grown[in->n_changes] = (struct account_change){ 0 };
+	schedule_apply(d);
 	return &grown[in->n_changes++];
 }
 
-static void account(void *ctx, struct account_conf *take)
+static void on_account(void *ctx, struct account_conf *account)
 {
 	struct daemon *d = ctx;
-	struct change *c = change_add(d);
+	struct account_change *c = add_change(d);
 
 	if (c) {
-		c->account = take;
+		c->account = account;
 		return;
 	}
-	log_line(LOG_ERROR, "intake.account", take->name, "out of memory");
-	account_free(take);
+	log_line(LOG_ERROR, "intake.account", account->name, "out of memory");
+	account_free(account);
 }
 
-static void account_gone(void *ctx, const char *name)
+static void on_account_withdrawn(void *ctx, const char *name)
 {
 	struct daemon *d = ctx;
-	struct change *c = change_add(d);
+	struct account_change *c = add_change(d);
 
 	if (c)
-		g_strlcpy(c->gone, name, sizeof(c->gone));
+		g_strlcpy(c->withdrawn, name, sizeof(c->withdrawn));
 }
 
-static void roster(void *ctx, const uint64_t *vms, uint32_t n)
+static void on_roster(void *ctx, const uint64_t *vms, uint32_t n)
 {
 	struct daemon *d = ctx;
 	uint64_t *copy = calloc(n + 1, sizeof(*copy));
@@ -85,12 +99,12 @@
 	d->intake->vms = copy;
 	d->intake->n_vms = n;
 	d->intake->vms_changed = true;
-	apply_soon(d);
+	schedule_apply(d);
 }
 
 /*
- * cb-watch may restart with an older copy; the configuration in force never
- * goes back.
+ * A restarted cb-watch may have an older copy. An older generation never
+ * replaces the one in force.
  */
 static bool is_older(const struct config *c, const struct account_conf *a)
 {
@@ -99,32 +113,32 @@
 	return now && a->generation < now->generation;
 }
 
-static void put_account(struct config *c, struct account_conf *take)
+static void put_in_force(struct config *c, struct account_conf *account)
 {
-	uint64_t generation = take->generation;
+	uint64_t generation = account->generation;
 	char name[NAME_MAX_BYTES];
 	int err;
 
-	g_strlcpy(name, take->name, sizeof(name));
-	if (is_older(c, take)) {
+	g_strlcpy(name, account->name, sizeof(name));
+	if (is_older(c, account)) {
 		log_line(LOG_WARNING, "intake.account", name,
 			 "generation %llu is older than the one in force",
 			 (unsigned long long)generation);
-		account_free(take);
+		account_free(account);
 		return;
 	}
-	err = config_put(c, take);
+	err = config_put(c, account);
 	if (err) {
 		log_line(LOG_ERROR, "intake.account", name, "%s",
 			 strerror(-err));
-		account_free(take);
+		account_free(account);
 		return;
 	}
 	log_line(LOG_INFO, "intake.account", name, "generation %llu in force",
 		 (unsigned long long)generation);
 }
 
-static void drop_account(struct config *c, const char *name)
+static void remove_account(struct config *c, const char *name)
 {
 	const struct account_conf *found = config_account(c, name);
 	uint32_t at;
@@ -141,35 +155,35 @@
 
 static void apply_changes(struct daemon *d, struct intake *in)
 {
-	uint64_t now_ns = daemon_catch_up(d);
+	uint64_t now_ns = daemon_run_due_tick(d);
 
 	for (uint32_t i = 0; i < in->n_changes; i++) {
 		if (in->changes[i].account)
-			put_account(&d->config, in->changes[i].account);
+			put_in_force(&d->config, in->changes[i].account);
 		else
-			drop_account(&d->config, in->changes[i].gone);
+			remove_account(&d->config, in->changes[i].withdrawn);
 	}
 	in->n_changes = 0;
 	entry_config(d->entry, &d->config, now_ns, &d->actions);
-	act(d);
-	callers_config(d);
-	polls_config(d);
+	actions_execute(d);
+	callers_apply_config(d);
+	polls_apply_config(d);
 }
 
 static void apply_roster(struct daemon *d, struct intake *in)
 {
-	uint64_t now_ns = daemon_catch_up(d);
+	uint64_t now_ns = daemon_run_due_tick(d);
 
 	in->vms_changed = false;
 	entry_roster(d->entry, in->vms, in->n_vms, now_ns, &d->actions);
-	act(d);
+	actions_execute(d);
 }
 
 /*
- * The decisions point into the configuration, so it changes only here, right
- * before they are told.
+ * struct entry keeps pointers into the configuration, so it is changed only
+ * here, right before the entry gets the new one.
  */
-static void apply(uv_timer_t *timer)
+static void apply_pending(uv_timer_t *timer)
 {
 	struct daemon *d = timer->loop->data;
 
@@ -180,14 +194,15 @@
 }
 
 /**
- * intake_open() - open the link to cb-watch
+ * intake_open() - start the connection to cb-watch
  * @d: daemon
  *
  * Return: 0 or a negative error number.
  */
 int intake_open(struct daemon *d)
 {
-	struct link_handler handler = { d, account, account_gone, roster };
+	struct link_handler handler = { d, on_account, on_account_withdrawn,
+					on_roster };
 	struct link_conf conf = {
 		.endpoint = d->settings.watch,
 		.self = d->settings.peer,
@@ -208,7 +223,7 @@
 }
 
 /**
- * intake_close() - close the link and drop what hasn't been applied
+ * intake_close() - close the connection and free changes that aren't applied
  * @d: daemon
  */
 void intake_close(struct daemon *d)
--- a/cmd/cb-entry/main.c
+++ b/cmd/cb-entry/main.c
@@ -1,4 +1,4 @@
-/* cb-entry: the data path of one VM. */
+/* cb-entry: forwards requests of callers at one VM to targets. */
 #include "daemon.h"
 #include "daemon_args.h"
 #include "log.h"
@@ -31,9 +31,9 @@
 	return d->exit_code;
 }
 
-static int with_settings(const char *path, bool check)
+static int run_with_settings(const char *path, bool check)
 {
-	/* Large for a stack: it holds the room for a burst of datagrams. */
+	/* Too large for the stack: it contains the receive buffer. */
 	struct daemon *d = calloc(1, sizeof(*d));
 	struct mistakes m = { 0 };
 	int code = DAEMON_USAGE;
@@ -56,7 +56,7 @@
 {
 	static const struct daemon_about about = { "cb-entry", VERSION,
 						   "The data path of one VM.",
-						   with_settings };
+						   run_with_settings };
 
 	if (sodium_init() < 0)
 		return DAEMON_FAULT;
--- a/cmd/cb-entry/metrics.c
+++ b/cmd/cb-entry/metrics.c
@@ -71,14 +71,14 @@
 
 static void put_traffic(const struct daemon *d, GString *to)
 {
-	put_by_kind(to, "cb_peer_bytes_sent_total", d->sent.bytes);
-	put_by_kind(to, "cb_peer_bytes_received_total", d->received.bytes);
-	put_by_kind(to, "cb_peer_messages_sent_total", d->sent.messages);
+	put_by_kind(to, "cb_peer_bytes_sent_total", d->peer_sent.bytes);
+	put_by_kind(to, "cb_peer_bytes_received_total", d->peer_received.bytes);
+	put_by_kind(to, "cb_peer_messages_sent_total", d->peer_sent.messages);
 	put_by_kind(to, "cb_peer_messages_received_total",
-		    d->received.messages);
+		    d->peer_received.messages);
 }
 
-/* The samples of a family have to stand together, below its TYPE. */
+/* The text format requires all samples of a family below its TYPE line. */
 static void put_drop_family(const struct daemon *d, GString *to,
 			    const char *family)
 {
@@ -115,15 +115,15 @@
 #undef X
 }
 
-static void put_lost(const struct daemon *d, GString *to)
+static void put_overflows(const struct daemon *d, GString *to)
 {
 	const struct {
 		const char *socket;
 		uint64_t lost;
 	} rows[] = {
-		{ "callers", callers_lost(d) },
-		{ "targets", datagram_lost(&d->target_socket) },
-		{ "peers", datagram_lost(&d->peer_socket) },
+		{ "callers", callers_overflow_count(d) },
+		{ "targets", datagram_overflow_count(&d->target_socket) },
+		{ "peers", datagram_overflow_count(&d->peer_socket) },
 	};
 
 	g_string_append(to, "# TYPE cb_socket_full_total counter\n");
@@ -144,9 +144,9 @@
 }
 
 /**
- * metrics_write() - all metrics
+ * metrics_write() - write all metrics
  * @d: daemon
- * @to: where to add them
+ * @to: text that they are appended to
  */
 void metrics_write(const struct daemon *d, GString *to)
 {
@@ -155,7 +155,7 @@
 	put_traffic(d, to);
 	put_drops(d, to);
 	put_link(d, to);
-	put_lost(d, to);
+	put_overflows(d, to);
 	put_process(to);
-	metrics_accounts(d, to);
+	metrics_write_accounts(d, to);
 }
--- a/cmd/cb-entry/metrics_accounts.c
+++ b/cmd/cb-entry/metrics_accounts.c
@@ -1,4 +1,4 @@
-/* Metrics by client account and class, and by target. */
+/* Metrics and status lines by client account and class. */
 #include "daemon.h"
 #include "histogram_text.h"
 
@@ -27,19 +27,21 @@
 };
 
 /**
- * struct row - one account and class
- * @answers: what callers were told
- * @work: what the balancer did; NULL for an account that is withdrawn
+ * struct account_row - statistics of one client account and class
+ * @account: name of the account
+ * @class: name of the class
+ * @answers: answers that callers received
+ * @balancer: statistics of the balancer; NULL for an account that was withdrawn
  */
-struct row {
+struct account_row {
 	const char *account;
 	const char *class;
 	const struct answer_stats *answers;
-	const struct class_stats *work;
+	const struct class_stats *balancer;
 };
 
-static void put_value(GString *to, const struct row *r, const char *name,
-		      uint64_t value)
+static void put_value(GString *to, const struct account_row *r,
+		      const char *name, uint64_t value)
 {
 	if (value)
 		g_string_append_printf(to,
@@ -48,9 +50,9 @@
 				       (unsigned long long)value);
 }
 
-static void put_label(GString *to, const struct row *r, const char *name,
-		      const char *label, const char *label_value,
-		      uint64_t value)
+static void put_label(GString *to, const struct account_row *r,
+		      const char *name, const char *label,
+		      const char *label_value, uint64_t value)
 {
 	if (value)
 		g_string_append_printf(
@@ -59,16 +61,16 @@
 			(unsigned long long)value);
 }
 
-static void put_reasons(GString *to, const struct row *r, const char *name,
-			const uint64_t values[REFUSE_COUNT])
+static void put_reasons(GString *to, const struct account_row *r,
+			const char *name, const uint64_t values[REFUSE_COUNT])
 {
 	for (uint32_t i = 0; i < REFUSE_COUNT; i++)
 		put_label(to, r, name, "reason", refusal_names[i], values[i]);
 }
 
-/* Cumulative buckets; those that add nothing are left out. */
-static void put_histogram(GString *to, const struct row *r, const char *name,
-			  const struct histogram *h)
+/* Cumulative buckets; a bucket with the count of the one before is left out. */
+static void put_histogram(GString *to, const struct account_row *r,
+			  const char *name, const struct histogram *h)
 {
 	char *labels = g_strdup_printf("account=\"%s\",class=\"%s\"",
 				       r->account, r->class);
@@ -77,69 +79,77 @@
 	g_free(labels);
 }
 
-static void put_answered(GString *to, const struct row *r, const char *name)
+static void put_answered(GString *to, const struct account_row *r,
+			 const char *name)
 {
 	put_value(to, r, name, r->answers->answered);
 }
 
-static void put_refused(GString *to, const struct row *r, const char *name)
+static void put_refused(GString *to, const struct account_row *r,
+			const char *name)
 {
 	put_reasons(to, r, name, r->answers->not_run);
 }
 
-static void put_unknown(GString *to, const struct row *r, const char *name)
+static void put_unknown(GString *to, const struct account_row *r,
+			const char *name)
 {
 	put_reasons(to, r, name, r->answers->unknown);
 }
 
-static void put_answer_time(GString *to, const struct row *r, const char *name)
+static void put_answer_time(GString *to, const struct account_row *r,
+			    const char *name)
 {
 	put_histogram(to, r, name, &r->answers->answer_us);
 }
 
-static void put_admitted(GString *to, const struct row *r, const char *name)
+static void put_admitted(GString *to, const struct account_row *r,
+			 const char *name)
 {
-	if (r->work)
-		put_value(to, r, name, r->work->admitted);
+	if (r->balancer)
+		put_value(to, r, name, r->balancer->admitted);
 }
 
-static void put_queued(GString *to, const struct row *r, const char *name)
+static void put_queued(GString *to, const struct account_row *r,
+		       const char *name)
 {
-	if (r->work)
-		put_value(to, r, name, r->work->queued);
+	if (r->balancer)
+		put_value(to, r, name, r->balancer->queued);
 }
 
-static void put_wait(GString *to, const struct row *r, const char *name)
+static void put_wait(GString *to, const struct account_row *r, const char *name)
 {
-	if (r->work)
-		put_histogram(to, r, name, &r->work->wait_us);
+	if (r->balancer)
+		put_histogram(to, r, name, &r->balancer->wait_us);
 }
 
-static void put_retries(GString *to, const struct row *r, const char *name)
+static void put_retries(GString *to, const struct account_row *r,
+			const char *name)
 {
-	if (r->work)
-		put_value(to, r, name, r->work->retries);
+	if (r->balancer)
+		put_value(to, r, name, r->balancer->retries);
 }
 
-static void put_retries_denied(GString *to, const struct row *r,
+static void put_retries_denied(GString *to, const struct account_row *r,
 			       const char *name)
 {
-	if (r->work)
-		put_value(to, r, name, r->work->retries_denied);
+	if (r->balancer)
+		put_value(to, r, name, r->balancer->retries_denied);
 }
 
-static void put_outcome(GString *to, const struct row *r, const char *name)
+static void put_outcome(GString *to, const struct account_row *r,
+			const char *name)
 {
-	for (uint32_t i = 0; r->work && i < OUTCOME_COUNT; i++)
+	for (uint32_t i = 0; r->balancer && i < OUTCOME_COUNT; i++)
 		put_label(to, r, name, "outcome", outcome_names[i],
-			  r->work->outcome[i]);
+			  r->balancer->outcome[i]);
 }
 
-/* The last three carry the class of the service, not of the request. */
+/* In the last three the class is that of the service, not of the request. */
 static const struct {
 	const char *name;
 	const char *type;
-	void (*put)(GString *to, const struct row *r, const char *name);
+	void (*put)(GString *to, const struct account_row *r, const char *name);
 } families[] = {
 	{ "cb_answered_total", "counter", put_answered },
 	{ "cb_refused_total", "counter", put_refused },
@@ -153,9 +163,13 @@
 	{ "cb_service_outcome_total", "counter", put_outcome },
 };
 
-/* The balancer's row of an account and class; both walk by name and class. */
-static const struct class_stats *work_of(const struct daemon *d,
-					 const struct row *r, uint32_t *cursor)
+/*
+ * Statistics of the balancer for @r; NULL when it has none. Both iterations are
+ * ordered by name and class.
+ */
+static const struct class_stats *
+find_balancer_stats(const struct daemon *d, const struct account_row *r,
+		    uint32_t *cursor)
 {
 	const struct balancer *b = entry_balancer(d->entry);
 	const struct class_stats *stats;
@@ -170,54 +184,56 @@
 	return stats;
 }
 
-static GArray *rows_of(const struct daemon *d)
+static GArray *collect_rows(const struct daemon *d)
 {
-	GArray *rows = g_array_new(FALSE, FALSE, sizeof(struct row));
+	GArray *rows = g_array_new(FALSE, FALSE, sizeof(struct account_row));
 	uint32_t cursor = 0;
-	uint32_t work_cursor = 0;
+	uint32_t balancer_cursor = 0;
 	uint8_t class;
-	struct row r;
+	struct account_row r;
 
 	while (entry_answer_stats_next(d->entry, &cursor, &r.account, &class,
 				       &r.answers)) {
 		r.class = class_names[class];
-		r.work = work_of(d, &r, &work_cursor);
+		r.balancer = find_balancer_stats(d, &r, &balancer_cursor);
 		g_array_append_val(rows, r);
 	}
 	return rows;
 }
 
 /**
- * metrics_accounts() - what was done for each client account
+ * metrics_write_accounts() - write the metrics of all client accounts
  * @d: daemon
- * @to: where to add it
+ * @to: text that they are appended to
  */
-void metrics_accounts(const struct daemon *d, GString *to)
+void metrics_write_accounts(const struct daemon *d, GString *to)
 {
-	GArray *rows = rows_of(d);
+	GArray *rows = collect_rows(d);
 
 	for (size_t f = 0; f < G_N_ELEMENTS(families); f++) {
 		g_string_append_printf(to, "# TYPE %s %s\n", families[f].name,
 				       families[f].type);
 		for (guint i = 0; i < rows->len; i++)
-			families[f].put(to, &g_array_index(rows, struct row, i),
-					families[f].name);
+			families[f].put(
+				to, &g_array_index(rows, struct account_row, i),
+				families[f].name);
 	}
 	g_array_free(rows, TRUE);
 }
 
-static void status_reasons(GString *to, const struct row *r, const char *what,
+static void status_reasons(GString *to, const struct account_row *r,
+			   const char *name,
 			   const uint64_t values[REFUSE_COUNT])
 {
 	for (uint32_t i = 0; i < REFUSE_COUNT; i++)
 		if (values[i])
-			g_string_append_printf(to, "%s %s %s %s %llu\n", what,
+			g_string_append_printf(to, "%s %s %s %s %llu\n", name,
 					       r->account, r->class,
 					       refusal_names[i],
 					       (unsigned long long)values[i]);
 }
 
-static void status_row(GString *to, const struct row *r)
+static void status_row(GString *to, const struct account_row *r)
 {
 	const struct answer_stats *a = r->answers;
 	uint64_t refused = 0;
@@ -236,26 +252,30 @@
 		(unsigned long long)refused, (unsigned long long)unknown,
 		(unsigned long long)histogram_quantile(&a->answer_us, 0.50),
 		(unsigned long long)histogram_quantile(&a->answer_us, 0.99),
-		(unsigned long long)(r->work ? histogram_quantile(
-						       &r->work->wait_us, 0.50)
+		(unsigned long long)(r->balancer
+					     ? histogram_quantile(
+						       &r->balancer->wait_us,
+						       0.50)
 					     : 0),
-		(unsigned long long)(r->work ? histogram_quantile(
-						       &r->work->wait_us, 0.99)
+		(unsigned long long)(r->balancer
+					     ? histogram_quantile(
+						       &r->balancer->wait_us,
+						       0.99)
 					     : 0));
 	status_reasons(to, r, "not_run", a->not_run);
 	status_reasons(to, r, "outcome_unknown", a->unknown);
 }
 
 /**
- * status_accounts() - the same in lines for operators
+ * status_write_accounts() - write the status lines of all client accounts
  * @d: daemon
- * @to: where to add it
+ * @to: text that they are appended to
  */
-void status_accounts(const struct daemon *d, GString *to)
+void status_write_accounts(const struct daemon *d, GString *to)
 {
-	GArray *rows = rows_of(d);
+	GArray *rows = collect_rows(d);
 
 	for (guint i = 0; i < rows->len; i++)
-		status_row(to, &g_array_index(rows, struct row, i));
+		status_row(to, &g_array_index(rows, struct account_row, i));
 	g_array_free(rows, TRUE);
 }
--- a/cmd/cb-entry/operator.c
+++ b/cmd/cb-entry/operators.c
@@ -1,4 +1,7 @@
-/* What operators ask: status, metrics, why a flow goes where it goes. */
+/*
+ * HTTP server for operators: status, metrics, lists of flows and targets, and
+ * why a flow goes to its target.
+ */
 #include "daemon.h"
 #include "flow_list.h"
 #include "log.h"
@@ -6,10 +9,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define STATUS_OK 200
-#define STATUS_BAD_REQUEST 400
-#define STATUS_NOT_FOUND 404
-#define STATUS_BAD_METHOD 405
+#define HTTP_OK 200
+#define HTTP_BAD_REQUEST 400
+#define HTTP_NOT_FOUND 404
+#define HTTP_METHOD_NOT_ALLOWED 405
 #define ADDR_TEXT_BYTES 32
 #define ROWS_DEFAULT 100
 #define ROWS_MAX 1000
@@ -36,7 +39,7 @@
 			       (unsigned long long)value);
 }
 
-static const char *phase(const struct daemon *d)
+static const char *phase_name(const struct daemon *d)
 {
 	if (d->leaving)
 		return "leaving";
@@ -86,13 +89,13 @@
 #undef X
 }
 
-static int status(struct daemon *d, const char *query, GString *body)
+static int write_status(struct daemon *d, const char *query, GString *body)
 {
 	struct entry_explanation v =
 		entry_explain(d->entry, &(struct flow_key){ 0, 0 });
 
 	(void)query;
-	g_string_append_printf(body, "%s\n", phase(d));
+	g_string_append_printf(body, "%s\n", phase_name(d));
 	put_addr(body, "vm", d->settings.peer);
 	g_string_append_printf(body, "data_centre %s\n",
 			       d->settings.data_centre);
@@ -102,15 +105,15 @@
 	put_accounts(d, body);
 	put_gauges(d, body);
 	put_counters(d, body);
-	status_accounts(d, body);
-	return STATUS_OK;
+	status_write_accounts(d, body);
+	return HTTP_OK;
 }
 
-static int metrics(struct daemon *d, const char *query, GString *body)
+static int write_metrics(struct daemon *d, const char *query, GString *body)
 {
 	(void)query;
 	metrics_write(d, body);
-	return STATUS_OK;
+	return HTTP_OK;
 }
 
 static bool query_addr(const char *query, const char *name, uint64_t *addr)
@@ -121,8 +124,8 @@
 	       addr_parse(text, addr) == 0;
 }
 
-static const char *why_owner(const struct daemon *d,
-			     const struct entry_explanation *v)
+static const char *owner_reason(const struct daemon *d,
+				const struct entry_explanation *v)
 {
 	if (v->pair.owner == ADDR_NONE)
 		return "no entry is known yet: wait for the list of VMs";
@@ -131,7 +134,7 @@
 	return "the owner of the flow's bucket decides: ask it";
 }
 
-static const char *why_target(const struct entry_explanation *v)
+static const char *target_reason(const struct entry_explanation *v)
 {
 	if (v->feeds)
 		return "feeds of the flow stay at the target that holds them";
@@ -140,9 +143,9 @@
 	return "chosen for each request, by load";
 }
 
-/* Whether @text, ACCOUNT/SERVICE or SERVICE alone, names a service. */
-static bool names(const char *text, const struct account_conf *a,
-		  const struct service_conf *s)
+/* Whether @text, ACCOUNT/SERVICE or only SERVICE, is the name of @s. */
+static bool is_named(const char *text, const struct account_conf *a,
+		     const struct service_conf *s)
 {
 	size_t n = strlen(a->name);
 
@@ -151,9 +154,9 @@
 	return !strcmp(text, s->name);
 }
 
-/* VIP of the service that @text names; how many are named so. */
-static uint32_t named_vip(const struct config *c, const char *text,
-			  uint64_t *vip)
+/* Sets *@vip to the VIP of the service named @text. Return: number of matches. */
+static uint32_t find_named_vip(const struct config *c, const char *text,
+			       uint64_t *vip)
 {
 	uint32_t found = 0;
 
@@ -161,7 +164,7 @@
 		const struct account_conf *a = &c->accounts[i];
 
 		for (uint32_t k = 0; k < a->n_services; k++) {
-			if (!names(text, a, &a->services[k]))
+			if (!is_named(text, a, &a->services[k]))
 				continue;
 			*vip = a->services[k].vip;
 			found++;
@@ -170,29 +173,29 @@
 	return found;
 }
 
-static int query_service(struct daemon *d, const char *query, uint64_t *vip,
-			 GString *body)
+static int query_vip(struct daemon *d, const char *query, uint64_t *vip,
+		     GString *body)
 {
 	char text[2 * NAME_MAX_BYTES];
 	uint32_t found;
 
 	if (query_addr(query, "vip", vip))
-		return STATUS_OK;
+		return HTTP_OK;
 	if (!http_query(query, "vip", text, sizeof(text))) {
 		g_string_append(body, "want vip=IP:PORT or a service's name\n");
-		return STATUS_BAD_REQUEST;
+		return HTTP_BAD_REQUEST;
 	}
-	found = named_vip(&d->config, text, vip);
+	found = find_named_vip(&d->config, text, vip);
 	if (found == 1)
-		return STATUS_OK;
+		return HTTP_OK;
 	g_string_append_printf(body, "%s %s\n",
 			       found ? "several accounts have a service"
 				     : "no account has a service",
 			       text);
-	return found ? STATUS_BAD_REQUEST : STATUS_NOT_FOUND;
+	return found ? HTTP_BAD_REQUEST : HTTP_NOT_FOUND;
 }
 
-static int explain(struct daemon *d, const char *query, GString *body)
+static int write_explanation(struct daemon *d, const char *query, GString *body)
 {
 	struct flow_key key;
 	struct entry_explanation v;
@@ -200,15 +203,15 @@
 
 	if (!query_addr(query, "caller", &key.caller)) {
 		g_string_append(body, "want caller=IP:PORT\n");
-		return STATUS_BAD_REQUEST;
+		return HTTP_BAD_REQUEST;
 	}
-	status = query_service(d, query, &key.vip, body);
-	if (status != STATUS_OK)
+	status = query_vip(d, query, &key.vip, body);
+	if (status != HTTP_OK)
 		return status;
 	v = entry_explain(d->entry, &key);
 	if (!v.service) {
 		put_addr(body, "no service at vip", key.vip);
-		return STATUS_NOT_FOUND;
+		return HTTP_NOT_FOUND;
 	}
 	g_string_append_printf(body, "account %s\nservice %s\n",
 			       v.account ? v.account->name : "-",
@@ -222,16 +225,17 @@
 	put_u64(body, "feeds", v.feeds);
 	put_addr(body, "feed_target", v.feed_target);
 	g_string_append_printf(body, "why_owner %s\nwhy_target %s\n",
-			       why_owner(d, &v), why_target(&v));
-	return STATUS_OK;
+			       owner_reason(d, &v), target_reason(&v));
+	return HTTP_OK;
 }
 
-static uint64_t query_u64(const char *query, const char *name, uint64_t other)
+static uint64_t query_u64(const char *query, const char *name,
+			  uint64_t default_value)
 {
 	char text[ADDR_TEXT_BYTES];
 
 	if (!http_query(query, name, text, sizeof(text)))
-		return other;
+		return default_value;
 	return strtoull(text, NULL, 10);
 }
 
@@ -259,8 +263,8 @@
 		(unsigned long long)((now_ns - since_ns) / NS_PER_MS));
 }
 
-/* Ends with "next N" while there may be more: ask again with after=N. */
-static int flows(struct daemon *d, const char *query, GString *body)
+/* A last line "next N" says that a request with after=N returns more rows. */
+static int write_flows(struct daemon *d, const char *query, GString *body)
 {
 	uint64_t limit = query_u64(query, "limit", ROWS_DEFAULT);
 	uint64_t at = query_u64(query, "after", 0);
@@ -274,7 +278,7 @@
 		put_row(body, &rows[i], now_ns);
 	if (at != UINT64_MAX)
 		put_u64(body, "next", at);
-	return STATUS_OK;
+	return HTTP_OK;
 }
 
 static void put_target(GString *to, const struct target_stats *t)
@@ -290,7 +294,7 @@
 		t->error_milli, (unsigned long long)t->latency_ns / 1000);
 }
 
-static int targets(struct daemon *d, const char *query, GString *body)
+static int write_targets(struct daemon *d, const char *query, GString *body)
 {
 	const struct balancer *b = entry_balancer(d->entry);
 	uint64_t limit = query_u64(query, "limit", ROWS_DEFAULT);
@@ -299,43 +303,44 @@
 
 	while (limit-- && balance_targets(b, &cursor, &t))
 		put_target(body, &t);
-	return STATUS_OK;
+	return HTTP_OK;
 }
 
 static const struct {
 	const char *path;
-	int (*answer)(struct daemon *d, const char *query, GString *body);
+	int (*write)(struct daemon *d, const char *query, GString *body);
 } routes[] = {
-	{ "/status", status }, { "/metrics", metrics }, { "/explain", explain },
-	{ "/flows", flows },   { "/targets", targets },
+	{ "/status", write_status },	   { "/metrics", write_metrics },
+	{ "/explain", write_explanation }, { "/flows", write_flows },
+	{ "/targets", write_targets },
 };
 
-static int handle(void *ctx, struct http_request *req, const char *method,
-		  const char *path, const char *query, const GString *in,
-		  GString *body)
+static int handle_request(void *ctx, struct http_request *req,
+			  const char *method, const char *path,
+			  const char *query, const GString *in, GString *body)
 {
 	(void)in;
 	if (strcmp(method, "GET") != 0)
-		return STATUS_BAD_METHOD;
+		return HTTP_METHOD_NOT_ALLOWED;
 	http_header(req, "Content-Type", "text/plain; version=0.0.4");
 	for (size_t i = 0; i < sizeof(routes) / sizeof(routes[0]); i++) {
 		if (strcmp(path, routes[i].path) == 0)
-			return routes[i].answer(ctx, query, body);
+			return routes[i].write(ctx, query, body);
 	}
 	for (size_t i = 0; i < sizeof(routes) / sizeof(routes[0]); i++)
 		g_string_append_printf(body, "%s\n", routes[i].path);
-	return STATUS_NOT_FOUND;
+	return HTTP_NOT_FOUND;
 }
 
 /**
- * operator_open() - serve operators
+ * operators_open() - open the HTTP server
  * @d: daemon
  *
  * Return: 0 or a negative error number.
  */
-int operator_open(struct daemon *d)
+int operators_open(struct daemon *d)
 {
-	struct http_handler handler = { d, handle };
+	struct http_handler handler = { d, handle_request };
 	char text[ADDR_TEXT_BYTES];
 	int err = http_open(d->loop, d->settings.http, handler, &d->http);
 
--- a/cmd/cb-entry/peers.c
+++ b/cmd/cb-entry/peers.c
@@ -1,11 +1,11 @@
-/* The side towards other entries. */
+/* Messages from and to other entries, on one UDP socket. */
 #include "coap_wire.h"
 #include "daemon.h"
 #include "log.h"
 
 #include <errno.h>
 
-static enum drop drop_of(int err)
+static enum drop drop_reason(int err)
 {
 	if (err == -EBADMSG)
 		return DROP_PEER_MAC;
@@ -14,10 +14,10 @@
 	return DROP_PEER_FORMAT;
 }
 
-static void deliver(struct daemon *d, const struct peer_msg *m)
+static void handle_message(struct daemon *d, const struct peer_msg *m)
 {
 	const struct message *forwarded = NULL;
-	uint64_t now_ns = daemon_catch_up(d);
+	uint64_t now_ns = daemon_run_due_tick(d);
 	struct message inner;
 
 	if (m->kind == PEER_FORWARD) {
@@ -28,11 +28,11 @@
 		forwarded = &inner;
 	}
 	entry_peer(d->entry, m, forwarded, now_ns, &d->actions);
-	act(d);
+	actions_execute(d);
 }
 
-static void received(uv_udp_t *socket, ssize_t n, const uv_buf_t *buf,
-		     const struct sockaddr *from, unsigned int flags)
+static void on_datagram(uv_udp_t *socket, ssize_t n, const uv_buf_t *buf,
+			const struct sockaddr *from, unsigned int flags)
 {
 	struct daemon *d = socket->loop->data;
 	struct peer_msg m;
@@ -44,16 +44,16 @@
 	err = wire_decode((const uint8_t *)buf->base, (uint32_t)n,
 			  d->settings.key, &m);
 	if (err) {
-		d->dropped[drop_of(err)]++;
+		d->dropped[drop_reason(err)]++;
 		return;
 	}
-	d->received.messages[m.kind]++;
-	d->received.bytes[m.kind] += (uint64_t)n;
-	deliver(d, &m);
+	d->peer_received.messages[m.kind]++;
+	d->peer_received.bytes[m.kind] += (uint64_t)n;
+	handle_message(d, &m);
 }
 
 /**
- * peers_open() - open the socket towards other entries
+ * peers_open() - open the socket for other entries
  * @d: daemon
  *
  * Return: 0 or a negative error number.
@@ -61,7 +61,8 @@
 int peers_open(struct daemon *d)
 {
 	char text[32];
-	int err = datagram_open(d, &d->peer_socket, d->settings.peer, received);
+	int err = datagram_open(d, &d->peer_socket, d->settings.peer,
+				on_datagram);
 
 	if (err)
 		log_line(LOG_ERROR, "peers.bind",
@@ -73,8 +74,10 @@
 /**
  * peers_send() - send a message to another entry
  * @d: daemon
- * @vm: receiver
+ * @vm: address of the receiver
  * @m: message
+ *
+ * A message that can't be encoded or sent is counted and dropped.
  */
 void peers_send(struct daemon *d, uint64_t vm, const struct peer_msg *m)
 {
@@ -89,6 +92,6 @@
 		d->dropped[DROP_SEND_PEER]++;
 		return;
 	}
-	d->sent.messages[m->kind]++;
-	d->sent.bytes[m->kind] += (uint64_t)n;
+	d->peer_sent.messages[m->kind]++;
+	d->peer_sent.bytes[m->kind] += (uint64_t)n;
 }
--- a/cmd/cb-entry/polls.c
+++ b/cmd/cb-entry/polls.c
@@ -1,6 +1,6 @@
 /*
- * Asks targets for their load, a few at a time and from a socket of its own,
- * so that these answers can't be taken for a request's.
+ * Polls targets for their load, a few in each step. The polls have a socket of
+ * their own, so that their answers aren't mistaken for answers to requests.
  */
 #include "coap_wire.h"
 #include "daemon.h"
@@ -8,30 +8,40 @@
 
 #include <stdlib.h>
 
-#define STEP_MS 50
+#define POLL_STEP_MS 50
 #define POLL_MAX_BYTES 64
 #define MILLI 1000
 /*
- * Bounds that hold for any fleet: what one entry sends, and what one target
- * gets from all entries of its data centre together. Past them each target is
- * asked less often; answers carry the load too.
+ * Limits that hold for any number of entries and targets: polls that one entry
+ * sends, and polls that one target gets from all entries of its data centre.
+ * Beyond them each target is polled less often; answers to requests report its
+ * load too.
  */
 #define ENTRY_POLLS_PER_S 40
 #define TARGET_POLLS_PER_S 10
 
-/* Targets of the configuration, sorted, and whose turn it is. */
+/**
+ * struct load_polls - polls of the targets' load
+ * @socket: socket of the polls
+ * @timer: runs on_step()
+ * @targets: endpoints of the configured targets, sorted, without duplicates
+ * @n: number of targets
+ * @next: index of the target to be polled next
+ * @due_millipolls: polls that are due, in 1/1000
+ * @id: CoAP message id of the next poll
+ */
 struct load_polls {
 	uv_udp_t socket;
 	uv_timer_t timer;
 	uint64_t *targets;
 	uint32_t n;
 	uint32_t next;
-	uint32_t due_milli;
+	uint32_t due_millipolls;
 	uint16_t id;
 };
 
-static void received(uv_udp_t *socket, ssize_t n, const uv_buf_t *buf,
-		     const struct sockaddr *from, unsigned int flags)
+static void on_load_report(uv_udp_t *socket, ssize_t n, const uv_buf_t *buf,
+			   const struct sockaddr *from, unsigned int flags)
 {
 	struct daemon *d = socket->loop->data;
 	struct load_report report;
@@ -45,27 +55,27 @@
 		d->dropped[DROP_TARGET_FORMAT]++;
 		return;
 	}
-	now_ns = daemon_catch_up(d);
-	entry_load_report(d->entry, addr_of(from), &report, now_ns);
+	now_ns = daemon_run_due_tick(d);
+	entry_load_report(d->entry, addr_from_sockaddr(from), &report, now_ns);
 }
 
-static uint32_t larger(uint32_t a, uint32_t b)
+static uint32_t max_u32(uint32_t a, uint32_t b)
 {
 	return a > b ? a : b;
 }
 
-/* Seconds between two polls of one target. */
-static uint32_t period_s(const struct daemon *d)
+/* Time between two polls of a target by this entry. */
+static uint32_t poll_period_s(const struct daemon *d)
 {
 	const struct member *all;
 	uint32_t n_entries = entry_members(d->entry, &all);
-	uint32_t by_entry = d->polls->n / ENTRY_POLLS_PER_S;
+	uint32_t by_entry = d->load_polls->n / ENTRY_POLLS_PER_S;
 	uint32_t by_target = n_entries / TARGET_POLLS_PER_S;
 
-	return larger(1, larger(by_entry, by_target));
+	return max_u32(1, max_u32(by_entry, by_target));
 }
 
-static void poll_one(struct daemon *d, struct load_polls *p)
+static void send_poll(struct daemon *d, struct load_polls *p)
 {
 	uint8_t buf[POLL_MAX_BYTES];
 	int32_t n = coap_wire_load_poll(p->id++, buf, sizeof(buf));
@@ -78,20 +88,20 @@
 	p->next++;
 }
 
-static void step(uv_timer_t *timer)
+static void on_step(uv_timer_t *timer)
 {
 	struct daemon *d = timer->loop->data;
-	struct load_polls *p = d->polls;
+	struct load_polls *p = d->load_polls;
 
 	if (!p->n)
 		return;
-	p->due_milli += p->n * STEP_MS / period_s(d);
-	for (; p->due_milli >= MILLI; p->due_milli -= MILLI)
-		poll_one(d, p);
+	p->due_millipolls += p->n * POLL_STEP_MS / poll_period_s(d);
+	for (; p->due_millipolls >= MILLI; p->due_millipolls -= MILLI)
+		send_poll(d, p);
 }
 
 /**
- * polls_open() - open the socket of the polls
+ * polls_open() - open the socket of the polls and start their timer
  * @d: daemon
  *
  * Return: 0 or a negative error number.
@@ -102,18 +112,19 @@
 	char text[32];
 	int err;
 
-	d->polls = calloc(1, sizeof(*d->polls));
-	if (!d->polls)
+	d->load_polls = calloc(1, sizeof(*d->load_polls));
+	if (!d->load_polls)
 		return UV_ENOMEM;
-	err = datagram_open(d, &d->polls->socket, source, received);
+	err = datagram_open(d, &d->load_polls->socket, source, on_load_report);
 	if (err) {
 		log_line(LOG_ERROR, "polls.bind",
 			 addr_text(source, text, sizeof(text)), "%s",
 			 uv_strerror(err));
 		return err;
 	}
-	uv_timer_init(d->loop, &d->polls->timer);
-	return uv_timer_start(&d->polls->timer, step, STEP_MS, STEP_MS);
+	uv_timer_init(d->loop, &d->load_polls->timer);
+	return uv_timer_start(&d->load_polls->timer, on_step, POLL_STEP_MS,
+			      POLL_STEP_MS);
 }
 
 static uint32_t count_targets(const struct config *c)
@@ -129,7 +140,7 @@
 	return n;
 }
 
-static void list_targets(const struct config *c, uint64_t *to)
+static void copy_targets(const struct config *c, uint64_t *to)
 {
 	for (uint32_t i = 0; i < c->n_accounts; i++) {
 		const struct account_conf *a = &c->accounts[i];
@@ -143,7 +154,7 @@
 	}
 }
 
-static int compare(const void *a, const void *b)
+static int compare_u64(const void *a, const void *b)
 {
 	uint64_t x = *(const uint64_t *)a;
 	uint64_t y = *(const uint64_t *)b;
@@ -151,12 +162,15 @@
 	return x < y ? -1 : x > y;
 }
 
-/* A target of two services is asked once. */
-static uint32_t unique(uint64_t *list, uint32_t n)
+/*
+ * Sorts the endpoints and removes duplicates: a target of two services is polled
+ * once. Return: number that remain.
+ */
+static uint32_t sort_unique(uint64_t *list, uint32_t n)
 {
 	uint32_t kept = 0;
 
-	qsort(list, n, sizeof(*list), compare);
+	qsort(list, n, sizeof(*list), compare_u64);
 	for (uint32_t i = 0; i < n; i++) {
 		if (!kept || list[kept - 1] != list[i])
 			list[kept++] = list[i];
@@ -165,32 +179,36 @@
 }
 
 /**
- * polls_config() - poll the targets of the configuration
+ * polls_apply_config() - set the targets to poll from the configuration
  * @d: daemon
  */
-void polls_config(struct daemon *d)
+void polls_apply_config(struct daemon *d)
 {
 	uint32_t n = count_targets(&d->config);
 	uint64_t *list = calloc(n + 1, sizeof(*list));
 
 	if (!list)
 		return;
-	list_targets(&d->config, list);
-	free(d->polls->targets);
-	d->polls->targets = list;
-	d->polls->n = unique(list, n);
-	/* Entries that start together should not ask in step. */
-	d->polls->next = d->polls->n ? d->incarnation % d->polls->n : 0;
+	copy_targets(&d->config, list);
+	free(d->load_polls->targets);
+	d->load_polls->targets = list;
+	d->load_polls->n = sort_unique(list, n);
+	/*
+	 * Entries that start together begin at different targets, so that they
+	 * don't poll each target at the same time.
+	 */
+	d->load_polls->next =
+		d->load_polls->n ? d->incarnation % d->load_polls->n : 0;
 }
 
 /**
- * polls_close() - free the polls, once the loop has closed their handles
+ * polls_close() - free the polls, after the loop has closed their handles
  * @d: daemon
  */
 void polls_close(struct daemon *d)
 {
-	if (d->polls)
-		free(d->polls->targets);
-	free(d->polls);
-	d->polls = NULL;
+	if (d->load_polls)
+		free(d->load_polls->targets);
+	free(d->load_polls);
+	d->load_polls = NULL;
 }
--- a/cmd/cb-packet/daemon.h
+++ b/cmd/cb-packet/daemon.h
@@ -117,6 +117,9 @@
  * @log_tokens: decisions that may be logged now
  * @exit_code: exit code of the process
  * @tick_timer: runs node_tick()
+ * @sigterm: begins a planned stop
+ * @sigint: the same
+ * @sighup: reloads the settings
  * @clients_fd: socket for clients and targets
  * @clients_poll: reports that @clients_fd is readable
  * @pace_timer: expires when the pacer may send its next datagram
