--- a/cmd/cb-watch/documents.c
+++ b/cmd/cb-watch/documents.c
@@ -1,4 +1,7 @@
-/* Documents of the platform, rendered and published to the spread. */
+/*
+ * Documents of the platform: rendered, checked and published to the spread, which
+ * sends them to the other VMs.
+ */
 #include "watch.h"
 
 #include "account_codec.h"
@@ -11,33 +14,34 @@
 #define ACCOUNT_PREFIX "account/"
 
 /**
- * struct rendering - one document on its way
+ * struct rendering - context of rendering one account's document
  * @watch: process
- * @wanted: name of a template that was asked for and is not at hand
+ * @missing_template: name of a template that the document needs and that was not
+ *	read yet; empty for none
  */
 struct rendering {
 	const struct watch *watch;
-	char wanted[NAME_MAX_BYTES];
+	char missing_template[NAME_MAX_BYTES];
 };
 
 static const char *find_template(void *ctx, const char *name)
 {
 	struct rendering *r = ctx;
 
-	if (!strcmp(name, r->watch->template))
+	if (!strcmp(name, r->watch->template_name))
 		return r->watch->template_text;
-	g_strlcpy(r->wanted, name, sizeof(r->wanted));
+	g_strlcpy(r->missing_template, name, sizeof(r->missing_template));
 	return NULL;
 }
 
-static void note_refused(struct watch *w, const char *key, const char *reason)
+static void record_refusal(struct watch *w, const char *key, const char *reason)
 {
 	log_line(LOG_ERROR, "publish", key, "refused: %s", reason);
-	g_hash_table_replace(w->refused, g_strdup(key), g_strdup(reason));
+	g_hash_table_replace(w->refusals, g_strdup(key), g_strdup(reason));
 }
 
-static void note_mistakes(struct watch *w, const char *key,
-			  const struct mistakes *m)
+static void record_mistakes(struct watch *w, const char *key,
+			    const struct mistakes *m)
 {
 	GString *reason = g_string_new(NULL);
 
@@ -51,7 +55,7 @@
 				       one->line, one->key, one->problem,
 				       one->expected);
 	}
-	note_refused(w, key, reason->str);
+	record_refusal(w, key, reason->str);
 	g_string_free(reason, TRUE);
 }
 
@@ -75,54 +79,56 @@
 	return strerror(-err);
 }
 
-static int publish(struct watch *w, const char *key, uint64_t generation,
-		   uint64_t revision, const struct content *c)
+static int publish_content(struct watch *w, const char *key,
+			   uint64_t generation, uint64_t revision,
+			   const struct content *c)
 {
 	int err = spread_publish(w->spread, key, generation, revision, c,
 				 uv_hrtime());
 
 	if (err && err != -EALREADY)
-		note_refused(w, key, publish_problem(err));
+		record_refusal(w, key, publish_problem(err));
 	else
-		g_hash_table_remove(w->refused, key);
+		g_hash_table_remove(w->refusals, key);
 	return err;
 }
 
 /**
- * documents_roster() - the list of VMs is known, or known anew
+ * documents_apply_roster() - pass the list of VMs to the spread
  * @w: process
- * @content: list; NULL when the platform has none
+ * @content: encoded list; NULL when the platform has none
  */
-void documents_roster(struct watch *w, const struct content *content)
+void documents_apply_roster(struct watch *w, const struct content *content)
 {
-	int32_t n = content ? roster_decode(content, w->vms, VMS_MAX) : 0;
+	int32_t n =
+		content ? roster_decode(content, w->vms_scratch, VMS_MAX) : 0;
 
 	if (n < 0) {
-		log_line(LOG_ERROR, "roster", w->vms_key, "unreadable: %s",
-			 strerror(-n));
+		log_line(LOG_ERROR, "roster", w->vms_key,
+			 "can't decode the list of VMs: %s", strerror(-n));
 		return;
 	}
-	w->roster_known = true;
-	spread_set_roster(w->spread, w->vms, (uint32_t)n, uv_hrtime());
+	w->has_roster = true;
+	spread_set_roster(w->spread, w->vms_scratch, (uint32_t)n, uv_hrtime());
 }
 
-static int take_roster(struct watch *w, const char *key, const char *text,
-		       uint32_t size_bytes, uint64_t revision)
+static int publish_roster(struct watch *w, const char *key, const char *text,
+			  uint32_t size_bytes, uint64_t revision)
 {
 	struct content *c;
 	int err = roster_encode(text, size_bytes, &c);
 
 	if (err) {
-		note_refused(w, key, "expected lines of ADDRESS STATE");
+		record_refusal(w, key, "expected lines of ADDRESS STATE");
 		return err;
 	}
-	err = publish(w, key, revision, revision, c);
+	err = publish_content(w, key, revision, revision, c);
 	content_free(c);
 	return err;
 }
 
-static void note_vips(struct watch *w, const char *key,
-		      const struct content *content)
+static void update_vips(struct watch *w, const char *key,
+			const struct content *content)
 {
 	const char *name = key + strlen(ACCOUNT_PREFIX);
 	struct account_conf *a = NULL;
@@ -141,31 +147,34 @@
 
 	if (err)
 		return err;
-	err = publish(w, key, a->generation, revision, c);
+	err = publish_content(w, key, a->generation, revision, c);
 	content_free(c);
-	/* documents_check() noted VIPs that did not come in force after all. */
+	/* Undoes what documents_check_content() stored for a content not in force. */
 	if (err)
-		note_vips(w, key, spread_content(w->spread, key));
+		update_vips(w, key, spread_content(w->spread, key));
 	return err;
 }
 
 /*
- * Callers of a VIP would reach the targets of whichever account an entry looks
- * at first. The account that is in force keeps it, the other is refused whole
- * and tried again when the accounts in force change.
+ * If two accounts had the same VIP, its callers would reach the targets of the
+ * account that an entry finds first. The account in force keeps the VIP. The
+ * other account is refused as a whole, and read again when the accounts in force
+ * change. Return: whether there is no conflict.
  */
-static bool vips_free_for(struct watch *w, const char *key, const char *text,
-			  struct template_source source, struct mistakes *m)
+static bool check_vip_conflicts(struct watch *w, const char *key,
+				const char *text, struct template_source source,
+				struct mistakes *m)
 {
 	vips_check(w->vips, key + strlen(ACCOUNT_PREFIX), text, source, m);
 	if (!m->n_errors)
 		return true;
-	w->vips_refused = true;
+	w->has_vip_conflict = true;
 	return false;
 }
 
-static int take_account(struct watch *w, const char *key, const char *text,
-			uint64_t revision, char template[NAME_MAX_BYTES])
+static int render_and_publish(struct watch *w, const char *key,
+			      const char *text, uint64_t revision,
+			      char template[NAME_MAX_BYTES])
 {
 	struct rendering r = { .watch = w };
 	struct template_source source = { &r, find_template };
@@ -175,11 +184,12 @@
 
 	a = publication_render(key + strlen(ACCOUNT_PREFIX), text, source,
 			       w->settings.data_centre, &mistakes);
-	if (r.wanted[0] && template) {
-		g_strlcpy(template, r.wanted, NAME_MAX_BYTES);
+	if (r.missing_template[0] && template) {
+		g_strlcpy(template, r.missing_template, NAME_MAX_BYTES);
 		err = -ENOENT;
-	} else if (!a || !vips_free_for(w, key, text, source, &mistakes)) {
-		note_mistakes(w, key, &mistakes);
+	} else if (!a ||
+		   !check_vip_conflicts(w, key, text, source, &mistakes)) {
+		record_mistakes(w, key, &mistakes);
 	} else {
 		err = publish_account(w, key, revision, a);
 	}
@@ -188,51 +198,51 @@
 	return err;
 }
 
-static int take_document(void *ctx, const char *key, const char *text,
-			 uint32_t size_bytes, uint64_t revision,
-			 char template[NAME_MAX_BYTES])
+static int accept_document(void *ctx, const char *key, const char *text,
+			   uint32_t size_bytes, uint64_t revision,
+			   char template[NAME_MAX_BYTES])
 {
 	struct watch *w = ctx;
 	char *copy;
 	int err;
 
 	if (!strcmp(key, w->vms_key))
-		return take_roster(w, key, text, size_bytes, revision);
+		return publish_roster(w, key, text, size_bytes, revision);
 	if (template) {
 		g_clear_pointer(&w->template_text, g_free);
-		w->template[0] = 0;
+		w->template_name[0] = 0;
 	}
 	copy = g_strndup(text, size_bytes);
-	err = take_account(w, key, copy, revision, template);
+	err = render_and_publish(w, key, copy, revision, template);
 	g_free(copy);
 	return err;
 }
 
-static void take_template(void *ctx, const char *name, const char *text,
-			  uint32_t size_bytes)
+static void accept_template(void *ctx, const char *name, const char *text,
+			    uint32_t size_bytes)
 {
 	struct watch *w = ctx;
 
 	g_free(w->template_text);
 	w->template_text = text ? g_strndup(text, size_bytes) : NULL;
-	g_strlcpy(w->template, name, sizeof(w->template));
+	g_strlcpy(w->template_name, name, sizeof(w->template_name));
 }
 
-static void gone(void *ctx, const char *key, uint64_t revision)
+static void report_missing(void *ctx, const char *key, uint64_t revision)
 {
 	struct watch *w = ctx;
 	int err;
 
-	g_hash_table_remove(w->refused, key);
+	g_hash_table_remove(w->refusals, key);
 	if (!strcmp(key, w->vms_key)) {
-		if (!w->roster_known)
-			documents_roster(w, NULL);
+		if (!w->has_roster)
+			documents_apply_roster(w, NULL);
 		return;
 	}
 	err = spread_withdraw(w->spread, key, revision, uv_hrtime());
 	if (err == -ESTALE)
 		log_line(LOG_WARNING, "withdraw", key,
-			 "the platform lacks it at revision %lu, which is "
+			 "not withdrawn: missing at revision %lu, which is "
 			 "older than the one in force",
 			 revision);
 }
@@ -252,14 +262,14 @@
 	platform_cancel(w->platform);
 }
 
-static const struct version *known(void *ctx, const char *key)
+static const struct version *find_version(void *ctx, const char *key)
 {
 	struct watch *w = ctx;
 
 	return spread_version(w->spread, key);
 }
 
-static const char *each_known(void *ctx, uint32_t index)
+static const char *key_at(void *ctx, uint32_t index)
 {
 	struct watch *w = ctx;
 	const struct content *content;
@@ -271,7 +281,7 @@
 	return key;
 }
 
-static void platform_state(void *ctx, bool ok, bool caught_up)
+static void report_state(void *ctx, bool ok, bool caught_up)
 {
 	struct watch *w = ctx;
 
@@ -282,8 +292,19 @@
 	spread_set_platform_state(w->spread, ok, caught_up, uv_hrtime());
 }
 
-/* Whether this process can read a content; only what all can read spreads. */
-int documents_check(void *ctx, const char *key, const struct content *content)
+/**
+ * documents_check_content() - check that this process can decode a content
+ * @ctx: struct watch
+ * @key: key
+ * @content: encoded content
+ *
+ * Content that a VM can't decode is not sent on. The VIPs of an account are
+ * stored for checks of other accounts.
+ *
+ * Return: 0 or a negative error.
+ */
+int documents_check_content(void *ctx, const char *key,
+			    const struct content *content)
 {
 	struct watch *w = ctx;
 	struct account_conf *a;
@@ -291,13 +312,13 @@
 	int err;
 
 	if (!strcmp(key, w->vms_key)) {
-		n = roster_decode(content, w->vms, VMS_MAX);
+		n = roster_decode(content, w->vms_scratch, VMS_MAX);
 		return n < 0 ? n : 0;
 	}
 	if (strncmp(key, ACCOUNT_PREFIX, strlen(ACCOUNT_PREFIX)))
 		return -EINVAL;
 	err = account_decode(key + strlen(ACCOUNT_PREFIX), 1, content, &a);
-	/* Noted before it is in force, which waits until this VM serves. */
+	/* Stored already: the content comes in force only when this VM serves. */
 	if (!err)
 		vips_put(w->vips, a->name, a);
 	account_free(a);
@@ -305,46 +326,56 @@
 }
 
 /**
- * documents_in_force() - a key's version is in force
+ * documents_put_in_force() - apply a version that came in force
  * @w: process
  * @key: key
- * @content: its content; NULL when withdrawn
+ * @content: its content; NULL when it was withdrawn
  */
-void documents_in_force(struct watch *w, const char *key,
-			const struct content *content)
+void documents_put_in_force(struct watch *w, const char *key,
+			    const struct content *content)
 {
 	if (!strcmp(key, w->vms_key)) {
 		if (content)
-			documents_roster(w, content);
+			documents_apply_roster(w, content);
 		return;
 	}
-	note_vips(w, key, content);
-	if (w->vips_refused)
+	update_vips(w, key, content);
+	if (w->has_vip_conflict)
 		reader_relist(w->reader);
-	w->vips_refused = false;
+	w->has_vip_conflict = false;
 }
 
+/**
+ * documents_port() - callbacks for the reader of the platform
+ * @w: process
+ *
+ * Return: port.
+ */
 struct reader_port documents_port(struct watch *w)
 {
 	return (struct reader_port){
 		.ctx = w,
 		.start_call = start_call,
 		.cancel_call = cancel_call,
-		.find_version = known,
-		.accept_document = take_document,
-		.accept_template = take_template,
-		.report_missing = gone,
-		.key_at = each_known,
-		.report_state = platform_state,
+		.find_version = find_version,
+		.accept_document = accept_document,
+		.accept_template = accept_template,
+		.report_missing = report_missing,
+		.key_at = key_at,
+		.report_state = report_state,
 	};
 }
 
+/**
+ * documents_free() - free templates, refusals and VIPs
+ * @w: process
+ */
 void documents_free(struct watch *w)
 {
 	g_clear_pointer(&w->template_text, g_free);
-	if (w->refused)
-		g_hash_table_destroy(w->refused);
-	w->refused = NULL;
+	if (w->refusals)
+		g_hash_table_destroy(w->refusals);
+	w->refusals = NULL;
 	vips_free(w->vips);
 	w->vips = NULL;
 }
--- a/cmd/cb-watch/main.c
+++ b/cmd/cb-watch/main.c
@@ -1,3 +1,4 @@
+/* cb-watch: relays published documents between VMs, and to the cb-entry here. */
 #include "watch.h"
 
 #include "daemon_args.h"
@@ -33,7 +34,7 @@
 	return err ? DAEMON_FAULT : DAEMON_OK;
 }
 
-static int with_settings(const char *path, bool check)
+static int run_with_settings(const char *path, bool check)
 {
 	struct watch_settings settings = { 0 };
 
@@ -48,7 +49,7 @@
 		"cb-watch", VERSION,
 		"Reads or relays what operators published, and gives it to "
 		"the cb-entry of this VM.",
-		with_settings
+		run_with_settings
 	};
 
 	return daemon_args(&about, argc, argv);
--- a/cmd/cb-watch/operators.c
+++ b/cmd/cb-watch/operators.c
@@ -1,4 +1,4 @@
-/* What operators read over HTTP: /status /metrics /generations. */
+/* HTTP pages for operators: /status /metrics /generations. */
 #include "usage.h"
 #include "watch.h"
 
@@ -34,7 +34,7 @@
 	gauge(out, "reader", spread_is_reader(w->spread));
 	gauge(out, "platform_ok", w->platform_ok);
 	gauge(out, "entries", watch_link_entry_count(w->link));
-	gauge(out, "documents_refused", g_hash_table_size(w->refused));
+	gauge(out, "documents_refused", g_hash_table_size(w->refusals));
 	gauge(out, "vips_doubled", vips_doubled(w->vips));
 	if (!usage_read(&u)) {
 		gauge(out, "process_resident_bytes", u.resident_bytes);
@@ -51,8 +51,8 @@
 #undef X
 }
 
-/* Until it serves, what is held is not in force at the entry beside. */
-static const char *state_word(const struct watch *w, const struct version *v)
+/* Until this VM serves, its documents are not in force at its cb-entry. */
+static const char *state_name(const struct watch *w, const struct version *v)
 {
 	if (version_is_withdrawn(v))
 		return "withdrawn";
@@ -72,11 +72,11 @@
 			continue;
 		g_string_append_printf(out, "%s %lu %lu %016lx %s\n", key,
 				       version->generation, version->revision,
-				       version->hash, state_word(w, version));
+				       version->hash, state_name(w, version));
 	}
 }
 
-static void write_refused(gpointer key, gpointer reason, gpointer out)
+static void write_refusal(gpointer key, gpointer reason, gpointer out)
 {
 	g_string_append_printf(out, "refused %s: %s\n", (char *)key,
 			       (char *)reason);
@@ -101,13 +101,17 @@
 	g_string_append_printf(out, "vips_doubled %u\n", vips_doubled(w->vips));
 	g_string_append_printf(out, "digest %016lx\n",
 			       spread_store_digest(w->spread));
-	g_hash_table_foreach(w->refused, write_refused, out);
+	g_hash_table_foreach(w->refusals, write_refusal, out);
 }
 
-/* Port of the HTTP server; reading only. */
-int operators_answer(void *ctx, struct http_request *req, const char *method,
-		     const char *path, const char *query, const GString *in,
-		     GString *body)
+/**
+ * operators_respond() - answer a request of an operator; read only
+ *
+ * The parameters and the result are those of struct http_handler.
+ */
+int operators_respond(void *ctx, struct http_request *req, const char *method,
+		      const char *path, const char *query, const GString *in,
+		      GString *body)
 {
 	static const struct {
 		const char *path;
--- a/cmd/cb-watch/watch.c
+++ b/cmd/cb-watch/watch.c
@@ -1,3 +1,4 @@
+/* Start, timers and stop of cb-watch, and the connections between its parts. */
 #include "watch.h"
 
 #include "log.h"
@@ -6,12 +7,12 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define EXPIRE_PERIOD_MS 5000
+#define EXPIRY_PERIOD_MS 5000
 
-static void arm(struct watch *w);
+static void arm_timer(struct watch *w);
 
-/* Read as much as the spread wants, and do what is due. */
-static void turn(struct watch *w)
+/* Sets what to read from the platform, and handles all expired deadlines. */
+static void run_due(struct watch *w)
 {
 	uint64_t now_ns = uv_hrtime();
 	enum reader_mode mode = READER_OFF;
@@ -20,33 +21,34 @@
 		spread_tick(w->spread, now_ns);
 	if (spread_is_reader(w->spread))
 		mode = READER_ALL;
-	else if (!w->roster_known)
+	else if (!w->has_roster)
 		mode = READER_ROSTER;
 	reader_set_mode(w->reader, mode, now_ns);
 	reader_tick(w->reader, now_ns);
-	arm(w);
+	arm_timer(w);
 }
 
 static void on_tick(uv_timer_t *timer)
 {
-	turn(timer->data);
+	run_due(timer->data);
 }
 
-static void arm(struct watch *w)
+static void arm_timer(struct watch *w)
 {
 	uint64_t next_ns = spread_next_ns(w->spread);
 	uint64_t now_ns = uv_hrtime();
 	uint64_t wait_ms = 1;
 
 	/*
-	 * Never 0: libuv runs a timer that its callback starts with 0 again in
-	 * the same turn, and no frame would be read until it stops.
+	 * At least 1 ms: libuv runs a timer that its own callback starts with 0
+	 * again in the same iteration, and no frames would be received
+	 * meanwhile.
 	 */
 	if (reader_next_ns(w->reader) < next_ns)
 		next_ns = reader_next_ns(w->reader);
 	if (next_ns > now_ns)
 		wait_ms = (next_ns - now_ns + NS_PER_MS - 1) / NS_PER_MS;
-	uv_timer_start(&w->tick, on_tick, wait_ms, 0);
+	uv_timer_start(&w->tick_timer, on_tick, wait_ms, 0);
 }
 
 static void on_expire(uv_timer_t *timer)
@@ -64,30 +66,31 @@
 	uv_stop(w->loop);
 }
 
-static void on_answer(void *ctx, const struct reader_answer *a)
+static void on_platform_answer(void *ctx, const struct reader_answer *a)
 {
 	struct watch *w = ctx;
 
 	reader_handle_answer(w->reader, a, uv_hrtime());
-	arm(w);
+	arm_timer(w);
 }
 
-static void on_peer(void *ctx, const struct spread_msg *msg)
+static void on_peer_message(void *ctx, const struct spread_msg *msg)
 {
 	struct watch *w = ctx;
 
 	spread_receive(w->spread, msg, uv_hrtime());
 }
 
-static void send_peer(void *ctx, uint64_t vm, const struct spread_msg *msg)
+static void send_to_peer(void *ctx, uint64_t vm, const struct spread_msg *msg)
 {
 	struct watch *w = ctx;
 
 	watch_link_send(w->link, vm, msg);
 }
 
-static void in_force(void *ctx, const char *key, const struct version *version,
-		     const struct content *content)
+static void put_in_force(void *ctx, const char *key,
+			 const struct version *version,
+			 const struct content *content)
 {
 	struct watch *w = ctx;
 
@@ -95,16 +98,17 @@
 		 version->generation, version->revision,
 		 content ? "" : " withdrawn");
 	watch_link_entries(w->link, key, version, content);
-	documents_in_force(w, key, content);
+	documents_put_in_force(w, key, content);
 }
 
-static int make_core(struct watch *w, uint64_t now_ns)
+static int create_core(struct watch *w, uint64_t now_ns)
 {
 	struct spread_conf conf = {
 		.self = w->settings.peer,
 		.readers = w->settings.readers,
 	};
-	struct spread_port port = { w, send_peer, documents_check, in_force };
+	struct spread_port port = { w, send_to_peer, documents_check_content,
+				    put_in_force };
 	struct rng rng = { hash_u64(now_ns, w->settings.peer) | 1 };
 
 	g_strlcpy(conf.roster_key, w->vms_key, sizeof(conf.roster_key));
@@ -112,8 +116,8 @@
 	rng.s = rng_next(&rng) | 1;
 	w->reader = reader_new(w->settings.data_centre, documents_port(w), rng,
 			       now_ns);
-	w->vms = calloc(VMS_MAX, sizeof(*w->vms));
-	return w->spread && w->reader && w->vms ? 0 : -ENOMEM;
+	w->vms_scratch = calloc(VMS_MAX, sizeof(*w->vms_scratch));
+	return w->spread && w->reader && w->vms_scratch ? 0 : -ENOMEM;
 }
 
 static int open_link(struct watch *w)
@@ -125,7 +129,7 @@
 		.data_centre = w->settings.data_centre,
 		.key = w->settings.key,
 	};
-	struct watch_link_handler handler = { w, on_peer };
+	struct watch_link_handler handler = { w, on_peer_message };
 	int err = watch_link_open(w->loop, &conf, handler, &w->link);
 
 	if (err) {
@@ -139,7 +143,7 @@
 
 static int open_http(struct watch *w)
 {
-	struct http_handler handler = { w, operators_answer };
+	struct http_handler handler = { w, operators_respond };
 	char addr[32];
 	int err = http_open(w->loop, w->settings.http, handler, &w->http);
 
@@ -152,42 +156,42 @@
 
 static void start_handles(struct watch *w)
 {
-	uv_timer_init(w->loop, &w->tick);
-	uv_timer_init(w->loop, &w->expire);
+	uv_timer_init(w->loop, &w->tick_timer);
+	uv_timer_init(w->loop, &w->expire_timer);
 	uv_signal_init(w->loop, &w->sigterm);
 	uv_signal_init(w->loop, &w->sigint);
-	w->tick.data = w;
-	w->expire.data = w;
+	w->tick_timer.data = w;
+	w->expire_timer.data = w;
 	w->sigterm.data = w;
 	w->sigint.data = w;
-	uv_timer_start(&w->expire, on_expire, EXPIRE_PERIOD_MS,
-		       EXPIRE_PERIOD_MS);
+	uv_timer_start(&w->expire_timer, on_expire, EXPIRY_PERIOD_MS,
+		       EXPIRY_PERIOD_MS);
 	uv_signal_start(&w->sigterm, on_signal, SIGTERM);
 	uv_signal_start(&w->sigint, on_signal, SIGINT);
 }
 
 /**
- * watch_open() - start all of it on a loop
+ * watch_open() - open all connections and start the timers
  * @w: process, zeroed
- * @loop: loop
- * @settings: checked settings
+ * @loop: loop that runs it
+ * @settings: checked settings, copied
  *
- * Return: 0, or a negative error that was logged with its step.
+ * Return: 0, or a negative error, which has been logged with its step.
  */
 int watch_open(struct watch *w, uv_loop_t *loop,
 	       const struct watch_settings *settings)
 {
-	struct platform_handler answers = { w, on_answer };
+	struct platform_handler answers = { w, on_platform_answer };
 	int err;
 
 	w->loop = loop;
 	w->settings = *settings;
 	snprintf(w->vms_key, sizeof(w->vms_key), "vms/%s",
 		 settings->data_centre);
-	w->refused =
+	w->refusals =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	w->vips = vips_new();
-	err = make_core(w, uv_hrtime());
+	err = create_core(w, uv_hrtime());
 	if (!err)
 		err = platform_open(loop, settings->platform_url, answers,
 				    &w->platform);
@@ -201,19 +205,19 @@
 	if (err)
 		return err;
 	start_handles(w);
-	turn(w);
+	run_due(w);
 	return 0;
 }
 
 /**
- * watch_close() - end all of it
- * @w: process
+ * watch_close() - close all handles and free the state
+ * @w: process, also when watch_open() failed
  */
 void watch_close(struct watch *w)
 {
-	if (w->tick.data) {
-		uv_close((uv_handle_t *)&w->tick, NULL);
-		uv_close((uv_handle_t *)&w->expire, NULL);
+	if (w->tick_timer.data) {
+		uv_close((uv_handle_t *)&w->tick_timer, NULL);
+		uv_close((uv_handle_t *)&w->expire_timer, NULL);
 		uv_close((uv_handle_t *)&w->sigterm, NULL);
 		uv_close((uv_handle_t *)&w->sigint, NULL);
 	}
@@ -225,5 +229,5 @@
 	reader_free(w->reader);
 	spread_free(w->spread);
 	documents_free(w);
-	free(w->vms);
+	free(w->vms_scratch);
 }
