--- a/test/process/deployments_test.sh
+++ b/test/process/deployments_test.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# scripts/deployments: same seed, same deployment; figures within their bounds;
-# offered work per slot between half and one and a half times the site's; lines
-# of other matters stay; wrong arguments are refused.
+# scripts/deployments: the same seed gives the same deployment, figures stay
+# within their bounds, the offered work per slot is between 0.5 and 1.5 times that
+# of the site, other lines are unchanged, and wrong arguments are refused.
 set -eu
 cd "$(dirname "$0")/../.."
 dir=$(mktemp -d)
@@ -30,10 +30,10 @@
 EOF
 scripts/deployments "$dir/site.toml" 7 >"$dir/one"
 scripts/deployments "$dir/site.toml" 7 >"$dir/two"
-cmp "$dir/one" "$dir/two" || fail "one seed, two deployments"
+cmp "$dir/one" "$dir/two" || fail "two deployments of the same seed differ"
 scripts/deployments "$dir/site.toml" 8 >"$dir/two"
-cmp -s "$dir/one" "$dir/two" && fail "two seeds, one deployment"
-[ "$(grep -c 'cold_per_s = ' "$dir/one")" = 2 ] || fail "cold rates"
+cmp -s "$dir/one" "$dir/two" && fail "deployments of two seeds are the same"
+[ "$(grep -c 'cold_per_s = ' "$dir/one")" = 2 ] || fail "not two lines with cold_per_s"
 [ "$(sed -n 1p "$dir/one")" = 'name = "hall"' ] || fail "another line changed"
 for seed in 1 2 3 4 5 6 7 8 9 10 11 12; do
 	scripts/deployments "$dir/site.toml" $seed | awk -v seed=$seed '
@@ -54,14 +54,14 @@
 			print "seed", seed, link, cpu, slots, queue, aim, work, use
 			exit 1
 		}
-	}' || fail "out of bounds"
+	}' || fail "figures out of bounds"
 done
 for bad in "" x 1.5; do
 	code=0
-	scripts/deployments "$dir/site.toml" "$bad" >/dev/null 2>"$dir/said" || code=$?
-	[ $code = 2 ] && grep -q "whole number" "$dir/said" || fail "seed '$bad'"
+	scripts/deployments "$dir/site.toml" "$bad" >/dev/null 2>"$dir/stderr" || code=$?
+	[ $code = 2 ] && grep -q "whole number" "$dir/stderr" || fail "seed '$bad' was not refused"
 done
 code=0
 scripts/deployments "$dir/none.toml" 1 >/dev/null 2>&1 || code=$?
-[ $code = 2 ] || fail "no file: $code"
+[ $code = 2 ] || fail "missing file: exit $code"
 echo ok
--- a/test/process/freeze_drain_test.sh
+++ b/test/process/freeze_drain_test.sh
@@ -1,9 +1,8 @@
 #!/bin/sh
-# Symptom: a report ran twice, or reached another service.
-# Events: an entry sleeps 3 s; meanwhile a target begins to drain, and peers
-# take the sleeper's flows over; it wakes up.
-# Cause: the woken entry acts on its old configuration and its old view of
-# the fleet at once.
+# Guards against a report that runs twice or reaches another service.
+# An entry is stopped for 3 s. Meanwhile a target begins to drain, and peers
+# take over the flows of the entry. When it runs again, it has an old
+# configuration and an old list of members, and must not act on them.
 . "$(dirname "$0")/run.sh"
-run freeze-drain
-zero doubled misrouted false_not_run
+run_demo freeze-drain
+expect_zero doubled misrouted false_not_run
--- a/test/process/freeze_entry_test.sh
+++ b/test/process/freeze_entry_test.sh
@@ -1,8 +1,8 @@
 #!/bin/sh
-# Symptom: a report ran twice, or reached another service.
-# Events: an entry sleeps 3 s, its peers take its flows over, it wakes up.
-# Cause: the woken entry acts on its old view: it sends what it had taken in,
-# and answers for flows that are no longer its own.
+# Guards against a report that runs twice or reaches another service.
+# An entry is stopped for 3 s, and its peers take over its flows. When it runs
+# again, it must not send requests that it had received before, nor answer for
+# flows that it no longer owns.
 . "$(dirname "$0")/run.sh"
-run freeze-entry
-zero doubled misrouted false_not_run
+run_demo freeze-entry
+expect_zero doubled misrouted false_not_run
--- a/test/process/kill_entry_test.sh
+++ b/test/process/kill_entry_test.sh
@@ -1,8 +1,8 @@
 #!/bin/sh
-# Symptom: a report ran twice, or one that ran was called "not run".
-# Events: an entry VM dies with its cb-watch; fabric and list of VMs know of
-# it 2 s later; callers repeat what it had not answered.
-# Cause: the next owner of a flow does not know what the dead one had sent.
+# Guards against a report that runs twice, or that ran and is answered "not run".
+# An entry VM dies with its cb-watch. Fabric and list of VMs drop it 2 s later,
+# and callers retransmit what it had not answered. The next owner of a flow does
+# not know which requests the dead entry had sent to targets.
 . "$(dirname "$0")/run.sh"
-run kill-entry
-zero doubled misrouted false_not_run
+run_demo kill-entry
+expect_zero doubled misrouted false_not_run
--- a/test/process/kill_target_test.sh
+++ b/test/process/kill_target_test.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# Symptom: a report ran at two targets, or one that ran was called "not run".
-# Events: a target dies with requests in its slots.
-# Cause: what had been sent to the dead target is sent to another.
+# Guards against a report that runs at two targets, or that ran and is answered
+# "not run". A target dies with requests in its slots; those that were sent to
+# it must not be sent to another target.
 . "$(dirname "$0")/run.sh"
-run kill-target
-zero doubled misrouted false_not_run
+run_demo kill-target
+expect_zero doubled misrouted false_not_run
--- a/test/process/kill_watch_test.sh
+++ b/test/process/kill_watch_test.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# Symptom: the data path suffers with the control process beside it.
-# Events: a VM's cb-watch dies under load; its cb-entry stays.
-# Cause: the entry needs its cb-watch for the work in hand.
+# Guards against a data path that depends on the control process of its VM.
+# The cb-watch of a VM dies under load while its cb-entry keeps running; the
+# entry must not need it for requests in progress.
 . "$(dirname "$0")/run.sh"
-run kill-watch
-zero doubled misrouted false_not_run lost cut unknown broken_flows
+run_demo kill-watch
+expect_zero doubled misrouted false_not_run lost cut unknown broken_flows
--- a/test/process/pages.sh
+++ b/test/process/pages.sh
@@ -1,7 +1,7 @@
-# Sourced by tests that read a daemon's pages over HTTP; needs bash.
+# Sourced by tests that read the HTTP pages of a daemon; needs bash.
 
-# page IP:PORT PATH: the body.
-page() {
+# get_page IP:PORT PATH: prints the body.
+get_page() {
 	local line
 	exec 7<>"/dev/tcp/${1%:*}/${1#*:}" || return 1
 	printf 'GET %s HTTP/1.1\r\nHost: %s\r\nConnection: close\r\n\r\n' "$2" "$1" >&7
@@ -10,14 +10,14 @@
 	exec 7>&-
 }
 
-# Names of metrics on a page, without the parts of histograms.
+# Reads a page of metrics. Prints their names; a histogram has one name.
 metric_names() {
 	sed -n 's/^\(cb_[a-z0-9_]*\).*/\1/p' |
 		sed -E 's/_(bucket|sum|count)$//' | sort -u
 }
 
-# wait_for FILE COUNT TEXT: until that many lines of the file hold the text.
-wait_for() {
+# wait_for_lines FILE COUNT TEXT: waits up to 60 s until COUNT lines contain TEXT.
+wait_for_lines() {
 	local i=0
 	while [ "$(grep -c "$3" "$1" 2>/dev/null)" -lt "$2" ]; do
 		i=$((i + 1))
--- a/test/process/platform_down_test.sh
+++ b/test/process/platform_down_test.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# Symptom: the data path suffers with the configuration service.
-# Events: the platform dies under load and stays away.
-# Cause: the configuration in force is dropped, or a packet waits for a read.
+# Guards against a data path that depends on the configuration service.
+# The platform dies under load and does not return. The configuration in force
+# must not be dropped, and no packet may wait for a read from the platform.
 . "$(dirname "$0")/run.sh"
-run platform-down
-zero doubled misrouted false_not_run lost cut unknown broken_flows
+run_demo platform-down
+expect_zero doubled misrouted false_not_run lost cut unknown broken_flows
--- a/test/process/reload_test.sh
+++ b/test/process/reload_test.sh
@@ -1,8 +1,9 @@
 #!/bin/sh
-# cb-packet takes changed settings with SIGHUP and without, and goes on with
-# the old ones when the file is bad. Waits on its log, not on a clock.
+# cb-packet applies changed settings after SIGHUP and without it, and keeps the
+# settings in force when the file is invalid. The test waits for log lines, not
+# for a time.
 set -eu
-# Its addresses are fixed: one run at a time on a machine.
+# The addresses are fixed, so only one test that uses them runs at a time.
 exec 9>>"${TMPDIR:-/tmp}/cactusbeam-cb-packet.lock"
 flock 9
 dir=$(mktemp -d)
@@ -25,13 +26,13 @@
 	END
 }
 
-# Waits until the log has N lines with TEXT.
-wait_for() {
+# wait_for_log COUNT TEXT: waits up to 60 s until COUNT log lines contain TEXT.
+wait_for_log() {
 	i=0
 	while [ "$(grep -c "$2" "$dir/log")" -lt "$1" ]; do
 		i=$((i + 1))
 		if [ "$i" -gt 600 ]; then
-			echo "FAILED: not $1 times: $2"
+			echo "FAILED: not $1 log lines with: $2"
 			cat "$dir/log"
 			exit 1
 		fi
@@ -40,19 +41,19 @@
 }
 
 settings 1 >"$dir/settings.toml"
-# The process's own redirection may come after the first look at its log.
+# The background process may create its log after it is read first.
 : >"$dir/log"
 "$B/bin/cb-packet" --settings "$dir/settings.toml" >"$dir/log" 2>&1 &
 pid=$!
-wait_for 1 '"step":"start"'
+wait_for_log 1 '"step":"start"'
 settings 2 >"$dir/new" && mv "$dir/new" "$dir/settings.toml"
 kill -HUP "$pid"
-wait_for 1 'decisions_per_s taken'
+wait_for_log 1 'decisions_per_s taken'
 settings 3 >"$dir/new" && mv "$dir/new" "$dir/settings.toml"
-wait_for 2 'decisions_per_s taken'
+wait_for_log 2 'decisions_per_s taken'
 echo 'nonsense' >"$dir/new" && mv "$dir/new" "$dir/settings.toml"
 kill -HUP "$pid"
-wait_for 1 'the settings in force stay'
+wait_for_log 1 'the settings in force stay'
 kill -TERM "$pid"
 wait "$pid"
 pid=
--- a/test/process/soak_test.sh
+++ b/test/process/soak_test.sh
@@ -1,8 +1,9 @@
 #!/bin/sh
-# Real cb-packet processes through faults of a fixed seed: of all kinds, of their
-# connections to the store, and of a store that comes back from an older copy.
+# cb-packet processes keep serving through faults of a fixed seed: changes and
+# lost requests, faults of targets and of connections to the store, and a store
+# that is restored from an older copy.
 set -eu
-# Its addresses are fixed: one run at a time on a machine.
+# The addresses are fixed, so only one test that uses them runs at a time.
 exec 9>>"${TMPDIR:-/tmp}/cactusbeam-cb-packet.lock"
 flock 9
 dir=$(mktemp -d)
--- a/test/process/two_builds_test.sh
+++ b/test/process/two_builds_test.sh
@@ -1,8 +1,9 @@
 #!/bin/bash
-# During an upgrade processes of two builds talk to each other and read each
-# other's files. A field, an option or an order of bytes that only one of them
-# knows would cut flows then. OTHER_BIN is the bin directory of the other build;
-# without it the build runs beside itself.
+# Guards against builds that don't understand each other: during an upgrade
+# processes of two builds exchange messages and read the same files, and a field,
+# an option or a byte order that only one build knows would cut flows. OTHER_BIN
+# is the bin directory of the other build; without it the build is tested
+# against itself.
 set -eu
 cd "$(dirname "$0")/../.."
 B=${B:-build/opt}
@@ -18,8 +19,8 @@
 	exit 1
 }
 
-# same NAME ARGS...: both builds of a program print the same and end alike.
-same() {
+# expect_same NAME ARGS...: both builds print the same and have the same exit code.
+expect_same() {
 	name=$1
 	shift
 	for build in "$B/bin" "$OTHER_BIN"; do
@@ -33,38 +34,38 @@
 	rm "$dir/first"
 }
 
-# Long options that a program's help names.
-options() { "$1" --help 2>&1 | grep -oE -e '--[a-z][a-z-]*' | sort -u; }
+# list_options PROGRAM: long options in the output of --help.
+list_options() { "$1" --help 2>&1 | grep -oE -e '--[a-z][a-z-]*' | sort -u; }
 
-# Both builds take the settings and publications of the examples alike.
-files() {
+# Both builds read the settings and publications of the examples in the same way.
+check_files() {
 	for p in cb-entry cb-packet cb-watch; do
-		same $p --check --settings examples/settings/$p.toml
+		expect_same $p --check --settings examples/settings/$p.toml
 	done
 	for d in demo tshwane ventolario; do
-		same cbctl --json check "examples/$d"
+		expect_same cbctl --json check "examples/$d"
 		for account in examples/"$d"/account/*; do
-			same cbctl --json render "examples/$d" "$(basename "$account")"
+			expect_same cbctl --json render "examples/$d" "$(basename "$account")"
 		done
 	done
-	same cbctl --json diff examples/demo examples/ventolario
+	expect_same cbctl --json diff examples/demo examples/ventolario
 	for p in cb-entry cb-packet cb-watch cbctl cbload sim-experiment \
 		sim-fabric sim-packets sim-platform sim-soak sim-target; do
-		options "$B/bin/$p" >"$dir/one"
-		options "$OTHER_BIN/$p" >"$dir/two"
-		diff "$dir/one" "$dir/two" || fail "options of $p"
+		list_options "$B/bin/$p" >"$dir/one"
+		list_options "$OTHER_BIN/$p" >"$dir/two"
+		diff "$dir/one" "$dir/two" || fail "$p: the options differ"
 	done
 }
 
-# The decisions of both builds on the same seeds, in the emulator.
-decisions() {
-	same sim-experiment --seeds 1 --json examples/experiments/crowd-pipe.toml
-	same sim-packets --seeds 1 --seconds 4 --json --fault roll \
+# Both builds make the same decisions for the same seeds in the emulator.
+check_decisions() {
+	expect_same sim-experiment --seeds 1 --json examples/experiments/crowd-pipe.toml
+	expect_same sim-packets --seeds 1 --seconds 4 --json --fault roll \
 		--fault restart_targets --fault store_restored
 }
 
-# metrics BIN FILE: names on the page of a cb-packet alone.
-metrics() {
+# write_metric_names BIN FILE: metrics on the page of a single cb-packet.
+write_metric_names() {
 	cat >"$dir/packet.toml" <<-END
 	[vm]
 	data_centre = "garda"
@@ -79,16 +80,16 @@
 	: >"$dir/packet.log"
 	"$1/cb-packet" --settings "$dir/packet.toml" >"$dir/packet.log" 2>&1 &
 	pid=$!
-	wait_for "$dir/packet.log" 1 '"step":"start"' || fail "cb-packet: no start"
-	page 127.77.0.1:8166 /metrics | metric_names >"$2"
+	wait_for_lines "$dir/packet.log" 1 '"step":"start"' || fail "cb-packet did not start"
+	get_page 127.77.0.1:8166 /metrics | metric_names >"$2"
 	kill -TERM "$pid"
 	wait "$pid"
 	pid=
 }
 
-# Programs of this build in $dir/mixed/bin; of those that run on several VMs,
-# the VMs with odd numbers have the other build's.
-mix() {
+# Links the programs of this build to $dir/mixed/bin. The daemons there run the
+# other build on VMs with odd numbers.
+make_mixed_build() {
 	mkdir -p "$dir/mixed/bin" "$dir/mixed/test"
 	for p in "$B"/bin/*; do
 		ln -s "$p" "$dir/mixed/bin/"
@@ -106,55 +107,55 @@
 	done
 }
 
-# Entries of both builds as peers, through changes, a target that leaves, an
-# entry that is killed and comes back, and one that is replaced.
-packets() {
+# cb-packet of both builds as peers, while routes change, a target leaves, an
+# entry is killed and restarted, and another one is replaced.
+check_packet_peers() {
 	"$B/bin/sim-soak" --program "$dir/mixed/bin/cb-packet" --dir "$dir" \
 		--first-seed 1 --seeds 1 --fault add_route --fault release \
 		--fault kill_entry --fault roll --fault reload >"$dir/soak" 2>&1 || {
 		cat "$dir/soak"
 		tail -n 20 "$dir"/*.log
-		fail "cb-packet of both builds as peers"
+		fail "cb-packet of two builds as peers"
 	}
 	cat "$dir/soak"
 }
 
-# The same for cb-entry and cb-watch; then with the other build's cbload,
-# cbctl, targets, fabric and platform.
-requests() { # FAULT
+# check_request_peers FAULT: cb-entry and cb-watch of both builds as peers. Run
+# also with cbload, cbctl, targets, fabric and platform of the other build.
+check_request_peers() {
 	(
 		# shellcheck disable=SC2030
 		export B="$dir/mixed"
 		unset OTHER_BIN
 		. test/process/run.sh
 		work=
-		# Loss of what ran on a killed process is counted apart.
-		run "$1"
-		zero doubled misrouted false_not_run
-	) || fail "cb-entry of both builds as peers, $1"
+		# Requests lost with a killed process are counted apart, as "lost".
+		run_demo "$1"
+		expect_zero doubled misrouted false_not_run
+	) || fail "cb-entry of two builds as peers, $1"
 }
 
 (
 	exec 9>>"${TMPDIR:-/tmp}/cactusbeam-cb-packet.lock"
 	flock 9
-	metrics "$B/bin" "$dir/one"
-	metrics "$OTHER_BIN" "$dir/two"
+	write_metric_names "$B/bin" "$dir/one"
+	write_metric_names "$OTHER_BIN" "$dir/two"
 )
-diff "$dir/one" "$dir/two" || fail "metrics of cb-packet"
-files
-decisions
-mix
+diff "$dir/one" "$dir/two" || fail "cb-packet: the metrics differ"
+check_files
+check_decisions
+make_mixed_build
 (
-	# Its addresses are fixed: one run at a time on a machine.
+	# The addresses are fixed, so only one test that uses them runs at a time.
 	exec 9>>"${TMPDIR:-/tmp}/cactusbeam-cb-packet.lock"
 	flock 9
-	packets
+	check_packet_peers
 )
-requests restart-entry
-requests drain-target
+check_request_peers restart-entry
+check_request_peers drain-target
 for p in cbload cbctl sim-target sim-fabric sim-platform sim-tell; do
 	rm "$dir/mixed/bin/$p"
 	ln -s "$OTHER_BIN/$p" "$dir/mixed/bin/"
 done
-requests kill-entry
+check_request_peers kill-entry
 echo passed
