--- a/bench/slopes-packets/main.c
+++ b/bench/slopes-packets/main.c
@@ -26,13 +26,13 @@
 	(void)t;
 }
 
-static void no_flow(void *ctx, const struct flow_seen *f)
+static void no_flow(void *ctx, const struct flow_state *f)
 {
 	(void)ctx;
 	(void)f;
 }
 
-static void no_again(void *ctx, const struct flow_seen *f, uint8_t reason)
+static void no_again(void *ctx, const struct flow_state *f, uint8_t reason)
 {
 	(void)ctx;
 	(void)f;
@@ -75,7 +75,7 @@
 	directory_routes(f->directory, t, f->now_ns);
 }
 
-static void no_send(void *ctx, const struct flow_seen *f, const uint8_t *bytes,
+static void no_send(void *ctx, const struct flow_state *f, const uint8_t *bytes,
 		    uint32_t n_bytes)
 {
 	(void)ctx;
@@ -84,11 +84,11 @@
 	(void)n_bytes;
 }
 
-static void no_eject(void *ctx, const struct target *t, float usual_failures)
+static void no_eject(void *ctx, const struct target *t, float others_failures)
 {
 	(void)ctx;
 	(void)t;
-	(void)usual_failures;
+	(void)others_failures;
 }
 
 static void make(struct fixture *f, uint32_t targets)
@@ -98,8 +98,8 @@
 				  .flow_lifetime_ns = 60 * NS_PER_S };
 	struct path_port port = {
 		.health = { NULL, no_target, no_target, no_health },
-		.again = no_again,
-		.send = no_send,
+		.resend = no_again,
+		.send_queued = no_send,
 		.reset = no_flow,
 		.eject = no_eject,
 	};
@@ -204,7 +204,7 @@
 		path_free(f.path);
 		directory_free(f.directory);
 	}
-	printf("bytes_flow 1 %zu bytes\n", sizeof(struct flow_seen) + 32);
+	printf("bytes_flow 1 %zu bytes\n", sizeof(struct flow_state) + 32);
 	printf("bytes_target 1 %zu bytes\n", sizeof(struct target));
 	return 0;
 }
--- a/cmd/cb-packet/clients.c
+++ b/cmd/cb-packet/clients.c
@@ -188,7 +188,7 @@
  * @bytes: packet, valid during the call
  * @n_bytes: its size
  */
-void clients_send(void *ctx, const struct flow_seen *f, const uint8_t *bytes,
+void clients_send(void *ctx, const struct flow_state *f, const uint8_t *bytes,
 		  uint32_t n_bytes)
 {
 	struct packet_daemon *d = ctx;
@@ -206,13 +206,13 @@
  * @d: process
  * @f: flow
  */
-void clients_again(struct packet_daemon *d, const struct flow_seen *f)
+void clients_again(struct packet_daemon *d, const struct flow_state *f)
 {
-	uint8_t copy[KEPT_MAX_BYTES];
+	uint8_t copy[RESEND_MAX_BYTES];
 
-	memcpy(copy, f->kept, f->kept_bytes);
+	memcpy(copy, f->resend_packet, f->resend_bytes);
 	d->platform->pin(copy, f->target->cookie);
-	to_target(d, f->target, PACER_CONTROL, 0, copy, f->kept_bytes);
+	to_target(d, f->target, PACER_CONTROL, 0, copy, f->resend_bytes);
 	clients_flush(d); /* before @copy goes */
 }
 
--- a/cmd/cb-packet/daemon.c
+++ b/cmd/cb-packet/daemon.c
@@ -150,13 +150,13 @@
 	node_stop(d->node, daemon_turn(d));
 }
 
-static void send_again(void *ctx, const struct flow_seen *f, uint8_t reason)
+static void send_again(void *ctx, const struct flow_state *f, uint8_t reason)
 {
 	decisions_again(ctx, f, reason);
 	clients_again(ctx, f);
 }
 
-static void reset_flow(void *ctx, const struct flow_seen *f)
+static void reset_flow(void *ctx, const struct flow_state *f)
 {
 	decisions_reset(ctx, f);
 	clients_reset(ctx, &f->key, f->ack);
@@ -206,8 +206,8 @@
 		.fetch = reading_fetch,
 		.hello = peers_send,
 		.probe = probes_start,
-		.again = send_again,
-		.send = clients_send,
+		.resend = send_again,
+		.send_queued = clients_send,
 		.reset = reset_flow,
 		.health = decisions_health,
 		.decode = d->platform->read_document,
--- a/cmd/cb-packet/daemon.h
+++ b/cmd/cb-packet/daemon.h
@@ -139,9 +139,9 @@
 void clients_pace(struct packet_daemon *d);
 void clients_reset(struct packet_daemon *d, const struct flow_key *flow,
 		   uint32_t ack);
-void clients_send(void *ctx, const struct flow_seen *f, const uint8_t *bytes,
+void clients_send(void *ctx, const struct flow_state *f, const uint8_t *bytes,
 		  uint32_t n_bytes);
-void clients_again(struct packet_daemon *d, const struct flow_seen *f);
+void clients_again(struct packet_daemon *d, const struct flow_state *f);
 
 /* peers.c: heartbeats. */
 int peers_open(struct packet_daemon *d);
@@ -170,8 +170,8 @@
 void decisions_packet(struct packet_daemon *d, const struct packet *k,
 		      const struct path_verdict *v);
 void decisions_health(void *ctx, const struct target *t, uint8_t before);
-void decisions_reset(struct packet_daemon *d, const struct flow_seen *f);
-void decisions_again(struct packet_daemon *d, const struct flow_seen *f,
+void decisions_reset(struct packet_daemon *d, const struct flow_state *f);
+void decisions_again(struct packet_daemon *d, const struct flow_state *f,
 		     uint8_t reason);
 
 #endif
--- a/cmd/cb-packet/decisions.c
+++ b/cmd/cb-packet/decisions.c
@@ -100,7 +100,7 @@
  * @d: process
  * @f: flow
  */
-void decisions_reset(struct packet_daemon *d, const struct flow_seen *f)
+void decisions_reset(struct packet_daemon *d, const struct flow_state *f)
 {
 	if (allowed(d))
 		line(d, "flow.reset", &f->key, "swept", f->target);
@@ -112,7 +112,7 @@
  * @f: flow
  * @reason: enum path_reason
  */
-void decisions_again(struct packet_daemon *d, const struct flow_seen *f,
+void decisions_again(struct packet_daemon *d, const struct flow_state *f,
 		     uint8_t reason)
 {
 	if (allowed(d))
--- a/cmd/cb-packet/operators.c
+++ b/cmd/cb-packet/operators.c
@@ -48,7 +48,8 @@
 	};
 
 	for (uint8_t kind = 0; kind < ROUTE_KINDS; kind++) {
-		const struct path_times *t = path_times(d->node->path, kind);
+		const struct path_latencies *t =
+			path_latencies(d->node->path, kind);
 
 		histogram_text(out, "cb_packet_open_microseconds", labels[kind],
 			       &t->open_us);
@@ -61,7 +62,7 @@
 
 static void write_metrics(struct packet_daemon *d, GString *out)
 {
-	const uint64_t *reasons = path_counts(d->node->path);
+	const uint64_t *reasons = path_verdict_counts(d->node->path);
 	uint64_t now_ns = uv_hrtime();
 	struct usage use;
 
@@ -79,8 +80,8 @@
 			path_reason_names[i], reasons[i]);
 	counter(out, "log_lines_lost", log_lost());
 	write_times(d, out);
-	gauge(out, "flows", path_flows(d->node->path));
-	gauge(out, "waiting", path_waiting(d->node->path));
+	gauge(out, "flows", path_flow_count(d->node->path));
+	gauge(out, "waiting", path_queued_count(d->node->path));
 	gauge(out, "link_waiting", pacer_waiting(d->node->pacer));
 	gauge(out, "targets", directory_slots(d->node->directory));
 	gauge(out, "peers", peer_set_live(d->node->peers, now_ns));
@@ -201,7 +202,7 @@
 	char caller[32] = "", vip[32] = "";
 	struct flow_key key;
 	const struct route *r;
-	const struct flow_seen *f;
+	const struct flow_state *f;
 
 	if (!http_query(query, "caller", caller, sizeof(caller)) ||
 	    !http_query(query, "vip", vip, sizeof(vip)) ||
@@ -214,7 +215,7 @@
 		write_route(d, r, out);
 	else
 		g_string_append(out, "no route: opening packets are reset\n");
-	f = path_flow(d->node->path, &key);
+	f = path_find_flow(d->node->path, &key);
 	if (!f) {
 		g_string_append(out, "flow not seen here of late\n");
 		return OK;
--- a/cmd/cb-packet/probes.c
+++ b/cmd/cb-packet/probes.c
@@ -113,7 +113,7 @@
 	p->who = who;
 	p->since_ns = uv_hrtime();
 	p->deadline_ns =
-		p->since_ns + path_probe_wait_ns(d->node->path, p->since_ns);
+		p->since_ns + path_probe_timeout_ns(d->node->path, p->since_ns);
 	uv_tcp_init(d->loop, &p->tcp);
 	p->tcp.data = p;
 	p->connect.data = p;
--- a/core/packet/flow/path.c
+++ b/core/packet/flow/path.c
@@ -5,12 +5,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Weight of one sample in the mean answer time. */
-#define ANSWER_WEIGHT 32
-/* And in the mean time of a handshake. */
-#define OPEN_WEIGHT 16
-/* Before any feed was seen: one request a second of 50 ms. */
-#define FEED_LOAD_FIRST 0.05f
+/* Each sample has a weight of 1 / divisor in the moving mean. */
+#define ANSWER_DIVISOR 32
+#define OPEN_DIVISOR 16
+/* Until a feed is seen: one request a second that takes 50 ms. */
+#define FEED_LOAD_INITIAL 0.05f
 
 const char *const path_reason_names[PATH_REASON_COUNT] = {
 #define X(name) #name,
@@ -19,13 +18,13 @@
 };
 
 /**
- * path_new() - make the decisions' state
- * @conf: settings
- * @d: directory; outlives this
- * @port: what is needed from outside
- * @rng: random source
+ * path_new() - create the state of the decisions on packets
+ * @conf: settings, copied; its policy must outlive the state
+ * @d: directory; not owned, must outlive the state
+ * @port: calls to the owner
+ * @rng: seeded random number generator, copied
  *
- * Return: state, or NULL without memory.
+ * Return: state, to be freed with path_free(), or NULL when out of memory.
  */
 struct path *path_new(const struct path_conf *conf, struct directory *d,
 		      struct path_port port, struct rng rng)
@@ -39,13 +38,13 @@
 	p->directory = d;
 	p->port = port;
 	p->rng = rng;
-	p->feed_load = FEED_LOAD_FIRST;
+	p->feed_load = FEED_LOAD_INITIAL;
 	for (uint32_t i = 0; i < ROUTE_KINDS; i++)
 		p->answer_ns[i] = p->policy->request_due_max_ns /
 				  p->policy->request_due_means;
-	p->waiting = waiting_new(p->policy->waiting_max);
-	p->flows = flow_cache_new(conf->flows_max, p->waiting);
-	if (p->waiting && p->flows)
+	p->wait_queue = wait_queue_new(p->policy->waiting_max);
+	p->flows = flow_cache_new(conf->flows_max, p->wait_queue);
+	if (p->wait_queue && p->flows)
 		return p;
 	path_free(p);
 	return NULL;
@@ -56,36 +55,39 @@
 	if (!p)
 		return;
 	flow_cache_free(p->flows);
-	waiting_free(p->waiting);
+	wait_queue_free(p->wait_queue);
 	free(p);
 }
 
 /*
- * Which of two targets is the better one to compare with one that does not
- * answer: of this data centre, since others may be cut off; then who was heard
- * last.
+ * Whether @a is a better target than @b to compare an unresponsive target with.
+ * Targets of this data centre are better, since others may be cut off; among
+ * equals the one with the latest sign of life.
  */
-static bool better_witness(const struct path *p, const struct target *a,
-			   const struct target *b)
+static bool is_better_witness(const struct path *p, const struct target *a,
+			      const struct target *b)
 {
-	bool a_near = a->news.zone == p->conf.zone;
-	bool b_near = b->news.zone == p->conf.zone;
+	bool a_is_local = a->news.zone == p->conf.zone;
+	bool b_is_local = b->news.zone == p->conf.zone;
 
-	return a_near != b_near ? a_near : a->alive_ns > b->alive_ns;
+	return a_is_local != b_is_local ? a_is_local
+					: a->alive_ns > b->alive_ns;
 }
 
 /*
- * Ask a target that should answer. While all others are doubted as well, that is
- * more likely this VM's own link than all of them at once; one of them that
- * answers is a witness, too.
- * Return: whether there is any other.
+ * Probe another target that is expected to answer. Its answer shows that this
+ * VM's own link works. While all other targets are suspected, a fault of the link
+ * is more likely than one of all targets; their pending probes then serve the
+ * same purpose.
+ * Return: whether any other target can answer: one that was probed now, or one
+ * that is suspected.
  */
-static bool ask_witness(void *ctx, const struct target *about)
+static bool probe_witness(void *ctx, const struct target *about)
 {
 	struct path *p = ctx;
 	struct target *best = NULL;
 	struct health_context c;
-	bool doubted = false;
+	bool has_suspected = false;
 
 	for (uint32_t i = 0; i < directory_slots(p->directory); i++) {
 		struct target *t = directory_slot(p->directory, i);
@@ -93,42 +95,42 @@
 		if (t == about || t->stage == TARGET_ABSENT ||
 		    directory_evacuated(p->directory, t))
 			continue;
-		doubted |= t->health == HEALTH_DOUBTED;
+		has_suspected |= t->health == HEALTH_DOUBTED;
 		if (t->health == HEALTH_GOOD &&
-		    (!best || better_witness(p, t, best)))
+		    (!best || is_better_witness(p, t, best)))
 			best = t;
 	}
 	if (!best)
-		return doubted;
-	c = path_context(p, about->probed_ns);
+		return has_suspected;
+	c = path_health_context(p, about->probed_ns);
 	health_probe(best, &c);
 	return true;
 }
 
-struct health_context path_context(struct path *p, uint64_t now_ns)
+struct health_context path_health_context(struct path *p, uint64_t now_ns)
 {
 	return (struct health_context){ p->policy, &p->port.health,
-					now_ns,	   ask_witness,
-					p,	   p->witnessed_ns };
+					now_ns,	   probe_witness,
+					p,	   p->answered_probe_ns };
 }
 
-static void alive(struct path *p, struct target *t, uint64_t now_ns)
+static void mark_alive(struct path *p, struct target *t, uint64_t now_ns)
 {
-	struct health_context c = path_context(p, now_ns);
+	struct health_context c = path_health_context(p, now_ns);
 
 	health_answered(t, &c);
 }
 
-void path_doubt(struct path *p, struct target *t, uint64_t since_ns,
-		uint64_t now_ns)
+void path_suspect(struct path *p, struct target *t, uint64_t since_ns,
+		  uint64_t now_ns)
 {
-	struct health_context c = path_context(p, now_ns);
+	struct health_context c = path_health_context(p, now_ns);
 
 	health_doubt(t, &c, since_ns);
 }
 
-static void rule(struct path *p, struct path_verdict *out, uint8_t action,
-		 uint8_t reason, const struct target *t)
+static void set_verdict(struct path *p, struct path_verdict *out,
+			uint8_t action, uint8_t reason, const struct target *t)
 {
 	out->action = action;
 	out->reason = reason;
@@ -136,15 +138,15 @@
 	p->counts[reason]++;
 }
 
-/* Whether the flows of a target are to be ended. */
-bool path_gone(const struct path *p, const struct target *t)
+/* Whether the policy demands a reset of the flows of a target in this state. */
+bool path_must_reset_flows(const struct path *p, const struct target *t)
 {
 	return (t->health == HEALTH_DEAD && p->policy->reset_dead) ||
 	       (t->health == HEALTH_SILENT && p->policy->reset_silent);
 }
 
-/* After which a handshake that has not ended is begun elsewhere. */
-uint64_t path_opening_due_ns(const struct path *p)
+/* Time after which an incomplete handshake is retried at another target. */
+uint64_t path_handshake_timeout_ns(const struct path *p)
 {
 	uint64_t due_ns = p->open_ns * p->policy->opening_due_means;
 
@@ -152,7 +154,7 @@
 						  : p->policy->opening_due_ns;
 }
 
-uint64_t path_request_due_ns(const struct path *p, uint8_t kind)
+uint64_t path_answer_timeout_ns(const struct path *p, uint8_t kind)
 {
 	uint64_t due_ns = p->answer_ns[kind] * p->policy->request_due_means;
 
@@ -163,9 +165,9 @@
 	return due_ns;
 }
 
-struct target *path_place(struct path *p, const struct flow_key *key,
-			  const struct route *r, const struct target *avoid,
-			  uint64_t now_ns)
+struct target *path_assign_target(struct path *p, const struct flow_key *key,
+				  const struct route *r,
+				  const struct target *avoid, uint64_t now_ns)
 {
 	struct place_query q = {
 		.policy = p->policy,
@@ -180,136 +182,143 @@
 	return place_target(p->directory, &q, &p->rng);
 }
 
-/* Keep a packet that may be sent again: it carries no data. */
-static void keep(struct flow_seen *f, const struct packet *k)
+/* Keep a packet for path_port.resend; only one without data may be resent. */
+static void keep_for_resend(struct flow_state *f, const struct packet *k)
 {
-	if (k->size_bytes || k->n_bytes > KEPT_MAX_BYTES)
+	if (k->size_bytes || k->n_bytes > RESEND_MAX_BYTES)
 		return;
-	f->kept_bytes = (uint8_t)k->n_bytes;
-	memcpy(f->kept, k->bytes, k->n_bytes);
+	f->resend_bytes = (uint8_t)k->n_bytes;
+	memcpy(f->resend_packet, k->bytes, k->n_bytes);
 }
 
 /*
- * A copy of a SYN says that no answer reached the client. It goes to another
- * target: the first may be dead or full, and if both answer the client takes
- * one and the other's handshake ends unused.
+ * A repeated SYN shows that no answer reached the client. It is assigned to
+ * another target, since the first one may be dead or full. If both answer, the
+ * client uses one and the other's handshake is never completed.
  */
-static void syn(struct path *p, const struct packet *k, const struct route *r,
-		uint64_t now_ns, struct path_verdict *out)
+static void handle_syn(struct path *p, const struct packet *k,
+		       const struct route *r, uint64_t now_ns,
+		       struct path_verdict *out)
 {
-	struct flow_seen *f = flow_cache_get(p->flows, &k->flow);
+	struct flow_state *f = flow_cache_find(p->flows, &k->flow);
 	const struct target *avoid = NULL;
 	struct target *t;
 
 	if (f && f->stage == FLOW_OPEN) {
-		rule(p, out, PATH_FORWARD, PATH_pinned, f->target);
+		set_verdict(p, out, PATH_FORWARD, PATH_pinned, f->target);
 		return;
 	}
-	if (f && f->stage == FLOW_CLOSED) { /* a port used again */
+	if (f && f->stage == FLOW_CLOSED) { /* the client reuses its port */
 		flow_cache_remove(p->flows, f);
 		f = NULL;
 	}
 	if (f) {
-		path_doubt(p, f->target, f->opened_ns, now_ns);
+		path_suspect(p, f->target, f->opened_ns, now_ns);
 		avoid = f->target;
 	}
-	t = path_place(p, &k->flow, r, avoid, now_ns);
+	t = path_assign_target(p, &k->flow, r, avoid, now_ns);
 	if (!t) {
-		rule(p, out, PATH_RESET, PATH_no_target, NULL);
+		set_verdict(p, out, PATH_RESET, PATH_no_target, NULL);
 		return;
 	}
 	if (f)
-		flow_cache_move(p->flows, f, t);
+		flow_cache_set_target(p->flows, f, t);
 	else
 		f = flow_cache_add(p->flows, &k->flow, t, r->kind, FLOW_OPENING,
 				   now_ns);
 	flow_cache_touch(p->flows, f, now_ns);
-	f->request_ns = now_ns;
+	f->forwarded_ns = now_ns;
 	f->seq = k->seq;
-	keep(f, k);
+	keep_for_resend(f, k);
 	if (p->policy->opening_due_ns)
-		f->due_ns = now_ns + path_opening_due_ns(p);
-	rule(p, out, PATH_FORWARD, avoid ? PATH_placed_copy : PATH_placed, t);
+		f->answer_due_ns = now_ns + path_handshake_timeout_ns(p);
+	set_verdict(p, out, PATH_FORWARD,
+		    avoid ? PATH_placed_copy : PATH_placed, t);
 }
 
-static void answered(struct path *p, struct flow_seen *f, uint32_t size_bytes,
-		     uint64_t now_ns)
+static void handle_answer(struct path *p, struct flow_state *f,
+			  uint32_t size_bytes, uint64_t now_ns)
 {
-	uint64_t took_ns = now_ns - f->request_ns;
+	uint64_t elapsed_ns = now_ns - f->forwarded_ns;
 	uint64_t *mean_ns = &p->answer_ns[f->kind];
 	bool small;
 
 	if (!f->busy)
 		return;
-	histogram_add(&p->times[f->kind].answer_us, took_ns / NS_PER_US);
+	histogram_add(&p->latencies[f->kind].answer_us, elapsed_ns / NS_PER_US);
 	small = outlier_small(&p->sizes, p->policy, f->kind, size_bytes);
 	if (small)
 		outlier_failed(f->target, p->policy, now_ns);
-	if (f->sent)
-		path_worked(p, f, small, now_ns);
-	*mean_ns += took_ns / ANSWER_WEIGHT - *mean_ns / ANSWER_WEIGHT;
-	flow_cache_busy(p->flows, f, false);
-	path_release(p, f->target->news.service, now_ns);
+	if (f->running)
+		path_record_answer(p, f, small, now_ns);
+	*mean_ns += elapsed_ns / ANSWER_DIVISOR - *mean_ns / ANSWER_DIVISOR;
+	flow_cache_set_busy(p->flows, f, false);
+	path_release_queued(p, f->target->news.service, now_ns);
 }
 
 /*
- * Clients repeat what they sent while no entry was there. Which first packets
- * are such repeats can't be told; of flows that asked then, nearly all are.
+ * Clients repeat requests that they sent while no entry forwarded them. A repeat
+ * can't be told from a new request, but nearly all requests that a young process
+ * gets first on flows whose handshake it has not seen are repeats.
  */
-static bool presumed_repeat(const struct path *p, const struct flow_seen *f,
+static bool presumed_repeat(const struct path *p, const struct flow_state *f,
 			    uint64_t now_ns)
 {
 	bool young = now_ns < p->conf.start_ns + p->policy->young_ns;
 	bool first = f->opened_ns == now_ns;
 
-	return young && first && !f->trip_ns;
+	return young && first && !f->rtt_ns;
 }
 
-/* A request of the client's begins. */
-static void begin(struct path *p, struct flow_seen *f, const struct route *r,
-		  uint64_t now_ns)
+/* Start a request of the client. */
+static void begin_request(struct path *p, struct flow_state *f,
+			  const struct route *r, uint64_t now_ns)
 {
 	f->priority = r->priority;
-	f->asked_ns = now_ns;
-	f->aim_by_ns = r->aim_ms ? now_ns + r->aim_ms * NS_PER_MS : 0;
-	if (f->aim_by_ns && presumed_repeat(p, f, now_ns))
-		f->aim_by_ns = now_ns;
+	f->arrived_ns = now_ns;
+	f->objective_deadline_ns =
+		r->aim_ms ? now_ns + r->aim_ms * NS_PER_MS : 0;
+	if (f->objective_deadline_ns && presumed_repeat(p, f, now_ns))
+		f->objective_deadline_ns = now_ns;
 	f->expires_ns = now_ns + r->timeout_ms * NS_PER_MS;
-	flow_cache_busy(p->flows, f, true);
+	flow_cache_set_busy(p->flows, f, true);
 }
 
 /*
- * A packet with data: of a new request, of the one in progress, or a repeat.
- * Return: whether it waits, or repeats one that does.
+ * Handle a packet with data: the first of a request, another one of the request
+ * in progress, or a repeat.
+ * Return: whether the packet was queued or repeats a queued one.
  */
-static bool data(struct path *p, struct flow_seen *f, const struct packet *k,
-		 const struct route *r, uint64_t quiet_ns, uint64_t now_ns)
+static bool handle_data(struct path *p, struct flow_state *f,
+			const struct packet *k, const struct route *r,
+			uint64_t quiet_ns, uint64_t now_ns)
 {
 	if ((int32_t)(k->seq - f->seq) <= 0) {
 		if (f->waiting)
 			return true;
 		if (quiet_ns >= p->policy->repeat_quiet_ns)
-			path_doubt(p, f->target, f->request_ns, now_ns);
+			path_suspect(p, f->target, f->forwarded_ns, now_ns);
 		return false;
 	}
 	f->seq = k->seq;
 	if (!f->busy) {
-		begin(p, f, r, now_ns);
-		if (path_hold(p, f, k))
+		begin_request(p, f, r, now_ns);
+		if (path_queue_request(p, f, k))
 			return true;
-		path_sent(p, f, now_ns);
+		path_request_sent(p, f, now_ns);
 	} else if (!f->waiting) {
-		f->due_ns = now_ns + path_request_due_ns(p, f->kind);
+		f->answer_due_ns = now_ns + path_answer_timeout_ns(p, f->kind);
 	}
 	return false;
 }
 
 /*
- * What a packet of an open flow shows of its target.
- * Return: whether it waits.
+ * Update the flow and its target's health from a packet other than a SYN.
+ * Return: whether the packet was queued or repeats a queued one.
  */
-static bool follow(struct path *p, struct flow_seen *f, const struct packet *k,
-		   const struct route *r, uint64_t now_ns)
+static bool track_packet(struct path *p, struct flow_state *f,
+			 const struct packet *k, const struct route *r,
+			 uint64_t now_ns)
 {
 	bool newer_ack = (int32_t)(k->ack - f->ack) > 0;
 	uint64_t quiet_ns = now_ns - f->seen_ns;
@@ -318,38 +327,41 @@
 	if (f->stage == FLOW_CLOSED)
 		return false;
 	if (f->stage == FLOW_OPENING) {
-		uint64_t took_ns = now_ns - f->opened_ns;
+		uint64_t elapsed_ns = now_ns - f->opened_ns;
 
-		histogram_add(&p->times[f->kind].open_us, took_ns / NS_PER_US);
-		p->open_ns += took_ns / OPEN_WEIGHT - p->open_ns / OPEN_WEIGHT;
+		histogram_add(&p->latencies[f->kind].open_us,
+			      elapsed_ns / NS_PER_US);
+		p->open_ns +=
+			elapsed_ns / OPEN_DIVISOR - p->open_ns / OPEN_DIVISOR;
 		f->stage = FLOW_OPEN;
-		f->trip_ns = now_ns - f->request_ns;
-		f->kept_bytes = 0;
+		f->rtt_ns = now_ns - f->forwarded_ns;
+		f->resend_bytes = 0;
 		f->ack = k->ack;
 		f->seq = k->seq - 1;
-		f->due_ns = 0;
-		alive(p, f->target, now_ns);
+		f->answer_due_ns = 0;
+		mark_alive(p, f->target, now_ns);
 	} else if (newer_ack) {
 		uint32_t size_bytes = k->ack - f->ack;
 
 		f->ack = k->ack;
-		alive(p, f->target, now_ns);
-		answered(p, f, size_bytes, now_ns);
+		mark_alive(p, f->target, now_ns);
+		handle_answer(p, f, size_bytes, now_ns);
 	}
 	if (k->flags & (PACKET_FIN | PACKET_RST)) {
 		flow_cache_close(p->flows, f);
-		path_release(p, f->target->news.service, now_ns);
+		path_release_queued(p, f->target->news.service, now_ns);
 		return false;
 	}
-	keep(f, k);
-	return k->size_bytes && data(p, f, k, r, quiet_ns, now_ns);
+	keep_for_resend(f, k);
+	return k->size_bytes && handle_data(p, f, k, r, quiet_ns, now_ns);
 }
 
-static struct flow_seen *flow_of(struct path *p, const struct packet *k,
-				 struct target *t, uint8_t kind,
-				 uint64_t now_ns)
+static struct flow_state *find_or_add_flow(struct path *p,
+					   const struct packet *k,
+					   struct target *t, uint8_t kind,
+					   uint64_t now_ns)
 {
-	struct flow_seen *f = flow_cache_get(p->flows, &k->flow);
+	struct flow_state *f = flow_cache_find(p->flows, &k->flow);
 
 	if (!f) {
 		f = flow_cache_add(p->flows, &k->flow, t, kind, FLOW_OPEN,
@@ -357,66 +369,69 @@
 		f->seq = k->seq - 1;
 		f->ack = k->ack;
 	} else {
-		flow_cache_move(p->flows, f, t);
+		flow_cache_set_target(p->flows, f, t);
 	}
 	return f;
 }
 
-/* A packet that is not a SYN: its cookie says where it goes. */
-static void pinned(struct path *p, const struct packet *k,
-		   const struct route *r, bool fresh, uint64_t now_ns,
-		   struct path_verdict *out)
+/* Decide on a packet other than a SYN, whose target is named by its cookie. */
+static void forward_by_cookie(struct path *p, const struct packet *k,
+			      const struct route *r, bool fresh,
+			      uint64_t now_ns, struct path_verdict *out)
 {
 	struct target *t = directory_by_cookie(p->directory, k->cookie);
-	bool history_known =
+	bool knows_route_history =
 		now_ns > p->conf.start_ns + p->conf.flow_lifetime_ns;
 
 	if (!k->cookie) {
-		rule(p, out, PATH_DROP, PATH_no_cookie, NULL);
+		set_verdict(p, out, PATH_DROP, PATH_no_cookie, NULL);
 		return;
 	}
 	if (!r) {
-		rule(p, out, fresh ? PATH_RESET : PATH_DROP, PATH_route_dropped,
-		     t);
+		set_verdict(p, out, fresh ? PATH_RESET : PATH_DROP,
+			    PATH_route_dropped, t);
 		return;
 	}
 	if (!t) {
-		rule(p, out, PATH_DROP, PATH_unknown_cookie, NULL);
+		set_verdict(p, out, PATH_DROP, PATH_unknown_cookie, NULL);
 		return;
 	}
 	/*
-	 * A cookie is a client's word. A process younger than a flow can be
-	 * doesn't know all services that the route had; the target itself then
-	 * turns a packet away that belongs to none of its flows.
+	 * Clients can forge cookies, so the target must belong to a service of
+	 * the route. A process that has run for less than the lifetime of a flow
+	 * doesn't know all services that the route had, and skips this check; the
+	 * target itself rejects packets of unknown flows.
 	 */
-	if (history_known && !route_allows(r, t->news.service, now_ns)) {
-		rule(p, out, PATH_DROP, PATH_foreign_cookie, t);
+	if (knows_route_history && !route_allows(r, t->news.service, now_ns)) {
+		set_verdict(p, out, PATH_DROP, PATH_foreign_cookie, t);
 		return;
 	}
-	if (path_gone(p, t)) {
-		struct flow_seen *f = flow_cache_get(p->flows, &k->flow);
+	if (path_must_reset_flows(p, t)) {
+		struct flow_state *f = flow_cache_find(p->flows, &k->flow);
 
 		if (f)
 			flow_cache_close(p->flows, f);
-		rule(p, out, PATH_RESET,
-		     t->health == HEALTH_DEAD ? PATH_target_dead
-					      : PATH_target_silent,
-		     t);
+		set_verdict(p, out, PATH_RESET,
+			    t->health == HEALTH_DEAD ? PATH_target_dead
+						     : PATH_target_silent,
+			    t);
 		return;
 	}
-	if (follow(p, flow_of(p, k, t, r->kind, now_ns), k, r, now_ns))
-		rule(p, out, PATH_WAIT, PATH_waits, t);
+	if (track_packet(p, find_or_add_flow(p, k, t, r->kind, now_ns), k, r,
+			 now_ns))
+		set_verdict(p, out, PATH_WAIT, PATH_waits, t);
 	else
-		rule(p, out, PATH_FORWARD, PATH_pinned, t);
+		set_verdict(p, out, PATH_FORWARD, PATH_pinned, t);
 }
 
 /**
- * path_packet() - decide on one packet
+ * path_packet() - decide what is done with a packet of a client
  * @p: state
- * @k: packet
- * @fresh: no peer is known to have a newer configuration
- * @now_ns: time
- * @out: filled
+ * @k: packet; copied if it is kept or queued
+ * @fresh: no peer is known to have newer documents; a missing route is then
+ *	answered with a reset, otherwise the packet is dropped
+ * @now_ns: current time
+ * @out: set to the decision
  */
 void path_packet(struct path *p, const struct packet *k, bool fresh,
 		 uint64_t now_ns, struct path_verdict *out)
@@ -427,58 +442,65 @@
 	out->ack = k->ack;
 	out->kind = r ? r->kind : ROUTE_REPORT;
 	if (!table)
-		rule(p, out, PATH_DROP, PATH_no_routes_yet, NULL);
+		set_verdict(p, out, PATH_DROP, PATH_no_routes_yet, NULL);
 	else if (!(k->flags & PACKET_SYN))
-		pinned(p, k, r, fresh, now_ns, out);
+		forward_by_cookie(p, k, r, fresh, now_ns, out);
 	else if (r)
-		syn(p, k, r, now_ns, out);
+		handle_syn(p, k, r, now_ns, out);
 	else
-		rule(p, out, fresh ? PATH_RESET : PATH_DROP, PATH_no_route,
-		     NULL);
+		set_verdict(p, out, fresh ? PATH_RESET : PATH_DROP,
+			    PATH_no_route, NULL);
 	if (out->action == PATH_RESET && k->flags & PACKET_RST)
 		out->action = PATH_DROP;
 }
 
-const uint64_t *path_counts(const struct path *p)
+/**
+ * path_verdict_counts() - get the number of decisions for each reason
+ * @p: state
+ *
+ * Return: PATH_REASON_COUNT counters, indexed by enum path_reason, owned by @p.
+ */
+const uint64_t *path_verdict_counts(const struct path *p)
 {
 	return p->counts;
 }
 
 /**
- * path_times() - how long things took
+ * path_latencies() - get the durations seen on flows of a kind
  * @p: state
  * @kind: enum route_kind
  *
- * Return: histograms.
+ * Return: histograms, owned by @p.
  */
-const struct path_times *path_times(const struct path *p, uint8_t kind)
+const struct path_latencies *path_latencies(const struct path *p, uint8_t kind)
 {
-	return &p->times[kind];
+	return &p->latencies[kind];
 }
 
-uint32_t path_flows(const struct path *p)
+uint32_t path_flow_count(const struct path *p)
 {
 	return flow_cache_count(p->flows);
 }
 
-uint32_t path_waiting(const struct path *p)
+uint32_t path_queued_count(const struct path *p)
 {
-	return waiting_count(p->waiting);
+	return wait_queue_count(p->wait_queue);
 }
 
 /**
- * path_flow() - a flow that is followed here
+ * path_find_flow() - look up a flow in the cache
  * @p: state
- * @key: client and VIP
+ * @key: client address and VIP
  *
- * Return: flow, or NULL.
+ * Return: flow, valid until the next call that changes @p, or NULL.
  */
-const struct flow_seen *path_flow(const struct path *p,
-				  const struct flow_key *key)
+const struct flow_state *path_find_flow(const struct path *p,
+					const struct flow_key *key)
 {
-	return flow_cache_get(p->flows, key);
+	return flow_cache_find(p->flows, key);
 }
 
+/* Mean number of requests in progress of an open feed. */
 float path_feed_load(const struct path *p)
 {
 	return p->feed_load;
--- a/core/packet/flow/path.h
+++ b/core/packet/flow/path.h
@@ -1,6 +1,7 @@
 /*
- * What becomes of each packet of an opaque flow: forwarded to the target that
- * its cookie names, or that a new flow is given; reset; dropped.
+ * Decides what is done with each packet of an opaque flow: forward it to the
+ * target that its cookie names or that is assigned to the new flow, queue it,
+ * answer it with a reset, or drop it.
  */
 #ifndef CB_PATH_H
 #define CB_PATH_H
@@ -13,14 +14,17 @@
 
 /**
  * enum path_action - what to do with a packet
- * @PATH_DROP: nothing; the sender repeats it or gives up
- * @PATH_FORWARD: hand it to the target
- * @PATH_RESET: tell the client that its flow has ended
- * @PATH_WAIT: nothing now; it was kept, and goes to the target later
+ * @PATH_DROP: drop it; the client repeats it or gives up
+ * @PATH_FORWARD: forward it to the target
+ * @PATH_RESET: answer it with a reset, which ends the client's flow
+ * @PATH_WAIT: nothing; a copy is queued and forwarded later
  */
 enum path_action { PATH_DROP, PATH_FORWARD, PATH_RESET, PATH_WAIT };
 
-/* Why; each is counted, and logged but for packets of pinned flows. */
+/*
+ * Reasons of decisions. Each is counted, and logged except for packets of flows
+ * that a cookie assigns to a target (pinned).
+ */
 #define PATH_REASONS(X)   \
 	X(placed)         \
 	X(placed_copy)    \
@@ -50,11 +54,13 @@
 };
 
 /**
- * struct path_verdict - what to do with a packet, and why
+ * struct path_verdict - decision on a packet
  * @action: enum path_action
  * @reason: enum path_reason
- * @kind: of the packet's route, enum route_kind
- * @target: where to forward, or which target it is about; may be NULL
+ * @kind: kind of the packet's route, enum route_kind; ROUTE_REPORT when it has no
+ *	route
+ * @target: target to forward to, or that the reason is about; owned by the
+ *	directory; NULL when no target is involved
  * @ack: sequence number that a reset has to carry
  */
 struct path_verdict {
@@ -66,32 +72,36 @@
 };
 
 /**
- * struct path_port - what the module needs from outside
- * @ctx: passed back
- * @health: of the targets; the outcome of a probe goes to path_probed()
- * @again: hand the packet that is kept of a flow to its target, for a reason of
- *	enum path_reason
- * @send: hand a packet that has waited to its flow's target
- * @reset: end a flow that no packet asked about
- * @eject: a target gets no new flows for a while, for its failures
+ * struct path_port - calls that this module makes
+ * @ctx: first argument of each call
+ * @health: calls of the health checks; the outcome of a probe is returned with
+ *	path_probe_ended()
+ * @resend: send the flow's kept packet (resend_packet) to its target; @reason is
+ *	one of enum path_reason
+ * @send_queued: forward a packet from the queue to the flow's target; the packet
+ *	is valid only during the call
+ * @reset: send a reset of a flow to the client
+ * @eject: a target was ejected for its failures and gets no new flows for a
+ *	while; @others_failures is the mean number of recently failed requests at
+ *	the other targets of its service
  */
 struct path_port {
 	void *ctx;
 	struct health_port health;
-	void (*again)(void *ctx, const struct flow_seen *f, uint8_t reason);
-	void (*send)(void *ctx, const struct flow_seen *f, const uint8_t *bytes,
-		     uint32_t n_bytes);
-	void (*reset)(void *ctx, const struct flow_seen *f);
-	void (*eject)(void *ctx, const struct target *t, float usual_failures);
+	void (*resend)(void *ctx, const struct flow_state *f, uint8_t reason);
+	void (*send_queued)(void *ctx, const struct flow_state *f,
+			    const uint8_t *bytes, uint32_t n_bytes);
+	void (*reset)(void *ctx, const struct flow_state *f);
+	void (*eject)(void *ctx, const struct target *t, float others_failures);
 };
 
 /**
  * struct path_conf - settings
- * @policy: figures to go by; NULL for policy_usual
- * @zone: hash of this VM's data centre's name
- * @flows_max: flows followed at once
- * @flow_lifetime_ns: an open flow lives no longer
- * @start_ns: when this process began to know routes
+ * @policy: tuning parameters; not owned; NULL for policy_usual
+ * @zone: hash of the name of this VM's data centre
+ * @flows_max: capacity of the flow cache
+ * @flow_lifetime_ns: longest time that a flow stays open
+ * @start_ns: start of this process; changes of routes before it are unknown
  */
 struct path_conf {
 	const struct policy *policy;
@@ -102,25 +112,27 @@
 };
 
 /**
- * struct path_times - how long things took, by kind of route
- * @open_us: from a flow's first opening packet to the client's answer to its
- *	target's
- * @wait_us: from a request's first packet until it went to the target, of those
- *	that waited here
- * @answer_us: from then to the client's word that an answer came
+ * struct path_latencies - durations seen in the clients' packets, for one kind of
+ *	route
+ * @open_us: from the first SYN of a flow to the client's answer to the target's
+ *	SYN
+ * @wait_us: from the first packet of a request until it was forwarded; only
+ *	requests that were queued here
+ * @answer_us: from forwarding a request until the client acknowledged the answer
  */
-struct path_times {
+struct path_latencies {
 	struct histogram open_us;
 	struct histogram wait_us;
 	struct histogram answer_us;
 };
 
 /**
- * struct path_limits - what limits the requests that go to a service
- * @work_ns: mean time that its targets take, without waiting; 0 for unknown
- * @running: requests of this entry there
- * @window: how many there may be; 0 for no limit
- * @refused_percent: part that was refused of late
+ * struct path_limits - limits on the requests to one service
+ * @work_ns: mean time that its targets need for a request, without queueing; 0
+ *	when unknown
+ * @running: requests of this entry at its targets
+ * @window: most requests that this entry may have there; 0 for no limit
+ * @refused_percent: percentage of recent requests that targets refused
  */
 struct path_limits {
 	uint64_t work_ns;
@@ -136,23 +148,23 @@
 void path_free(struct path *p);
 void path_packet(struct path *p, const struct packet *packet, bool fresh,
 		 uint64_t now_ns, struct path_verdict *out);
-void path_probed(struct path *p, const struct incarnation *who,
-		 enum probe_outcome outcome, uint64_t since_ns,
-		 uint64_t now_ns);
-uint64_t path_probe_wait_ns(const struct path *p, uint64_t now_ns);
-void path_told_dead(struct path *p, const struct incarnation *who);
-void path_restarted(struct path *p, const struct target *t);
-void path_held_up(struct path *p, uint64_t now_ns);
+void path_probe_ended(struct path *p, const struct incarnation *who,
+		      enum probe_outcome outcome, uint64_t since_ns,
+		      uint64_t now_ns);
+uint64_t path_probe_timeout_ns(const struct path *p, uint64_t now_ns);
+void path_peer_reported_dead(struct path *p, const struct incarnation *who);
+void path_target_restarted(struct path *p, const struct target *t);
+void path_process_stalled(struct path *p, uint64_t now_ns);
 void path_stop(struct path *p, uint64_t now_ns);
 void path_tick(struct path *p, uint64_t now_ns);
-bool path_any_loaded(const struct path *p);
-const uint64_t *path_counts(const struct path *p);
-const struct path_times *path_times(const struct path *p, uint8_t kind);
-uint32_t path_flows(const struct path *p);
-uint32_t path_waiting(const struct path *p);
+bool path_has_loaded_target(const struct path *p);
+const uint64_t *path_verdict_counts(const struct path *p);
+const struct path_latencies *path_latencies(const struct path *p, uint8_t kind);
+uint32_t path_flow_count(const struct path *p);
+uint32_t path_queued_count(const struct path *p);
 struct path_limits path_limits(const struct path *p, uint32_t service);
-const struct flow_seen *path_flow(const struct path *p,
-				  const struct flow_key *key);
+const struct flow_state *path_find_flow(const struct path *p,
+					const struct flow_key *key);
 float path_feed_load(const struct path *p);
 extern const char *const path_reason_names[PATH_REASON_COUNT];
 
--- a/core/packet/flow/path_impl.h
+++ b/core/packet/flow/path_impl.h
@@ -1,4 +1,4 @@
-/* Insides of the decisions on packets. */
+/* Private state and functions shared by path.c, path_tick.c and path_wait.c. */
 #ifndef CB_PATH_IMPL_H
 #define CB_PATH_IMPL_H
 
@@ -9,29 +9,30 @@
 #include "work.h"
 
 /**
- * struct path - the decisions' state
+ * struct path - state of the decisions on packets
  * @conf: settings
- * @policy: figures to go by
- * @directory: targets and routes
- * @port: what is needed from outside
- * @rng: random source
- * @flows: flows seen of late
- * @answer_ns: mean time until an answer, by kind of route
- * @counts: verdicts, by reason
- * @times: how long things took, by kind of route
- * @sizes: how large answers are
- * @judged_ns: when failing targets were looked for last
- * @feed_load: slots that one open feed takes on average
- * @work: what requests take, by service
- * @windows: requests that may be at the targets at a time, by service
- * @waiting: packets that wait for their targets
- * @loaded: some target has as much to do as it has slots
- * @stopping: nothing waits here any more
- * @held_up_ns: when this process last stood still
- * @trips: times that connection attempts took of late
- * @open_ns: mean time that a handshake takes, as seen here
- * @witnessed_ns: when the latest probe that was answered went out: this VM's own
- *	link carried it
+ * @policy: tuning parameters; never NULL
+ * @directory: targets and routes; not owned
+ * @port: calls to the owner
+ * @rng: random number generator
+ * @flows: flows that sent packets recently
+ * @answer_ns: mean time to an answer, by kind of route
+ * @counts: decisions, by reason
+ * @latencies: durations, by kind of route
+ * @sizes: mean sizes of answers
+ * @outliers_checked_ns: when targets were last checked for an excess of failures
+ * @feed_load: mean number of requests in progress of an open feed, that is, the
+ *	slots it takes
+ * @work: time that requests take at their targets, by service
+ * @windows: most requests that may be at the targets at once, by service
+ * @wait_queue: requests not forwarded yet
+ * @any_target_loaded: at the last tick, some target had as many requests as slots
+ * @stopping: a planned stop has begun; no request is queued any more
+ * @stalled_ns: when this process last ran again after a stall; 0 for never
+ * @trips: recent round trip times of connection attempts
+ * @open_ns: mean duration of a handshake
+ * @answered_probe_ns: start of the latest probe that a target accepted; this VM's
+ *	own link worked at that time
  */
 struct path {
 	struct path_conf conf;
@@ -42,41 +43,43 @@
 	struct flow_cache *flows;
 	uint64_t answer_ns[ROUTE_KINDS];
 	uint64_t counts[PATH_REASON_COUNT];
-	struct path_times times[ROUTE_KINDS];
+	struct path_latencies latencies[ROUTE_KINDS];
 	struct answer_sizes sizes;
-	uint64_t judged_ns;
+	uint64_t outliers_checked_ns;
 	float feed_load;
 	struct service_work work[DIRECTORY_SERVICES_MAX];
 	struct window windows[DIRECTORY_SERVICES_MAX];
-	struct waiting *waiting;
-	bool loaded;
+	struct wait_queue *wait_queue;
+	bool any_target_loaded;
 	bool stopping;
-	uint64_t held_up_ns;
+	uint64_t stalled_ns;
 	struct trips trips;
 	uint64_t open_ns;
-	uint64_t witnessed_ns;
+	uint64_t answered_probe_ns;
 };
 
-uint64_t path_opening_due_ns(const struct path *p);
-uint64_t path_request_due_ns(const struct path *p, uint8_t kind);
+uint64_t path_handshake_timeout_ns(const struct path *p);
+uint64_t path_answer_timeout_ns(const struct path *p, uint8_t kind);
 
 /* path_wait.c */
-bool path_hold(struct path *p, struct flow_seen *f, const struct packet *k);
-void path_sent(struct path *p, struct flow_seen *f, uint64_t now_ns);
-void path_release(struct path *p, uint32_t service, uint64_t now_ns);
-void path_worked(struct path *p, struct flow_seen *f, bool small,
-		 uint64_t now_ns);
-void path_release_all(struct path *p, uint64_t now_ns);
-void path_expire(struct path *p, const struct target *t, uint64_t now_ns);
-bool path_loaded(const struct target *t);
+bool path_queue_request(struct path *p, struct flow_state *f,
+			const struct packet *k);
+void path_request_sent(struct path *p, struct flow_state *f, uint64_t now_ns);
+void path_release_queued(struct path *p, uint32_t service, uint64_t now_ns);
+void path_record_answer(struct path *p, struct flow_state *f, bool small,
+			uint64_t now_ns);
+void path_release_all_queued(struct path *p, uint64_t now_ns);
+void path_expire_queued(struct path *p, const struct target *t,
+			uint64_t now_ns);
+bool path_target_loaded(const struct target *t);
 
 /* path.c */
-bool path_gone(const struct path *p, const struct target *t);
-struct health_context path_context(struct path *p, uint64_t now_ns);
-void path_doubt(struct path *p, struct target *t, uint64_t since_ns,
-		uint64_t now_ns);
-struct target *path_place(struct path *p, const struct flow_key *key,
-			  const struct route *r, const struct target *avoid,
-			  uint64_t now_ns);
+bool path_must_reset_flows(const struct path *p, const struct target *t);
+struct health_context path_health_context(struct path *p, uint64_t now_ns);
+void path_suspect(struct path *p, struct target *t, uint64_t since_ns,
+		  uint64_t now_ns);
+struct target *path_assign_target(struct path *p, const struct flow_key *key,
+				  const struct route *r,
+				  const struct target *avoid, uint64_t now_ns);
 
 #endif
--- a/core/packet/node.c
+++ b/core/packet/node.c
@@ -41,7 +41,7 @@
 
 	if (heads_per_s < CONTROL_BYTES_PER_S / 2)
 		rate = CONTROL_BYTES_PER_S - heads_per_s;
-	if (path_any_loaded(n->path))
+	if (path_has_loaded_target(n->path))
 		bytes += HEAD_BYTES;
 	if (n->loads_ns < n->now_ns)
 		n->loads_ns = n->now_ns;
@@ -56,7 +56,7 @@
 {
 	uint64_t next_ns = n->now_ns + n->policy->heartbeat_loaded_ns;
 
-	if (!path_any_loaded(n->path))
+	if (!path_has_loaded_target(n->path))
 		return;
 	peer_set_hurry(n->peers, next_ns > n->loads_ns ? next_ns : n->loads_ns);
 }
@@ -136,22 +136,22 @@
 	n->port.probe(n->port.ctx, t);
 }
 
-static void again(void *ctx, const struct flow_seen *f, uint8_t reason)
+static void again(void *ctx, const struct flow_state *f, uint8_t reason)
 {
 	struct node *n = ctx;
 
-	n->port.again(n->port.ctx, f, reason);
+	n->port.resend(n->port.ctx, f, reason);
 }
 
-static void send_on(void *ctx, const struct flow_seen *f, const uint8_t *bytes,
+static void send_on(void *ctx, const struct flow_state *f, const uint8_t *bytes,
 		    uint32_t n_bytes)
 {
 	struct node *n = ctx;
 
-	n->port.send(n->port.ctx, f, bytes, n_bytes);
+	n->port.send_queued(n->port.ctx, f, bytes, n_bytes);
 }
 
-static void reset(void *ctx, const struct flow_seen *f)
+static void reset(void *ctx, const struct flow_state *f)
 {
 	struct node *n = ctx;
 
@@ -170,7 +170,7 @@
 	n->port.health(n->port.ctx, t, before);
 }
 
-static void eject(void *ctx, const struct target *t, float usual_failures)
+static void eject(void *ctx, const struct target *t, float others_failures)
 {
 	struct node *n = ctx;
 	uint64_t ms = (t->ejected_until_ns - n->now_ns) / NS_PER_MS;
@@ -182,7 +182,7 @@
 		    "failed of late here, %.1f at peers, %.1f at others of it",
 		    (unsigned long long)t->news.id, (unsigned long long)ms,
 		    (double)outlier_failures(t, n->policy, n->now_ns),
-		    (double)t->peers_failures, (double)usual_failures);
+		    (double)t->peers_failures, (double)others_failures);
 }
 
 /* Hash of the name of its data centre. */
@@ -203,8 +203,8 @@
 	struct path_port port = {
 		.ctx = n,
 		.health = { n, probe, dead, health },
-		.again = again,
-		.send = send_on,
+		.resend = again,
+		.send_queued = send_on,
 		.reset = reset,
 		.eject = eject,
 	};
@@ -403,7 +403,7 @@
 	peer_set_hear(n->peers, h, now_ns);
 	hear_epoch(n, h);
 	for (uint32_t i = 0; i < h->n_dead; i++)
-		path_told_dead(n->path, &h->dead[i]);
+		path_peer_reported_dead(n->path, &h->dead[i]);
 	if (h->reply)
 		send_hello(n, &h->from, 1, NULL, HELLO_ANSWER);
 	/* Both walk all peers; hundreds of heartbeats a second come when all
@@ -426,7 +426,7 @@
 		 enum probe_outcome outcome, uint64_t since_ns, uint64_t now_ns)
 {
 	n->now_ns = now_ns;
-	path_probed(n->path, who, outcome, since_ns, now_ns);
+	path_probe_ended(n->path, who, outcome, since_ns, now_ns);
 }
 
 /**
@@ -446,7 +446,7 @@
 		return false;
 	n->now_ns = now_ns;
 	n->counters.held_up++;
-	path_held_up(n->path, now_ns);
+	path_process_stalled(n->path, now_ns);
 	if (gap_ns < PAUSED_NS)
 		return false;
 	n->counters.paused++;
--- a/core/packet/node.h
+++ b/core/packet/node.h
@@ -57,9 +57,9 @@
  * @fetch: ask a peer for documents; node_fetched() ends it
  * @hello: send a heartbeat
  * @probe: connect to a target; node_probed() ends it
- * @again: hand the packet that is kept of a flow to its target; why, of enum
+ * @resend: hand the packet that is kept of a flow to its target; why, of enum
  *	path_reason
- * @send: hand a packet that has waited to its flow's target
+ * @send_queued: hand a packet that has waited to its flow's target
  * @reset: end a flow
  * @health: a target's health changed
  * @decode: decode a document, as struct packet_platform does
@@ -74,10 +74,10 @@
 	void (*hello)(void *ctx, const uint64_t *to, uint32_t n,
 		      const struct hello *h);
 	void (*probe)(void *ctx, const struct target *t);
-	void (*again)(void *ctx, const struct flow_seen *f, uint8_t reason);
-	void (*send)(void *ctx, const struct flow_seen *f, const uint8_t *bytes,
-		     uint32_t n_bytes);
-	void (*reset)(void *ctx, const struct flow_seen *f);
+	void (*resend)(void *ctx, const struct flow_state *f, uint8_t reason);
+	void (*send_queued)(void *ctx, const struct flow_state *f,
+			    const uint8_t *bytes, uint32_t n_bytes);
+	void (*reset)(void *ctx, const struct flow_state *f);
 	void (*health)(void *ctx, const struct target *t, uint8_t before);
 	int (*decode)(const struct document *d, struct directory *names,
 		      struct document_news *out, const char **problem);
--- a/core/packet/node_published.c
+++ b/core/packet/node_published.c
@@ -90,7 +90,7 @@
 	}
 	if (change == TARGET_RESTARTED) {
 		log_target(n, doc, t, "restarted");
-		path_restarted(n->path, t);
+		path_target_restarted(n->path, t);
 	}
 	if (t->stage != before && !(t->stage == TARGET_SERVING && young(n)))
 		log_target(n, doc, t, stage_names[t->stage]);
--- a/core/packet/target/target.h
+++ b/core/packet/target/target.h
@@ -87,7 +87,7 @@
  * @busy_short: of these, no feeds
  * @running: of @busy, those that went to it and are neither answered nor
  *	overdue; the rest wait here, or are taken for lost
- * @waiting: where the latest of those that wait here is, see struct waiting
+ * @waiting: where the latest of those that wait here is, see struct wait_queue
  * @short_mean: @busy_short, averaged over LOAD_WINDOW_NS
  * @mean_ns: when the means were brought up to date
  * @peers_feeds: sum of the peers' @feeds
--- a/sim/sim-packets/entries.c
+++ b/sim/sim-packets/entries.c
@@ -192,7 +192,8 @@
 	const struct sim_target *s = &c->w->targets[at];
 	enum probe_outcome outcome = PROBE_OPEN;
 	uint64_t way_ns = 2 * world_way_ns(c->w, c->e->zone, s->zone);
-	uint64_t wait_ns = path_probe_wait_ns(c->e->node->path, c->w->now_ns);
+	uint64_t wait_ns =
+		path_probe_timeout_ns(c->e->node->path, c->w->now_ns);
 	uint64_t link = link_ns(c->w, c->e, SYN_BYTES);
 	uint32_t number =
 		attempt_with(c->w, (uint32_t)(c->e - c->w->entries), t);
@@ -311,7 +312,7 @@
 	pace(w, e);
 }
 
-static void again(void *ctx, const struct flow_seen *f, uint8_t reason)
+static void again(void *ctx, const struct flow_state *f, uint8_t reason)
 {
 	struct port_ctx *c = ctx;
 	struct sim_packet k = {
@@ -326,7 +327,7 @@
 }
 
 /* A packet that has waited; which one it was, its flow's end knows. */
-static void send_on(void *ctx, const struct flow_seen *f, const uint8_t *bytes,
+static void send_on(void *ctx, const struct flow_state *f, const uint8_t *bytes,
 		    uint32_t n_bytes)
 {
 	struct port_ctx *c = ctx;
@@ -356,7 +357,7 @@
 		 (uint32_t)(e - w->entries));
 }
 
-static void reset_flow(void *ctx, const struct flow_seen *f)
+static void reset_flow(void *ctx, const struct flow_state *f)
 {
 	struct port_ctx *c = ctx;
 
@@ -405,8 +406,8 @@
 		.fetch = fetch,
 		.hello = send_hello,
 		.probe = probe,
-		.again = again,
-		.send = send_on,
+		.resend = again,
+		.send_queued = send_on,
 		.reset = reset_flow,
 		.health = no_health,
 		.decode = store_decode,
--- a/test/packet_bed.c
+++ b/test/packet_bed.c
@@ -18,7 +18,7 @@
 		(struct bed_probe){ target_incarnation(t), b->now_ns, false };
 }
 
-static void on_again(void *ctx, const struct flow_seen *f, uint8_t reason)
+static void on_again(void *ctx, const struct flow_state *f, uint8_t reason)
 {
 	struct bed *b = ctx;
 
@@ -26,7 +26,7 @@
 	b->again[b->n_again++ % BED_EVENTS_MAX] = f->target->news.id;
 }
 
-static void on_send(void *ctx, const struct flow_seen *f, const uint8_t *bytes,
+static void on_send(void *ctx, const struct flow_state *f, const uint8_t *bytes,
 		    uint32_t n_bytes)
 {
 	struct bed *b = ctx;
@@ -35,7 +35,7 @@
 		(struct bed_sent){ f->key.caller, n_bytes ? bytes[0] : 0 };
 }
 
-static void on_reset(void *ctx, const struct flow_seen *f)
+static void on_reset(void *ctx, const struct flow_state *f)
 {
 	struct bed *b = ctx;
 
@@ -56,11 +56,11 @@
 	(void)before;
 }
 
-static void on_eject(void *ctx, const struct target *t, float usual_failures)
+static void on_eject(void *ctx, const struct target *t, float others_failures)
 {
 	struct bed *b = ctx;
 
-	(void)usual_failures;
+	(void)others_failures;
 	b->ejected[b->n_ejected++ % BED_EVENTS_MAX] = t->news.id;
 }
 
@@ -75,8 +75,8 @@
 	struct path_port port = {
 		.ctx = b,
 		.health = { b, on_probe, on_dead, on_health },
-		.again = on_again,
-		.send = on_send,
+		.resend = on_again,
+		.send_queued = on_send,
 		.reset = on_reset,
 		.eject = on_eject,
 	};
@@ -162,7 +162,7 @@
 		directory_target(b->directory, news, b->now_ns, &b->change);
 
 	if (b->change == TARGET_RESTARTED)
-		path_restarted(b->path, t);
+		path_target_restarted(b->path, t);
 	return t;
 }
 
@@ -242,8 +242,8 @@
 		if (b->probes[i].done || b->probes[i].who.id != id)
 			continue;
 		b->probes[i].done = true;
-		path_probed(b->path, &b->probes[i].who, outcome,
-			    b->probes[i].since_ns, b->now_ns);
+		path_probe_ended(b->path, &b->probes[i].who, outcome,
+				 b->probes[i].since_ns, b->now_ns);
 	}
 }
 
@@ -253,8 +253,8 @@
 	for (uint32_t i = 0; i < b->n_probes; i++) {
 		if (b->probes[i].who.id != id)
 			continue;
-		path_probed(b->path, &b->probes[i].who, outcome,
-			    b->probes[i].since_ns, b->now_ns);
+		path_probe_ended(b->path, &b->probes[i].who, outcome,
+				 b->probes[i].since_ns, b->now_ns);
 		return;
 	}
 }
--- a/test/packet_evacuation_test.c
+++ b/test/packet_evacuation_test.c
@@ -133,10 +133,10 @@
 		bed_open_flow(b, CALLER + asked, VIP);
 		bed_data(b, CALLER + asked, VIP, t->cookie, 2, 1, 100);
 	}
-	assert_int_not_equal(path_waiting(b->path), 0);
+	assert_int_not_equal(path_queued_count(b->path), 0);
 	directory_evacuate(b->directory, ZONE, true);
 	bed_pass(b, 20 * MS);
-	assert_int_equal(path_waiting(b->path), 0);
+	assert_int_equal(path_queued_count(b->path), 0);
 	assert_int_equal(b->n_resets, 0);
 }
 
--- a/test/packet_incarnation_test.c
+++ b/test/packet_incarnation_test.c
@@ -59,7 +59,7 @@
 	(void)state;
 	bed_open(&b);
 	t = publish(&b, 1, STARTED_MS, 7);
-	path_told_dead(b.path, &(struct incarnation){ 1, STARTED_MS });
+	path_peer_reported_dead(b.path, &(struct incarnation){ 1, STARTED_MS });
 	t->failures = 9;
 	t->ejected_until_ns = b.now_ns + NS_PER_S;
 	assert_int_equal(bed_syn(&b, CALLER, VIP, 0).action, PATH_RESET);
@@ -83,7 +83,7 @@
 	(void)state;
 	bed_open(&b);
 	t = publish(&b, 1, STARTED_MS, 7);
-	path_told_dead(b.path, &(struct incarnation){ 1, STARTED_MS });
+	path_peer_reported_dead(b.path, &(struct incarnation){ 1, STARTED_MS });
 	bed_pass(&b, 600 * MS);
 	assert_int_equal(bed_open_probes(&b), 1);
 	bed_answer(&b, 1, PROBE_REFUSED);
@@ -103,7 +103,7 @@
 	bed_open(&b);
 	publish(&b, 1, STARTED_MS, 7);
 	bed_absent(&b, 1, b.now_ns);
-	path_told_dead(b.path, &(struct incarnation){ 1, STARTED_MS });
+	path_peer_reported_dead(b.path, &(struct incarnation){ 1, STARTED_MS });
 	bed_pass(&b, 600 * MS);
 	bed_answer(&b, 1, PROBE_OPEN);
 	assert_int_equal(bed_syn(&b, CALLER, VIP, 0).action, PATH_FORWARD);
@@ -131,10 +131,11 @@
 	publish(&b, 1, STARTED_MS + 900, 1);
 	bed_answer(&b, 1, PROBE_REFUSED);
 	assert_int_equal(t->health, HEALTH_GOOD);
-	path_told_dead(b.path, &(struct incarnation){ 1, STARTED_MS });
+	path_peer_reported_dead(b.path, &(struct incarnation){ 1, STARTED_MS });
 	assert_int_equal(t->health, HEALTH_GOOD);
 	/* A later one than is known here has ended, so this one has too. */
-	path_told_dead(b.path, &(struct incarnation){ 1, STARTED_MS + 2000 });
+	path_peer_reported_dead(b.path,
+				&(struct incarnation){ 1, STARTED_MS + 2000 });
 	assert_int_equal(t->health, HEALTH_DEAD);
 	bed_close(&b);
 }
--- a/test/packet_node_test.c
+++ b/test/packet_node_test.c
@@ -92,14 +92,14 @@
 	(void)t;
 }
 
-static void on_again(void *ctx, const struct flow_seen *f, uint8_t reason)
+static void on_again(void *ctx, const struct flow_state *f, uint8_t reason)
 {
 	(void)ctx;
 	(void)f;
 	(void)reason;
 }
 
-static void on_send(void *ctx, const struct flow_seen *f, const uint8_t *bytes,
+static void on_send(void *ctx, const struct flow_state *f, const uint8_t *bytes,
 		    uint32_t n_bytes)
 {
 	struct fixture *x = ctx;
@@ -110,7 +110,7 @@
 	x->calls.sends++;
 }
 
-static void on_flow(void *ctx, const struct flow_seen *f)
+static void on_flow(void *ctx, const struct flow_state *f)
 {
 	(void)ctx;
 	(void)f;
@@ -201,8 +201,8 @@
 		.fetch = on_fetch,
 		.hello = on_hello,
 		.probe = on_probe,
-		.again = on_again,
-		.send = on_send,
+		.resend = on_again,
+		.send_queued = on_send,
 		.reset = on_flow,
 		.health = on_health,
 		.decode = decode,
@@ -706,7 +706,7 @@
 	assert_int_equal(f->calls.sends, 0);
 	node_stop(f->node, f->now_ns);
 	assert_in_range(f->calls.sends, 1, 7);
-	assert_int_equal(path_waiting(f->node->path), 0);
+	assert_int_equal(path_queued_count(f->node->path), 0);
 }
 
 static void test_planned_stop_has_an_end(void **state)
--- a/test/packet_path_test.c
+++ b/test/packet_path_test.c
@@ -164,7 +164,7 @@
 {
 	struct bed b;
 	struct path_verdict v;
-	const struct path_times *t;
+	const struct path_latencies *t;
 
 	(void)state;
 	bed_open(&b);
@@ -174,12 +174,12 @@
 	bed_data(&b, CALLER, REPORT_VIP, v.target->cookie, 1, 1, 900);
 	b.now_ns += 70 * MS;
 	bed_data(&b, CALLER, REPORT_VIP, v.target->cookie, 901, 600, 0);
-	t = path_times(b.path, ROUTE_REPORT);
+	t = path_latencies(b.path, ROUTE_REPORT);
 	assert_int_equal(t->open_us.count, 1);
 	assert_int_equal(t->open_us.sum, 5000);
 	assert_int_equal(t->answer_us.count, 1);
 	assert_int_equal(t->answer_us.sum, 70000);
-	assert_int_equal(path_times(b.path, ROUTE_FEED)->open_us.count, 0);
+	assert_int_equal(path_latencies(b.path, ROUTE_FEED)->open_us.count, 0);
 	bed_close(&b);
 }
 
@@ -278,11 +278,11 @@
 	bed_open(&b);
 	bed_target(&b, 1, SERVICE, ZONE);
 	bed_open_flow(&b, CALLER, VIP);
-	path_told_dead(b.path, &(struct incarnation){ 1, 0 });
+	path_peer_reported_dead(b.path, &(struct incarnation){ 1, 0 });
 	assert_int_equal(b.n_resets, 1);
 	assert_int_equal(bed_syn(&b, CALLER + 1, VIP, 0).reason,
 			 PATH_no_target);
-	path_told_dead(b.path, &(struct incarnation){ 99, 0 });
+	path_peer_reported_dead(b.path, &(struct incarnation){ 99, 0 });
 	bed_close(&b);
 }
 
@@ -545,7 +545,7 @@
 	b.now_ns += 100 * MS;
 	bed_data(&b, CALLER, VIP, v.target->cookie, 2, 2, 100);
 	b.now_ns += 500 * MS;
-	path_held_up(b.path, b.now_ns);
+	path_process_stalled(b.path, b.now_ns);
 	bed_pass(&b, 40 * MS);
 	assert_int_equal(b.n_probes, 0);
 	assert_int_equal(v.target->health, HEALTH_GOOD);
--- a/test/packet_wait_prop.cc
+++ b/test/packet_wait_prop.cc
@@ -94,14 +94,14 @@
 			if (flows[i].open)
 				end(flows[i], i);
 		check();
-		RC_ASSERT(path_waiting(bed.path) == 0);
+		RC_ASSERT(path_queued_count(bed.path) == 0);
 		for (const struct target *t : targets)
 			RC_ASSERT(t->running == 0 && t->busy == 0);
 	}
 
 	uint64_t waits() const
 	{
-		return path_counts(bed.path)[PATH_waits];
+		return path_verdict_counts(bed.path)[PATH_waits];
 	}
 
       private:
@@ -200,7 +200,7 @@
 	{
 		struct incarnation who = target_incarnation(t);
 
-		path_told_dead(bed.path, &who);
+		path_peer_reported_dead(bed.path, &who);
 		for (Flow &f : flows)
 			if (f.target == t)
 				f = Flow();
@@ -225,18 +225,19 @@
 
 		for (unsigned i = 0; i < FLOWS; i++) {
 			struct flow_key key = { CALLER + i, vip(i) };
-			const struct flow_seen *f = path_flow(bed.path, &key);
+			const struct flow_state *f =
+				path_find_flow(bed.path, &key);
 
 			if (!f)
 				continue;
-			RC_ASSERT(!f->sent || !f->waiting);
-			RC_ASSERT(f->busy || (!f->sent && !f->waiting));
+			RC_ASSERT(!f->running || !f->waiting);
+			RC_ASSERT(f->busy || (!f->running && !f->waiting));
 			for (unsigned t = 0; t < TARGETS; t++)
 				running[t] +=
-					f->sent && f->target == targets[t];
+					f->running && f->target == targets[t];
 			waiting += f->waiting != 0;
 		}
-		RC_ASSERT(waiting == path_waiting(bed.path));
+		RC_ASSERT(waiting == path_queued_count(bed.path));
 		for (unsigned t = 0; t < TARGETS; t++)
 			RC_ASSERT(running[t] == targets[t]->running);
 	}
--- a/test/packet_wait_test.c
+++ b/test/packet_wait_test.c
@@ -82,7 +82,7 @@
 
 static uint64_t count(const struct fixture *f, enum path_reason reason)
 {
-	return path_counts(f->bed.path)[reason];
+	return path_verdict_counts(f->bed.path)[reason];
 }
 
 /* Feeds ask until @n are at the target. Return: the first one's number. */
@@ -118,7 +118,7 @@
 	assert_int_equal(v.action, PATH_WAIT);
 	assert_int_equal(v.reason, PATH_waits);
 	assert_int_equal(f->target->running, LIMIT);
-	assert_int_equal(path_waiting(f->bed.path), 1);
+	assert_int_equal(path_queued_count(f->bed.path), 1);
 	assert_int_equal(f->bed.n_sent, 0);
 }
 
@@ -134,8 +134,9 @@
 	assert_int_equal(f->bed.sent[0].caller, caller(f->flows - 1));
 	assert_int_equal(f->bed.sent[0].first, (uint8_t)caller(f->flows - 1));
 	assert_int_equal(f->target->running, LIMIT);
-	assert_int_equal(path_waiting(f->bed.path), 0);
-	assert_int_equal(path_times(f->bed.path, ROUTE_FEED)->wait_us.count, 1);
+	assert_int_equal(path_queued_count(f->bed.path), 0);
+	assert_int_equal(path_latencies(f->bed.path, ROUTE_FEED)->wait_us.count,
+			 1);
 }
 
 /* The route's priority first, then the last to come. */
@@ -236,7 +237,7 @@
 
 	ask(f, VIP);
 	path_packet(f->bed.path, &k, true, f->bed.now_ns, &v);
-	assert_int_equal(path_waiting(f->bed.path), 0);
+	assert_int_equal(path_queued_count(f->bed.path), 0);
 	answer_of(f, first, VIP);
 	assert_int_equal(f->bed.n_sent, 0);
 }
@@ -255,7 +256,7 @@
 				  2, 1, 100)
 				 .action,
 			 PATH_WAIT);
-	assert_int_equal(path_waiting(f->bed.path), 1);
+	assert_int_equal(path_queued_count(f->bed.path), 1);
 	assert_int_equal(f->bed.n_probes, 0);
 }
 
@@ -330,10 +331,10 @@
 
 	fill(f, LIMIT);
 	ask(f, VIP);
-	path_told_dead(f->bed.path, &who);
+	path_peer_reported_dead(f->bed.path, &who);
 	bed_pass(&f->bed, 3 * NS_PER_S);
 	assert_int_equal(f->bed.n_sent, 0);
-	assert_int_equal(path_waiting(f->bed.path), 0);
+	assert_int_equal(path_queued_count(f->bed.path), 0);
 	assert_int_equal(count(f, PATH_swept), f->flows);
 }
 
