--- a/adapters/relay_codec.c
+++ b/adapters/relay_codec.c
@@ -205,7 +205,7 @@
 /* Nothing changed when the change is empty. Return: 0; -ESTALE when the value
  * that it goes from is not here. */
 static int take_delta(struct document *d, struct position base,
-		      struct relay_port port, struct facts_port to)
+		      struct relay_port port, struct document_sink to)
 {
 	struct document_value from =
 		port.known(port.ctx, hash_text(d->key), base);
@@ -216,14 +216,14 @@
 	if (!delta.size_bytes) {
 		d->value = from.bytes;
 		d->size_bytes = from.size_bytes;
-		to.fact(to.ctx, d);
+		to.take(to.ctx, d);
 		return 0;
 	}
 	d->value = zstd_unpack(bytes_of(from), delta, VALUE_MAX_BYTES,
 			       &d->size_bytes);
 	if (!d->value)
 		return -EPROTO;
-	to.fact(to.ctx, d);
+	to.take(to.ctx, d);
 	free(d->value);
 	return 0;
 }
@@ -250,7 +250,7 @@
 }
 
 static int get_documents(const msgpack_object *o, struct relay_port port,
-			 struct facts_port to)
+			 struct document_sink to)
 {
 	const msgpack_object_array *all = &o->via.array.ptr[6].via.array;
 	int err = 0;
@@ -264,7 +264,7 @@
 		if (base.revision)
 			err = take_delta(&d, base, port, to);
 		else
-			to.fact(to.ctx, &d);
+			to.take(to.ctx, &d);
 	}
 	return err;
 }
@@ -272,7 +272,7 @@
 static int take_relay(const msgpack_object *o, struct relay_port port,
 		      struct relay_head *head)
 {
-	struct facts_port to;
+	struct document_sink to;
 
 	if (!get_relay(o, head))
 		return -EPROTO;
--- a/adapters/relay_codec.h
+++ b/adapters/relay_codec.h
@@ -42,7 +42,7 @@
 struct relay_port {
 	void *ctx;
 	bool (*begin)(void *ctx, const struct relay_head *head,
-		      struct facts_port *to);
+		      struct document_sink *to);
 	struct document_value (*known)(void *ctx, uint64_t key_hash,
 				       struct position since);
 };
--- a/cmd/cb-packet/clients.c
+++ b/cmd/cb-packet/clients.c
@@ -108,12 +108,12 @@
 		      enum pacer_class c, uint64_t name, const uint8_t *data,
 		      uint32_t size_bytes)
 {
-	uint8_t head[ENVELOPE_MAX_BYTES];
+	uint8_t head[ENCAPSULATION_MAX_BYTES];
 	struct datagram g = {
 		.to = t->news.addr,
 		.name = name,
 		.head = head,
-		.head_bytes = d->platform->envelope(t, head),
+		.head_bytes = d->platform->write_encapsulation(t, head),
 		.data = data,
 		.data_bytes = size_bytes,
 	};
@@ -211,7 +211,7 @@
 	uint8_t copy[RESEND_MAX_BYTES];
 
 	memcpy(copy, f->resend_packet, f->resend_bytes);
-	d->platform->pin(copy, f->target->cookie);
+	d->platform->write_cookie(copy, f->target->cookie);
 	to_target(d, f->target, PACER_CONTROL, 0, copy, f->resend_bytes);
 	clients_flush(d); /* before @copy goes */
 }
@@ -232,7 +232,7 @@
 		clients_reset(d, &k.flow, v.ack);
 	} else if (v.action == PATH_FORWARD) {
 		if (k.flags & PACKET_SYN)
-			d->platform->pin(data, v.target->cookie);
+			d->platform->write_cookie(data, v.target->cookie);
 		to_target(d, v.target, pacer_class_of(&k, v.kind),
 			  pacer_name(&k), data, size_bytes);
 	}
--- a/cmd/cb-packet/daemon.c
+++ b/cmd/cb-packet/daemon.c
@@ -54,7 +54,7 @@
 	d->boot_gap_ns = boot_ns;
 	d->turn_ns = now_ns;
 	gap_ns += suspended_ns;
-	if (node_late(d->node, gap_ns, now_ns))
+	if (node_process_stalled(d->node, gap_ns, now_ns))
 		clients_discard(d);
 	return now_ns;
 }
@@ -131,13 +131,14 @@
 	d->log_tokens += (double)d->settings.decisions_per_s * TICK_MS / 1000;
 	if (d->log_tokens > d->settings.decisions_per_s)
 		d->log_tokens = d->settings.decisions_per_s;
-	if (!node_stopped(d->node, now_ns))
+	if (!node_may_exit(d->node, now_ns))
 		return;
-	log_line(LOG_INFO, "stop", NULL,
-		 "after %llu ms, last datagram %llu ms ago",
-		 (unsigned long long)((now_ns - d->node->stop_ns) / NS_PER_MS),
-		 (unsigned long long)((now_ns - d->node->client_ns) /
-				      NS_PER_MS));
+	log_line(
+		LOG_INFO, "stop", NULL,
+		"after %llu ms, last datagram %llu ms ago",
+		(unsigned long long)((now_ns - d->node->stop_ns) / NS_PER_MS),
+		(unsigned long long)((now_ns - d->node->last_client_packet_ns) /
+				     NS_PER_MS));
 	uv_stop(d->loop);
 }
 
@@ -162,11 +163,11 @@
 	clients_reset(ctx, &f->key, f->ack);
 }
 
-static void write_log(void *ctx, enum node_log level, const char *step,
+static void write_log(void *ctx, enum node_log_level level, const char *step,
 		      const char *peer, const char *format, ...)
 	__attribute__((format(printf, 5, 6)));
 
-static void write_log(void *ctx, enum node_log level, const char *step,
+static void write_log(void *ctx, enum node_log_level level, const char *step,
 		      const char *peer, const char *format, ...)
 {
 	static const enum log_level levels[] = {
--- a/cmd/cb-packet/peers.c
+++ b/cmd/cb-packet/peers.c
@@ -70,7 +70,7 @@
 		return;
 	}
 	d->counters.hellos_received++;
-	node_hello(d->node, &h, daemon_turn(d));
+	node_receive_hello(d->node, &h, daemon_turn(d));
 	clients_pace(d);
 }
 
--- a/cmd/cb-packet/probes.c
+++ b/cmd/cb-packet/probes.c
@@ -28,7 +28,7 @@
 {
 	d->counters.probes_refused += outcome == PROBE_REFUSED;
 	d->counters.probes_silent += outcome == PROBE_SILENT;
-	node_probed(d->node, who, outcome, since_ns, daemon_turn(d));
+	node_probe_ended(d->node, who, outcome, since_ns, daemon_turn(d));
 	clients_pace(d);
 }
 
@@ -104,7 +104,8 @@
 	int err;
 
 	if (!p) {
-		node_probed(d->node, &who, PROBE_VOID, d->now_ns, d->now_ns);
+		node_probe_ended(d->node, &who, PROBE_VOID, d->now_ns,
+				 d->now_ns);
 		return;
 	}
 	d->counters.probes++;
--- a/cmd/cb-packet/reading.c
+++ b/cmd/cb-packet/reading.c
@@ -20,7 +20,8 @@
 				struct answer_head *head)
 {
 	bool list = d->node->step == SOURCE_LIST;
-	struct facts_port to = { d->node, list ? node_listed : node_changed };
+	struct document_sink to = { d->node, list ? node_take_listed
+						  : node_take_changed };
 	uint64_t epoch;
 	int err;
 
@@ -32,7 +33,7 @@
 		return SOURCE_FAILED;
 	if (d->platform->read_epoch(r->header, &epoch))
 		return SOURCE_FAILED;
-	if (!node_answering(d->node, epoch, now_ns))
+	if (!node_answer_begin(d->node, epoch, now_ns))
 		return SOURCE_BEHIND;
 	err = list ? d->platform->read_list(r->body, r->size_bytes, to, head)
 		   : d->platform->read_changes(r->body, r->size_bytes, to,
@@ -48,18 +49,18 @@
 	enum source_outcome outcome;
 
 	outcome = take(d, r, now_ns, &head);
-	head.came_ns = r->came_ns;
+	head.transfer_ns = r->came_ns;
 	if (outcome == SOURCE_FAILED && !d->node->source.failures)
 		log_line(LOG_WARNING, "platform", NULL, "lost: %s, status %d",
 			 r->err ? uv_strerror(r->err) : "answered", r->status);
-	node_answer(d->node, outcome, &head, now_ns);
+	node_answer_end(d->node, outcome, &head, now_ns);
 }
 
 static bool on_connected(void *ctx, uint64_t took_ns)
 {
 	struct packet_daemon *d = ctx;
 
-	return node_connected(d->node, took_ns, daemon_turn(d));
+	return node_platform_connected(d->node, took_ns, daemon_turn(d));
 }
 
 static void call(struct packet_daemon *d, const char *path, uint64_t timeout_ms)
@@ -81,7 +82,7 @@
 void reading_list(void *ctx, const char *after_key, bool exact)
 {
 	struct packet_daemon *d = ctx;
-	char path[PATH_MAX_BYTES];
+	char path[URL_PATH_MAX_BYTES];
 
 	d->platform->list_path(after_key, exact, path);
 	call(d, path, LIST_TIMEOUT_MS);
@@ -97,7 +98,7 @@
 {
 	struct packet_daemon *d = ctx;
 	uint32_t wait_ms = (uint32_t)(wait_ns / NS_PER_MS);
-	char path[PATH_MAX_BYTES];
+	char path[URL_PATH_MAX_BYTES];
 
 	d->platform->watch_path(after, wait_ms, path);
 	call(d, path, wait_ms + WATCH_SLACK_MS);
@@ -115,13 +116,14 @@
 }
 
 static bool begin_documents(void *ctx, const struct relay_head *head,
-			    struct facts_port *to)
+			    struct document_sink *to)
 {
 	struct packet_daemon *d = ctx;
 
-	*to = (struct facts_port){ d->node, head->whole ? node_relay_listed
-							: node_relayed };
-	return node_fetching(d->node, head, uv_hrtime());
+	*to = (struct document_sink){ d->node, head->whole
+						       ? node_take_relay_listed
+						       : node_take_relayed };
+	return node_fetch_begin(d->node, head, uv_hrtime());
 }
 
 static struct document_value known_value(void *ctx, uint64_t key_hash,
@@ -159,7 +161,7 @@
 			 addr_text(d->peer_call_from, addr, sizeof(addr)),
 			 "no documents: %s, status %d", strerror(-err),
 			 r->status);
-	node_fetched(d->node, err ? NULL : &head, now_ns);
+	node_fetch_end(d->node, err ? NULL : &head, now_ns);
 }
 
 /**
@@ -172,7 +174,7 @@
 {
 	struct packet_daemon *d = ctx;
 	struct relay_base base = relay_base(d->node->documents);
-	char path[PATH_MAX_BYTES];
+	char path[URL_PATH_MAX_BYTES];
 	int err;
 
 	g_snprintf(path, sizeof(path),
--- a/core/packet/node.c
+++ b/core/packet/node.c
@@ -7,90 +7,95 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* The process did not run for this long: answers may lie unread. */
-#define LATE_NS (120 * NS_PER_MS)
-/* Clients have sent again, or given up, what waited for this long. */
-#define PAUSED_NS NS_PER_S
-/* A router that misses two answers, half a second apart, sends nothing more. */
-#define STOP_LEAST_NS (1600 * NS_PER_MS)
+/* A stall of the process after which answers may be unread in the sockets. */
+#define STALL_MIN_NS (120 * NS_PER_MS)
+/* After a pause of this length clients have repeated or given up their requests. */
+#define PAUSE_MIN_NS NS_PER_S
+/* The router stops sending packets after two missed answers, half a second apart. */
+#define STOP_MIN_NS (1600 * NS_PER_MS)
 #define STOP_QUIET_NS (600 * NS_PER_MS)
-#define ROUND_MAX 16
-/* Of the 3 s that a change has to be in force everywhere. */
+/* Most recipients of one heartbeat. */
+#define RECIPIENTS_MAX 16
+/* Part of the 3 s within which a change has to be in force everywhere. */
 #define BEHIND_MAX_NS NS_PER_S
 /*
- * What a node may spend on control, and what heartbeats without loads take of
- * it: with ten peers, five times a second, half. Loads and failing targets have
- * the rest: many loads are told now and then, a few with every heartbeat. Failing
- * targets are told each time, and loads wait for it.
+ * Budget of an entry for control traffic. Heartbeats without loads to ten peers,
+ * five times a second, take half of it. Loads and failing targets share the rest:
+ * few loads are sent with every heartbeat, many less often. Failing targets are
+ * sent each time, which delays the loads.
  */
 #define CONTROL_BYTES_PER_S 21000ULL
-#define HEAD_BYTES 250
+#define HELLO_HEAD_BYTES 250
 #define LOAD_BYTES 10
 #define FAILING_BYTES 9
 
 /*
- * Loads are not told before what was sent is paid for; neither are heartbeats
- * that come before their time, but for them.
+ * Charge a heartbeat to the budget of control traffic, which sets when the next
+ * loads may be sent. Heads of regular heartbeats are charged as a constant rate,
+ * those of expedited ones, which are sent only for their loads, one by one.
  */
-static void pay(struct node *n, const struct hello *h, uint32_t count)
+static void charge_hello(struct node *n, const struct hello *h, uint32_t count)
 {
-	uint64_t heads_per_s =
-		count * HEAD_BYTES * NS_PER_S / n->policy->heartbeat_ns;
-	uint64_t rate = CONTROL_BYTES_PER_S / 2;
+	uint64_t head_bytes_per_s =
+		count * HELLO_HEAD_BYTES * NS_PER_S / n->policy->heartbeat_ns;
+	uint64_t bytes_per_s = CONTROL_BYTES_PER_S / 2;
 	uint64_t bytes = h->n_loads * LOAD_BYTES + h->n_failing * FAILING_BYTES;
 
-	if (heads_per_s < CONTROL_BYTES_PER_S / 2)
-		rate = CONTROL_BYTES_PER_S - heads_per_s;
+	if (head_bytes_per_s < CONTROL_BYTES_PER_S / 2)
+		bytes_per_s = CONTROL_BYTES_PER_S - head_bytes_per_s;
 	if (path_has_loaded_target(n->path))
-		bytes += HEAD_BYTES;
-	if (n->loads_ns < n->now_ns)
-		n->loads_ns = n->now_ns;
-	n->loads_ns += bytes * count * NS_PER_S / rate;
+		bytes += HELLO_HEAD_BYTES;
+	if (n->loads_due_ns < n->now_ns)
+		n->loads_due_ns = n->now_ns;
+	n->loads_due_ns += bytes * count * NS_PER_S / bytes_per_s;
 }
 
 /*
- * Requests that wait here go by what the peers told: a heartbeat every 200 ms
- * instead of 60 lets targets run idle, and others be given too many.
+ * Send the next heartbeat earlier while targets are loaded. Queued requests are
+ * forwarded by the loads that peers reported; with a heartbeat every 200 ms
+ * instead of every 60 ms some targets would idle and others get too many requests.
  */
-static void hurry(struct node *n)
+static void expedite_heartbeat(struct node *n)
 {
 	uint64_t next_ns = n->now_ns + n->policy->heartbeat_loaded_ns;
 
 	if (!path_has_loaded_target(n->path))
 		return;
-	peer_set_hurry(n->peers, next_ns > n->loads_ns ? next_ns : n->loads_ns);
+	peer_set_hurry(n->peers,
+		       next_ns > n->loads_due_ns ? next_ns : n->loads_due_ns);
 }
 
-/* Whether anything is known that was of the moment when it was read. */
-bool node_knows(const struct node *n)
+/* Whether the documents were complete at some position; pages of a listing that
+ * may be old are not. */
+bool node_has_snapshot(const struct node *n)
 {
 	return documents_through(n->documents).revision;
 }
 
-struct knowledge node_knowledge(const struct node *n)
+struct knowledge node_known_positions(const struct node *n)
 {
 	return (struct knowledge){
 		documents_newest(n->documents),
 		documents_carried(n->documents),
-		n->carried_taken,
+		n->retained_fetched,
 	};
 }
 
-/* Longer than anybody carries over what the platform lost. */
-#define EPOCH_TOLD_NS (60 * NS_PER_S)
+/* Longer than any entry retains documents that the platform lost. */
+#define EPOCH_AGE_MAX_NS (60 * NS_PER_S)
 
-static void tell_knowledge(const struct node *n, struct hello *h)
+static void fill_positions(const struct node *n, struct hello *h)
 {
 	uint64_t age_ns = n->now_ns - documents_began_ns(n->documents);
 
 	h->newest = documents_newest(n->documents);
 	h->carried = documents_carried(n->documents);
-	h->epoch_age_ms = age_ns < EPOCH_TOLD_NS
+	h->epoch_age_ms = age_ns < EPOCH_AGE_MAX_NS
 				  ? (uint32_t)(age_ns / NS_PER_MS)
 				  : UINT32_MAX;
 }
 
-enum hello_reason { HELLO_NEWS, HELLO_ANSWER };
+enum hello_reason { HELLO_UNSOLICITED, HELLO_REPLY };
 
 static void send_hello(struct node *n, const uint64_t *to, uint32_t count,
 		       const struct target *dead, enum hello_reason why)
@@ -101,76 +106,80 @@
 		return;
 	peer_set_fill(n->peers, &h, n->now_ns);
 	h.leaving = n->stop_ns;
-	/* Nobody is to take for new what may be seconds old. */
-	if (node_knows(n))
-		tell_knowledge(n, &h);
+	/* Documents that may be seconds old must not be advertised as new. */
+	if (node_has_snapshot(n))
+		fill_positions(n, &h);
 	else
-		h.reply = true; /* who knows something is to say so at once */
-	/* Two that know nothing would answer each other without end. */
-	if (why == HELLO_ANSWER)
+		h.reply = true; /* asks for positions at once */
+	/* Two entries without a snapshot would answer each other without end. */
+	if (why == HELLO_REPLY)
 		h.reply = false;
 	if (dead)
 		h.dead[h.n_dead++] = target_incarnation(dead);
-	else if (n->now_ns >= n->loads_ns && n->policy->tell_loads)
+	else if (n->now_ns >= n->loads_due_ns && n->policy->tell_loads)
 		loads_fill(n->directory, &h);
 	if (n->policy->tell_failures)
 		loads_fill_failing(n->directory, &h, n->policy, n->now_ns);
-	pay(n, &h, count);
+	charge_hello(n, &h, count);
 	n->port.hello(n->port.ctx, to, count, &h);
 }
 
-/* Tell the neighbours now what can't wait for the next heartbeat. */
-void node_tell(struct node *n, const struct target *dead)
+/*
+ * Send a heartbeat to the neighbours at once, without waiting for the next regular
+ * one. @dead: target whose process was found dead, or NULL.
+ */
+void node_advertise(struct node *n, const struct target *dead)
 {
-	uint64_t to[ROUND_MAX];
+	uint64_t to[RECIPIENTS_MAX];
 	uint32_t count =
-		peer_set_neighbours(n->peers, n->now_ns, to, ROUND_MAX);
+		peer_set_neighbours(n->peers, n->now_ns, to, RECIPIENTS_MAX);
 
-	send_hello(n, to, count, dead, HELLO_NEWS);
+	send_hello(n, to, count, dead, HELLO_UNSOLICITED);
 }
 
-static void probe(void *ctx, const struct target *t)
+static void probe_target(void *ctx, const struct target *t)
 {
 	struct node *n = ctx;
 
 	n->port.probe(n->port.ctx, t);
 }
 
-static void again(void *ctx, const struct flow_state *f, uint8_t reason)
+static void resend(void *ctx, const struct flow_state *f, uint8_t reason)
 {
 	struct node *n = ctx;
 
 	n->port.resend(n->port.ctx, f, reason);
 }
 
-static void send_on(void *ctx, const struct flow_state *f, const uint8_t *bytes,
-		    uint32_t n_bytes)
+static void send_queued(void *ctx, const struct flow_state *f,
+			const uint8_t *bytes, uint32_t n_bytes)
 {
 	struct node *n = ctx;
 
 	n->port.send_queued(n->port.ctx, f, bytes, n_bytes);
 }
 
-static void reset(void *ctx, const struct flow_state *f)
+static void reset_flow(void *ctx, const struct flow_state *f)
 {
 	struct node *n = ctx;
 
 	n->port.reset(n->port.ctx, f);
 }
 
-static void dead(void *ctx, const struct target *t)
+static void advertise_dead(void *ctx, const struct target *t)
 {
-	node_tell(ctx, t);
+	node_advertise(ctx, t);
 }
 
-static void health(void *ctx, const struct target *t, uint8_t before)
+static void report_health(void *ctx, const struct target *t, uint8_t before)
 {
 	struct node *n = ctx;
 
 	n->port.health(n->port.ctx, t, before);
 }
 
-static void eject(void *ctx, const struct target *t, float others_failures)
+static void log_ejection(void *ctx, const struct target *t,
+			 float others_failures)
 {
 	struct node *n = ctx;
 	uint64_t ms = (t->ejected_until_ns - n->now_ns) / NS_PER_MS;
@@ -178,20 +187,21 @@
 	n->counters.ejections++;
 	n->port.log(n->port.ctx, NODE_WARNING, "target.eject",
 		    directory_name_text(n->directory, t->news.service),
-		    "target %llx gets no new flows for %llu ms: %.1f requests "
-		    "failed of late here, %.1f at peers, %.1f at others of it",
+		    "target %llx gets no new flows for %llu ms: %.1f recent "
+		    "failures here, %.1f at peers, %.1f on average at the "
+		    "other targets of its service",
 		    (unsigned long long)t->news.id, (unsigned long long)ms,
 		    (double)outlier_failures(t, n->policy, n->now_ns),
 		    (double)t->peers_failures, (double)others_failures);
 }
 
-/* Hash of the name of its data centre. */
+/* Hash of the name of the entry's data centre. */
 uint32_t node_zone(const struct node *n)
 {
 	return (uint32_t)hash_text(n->conf.data_centre);
 }
 
-static int make(struct node *n)
+static int create_parts(struct node *n)
 {
 	const struct node_conf *conf = &n->conf;
 	struct directory_conf dir = { conf->flow_lifetime_ns,
@@ -202,11 +212,11 @@
 					n->policy->return_ns };
 	struct path_port port = {
 		.ctx = n,
-		.health = { n, probe, dead, health },
-		.resend = again,
-		.send_queued = send_on,
-		.reset = reset,
-		.eject = eject,
+		.health = { n, probe_target, advertise_dead, report_health },
+		.resend = resend,
+		.send_queued = send_queued,
+		.reset = reset_flow,
+		.eject = log_ejection,
 	};
 	struct path_conf path = {
 		.policy = n->policy,
@@ -237,12 +247,12 @@
 }
 
 /**
- * node_new() - an entry that knows nothing yet
- * @conf: settings
- * @port: what it needs from outside
- * @now_ns: time
+ * node_new() - create an entry without documents
+ * @conf: settings, copied; the policy must outlive the entry
+ * @port: calls to the owner, copied
+ * @now_ns: current time
  *
- * Return: entry, or NULL without memory.
+ * Return: entry, to be freed with node_free(), or NULL when out of memory.
  */
 struct node *node_new(const struct node_conf *conf, struct node_port port,
 		      uint64_t now_ns)
@@ -258,7 +268,7 @@
 	n->start_ns = now_ns;
 	n->source.start_ns = now_ns;
 	n->source.exact = !n->policy->old_listing;
-	if (!make(n))
+	if (!create_parts(n))
 		return n;
 	node_free(n);
 	return NULL;
@@ -277,64 +287,67 @@
 }
 
 /*
- * What is missing here may be taken as absent only when no peer is known to
- * know more. Worked out when something changes, not for each packet: it walks
- * all peers.
+ * Update whether a document that is missing here may be taken as absent, which
+ * holds only when no peer is known to be ahead. Called when something changes, not
+ * for each packet, since it walks all peers.
  */
-static void judge_fresh(struct node *n)
+static void update_fresh(struct node *n)
 {
-	struct knowledge own = node_knowledge(n);
+	struct knowledge own = node_known_positions(n);
 	const struct peer_vm *p = peer_set_ahead(n->peers, &own, n->now_ns);
-	bool missing = p && !position_after(p->newest, own.newest);
-
-	n->fresh = node_knows(n) && !p;
-	if (!missing)
-		n->missing_ns = 0;
-	else if (!n->missing_ns)
-		n->missing_ns = n->now_ns;
-	if (!position_after(n->behind, own.newest))
+	bool lacks_retained = p && !position_after(p->newest, own.newest);
+
+	n->fresh = node_has_snapshot(n) && !p;
+	if (!lacks_retained)
+		n->lacks_retained_ns = 0;
+	else if (!n->lacks_retained_ns)
+		n->lacks_retained_ns = n->now_ns;
+	if (!position_after(n->behind_position, own.newest))
 		n->behind_ns = 0;
 	if (p && !n->behind_ns) {
 		n->behind_ns = n->now_ns;
-		n->behind = p->newest;
+		n->behind_position = p->newest;
 	}
 }
 
 /**
- * node_packet() - decide on a packet of a client
+ * node_packet() - decide what is done with a packet of a client
  * @n: entry
- * @k: packet
- * @now_ns: time
- * @out: filled
+ * @k: packet; copied if it is kept or queued
+ * @now_ns: current time
+ * @out: set to the decision
  */
 void node_packet(struct node *n, const struct packet *k, uint64_t now_ns,
 		 struct path_verdict *out)
 {
 	n->now_ns = now_ns;
-	n->client_ns = now_ns;
+	n->last_client_packet_ns = now_ns;
 	path_packet(n->path, k, n->fresh, now_ns, out);
 }
 
 /*
- * A peer that knows more since a moment ago is no reason to wait: while targets
- * publish themselves all the time there always is one. One that carries over
- * what the platform lost is: a configuration may be among it. If it does not
- * answer, that is no reason to wait for long.
+ * Whether the entry may become ready though a peer is ahead of it. A peer that got
+ * ahead less than BEHIND_MAX_NS ago does not prevent it: while targets publish
+ * themselves all the time some peer always is ahead. A peer that retains documents
+ * of earlier epochs does for as long as that, since a configuration may be among
+ * them; no longer, since the peer may not answer.
  */
-static bool nearly_fresh(const struct node *n)
+static bool is_nearly_fresh(const struct node *n)
 {
-	if (n->missing_ns && n->missing_ns + BEHIND_MAX_NS > n->now_ns)
+	if (n->lacks_retained_ns &&
+	    n->lacks_retained_ns + BEHIND_MAX_NS > n->now_ns)
 		return false;
-	return node_knows(n) && n->behind_ns + BEHIND_MAX_NS > n->now_ns;
+	return node_has_snapshot(n) && n->behind_ns + BEHIND_MAX_NS > n->now_ns;
 }
 
-void node_judge_ready(struct node *n)
+void node_update_ready(struct node *n)
 {
 	bool ready = n->ready;
 
-	judge_fresh(n);
-	/* Once ready it stays so: a peer that is ahead is no reason to leave. */
-	if (node_version(n) && (ready || n->fresh || nearly_fresh(n)))
+	update_fresh(n);
+	/* An entry that is ready stays so when a peer gets ahead. */
+	if (node_configuration_version(n) &&
+	    (ready || n->fresh || is_nearly_fresh(n)))
 		ready = true;
 	if (n->stop_ns)
 		ready = false;
@@ -345,32 +358,34 @@
 		n->port.ctx, NODE_INFO, "ready", NULL,
 		"%s, configuration %llu, revision %llu, %u targets, "
 		"%u peers",
-		ready ? "yes" : "no", (unsigned long long)node_version(n),
+		ready ? "yes" : "no",
+		(unsigned long long)node_configuration_version(n),
 		(unsigned long long)documents_through(n->documents).revision,
 		directory_slots(n->directory),
 		peer_set_live(n->peers, n->now_ns));
 }
 
 /**
- * node_tick() - what time brings; every 20 ms
+ * node_tick() - do what is due; to be called every 20 ms
  * @n: entry
- * @now_ns: time
+ * @now_ns: current time
  */
 void node_tick(struct node *n, uint64_t now_ns)
 {
-	uint64_t to[ROUND_MAX];
+	uint64_t to[RECIPIENTS_MAX];
 	struct directory_clock clock;
 	uint32_t count;
 
 	n->now_ns = now_ns;
 	path_tick(n->path, now_ns);
-	count = peer_set_due(n->peers, !node_knows(n), now_ns, to, ROUND_MAX);
+	count = peer_set_due(n->peers, !node_has_snapshot(n), now_ns, to,
+			     RECIPIENTS_MAX);
 	if (count) {
-		send_hello(n, to, count, NULL, HELLO_NEWS);
-		hurry(n);
+		send_hello(n, to, count, NULL, HELLO_UNSOLICITED);
+		expedite_heartbeat(n);
 		loads_sum(n->directory, n->peers, now_ns);
 	}
-	node_call(n);
+	node_start_calls(n);
 	documents_tick(n->documents, now_ns);
 	clock = (struct directory_clock){
 		now_ns,
@@ -379,10 +394,10 @@
 	};
 	directory_tick(n->directory, &clock);
 	node_cold_tick(n);
-	node_judge_ready(n);
+	node_update_ready(n);
 }
 
-static void hear_epoch(struct node *n, const struct hello *h)
+static void record_epoch(struct node *n, const struct hello *h)
 {
 	uint64_t age_ns = h->epoch_age_ms * NS_PER_MS;
 
@@ -392,62 +407,64 @@
 }
 
 /**
- * node_hello() - a heartbeat came
+ * node_receive_hello() - handle a heartbeat of a peer
  * @n: entry
  * @h: heartbeat
- * @now_ns: time
+ * @now_ns: current time
  */
-void node_hello(struct node *n, const struct hello *h, uint64_t now_ns)
+void node_receive_hello(struct node *n, const struct hello *h, uint64_t now_ns)
 {
 	n->now_ns = now_ns;
 	peer_set_hear(n->peers, h, now_ns);
-	hear_epoch(n, h);
+	record_epoch(n, h);
 	for (uint32_t i = 0; i < h->n_dead; i++)
 		path_peer_reported_dead(n->path, &h->dead[i]);
 	if (h->reply)
-		send_hello(n, &h->from, 1, NULL, HELLO_ANSWER);
-	/* Both walk all peers; hundreds of heartbeats a second come when all
-	 * start at once, and the tick does the rest. */
+		send_hello(n, &h->from, 1, NULL, HELLO_REPLY);
+	/* Both calls walk all peers, and hundreds of heartbeats a second come
+	 * when all entries start at once. Other changes wait for the tick. */
 	if (position_after(h->newest, documents_newest(n->documents))) {
-		node_call(n);
-		node_judge_ready(n);
+		node_start_calls(n);
+		node_update_ready(n);
 	}
 }
 
 /**
- * node_probed() - a connection attempt ended
+ * node_probe_ended() - handle the outcome of a connection attempt
  * @n: entry
- * @who: target, and its process when the attempt began
- * @outcome: what it showed
+ * @who: target and the process that ran when the attempt began
+ * @outcome: outcome, enum probe_outcome
  * @since_ns: when the attempt began
- * @now_ns: time
+ * @now_ns: current time
  */
-void node_probed(struct node *n, const struct incarnation *who,
-		 enum probe_outcome outcome, uint64_t since_ns, uint64_t now_ns)
+void node_probe_ended(struct node *n, const struct incarnation *who,
+		      enum probe_outcome outcome, uint64_t since_ns,
+		      uint64_t now_ns)
 {
 	n->now_ns = now_ns;
 	path_probe_ended(n->path, who, outcome, since_ns, now_ns);
 }
 
 /**
- * node_late() - this process did not run for a while
+ * node_process_stalled() - handle a stall of this process
  * @n: entry
- * @gap_ns: how long
- * @now_ns: time
+ * @gap_ns: time for which it did not run; short ones are ignored
+ * @now_ns: current time, after the stall
  *
- * After a pause the sockets hold what clients sent long ago: flows would be
- * opened for nobody, on a view of the others that may have gone on.
+ * After a pause of a second or more the sockets hold packets that clients sent
+ * long ago. Forwarding these would open flows that no client waits for, by a view
+ * of targets and peers that may be out of date.
  *
- * Return: whether packets that wait are to be dropped unread.
+ * Return: whether the caller has to drop the packets in its sockets unread.
  */
-bool node_late(struct node *n, uint64_t gap_ns, uint64_t now_ns)
+bool node_process_stalled(struct node *n, uint64_t gap_ns, uint64_t now_ns)
 {
-	if (gap_ns <= LATE_NS)
+	if (gap_ns <= STALL_MIN_NS)
 		return false;
 	n->now_ns = now_ns;
 	n->counters.held_up++;
 	path_process_stalled(n->path, now_ns);
-	if (gap_ns < PAUSED_NS)
+	if (gap_ns < PAUSE_MIN_NS)
 		return false;
 	n->counters.paused++;
 	n->paused_ns = now_ns;
@@ -458,9 +475,10 @@
 }
 
 /**
- * node_stop() - a planned stop begins: not ready, forwarding goes on
+ * node_stop() - begin a planned stop: the entry is no longer ready, and forwards
+ *	packets until node_may_exit() holds
  * @n: entry
- * @now_ns: time
+ * @now_ns: current time
  */
 void node_stop(struct node *n, uint64_t now_ns)
 {
@@ -469,18 +487,19 @@
 	n->now_ns = now_ns;
 	n->stop_ns = now_ns;
 	path_stop(n->path, now_ns);
-	node_judge_ready(n);
-	node_tell(n, NULL);
+	node_update_ready(n);
+	node_advertise(n, NULL);
 }
 
 /**
- * node_stopped() - whether a planned stop may end the process
+ * node_may_exit() - check whether a planned stop is done
  * @n: entry
- * @now_ns: time
+ * @now_ns: current time
  *
- * Return: whether the router has moved on, or time is up.
+ * Return: true when the router has stopped sending packets here, or the time limit
+ * of the stop is over; false when no stop has begun.
  */
-bool node_stopped(const struct node *n, uint64_t now_ns)
+bool node_may_exit(const struct node *n, uint64_t now_ns)
 {
 	uint64_t since_ns = now_ns - n->stop_ns;
 
@@ -488,6 +507,6 @@
 		return false;
 	if (since_ns >= n->conf.stop_ns)
 		return true;
-	return since_ns >= STOP_LEAST_NS &&
-	       n->client_ns + STOP_QUIET_NS <= now_ns;
+	return since_ns >= STOP_MIN_NS &&
+	       n->last_client_packet_ns + STOP_QUIET_NS <= now_ns;
 }
--- a/core/packet/node.h
+++ b/core/packet/node.h
@@ -1,7 +1,8 @@
 /*
- * One entry for opaque flows, whole, without its sockets: what is published,
- * the peers, the decisions on packets, readiness, the planned stop. The daemon
- * and the emulator run this same code, each behind struct node_port.
+ * An entry for opaque flows without its sockets: it takes what is published,
+ * exchanges heartbeats and documents with its peers, decides on packets, and
+ * reports when it is ready and when a planned stop is done. The daemon and the
+ * emulator run the same code behind struct node_port.
  */
 #ifndef CB_NODE_H
 #define CB_NODE_H
@@ -16,21 +17,22 @@
 
 #define NODE_SEEDS_MAX 3
 
-enum node_log { NODE_INFO, NODE_WARNING, NODE_ERROR };
+enum node_log_level { NODE_INFO, NODE_WARNING, NODE_ERROR };
 
 /**
  * struct node_conf - settings of an entry
- * @policy: figures to go by; NULL for policy_usual
- * @self: its address for peers
+ * @policy: tuning parameters; not owned; NULL for policy_usual
+ * @self: address and port under which peers reach this entry
  * @data_centre: name of its data centre
- * @boot: number of this process
- * @link_bytes_per_s: what the VM's link carries; 0 for unknown
- * @cold: what a cold target may get in any second
- * @flows_max: flows followed at once
- * @flow_lifetime_ns: an open flow lives no longer
- * @stop_ns: longest time between a planned stop and the end
- * @n_seeds: peers to begin with
- * @seeds: their addresses
+ * @boot: number of this process, another one after each start
+ * @link_bytes_per_s: rate of the VM's link; 0 when unknown
+ * @cold: bound on the new flows at a cold target
+ * @flows_max: capacity of the flow cache
+ * @flow_lifetime_ns: longest time that a flow stays open
+ * @stop_ns: longest time from the start of a planned stop to the end of the
+ *	process
+ * @n_seeds: number of @seeds
+ * @seeds: addresses of peers to contact first
  */
 struct node_conf {
 	const struct policy *policy;
@@ -47,23 +49,27 @@
 };
 
 /**
- * struct node_port - what an entry needs from outside
- * @ctx: passed back
- * @list: ask the platform for a page, of this moment if @exact, otherwise it may
- *	be seconds old; node_answer() ends it
- * @watch: ask the platform for changes, to be answered after @wait_ns without
- *	any; node_answer() ends it
- * @cancel: give up the call to the platform under way
- * @fetch: ask a peer for documents; node_fetched() ends it
- * @hello: send a heartbeat
- * @probe: connect to a target; node_probed() ends it
- * @resend: hand the packet that is kept of a flow to its target; why, of enum
- *	path_reason
- * @send_queued: hand a packet that has waited to its flow's target
- * @reset: end a flow
- * @health: a target's health changed
- * @decode: decode a document, as struct packet_platform does
- * @log: a line of the log, as printf()
+ * struct node_port - calls that an entry makes
+ * @ctx: first argument of each call
+ * @list: request a page of the platform's listing, from the first key or from the
+ *	one after @after_key. @exact demands the present state; otherwise the page
+ *	may be seconds old. node_answer_end() reports the end of the call.
+ * @watch: request the changes after revision @after; the platform answers when
+ *	there are any, at the latest after @wait_ns. node_answer_end() reports the
+ *	end of the call.
+ * @cancel: cancel the pending call to the platform
+ * @fetch: request the documents that changed after @after from a peer;
+ *	node_fetch_end() reports the end of the call
+ * @hello: send a heartbeat to @n peers
+ * @probe: connect to a target; node_probe_ended() reports the outcome
+ * @resend: send the flow's kept packet (resend_packet) to its target; @reason is
+ *	one of enum path_reason
+ * @send_queued: forward a packet from the queue to the flow's target; the packet
+ *	is valid only during the call
+ * @reset: send a reset of a flow to the client
+ * @health: the health of a target changed from @before, enum target_health
+ * @decode: decode a document, as read_document of struct packet_platform
+ * @log: write a log line; @peer may be NULL, @format is as in printf()
  */
 struct node_port {
 	void *ctx;
@@ -80,8 +86,8 @@
 	void (*reset)(void *ctx, const struct flow_state *f);
 	void (*health)(void *ctx, const struct target *t, uint8_t before);
 	int (*decode)(const struct document *d, struct directory *names,
-		      struct document_news *out, const char **problem);
-	void (*log)(void *ctx, enum node_log level, const char *step,
+		      struct decoded_document *out, const char **problem);
+	void (*log)(void *ctx, enum node_log_level level, const char *step,
 		    const char *peer, const char *format, ...)
 		__attribute__((format(printf, 5, 6)));
 };
@@ -106,11 +112,12 @@
 };
 
 /**
- * struct relay_head - what a peer's documents come with
- * @through: position up to which the peer knows everything
- * @newest: newest position it knows
- * @floor: what was deleted up to there it may not know
- * @whole: everything it knows: what is missing was deleted
+ * struct relay_head - positions that a peer sends with its documents
+ * @through: position up to which the peer has everything
+ * @newest: newest position of which the peer has a document
+ * @floor: position up to which the peer may lack deletions
+ * @whole: the documents are all that the peer has, so that a document missing
+ *	among them was deleted; otherwise they are changes
  */
 struct relay_head {
 	struct position through;
@@ -120,39 +127,48 @@
 };
 
 /**
- * struct node - an entry; the parts may be read, changes go through functions
- * @policy: figures to go by
+ * struct node - an entry; members may be read by anyone, and are changed only by
+ *	the functions below
+ * @conf: settings
+ * @policy: tuning parameters; never NULL
+ * @port: calls to the owner
  * @directory: targets and routes
- * @documents: what is published
+ * @documents: published documents
  * @path: decisions on packets
- * @pacer: what waits for the VM's link
+ * @pacer: packets that wait for the VM's link
  * @peers: the other entries
- * @source: calls to the platform
- * @step: the call under way
- * @list_first: revision of the listing's first page, 0 before it
- * @list_revision: least revision of its pages
- * @list_after: last key of the page before
- * @asked: position after which the watch under way asks for changes
- * @answer_epoch: epoch of the answer that was taken last
- * @told: newest position that the neighbours were told of at once
- * @fetching: a peer is being asked
- * @fetching_far: and is of another data centre
- * @fetching_carried: what it carries over from earlier epochs
- * @carried_taken: what the peer asked last carried
- * @missing_ns: since when a peer is known to carry what is not known here; 0 for
- *	none
- * @loads_ns: when loads may be told next
- * @fresh: no peer is known to know more
- * @behind_ns: since when @behind is not known here; 0 when no peer knows more
- * @behind: newest position that a peer told then
- * @ready: whether the platform may send packets here
- * @start_ns: when this process began
- * @paused_ns: when it last stood still for long; 0 for never
- * @stop_ns: when a planned stop began, 0 for none
- * @client_ns: last packet of a client
- * @names_taken: services named when the configuration was taken
- * @refusals_ns: when the second began in which @refusals are counted
- * @refusals: entries refused in it
+ * @source: schedule of the calls to the platform
+ * @step: kind of the pending call to the platform
+ * @list_first_revision: revision of the first page of the listing in progress; 0
+ *	before it came
+ * @list_min_revision: lowest revision of the pages so far
+ * @list_after_key: last key of the previous page
+ * @watched_after: position after which the pending watch asks for changes
+ * @answer_epoch: epoch of the last accepted answer of the platform
+ * @advertised: newest position that was advertised to the neighbours outside the
+ *	regular heartbeats
+ * @fetching: a call to a peer is pending
+ * @fetching_other_zone: that peer is in another data centre
+ * @fetching_retained: digest of what that peer retains from earlier epochs
+ * @retained_fetched: digest of what the peer that answered last retained
+ * @lacks_retained_ns: since when a peer is known to retain documents that are
+ *	missing here; 0 when none is
+ * @now_ns: time of the call in progress
+ * @loads_due_ns: when loads may be sent next within the budget of control traffic
+ * @fresh: this entry has a snapshot, and no peer is known to be ahead of it
+ * @behind_ns: since when @behind_position is missing here; 0 when no peer is
+ *	ahead
+ * @behind_position: newest position of the peer that was ahead at @behind_ns
+ * @ready: the platform may send packets here
+ * @start_ns: start of this process
+ * @paused_ns: end of the last pause of at least a second; 0 for none
+ * @stop_ns: start of the planned stop; 0 for none
+ * @last_client_packet_ns: when the last packet of a client came
+ * @services_named: number of named services when the configuration was last
+ *	applied
+ * @refusals_since_ns: start of the second in which @refusals are counted
+ * @refusals: documents refused in that second
+ * @counters: counters for the metrics
  */
 struct node {
 	struct node_conf conf;
@@ -165,29 +181,29 @@
 	struct peer_set *peers;
 	struct source source;
 	enum source_step step;
-	uint64_t list_first;
-	uint64_t list_revision;
-	char list_after[DOCUMENT_KEY_MAX_BYTES + 1];
-	struct position asked;
+	uint64_t list_first_revision;
+	uint64_t list_min_revision;
+	char list_after_key[DOCUMENT_KEY_MAX_BYTES + 1];
+	struct position watched_after;
 	uint64_t answer_epoch;
-	struct position told;
+	struct position advertised;
 	bool fetching;
-	bool fetching_far;
-	uint64_t fetching_carried;
-	uint64_t carried_taken;
-	uint64_t missing_ns;
+	bool fetching_other_zone;
+	uint64_t fetching_retained;
+	uint64_t retained_fetched;
+	uint64_t lacks_retained_ns;
 	uint64_t now_ns;
-	uint64_t loads_ns;
+	uint64_t loads_due_ns;
 	bool fresh;
 	uint64_t behind_ns;
-	struct position behind;
+	struct position behind_position;
 	bool ready;
 	uint64_t start_ns;
 	uint64_t paused_ns;
 	uint64_t stop_ns;
-	uint64_t client_ns;
-	uint32_t names_taken;
-	uint64_t refusals_ns;
+	uint64_t last_client_packet_ns;
+	uint32_t services_named;
+	uint64_t refusals_since_ns;
 	uint32_t refusals;
 	struct node_counters counters;
 };
@@ -198,24 +214,24 @@
 void node_packet(struct node *n, const struct packet *k, uint64_t now_ns,
 		 struct path_verdict *out);
 void node_tick(struct node *n, uint64_t now_ns);
-void node_listed(void *ctx, const struct document *d);
-void node_changed(void *ctx, const struct document *d);
-void node_relay_listed(void *ctx, const struct document *d);
-void node_relayed(void *ctx, const struct document *d);
-bool node_connected(struct node *n, uint64_t took_ns, uint64_t now_ns);
-bool node_answering(struct node *n, uint64_t epoch, uint64_t now_ns);
-void node_answer(struct node *n, enum source_outcome outcome,
-		 const struct answer_head *head, uint64_t now_ns);
-bool node_fetching(struct node *n, const struct relay_head *head,
-		   uint64_t now_ns);
-void node_fetched(struct node *n, const struct relay_head *head,
-		  uint64_t now_ns);
-void node_hello(struct node *n, const struct hello *h, uint64_t now_ns);
-void node_probed(struct node *n, const struct incarnation *who,
-		 enum probe_outcome outcome, uint64_t since_ns,
-		 uint64_t now_ns);
-bool node_late(struct node *n, uint64_t gap_ns, uint64_t now_ns);
+void node_take_listed(void *ctx, const struct document *d);
+void node_take_changed(void *ctx, const struct document *d);
+void node_take_relay_listed(void *ctx, const struct document *d);
+void node_take_relayed(void *ctx, const struct document *d);
+bool node_platform_connected(struct node *n, uint64_t took_ns, uint64_t now_ns);
+bool node_answer_begin(struct node *n, uint64_t epoch, uint64_t now_ns);
+void node_answer_end(struct node *n, enum source_outcome outcome,
+		     const struct answer_head *head, uint64_t now_ns);
+bool node_fetch_begin(struct node *n, const struct relay_head *head,
+		      uint64_t now_ns);
+void node_fetch_end(struct node *n, const struct relay_head *head,
+		    uint64_t now_ns);
+void node_receive_hello(struct node *n, const struct hello *h, uint64_t now_ns);
+void node_probe_ended(struct node *n, const struct incarnation *who,
+		      enum probe_outcome outcome, uint64_t since_ns,
+		      uint64_t now_ns);
+bool node_process_stalled(struct node *n, uint64_t gap_ns, uint64_t now_ns);
 void node_stop(struct node *n, uint64_t now_ns);
-bool node_stopped(const struct node *n, uint64_t now_ns);
+bool node_may_exit(const struct node *n, uint64_t now_ns);
 
 #endif
--- a/core/packet/node_cold.c
+++ b/core/packet/node_cold.c
@@ -1,13 +1,14 @@
-/* Which cold targets this entry may open flows at. */
+/* Decides at which cold targets this entry may open flows. */
 #include "node_impl.h"
 
 #include "cold.h"
 
 /*
- * Who has just started, or stood still, is not known to all others yet, nor they
- * to it: it would have a seat that another has as well.
+ * Whether the other entries know this one, and it knows them. An entry that has
+ * just started or resumed after a pause would take a permit that another entry has
+ * as well.
  */
-static bool settled(const struct node *n)
+static bool is_known_to_peers(const struct node *n)
 {
 	uint64_t since_ns =
 		n->start_ns > n->paused_ns ? n->start_ns : n->paused_ns;
@@ -17,11 +18,11 @@
 }
 
 /*
- * It answers again after it was taken for ended: another process may have
- * started that was not published yet.
+ * Treat a target as cold that answers again after it counted as ended: a new
+ * process may have started that is not published yet.
  */
-static void presume_start(const struct node *n, struct target *t,
-			  const struct service_cold *cold)
+static void presume_cold_start(const struct node *n, struct target *t,
+			       const struct service_cold *cold)
 {
 	uint64_t until_ns = t->returned_ns + cold->start_ms * NS_PER_MS;
 
@@ -36,40 +37,41 @@
 	t->returned_ns = 0;
 }
 
-static void share_out(struct node *n, struct target *t, bool may)
+static void refill_credit(struct node *n, struct target *t, bool known_to_peers)
 {
 	struct service_cold cold =
 		directory_cold(n->directory, t->news.service);
 	struct cold_share share;
-	bool seat;
+	bool has_permit;
 
-	presume_start(n, t, &cold);
+	presume_cold_start(n, t, &cold);
 	if (!cold_limited(t, cold.per_s, n->now_ns))
 		return;
 	share = cold_share(cold.per_s, &n->conf.cold);
-	seat = may && t->news.zone == node_zone(n) &&
-	       peer_set_seat(n->peers, t->news.id) < share.seats;
-	cold_refill(t, seat, share.per_s, n->now_ns);
+	has_permit = known_to_peers && t->news.zone == node_zone(n) &&
+		     peer_set_seat(n->peers, t->news.id) < share.seats;
+	cold_refill(t, has_permit, share.per_s, n->now_ns);
 }
 
-/* Bring up to date what may be opened at cold targets. */
+/* Update the number of flows that this entry may open at each cold target. */
 void node_cold_tick(struct node *n)
 {
 	uint32_t slots = directory_slots(n->directory);
-	bool may;
+	bool known_to_peers;
 
 	if (!directory_any_cold(n->directory))
 		return;
-	may = settled(n);
+	known_to_peers = is_known_to_peers(n);
 	for (uint32_t i = 0; i < slots; i++)
-		share_out(n, directory_slot(n->directory, i), may);
+		refill_credit(n, directory_slot(n->directory, i),
+			      known_to_peers);
 }
 
 /*
- * The targets of a data centre that is taken back are cold, and may not have
- * said so yet.
+ * Treat the targets of a data centre as cold when its evacuation is over, since
+ * they may not have published so yet. @zone: hash of the data centre's name.
  */
-void node_cold_returned(struct node *n, uint32_t zone)
+void node_cold_evacuation_over(struct node *n, uint32_t zone)
 {
 	uint32_t slots = directory_slots(n->directory);
 
--- a/core/packet/node_impl.h
+++ b/core/packet/node_impl.h
@@ -1,26 +1,26 @@
-/* Insides of an entry. */
+/* Private functions shared by the files node*.c. */
 #ifndef CB_NODE_IMPL_H
 #define CB_NODE_IMPL_H
 
 #include "node.h"
 
 /* node.c */
-void node_tell(struct node *n, const struct target *dead);
-void node_judge_ready(struct node *n);
+void node_advertise(struct node *n, const struct target *dead);
+void node_update_ready(struct node *n);
 uint32_t node_zone(const struct node *n);
-bool node_knows(const struct node *n);
-struct knowledge node_knowledge(const struct node *n);
+bool node_has_snapshot(const struct node *n);
+struct knowledge node_known_positions(const struct node *n);
 
 /* node_published.c */
-uint64_t node_version(const struct node *n);
+uint64_t node_configuration_version(const struct node *n);
 bool node_document_changed(void *ctx, const struct document *doc);
 int node_document_compare(void *ctx, const struct document *doc);
 
 /* node_cold.c */
 void node_cold_tick(struct node *n);
-void node_cold_returned(struct node *n, uint32_t zone);
+void node_cold_evacuation_over(struct node *n, uint32_t zone);
 
 /* node_calls.c */
-void node_call(struct node *n);
+void node_start_calls(struct node *n);
 
 #endif
--- a/core/packet/node_published.c
+++ b/core/packet/node_published.c
@@ -1,15 +1,15 @@
-/* What is published takes effect: routes, targets, evacuations. */
+/* Applies published documents: routes, targets, evacuations. */
 #include "node_impl.h"
 
 #include <errno.h>
 
-/* Whoever writes entries that are refused must not fill the log. */
+/* Limits the log lines that a writer of invalid documents can cause. */
 #define REFUSALS_LOGGED_PER_S 20
 
 static const char *const stage_names[] = { "serving", "leaving", "absent" };
 
 /* Version of the configuration in force, 0 for none. */
-uint64_t node_version(const struct node *n)
+uint64_t node_configuration_version(const struct node *n)
 {
 	const struct route_table *t = directory_table(n->directory);
 
@@ -24,7 +24,7 @@
 			    err == -EALREADY ? NODE_INFO : NODE_ERROR, "routes",
 			    NULL, "version %llu not taken, %llu is in force%s",
 			    (unsigned long long)version,
-			    (unsigned long long)node_version(n),
+			    (unsigned long long)node_configuration_version(n),
 			    err == -ENOMEM ? ": out of memory" : "");
 	else
 		n->port.log(n->port.ctx, NODE_INFO, "routes", NULL,
@@ -33,18 +33,19 @@
 			    (unsigned long long)doc->revision, routes);
 }
 
-static void take_routes(struct node *n, const struct document *doc,
-			struct route_table *take)
+static void apply_routes(struct node *n, const struct document *doc,
+			 struct route_table *table)
 {
-	uint64_t version = take->version;
-	uint32_t routes = take->n_routes;
-	int err = directory_routes(n->directory, take, n->now_ns);
+	uint64_t version = table->version;
+	uint32_t routes = table->n_routes;
+	int err = directory_routes(n->directory, table, n->now_ns);
 
 	log_routes(n, doc, err, version, routes);
-	/* Targets may have been published before their service was named. */
-	if (!err && directory_names(n->directory) > n->names_taken)
+	/* Targets may have been published before a configuration named their
+	 * service. */
+	if (!err && directory_names(n->directory) > n->services_named)
 		documents_again(n->documents);
-	n->names_taken = directory_names(n->directory);
+	n->services_named = directory_names(n->directory);
 }
 
 static void log_target(struct node *n, const struct document *doc,
@@ -61,21 +62,22 @@
 }
 
 /*
- * The first time all are new, and the line of readiness counts them: a line
- * each would keep a small VM from serving for longer.
+ * Whether the documents are read for the first time. Serving targets are not
+ * logged then, since the line of readiness has their number, and a line for each
+ * would delay readiness on a small VM.
  */
-static bool young(const struct node *n)
+static bool is_first_read(const struct node *n)
 {
-	return !node_knows(n);
+	return !node_has_snapshot(n);
 }
 
-static void take_target(struct node *n, const struct document *doc,
-			const struct target_news *news)
+static void apply_target(struct node *n, const struct document *doc,
+			 const struct target_news *news)
 {
 	static const char *const not_taken[] = {
-		[TARGET_NO_ROOM] = "not taken: no room for another target",
+		[TARGET_NO_ROOM] = "not taken: target table is full",
 		[TARGET_OUTDATED] = "not taken: older than what is known",
-		[TARGET_FOREIGN] = "not taken: another key has this id",
+		[TARGET_FOREIGN] = "not taken: its id belongs to another key",
 	};
 	struct target *t = directory_by_id(n->directory, news->id);
 	uint8_t before = t ? t->stage : UINT8_MAX;
@@ -92,20 +94,22 @@
 		log_target(n, doc, t, "restarted");
 		path_target_restarted(n->path, t);
 	}
-	if (t->stage != before && !(t->stage == TARGET_SERVING && young(n)))
+	if (t->stage != before &&
+	    !(t->stage == TARGET_SERVING && is_first_read(n)))
 		log_target(n, doc, t, stage_names[t->stage]);
 }
 
-/* @trouble_ns: of the platform, when the entry may only have lapsed. */
-static void take_absent(struct node *n, const struct document *doc,
-			const struct target_news *news, uint64_t trouble_ns)
+/* @trouble_ns: time of the platform's last trouble, during which the entry may
+ * only have lapsed; 0 when it was deleted. */
+static void apply_absence(struct node *n, const struct document *doc,
+			  const struct target_news *news, uint64_t trouble_ns)
 {
 	struct target *t = directory_by_id(n->directory, news->id);
 	uint8_t before;
 
-	/* A deletion seen first still says whose flows may come. */
+	/* The last value of a deleted entry still names the target of open flows. */
 	if (!t && news->addr) {
-		take_target(n, doc, news);
+		apply_target(n, doc, news);
 		t = directory_by_id(n->directory, news->id);
 	}
 	if (!t)
@@ -117,18 +121,19 @@
 }
 
 /*
- * Anybody may write where targets publish themselves. Such an entry names no
- * target: whatever was published under its key before it does not hold any
- * more, and all other entries do.
+ * Refuse a document that could not be decoded. Any client of the platform can
+ * write where targets publish themselves. An invalid entry names no target: it
+ * ends the target that was published under its key before, and no other.
  */
-static void refuse(struct node *n, const struct document *doc,
-		   const struct document_news *news, const char *problem)
+static void refuse_document(struct node *n, const struct document *doc,
+			    const struct decoded_document *news,
+			    const char *problem)
 {
 	struct target_news named = { 0 };
 
 	n->counters.documents_refused++;
-	if (n->now_ns >= n->refusals_ns + NS_PER_S) {
-		n->refusals_ns = n->now_ns;
+	if (n->now_ns >= n->refusals_since_ns + NS_PER_S) {
+		n->refusals_since_ns = n->now_ns;
 		n->refusals = 0;
 	}
 	if (n->refusals++ < REFUSALS_LOGGED_PER_S)
@@ -139,18 +144,18 @@
 		return;
 	named.id = news->target.id;
 	named.entry = news->target.entry;
-	take_absent(n, doc, &named, 0);
+	apply_absence(n, doc, &named, 0);
 }
 
-static void take_evacuation(struct node *n, const struct document *doc,
-			    const char *data_centre)
+static void apply_evacuation(struct node *n, const struct document *doc,
+			     const char *data_centre)
 {
 	int err = directory_evacuate(n->directory, data_centre, !doc->deleted);
 
 	if (err == -EALREADY)
 		return;
 	if (!err && doc->deleted)
-		node_cold_returned(n, (uint32_t)hash_text(data_centre));
+		node_cold_evacuation_over(n, (uint32_t)hash_text(data_centre));
 	if (err)
 		n->port.log(n->port.ctx, NODE_ERROR, "evacuation", data_centre,
 			    "not taken, revision %llu: %s",
@@ -165,21 +170,21 @@
 }
 
 /**
- * node_document_compare() - the order of a document and what is known under its
- *	key, by what they say themselves
- * @ctx: entry
+ * node_document_compare() - compare the age of a document with the one in force
+ *	under its key, by their contents
+ * @ctx: entry, struct node
  * @doc: document
  *
- * Versions of the configuration and the numbers of targets' entries grow, also
- * while the platform goes back.
+ * Versions of the configuration and sequence numbers of targets' entries grow even
+ * when the platform is restored from an older copy.
  *
- * Return: above 0 when @doc is the later one, below 0 when it is the earlier
- * one, 0 when that cannot be told.
+ * Return: above 0 when @doc is later, below 0 when it is earlier, 0 when the
+ * contents give no order.
  */
 int node_document_compare(void *ctx, const struct document *doc)
 {
 	struct node *n = ctx;
-	struct document_news news;
+	struct decoded_document news;
 	const char *problem = "";
 	uint64_t version;
 
@@ -191,34 +196,36 @@
 		return 0;
 	version = news.routes->version;
 	route_table_free(news.routes);
-	return (version > node_version(n)) - (version < node_version(n));
+	return (version > node_configuration_version(n)) -
+	       (version < node_configuration_version(n));
 }
 
 /**
- * node_document_changed() - a document is newer than what was known under its
- *	key
- * @ctx: entry
+ * node_document_changed() - apply a document that is newer than the known one
+ *	under its key
+ * @ctx: entry, struct node
  * @doc: document
  *
- * Return: false when it has to be shown again once more services are named.
+ * Return: false when it has to be passed once more after a configuration named
+ * more services.
  */
 bool node_document_changed(void *ctx, const struct document *doc)
 {
 	struct node *n = ctx;
-	struct document_news news;
+	struct decoded_document news;
 	const char *problem = "";
 	int err = n->port.decode(doc, n->directory, &news, &problem);
 
 	if (err)
-		refuse(n, doc, &news, problem);
+		refuse_document(n, doc, &news, problem);
 	else if (news.kind == DOCUMENT_ROUTES && news.routes)
-		take_routes(n, doc, news.routes);
+		apply_routes(n, doc, news.routes);
 	else if (news.kind == DOCUMENT_EVACUATION)
-		take_evacuation(n, doc, news.data_centre);
+		apply_evacuation(n, doc, news.data_centre);
 	else if (news.kind == DOCUMENT_TARGET && doc->deleted)
-		take_absent(n, doc, &news.target,
-			    peer_set_trouble_ns(n->peers));
+		apply_absence(n, doc, &news.target,
+			      peer_set_trouble_ns(n->peers));
 	else if (news.kind == DOCUMENT_TARGET)
-		take_target(n, doc, &news.target);
+		apply_target(n, doc, &news.target);
 	return err != -ENOENT;
 }
--- a/core/packet/platform_port.h
+++ b/core/packet/platform_port.h
@@ -1,6 +1,7 @@
 /*
- * What cb-packet needs of the platform it runs on: the form of packets, of the
- * service that publishes, and of what is published. platform/ fills it in.
+ * Interface between cb-packet and the platform that it runs on: the formats of
+ * packets, of the service that publishes, and of its documents. platform/
+ * implements it.
  */
 #ifndef CB_PLATFORM_PORT_H
 #define CB_PLATFORM_PORT_H
@@ -9,41 +10,43 @@
 #include "documents.h"
 #include "packet.h"
 
-#define PATH_MAX_BYTES 512
-/* Bytes in front of a packet on its way to a target, and a reset's size. */
-#define ENVELOPE_MAX_BYTES 16
+/* Longest path and query of a request to the platform, with the final NUL. */
+#define URL_PATH_MAX_BYTES 512
+/* Largest header of an encapsulated packet, and largest reset. */
+#define ENCAPSULATION_MAX_BYTES 16
 #define RESET_MAX_BYTES 64
 
 /**
- * struct facts_port - takes the documents of an answer
- * @ctx: passed back
- * @fact: one document; a deleted one has no value
+ * struct document_sink - receives the documents of an answer
+ * @ctx: first argument of @take
+ * @take: called for each document, which is valid only during the call; the value
+ *	of a deleted one is NULL
  */
-struct facts_port {
+struct document_sink {
 	void *ctx;
-	void (*fact)(void *ctx, const struct document *d);
+	void (*take)(void *ctx, const struct document *d);
 };
 
 /**
- * struct answer_head - what an answer says beside its documents
- * @revision: everything up to it was covered when the answer was made
- * @more: the listing goes on after @last_key
- * @last_key: last key of a page
- * @came_ns: time that it took from its first byte to its last
+ * struct answer_head - properties of an answer beside its documents
+ * @revision: the answer contains everything up to this revision
+ * @more: more pages of the listing follow
+ * @last_key: last key of the page; valid when @more
+ * @transfer_ns: time from the first byte of the answer to its last
  */
 struct answer_head {
 	uint64_t revision;
 	bool more;
 	char last_key[DOCUMENT_KEY_MAX_BYTES + 1];
-	uint64_t came_ns;
+	uint64_t transfer_ns;
 };
 
 /**
- * enum document_kind - what a document is about
- * @DOCUMENT_OTHER: nothing that this program uses
+ * enum document_kind - kind of a document
+ * @DOCUMENT_OTHER: not used by this program
  * @DOCUMENT_ROUTES: a configuration
- * @DOCUMENT_TARGET: a target's entry
- * @DOCUMENT_EVACUATION: a data centre is evacuated while it stands
+ * @DOCUMENT_TARGET: the entry of a target
+ * @DOCUMENT_EVACUATION: a data centre is evacuated as long as the document exists
  */
 enum document_kind {
 	DOCUMENT_OTHER,
@@ -53,14 +56,14 @@
 };
 
 /**
- * struct document_news - a decoded document
+ * struct decoded_document - a decoded document
  * @kind: enum document_kind
- * @routes: the configuration, owned by the caller, or NULL
- * @target: the target; only @target.id and @target.entry when the document was
+ * @routes: configuration, to be freed by the caller; NULL for other kinds
+ * @target: target; only @target.id and @target.entry are set when the document was
  *	deleted without a value, or refused
- * @data_centre: name of the one that is evacuated
+ * @data_centre: name of the evacuated data centre
  */
-struct document_news {
+struct decoded_document {
 	uint8_t kind;
 	struct route_table *routes;
 	struct target_news target;
@@ -68,43 +71,51 @@
 };
 
 /**
- * struct packet_platform - the platform's forms
- * @read_packet: decode a datagram; 0 or -EPROTO
- * @pin: write a target's cookie into a SYN
- * @envelope: what stands in front of a packet to @t; its size in bytes
- * @write_reset: a reset of a flow, its @ack as the client sent it last; size
- * @list_path: path that lists everything, after a key or from the start; not
- *	@exact, the answer may be seconds old and costs the platform less
- * @watch_path: path that waits for changes after a revision
- * @epoch_header: header of all its answers that tells how often it has come back
- *	from an older copy of itself, with revisions that it gives out again
- * @read_epoch: decode that header, "" when an answer has none; 0 or -EPROTO
- * @read_list: decode a page; 0 or a negative error
- * @read_changes: decode an answer to @watch_path; 0 or a negative error
- * @read_document: decode a document; 0, -EPROTO with *@problem set, or -ENOENT
- *	for a target of a service that no configuration names
- * @ready_path: path on which the platform asks whether this VM is ready
+ * struct packet_platform - formats of the platform
+ * @read_packet: decode a datagram. Return: 0, or -EPROTO when it is malformed.
+ * @write_cookie: write a target's cookie into a SYN
+ * @write_encapsulation: write the header that precedes a packet on its way to @t.
+ *	Return: its size in bytes.
+ * @write_reset: write a reset of a flow; @ack is the acknowledgement number that
+ *	the client sent last. Return: its size in bytes.
+ * @list_path: write the path of a request that lists all documents, from the first
+ *	key when @after_key is NULL, otherwise from the one after it. Without @exact
+ *	the answer may be seconds old, and costs the platform less.
+ * @watch_path: write the path of a request for the changes after a revision, which
+ *	is answered after @wait_ms at the latest
+ * @epoch_header: name of the header of all answers that contains the epoch: how
+ *	often the platform was restored from an older copy of its store, after which
+ *	it assigns revisions a second time
+ * @read_epoch: decode that header, "" when an answer has none. Return: 0 or
+ *	-EPROTO.
+ * @read_list: decode a page of a listing. Return: 0 or a negative error.
+ * @read_changes: decode an answer to @watch_path. Return: 0 or a negative error.
+ * @read_document: decode a document. Return: 0; -EPROTO with *@problem set to a
+ *	static text; -ENOENT for a target of a service that no configuration names.
+ * @ready_path: path under which the platform asks whether this VM is ready
  */
 struct packet_platform {
 	int (*read_packet)(const uint8_t *data, uint32_t size_bytes,
 			   struct packet *out);
-	void (*pin)(uint8_t *data, uint32_t cookie);
-	uint32_t (*envelope)(const struct target *t,
-			     uint8_t out[ENVELOPE_MAX_BYTES]);
+	void (*write_cookie)(uint8_t *data, uint32_t cookie);
+	uint32_t (*write_encapsulation)(const struct target *t,
+					uint8_t out[ENCAPSULATION_MAX_BYTES]);
 	uint32_t (*write_reset)(const struct flow_key *flow, uint32_t ack,
 				uint8_t out[RESET_MAX_BYTES]);
 	void (*list_path)(const char *after_key, bool exact,
-			  char out[PATH_MAX_BYTES]);
+			  char out[URL_PATH_MAX_BYTES]);
 	void (*watch_path)(uint64_t after, uint32_t wait_ms,
-			   char out[PATH_MAX_BYTES]);
+			   char out[URL_PATH_MAX_BYTES]);
 	const char *epoch_header;
 	int (*read_epoch)(const char *text, uint64_t *epoch);
 	int (*read_list)(const char *body, size_t size_bytes,
-			 struct facts_port to, struct answer_head *head);
+			 struct document_sink sink, struct answer_head *head);
 	int (*read_changes)(const char *body, size_t size_bytes,
-			    struct facts_port to, struct answer_head *head);
+			    struct document_sink sink,
+			    struct answer_head *head);
 	int (*read_document)(const struct document *d, struct directory *names,
-			     struct document_news *out, const char **problem);
+			     struct decoded_document *out,
+			     const char **problem);
 	const char *ready_path;
 };
 
--- a/fuzz/users_fuzz.c
+++ b/fuzz/users_fuzz.c
@@ -14,7 +14,7 @@
 static void read_value(void *ctx, const struct document *d)
 {
 	struct directory *names = ctx;
-	struct document_news news;
+	struct decoded_document news;
 	enum target_change change;
 	const char *problem;
 	int err = users_read_document(d, names, &news, &problem);
@@ -28,10 +28,10 @@
 }
 
 static bool begin(void *ctx, const struct relay_head *head,
-		  struct facts_port *to)
+		  struct document_sink *to)
 {
 	(void)head;
-	*to = (struct facts_port){ ctx, read_value };
+	*to = (struct document_sink){ ctx, read_value };
 	return true;
 }
 
@@ -80,7 +80,7 @@
 static void choose(uint8_t what, const uint8_t *data, uint32_t size,
 		   struct directory *names)
 {
-	struct facts_port to = { names, read_value };
+	struct document_sink to = { names, read_value };
 	struct answer_head head = { 0 };
 	struct relay_port port = { names, begin, nothing_known };
 	struct relay_head relay;
--- a/sim/sim-packets/entries.c
+++ b/sim/sim-packets/entries.c
@@ -43,10 +43,10 @@
 	world_at(w, TICK_NS, on_tick, e->a, e->b, 0);
 	if (s->frozen)
 		return;
-	node_late(s->node, w->now_ns - s->ran_ns, w->now_ns);
+	node_process_stalled(s->node, w->now_ns - s->ran_ns, w->now_ns);
 	s->ran_ns = w->now_ns;
 	node_tick(s->node, w->now_ns);
-	if (node_stopped(s->node, w->now_ns))
+	if (node_may_exit(s->node, w->now_ns))
 		world_entry_ended(w, (uint32_t)e->a);
 }
 
@@ -85,7 +85,7 @@
 	struct letter *l = &w->letters[e->b];
 
 	if (runs(s))
-		node_hello(s->node, &l->hello, w->now_ns);
+		node_receive_hello(s->node, &l->hello, w->now_ns);
 	l->next = w->spare_letter;
 	w->spare_letter = (uint32_t)e->b;
 }
@@ -123,26 +123,26 @@
 	if (!runs(s))
 		return;
 	if (!runs(peer) || world_cut(w, s->zone, peer->zone)) {
-		node_fetched(s->node, NULL, w->now_ns);
+		node_fetch_end(s->node, NULL, w->now_ns);
 		return;
 	}
 	head.through = documents_through(from);
 	head.newest = documents_newest(from);
 	head.floor = documents_floor(from);
 	head.whole = documents_needs_all(from, after);
-	if (!node_fetching(s->node, &head, w->now_ns)) {
-		node_fetched(s->node, NULL, w->now_ns);
+	if (!node_fetch_begin(s->node, &head, w->now_ns)) {
+		node_fetch_end(s->node, NULL, w->now_ns);
 		return;
 	}
 	for (uint32_t i = 0; i < documents_count(from); i++) {
 		const struct document *d = documents_at(from, i);
 
 		if (head.whole)
-			node_relay_listed(s->node, d);
+			node_take_relay_listed(s->node, d);
 		else if (documents_lacks(from, after, d))
-			node_relayed(s->node, d);
+			node_take_relayed(s->node, d);
 	}
-	node_fetched(s->node, &head, w->now_ns);
+	node_fetch_end(s->node, &head, w->now_ns);
 }
 
 static void cancel(void *ctx)
@@ -181,8 +181,8 @@
 	struct sim_entry *s = &w->entries[a->entry];
 
 	if (runs(s))
-		node_probed(s->node, &a->who, (enum probe_outcome)e->b,
-			    a->since_ns, w->now_ns);
+		node_probe_ended(s->node, &a->who, (enum probe_outcome)e->b,
+				 a->since_ns, w->now_ns);
 }
 
 static void probe(void *ctx, const struct target *t)
@@ -371,7 +371,7 @@
 	(void)was;
 }
 
-static void no_log(void *ctx, enum node_log level, const char *step,
+static void no_log(void *ctx, enum node_log_level level, const char *step,
 		   const char *peer, const char *format, ...)
 {
 	(void)ctx;
--- a/sim/sim-packets/store.c
+++ b/sim/sim-packets/store.c
@@ -112,9 +112,9 @@
 		.more = from + PAGE_KEYS < n,
 	};
 
-	if (!node_answering(e->node, old ? w->old_epoch : w->epoch,
-			    w->now_ns)) {
-		node_answer(e->node, SOURCE_BEHIND, &head, w->now_ns);
+	if (!node_answer_begin(e->node, old ? w->old_epoch : w->epoch,
+			       w->now_ns)) {
+		node_answer_end(e->node, SOURCE_BEHIND, &head, w->now_ns);
 		return;
 	}
 	for (uint32_t i = from; i < n && i < from + PAGE_KEYS; i++) {
@@ -123,9 +123,9 @@
 		memcpy(head.last_key, d.key, sizeof(head.last_key));
 		d.value = (uint8_t *)keys[i].value;
 		if (!d.deleted)
-			node_listed(e->node, &d);
+			node_take_listed(e->node, &d);
 	}
-	node_answer(e->node, SOURCE_OK, &head, w->now_ns);
+	node_answer_end(e->node, SOURCE_OK, &head, w->now_ns);
 }
 
 /* Hand an entry what came after a revision; its process may be new by now. */
@@ -137,15 +137,15 @@
 
 	e->watching = false;
 	if (outcome == SOURCE_OK &&
-	    !node_answering(e->node, w->epoch, w->now_ns))
+	    !node_answer_begin(e->node, w->epoch, w->now_ns))
 		outcome = SOURCE_BEHIND;
 	for (uint32_t i = 0; outcome == SOURCE_OK && i < w->n_keys; i++) {
 		const struct document *d = &w->keys[i].d;
 
 		if (d->revision > after)
-			node_changed(e->node, d);
+			node_take_changed(e->node, d);
 	}
-	node_answer(e->node, outcome, &head, w->now_ns);
+	node_answer_end(e->node, outcome, &head, w->now_ns);
 }
 
 static bool same_process(const struct world *w, uint32_t entry, uint64_t boot)
@@ -407,7 +407,7 @@
  * which a decoder, being without state, takes from the value.
  */
 static int decode_routes(const struct routes_value *v, struct directory *names,
-			 struct document_news *out)
+			 struct decoded_document *out)
 {
 	struct route_table *t = calloc(1, sizeof(*t));
 
@@ -442,12 +442,12 @@
 }
 
 int store_decode(const struct document *d, struct directory *names,
-		 struct document_news *out, const char **problem)
+		 struct decoded_document *out, const char **problem)
 {
 	struct target_value v = { 0 };
 
 	*problem = "";
-	*out = (struct document_news){ 0 };
+	*out = (struct decoded_document){ 0 };
 	if (!strcmp(d->key, "routes"))
 		return decode_routes((const struct routes_value *)d->value,
 				     names, out);
--- a/sim/sim-packets/world_state.h
+++ b/sim/sim-packets/world_state.h
@@ -360,7 +360,7 @@
 void store_list(void *ctx, const char *after_key, bool exact);
 void store_watch(void *ctx, uint64_t after, uint64_t wait_ns);
 int store_decode(const struct document *d, struct directory *names,
-		 struct document_news *out, const char **problem);
+		 struct decoded_document *out, const char **problem);
 
 /* entries.c */
 struct entry_driver entries_emulated(void);
--- a/test/entries_prop.cc
+++ b/test/entries_prop.cc
@@ -117,8 +117,8 @@
 	}
 }
 
-void no_log(void *, enum node_log, const char *, const char *, const char *,
-	    ...)
+void no_log(void *, enum node_log_level, const char *, const char *,
+	    const char *, ...)
 {
 }
 
@@ -158,7 +158,7 @@
 		d.value =
 			value ? reinterpret_cast<uint8_t *>(&copy[0]) : nullptr;
 		d.size_bytes = (uint32_t)copy.size();
-		node_changed(node, &d);
+		node_take_changed(node, &d);
 	}
 
 	void configure()
--- a/test/packet_node_test.c
+++ b/test/packet_node_test.c
@@ -123,7 +123,7 @@
 	(void)before;
 }
 
-static void on_log(void *ctx, enum node_log level, const char *step,
+static void on_log(void *ctx, enum node_log_level level, const char *step,
 		   const char *peer, const char *format, ...)
 {
 	(void)ctx;
@@ -138,13 +138,13 @@
  * the one service, "e/NAME" the evacuation of a data centre.
  */
 static int decode(const struct document *d, struct directory *names,
-		  struct document_news *out, const char **problem)
+		  struct decoded_document *out, const char **problem)
 {
 	struct route_table *t;
 	char *rest;
 
 	*problem = "bad";
-	*out = (struct document_news){ 0 };
+	*out = (struct decoded_document){ 0 };
 	if (d->key[0] == 't') {
 		out->kind = DOCUMENT_TARGET;
 		out->target.id = strtoull(d->key + 2, NULL, 10);
@@ -259,10 +259,10 @@
 
 	pass(f, 40 * MS);
 	assert_int_equal(f->calls.lists, 1);
-	node_answering(f->node, 0, f->now_ns);
-	fact(f, node_listed, "routes", 5, "3");
-	fact(f, node_listed, "t/1", 6, "x");
-	node_answer(f->node, SOURCE_OK, &head, f->now_ns);
+	node_answer_begin(f->node, 0, f->now_ns);
+	fact(f, node_take_listed, "routes", 5, "3");
+	fact(f, node_take_listed, "t/1", 6, "x");
+	node_answer_end(f->node, SOURCE_OK, &head, f->now_ns);
 }
 
 /* What becomes of an opening packet. */
@@ -306,27 +306,27 @@
 	struct hello h = { .from = PEER, .newest = { 0, 50 }, .boot = 1 };
 	struct relay_head head = { .through = { 0, 60 }, .newest = { 0, 50 } };
 
-	node_hello(f->node, &h, f->now_ns);
+	node_receive_hello(f->node, &h, f->now_ns);
 	assert_int_equal(f->calls.fetches, 1);
 	assert_int_equal(f->calls.fetch_from, PEER);
 	/* The peer does not answer; after a second the platform is read. */
 	pass(f, 900 * MS);
 	assert_int_equal(f->calls.lists, 0);
-	node_hello(f->node, &h, f->now_ns);
+	node_receive_hello(f->node, &h, f->now_ns);
 	pass(f, 200 * MS);
-	node_hello(f->node, &h, f->now_ns);
+	node_receive_hello(f->node, &h, f->now_ns);
 	listed(f);
 	assert_false(f->node->ready);
-	assert_true(node_fetching(f->node, &head, f->now_ns));
-	fact(f, node_changed, "routes", 50, "9");
-	node_fetched(f->node, &head, f->now_ns);
+	assert_true(node_fetch_begin(f->node, &head, f->now_ns));
+	fact(f, node_take_changed, "routes", 50, "9");
+	node_fetch_end(f->node, &head, f->now_ns);
 	assert_true(f->node->ready);
 	assert_int_equal(directory_table(f->node->directory)->version, 9);
 	/* A peer that is ahead later is no reason to leave; but what is missing
 	 * here may be there. */
 	assert_int_equal(opening(f, NO_VIP), PATH_RESET);
 	h.newest.revision = 70;
-	node_hello(f->node, &h, f->now_ns);
+	node_receive_hello(f->node, &h, f->now_ns);
 	assert_int_equal(opening(f, NO_VIP), PATH_DROP);
 	pass(f, 40 * MS);
 	assert_true(f->node->ready);
@@ -343,13 +343,13 @@
 	struct hello h = { .from = PEER, .newest = { 0, 50 }, .boot = 1 };
 	struct relay_head head = { .through = { 0, 60 }, .newest = { 0, 50 } };
 
-	node_hello(f->node, &h, f->now_ns);
+	node_receive_hello(f->node, &h, f->now_ns);
 	f->now_ns += 100 * MS;
 	h.newest.revision = 55;
-	node_hello(f->node, &h, f->now_ns);
-	assert_true(node_fetching(f->node, &head, f->now_ns));
-	fact(f, node_changed, "routes", 50, "9");
-	node_fetched(f->node, &head, f->now_ns);
+	node_receive_hello(f->node, &h, f->now_ns);
+	assert_true(node_fetch_begin(f->node, &head, f->now_ns));
+	fact(f, node_take_changed, "routes", 50, "9");
+	node_fetch_end(f->node, &head, f->now_ns);
 	assert_true(f->node->ready);
 	/* What is missing here may be there all the same. */
 	assert_int_equal(opening(f, NO_VIP), PATH_DROP);
@@ -367,7 +367,7 @@
 
 	pass(f, 20 * MS);
 	assert_true(f->calls.last.reply);
-	node_hello(f->node, &h, f->now_ns);
+	node_receive_hello(f->node, &h, f->now_ns);
 	assert_false(f->calls.last.reply);
 }
 
@@ -387,19 +387,19 @@
 	/* What it had asked for is gone: it lists anew. */
 	listed(f);
 	pass(f, 400 * MS);
-	node_answer(f->node, SOURCE_BEHIND, &more, f->now_ns);
+	node_answer_end(f->node, SOURCE_BEHIND, &more, f->now_ns);
 	pass(f, 40 * MS);
 	strcpy(more.last_key, "t/1");
-	node_answering(f->node, 0, f->now_ns);
-	fact(f, node_listed, "routes", 5, "3");
-	fact(f, node_listed, "t/1", 6, "x");
-	node_answer(f->node, SOURCE_OK, &more, f->now_ns);
-	assert_false(node_fetching(f->node, &whole, f->now_ns));
-	node_fetched(f->node, NULL, f->now_ns);
-	node_answering(f->node, 0, f->now_ns);
-	fact(f, node_listed, "t/2", 7, "x");
+	node_answer_begin(f->node, 0, f->now_ns);
+	fact(f, node_take_listed, "routes", 5, "3");
+	fact(f, node_take_listed, "t/1", 6, "x");
+	node_answer_end(f->node, SOURCE_OK, &more, f->now_ns);
+	assert_false(node_fetch_begin(f->node, &whole, f->now_ns));
+	node_fetch_end(f->node, NULL, f->now_ns);
+	node_answer_begin(f->node, 0, f->now_ns);
+	fact(f, node_take_listed, "t/2", 7, "x");
 	more.more = false;
-	node_answer(f->node, SOURCE_OK, &more, f->now_ns);
+	node_answer_end(f->node, SOURCE_OK, &more, f->now_ns);
 	assert_int_equal(directory_by_id(f->node->directory, 1)->stage,
 			 TARGET_SERVING);
 	assert_int_equal(directory_by_id(f->node->directory, 2)->stage,
@@ -419,16 +419,16 @@
 
 	strcpy(more.last_key, "t/1");
 	pass(f, 40 * MS);
-	node_answering(f->node, 0, f->now_ns);
-	fact(f, node_listed, "routes", 5, "3");
-	fact(f, node_listed, "t/1", 6, "x");
-	node_answer(f->node, SOURCE_OK, &more, f->now_ns);
+	node_answer_begin(f->node, 0, f->now_ns);
+	fact(f, node_take_listed, "routes", 5, "3");
+	fact(f, node_take_listed, "t/1", 6, "x");
+	node_answer_end(f->node, SOURCE_OK, &more, f->now_ns);
 	assert_int_equal(f->calls.cancels, 0);
-	assert_true(node_fetching(f->node, &whole, f->now_ns));
+	assert_true(node_fetch_begin(f->node, &whole, f->now_ns));
 	assert_int_equal(f->calls.cancels, 1);
-	fact(f, node_relay_listed, "routes", 5, "3");
-	fact(f, node_relay_listed, "t/2", 7, "x");
-	node_fetched(f->node, &whole, f->now_ns);
+	fact(f, node_take_relay_listed, "routes", 5, "3");
+	fact(f, node_take_relay_listed, "t/2", 7, "x");
+	node_fetch_end(f->node, &whole, f->now_ns);
 	/* Target 1 left after the page that named it. */
 	assert_int_equal(directory_by_id(f->node->directory, 1)->stage,
 			 TARGET_ABSENT);
@@ -456,18 +456,18 @@
 	strcpy(head.last_key, "t/1");
 	pass(f, 40 * MS);
 	assert_true(f->calls.list_exact);
-	node_answering(f->node, 0, f->now_ns);
-	fact(f, node_listed, "routes", 5, "3");
-	fact(f, node_listed, "t/1", 6, "x");
-	node_answer(f->node, SOURCE_OK, &head, f->now_ns);
+	node_answer_begin(f->node, 0, f->now_ns);
+	fact(f, node_take_listed, "routes", 5, "3");
+	fact(f, node_take_listed, "t/1", 6, "x");
+	node_answer_end(f->node, SOURCE_OK, &head, f->now_ns);
 	assert_int_equal(f->calls.lists, 2);
 	assert_false(f->calls.list_exact);
 	head = (struct answer_head){ .revision = 12 };
-	node_answering(f->node, 0, f->now_ns);
-	fact(f, node_listed, "t/2", 7, "x");
-	node_answer(f->node, SOURCE_OK, &head, f->now_ns);
+	node_answer_begin(f->node, 0, f->now_ns);
+	fact(f, node_take_listed, "t/2", 7, "x");
+	node_answer_end(f->node, SOURCE_OK, &head, f->now_ns);
 	assert_false(f->node->ready);
-	node_hello(f->node, &h, f->now_ns);
+	node_receive_hello(f->node, &h, f->now_ns);
 	node_stop(f->node, f->now_ns);
 	assert_int_equal(f->calls.last.newest.revision, 0);
 	f->node->stop_ns = 0;
@@ -476,9 +476,9 @@
 	assert_int_equal(f->calls.watch_after, 12);
 	assert_int_equal(f->calls.watch_wait_ns, 0);
 	head.revision = 20;
-	node_answering(f->node, 0, f->now_ns);
-	fact(f, node_changed, "t/2", 15, NULL);
-	node_answer(f->node, SOURCE_OK, &head, f->now_ns);
+	node_answer_begin(f->node, 0, f->now_ns);
+	fact(f, node_take_changed, "t/2", 15, NULL);
+	node_answer_end(f->node, SOURCE_OK, &head, f->now_ns);
 	assert_true(f->node->ready);
 	assert_int_equal(directory_by_id(f->node->directory, 1)->stage,
 			 TARGET_SERVING);
@@ -505,23 +505,23 @@
 
 	strcpy(head.last_key, "routes");
 	pass(f, 40 * MS);
-	node_answering(f->node, 0, f->now_ns);
-	fact(f, node_listed, "routes", 5, "3");
-	node_answer(f->node, SOURCE_OK, &head, f->now_ns);
+	node_answer_begin(f->node, 0, f->now_ns);
+	fact(f, node_take_listed, "routes", 5, "3");
+	node_answer_end(f->node, SOURCE_OK, &head, f->now_ns);
 	/* A peer tells of the one that was begun, at 18. */
-	fact(f, node_changed, "e/garda", 18, "{}");
+	fact(f, node_take_changed, "e/garda", 18, "{}");
 	head = (struct answer_head){ .revision = 12 };
-	node_answering(f->node, 0, f->now_ns);
-	fact(f, node_listed, "e/como", 7, "{}");
-	fact(f, node_listed, "t/1", 6, "x");
-	node_answer(f->node, SOURCE_OK, &head, f->now_ns);
+	node_answer_begin(f->node, 0, f->now_ns);
+	fact(f, node_take_listed, "e/como", 7, "{}");
+	fact(f, node_take_listed, "t/1", 6, "x");
+	node_answer_end(f->node, SOURCE_OK, &head, f->now_ns);
 	assert_false(f->node->ready);
 	assert_true(evacuated(f, "garda"));
 	head.revision = 20;
-	node_answering(f->node, 0, f->now_ns);
-	fact(f, node_changed, "e/como", 15, NULL);
-	fact(f, node_changed, "e/garda", 18, "{}");
-	node_answer(f->node, SOURCE_OK, &head, f->now_ns);
+	node_answer_begin(f->node, 0, f->now_ns);
+	fact(f, node_take_changed, "e/como", 15, NULL);
+	fact(f, node_take_changed, "e/garda", 18, "{}");
+	node_answer_end(f->node, SOURCE_OK, &head, f->now_ns);
 	assert_true(f->node->ready);
 	assert_true(evacuated(f, "garda"));
 	assert_false(evacuated(f, "como"));
@@ -533,12 +533,12 @@
 	struct fixture *f = *state;
 
 	listed(f);
-	fact(f, node_changed, "e/garda", 11, "{}");
+	fact(f, node_take_changed, "e/garda", 11, "{}");
 	assert_true(evacuated(f, "garda"));
-	fact(f, node_changed, "e/garda", 13, NULL);
-	fact(f, node_changed, "e/garda", 12, "{}");
+	fact(f, node_take_changed, "e/garda", 13, NULL);
+	fact(f, node_take_changed, "e/garda", 12, "{}");
 	assert_false(evacuated(f, "garda"));
-	fact(f, node_changed, "e/garda", 14, "{}");
+	fact(f, node_take_changed, "e/garda", 14, "{}");
 	assert_true(evacuated(f, "garda"));
 }
 
@@ -550,13 +550,13 @@
 
 	strcpy(head.last_key, "t/1");
 	pass(f, 40 * MS);
-	node_answering(f->node, 0, f->now_ns);
-	fact(f, node_listed, "routes", 5, "3");
-	node_answer(f->node, SOURCE_OK, &head, f->now_ns);
+	node_answer_begin(f->node, 0, f->now_ns);
+	fact(f, node_take_listed, "routes", 5, "3");
+	node_answer_end(f->node, SOURCE_OK, &head, f->now_ns);
 	head = (struct answer_head){ .revision = 21 };
-	node_answering(f->node, 0, f->now_ns);
-	fact(f, node_listed, "t/2", 7, "x");
-	node_answer(f->node, SOURCE_OK, &head, f->now_ns);
+	node_answer_begin(f->node, 0, f->now_ns);
+	fact(f, node_take_listed, "t/2", 7, "x");
+	node_answer_end(f->node, SOURCE_OK, &head, f->now_ns);
 	assert_true(f->node->ready);
 }
 
@@ -573,15 +573,15 @@
 
 	strcpy(head.last_key, "t/1");
 	pass(f, 40 * MS);
-	node_answering(f->node, 0, f->now_ns);
-	fact(f, node_listed, "routes", 5, "3");
-	node_answer(f->node, SOURCE_OK, &head, f->now_ns);
+	node_answer_begin(f->node, 0, f->now_ns);
+	fact(f, node_take_listed, "routes", 5, "3");
+	node_answer_end(f->node, SOURCE_OK, &head, f->now_ns);
 	assert_int_equal(f->calls.lists, 2);
-	node_hello(f->node, &h, f->now_ns);
-	assert_true(node_fetching(f->node, &relay, f->now_ns));
-	fact(f, node_changed, "routes", 50, "9");
-	fact(f, node_changed, "t/3", 30, "x");
-	node_fetched(f->node, &relay, f->now_ns);
+	node_receive_hello(f->node, &h, f->now_ns);
+	assert_true(node_fetch_begin(f->node, &relay, f->now_ns));
+	fact(f, node_take_changed, "routes", 50, "9");
+	fact(f, node_take_changed, "t/3", 30, "x");
+	node_fetch_end(f->node, &relay, f->now_ns);
 	assert_true(f->node->ready);
 	/* The page on its way would keep others from theirs. */
 	assert_int_equal(f->calls.cancels, 1);
@@ -595,10 +595,10 @@
 	struct fixture *f = *state;
 
 	listed(f);
-	fact(f, node_changed, "routes", 12, "bad");
+	fact(f, node_take_changed, "routes", 12, "bad");
 	assert_int_equal(directory_table(f->node->directory)->version, 3);
 	assert_int_equal(f->node->counters.documents_refused, 1);
-	fact(f, node_changed, "routes", 13, "4");
+	fact(f, node_take_changed, "routes", 13, "4");
 	assert_int_equal(directory_table(f->node->directory)->version, 4);
 }
 
@@ -610,11 +610,11 @@
 	uint32_t before;
 
 	listed(f);
-	node_hello(f->node, &h, f->now_ns);
+	node_receive_hello(f->node, &h, f->now_ns);
 	before = f->calls.hellos;
-	node_answering(f->node, 0, f->now_ns);
-	fact(f, node_changed, "routes", 20, "4");
-	node_answer(f->node, SOURCE_OK, &head, f->now_ns);
+	node_answer_begin(f->node, 0, f->now_ns);
+	fact(f, node_take_changed, "routes", 20, "4");
+	node_answer_end(f->node, SOURCE_OK, &head, f->now_ns);
 	assert_int_equal(f->calls.hellos, before + 1);
 	assert_int_equal(f->calls.last.newest.revision, 20);
 }
@@ -662,18 +662,18 @@
 	struct hello h = { .from = PEER, .boot = 1 };
 
 	listed(f);
-	node_hello(f->node, &h, f->now_ns);
+	node_receive_hello(f->node, &h, f->now_ns);
 	node_stop(f->node, f->now_ns);
 	assert_false(f->node->ready);
 	assert_true(f->calls.last.leaving);
 	for (uint32_t i = 0; i < 20; i++) {
 		pass(f, 100 * MS);
-		assert_false(node_stopped(f->node, f->now_ns));
+		assert_false(node_may_exit(f->node, f->now_ns));
 		assert_int_equal(opening(f, VIP), PATH_FORWARD);
 		assert_false(f->node->ready);
 	}
 	pass(f, 700 * MS);
-	assert_true(node_stopped(f->node, f->now_ns));
+	assert_true(node_may_exit(f->node, f->now_ns));
 }
 
 /* A client's opening packet comes; its next follows a microsecond later. */
@@ -695,7 +695,7 @@
 	struct fixture *f = *state;
 
 	listed(f);
-	fact(f, node_changed, "routes", 20, "4 100");
+	fact(f, node_take_changed, "routes", 20, "4 100");
 	/* The first answer shows that the one slot takes 40 ms. */
 	open_flow(f);
 	load(f, 1);
@@ -719,7 +719,7 @@
 		pass(f, 100 * MS);
 		assert_int_equal(opening(f, VIP), PATH_FORWARD);
 	}
-	assert_true(node_stopped(f->node, f->now_ns));
+	assert_true(node_may_exit(f->node, f->now_ns));
 }
 
 /*
@@ -737,7 +737,7 @@
 		char key[16];
 
 		snprintf(key, sizeof(key), "t/%u", 100 + i);
-		fact(f, node_changed, key, 100 + i, "x");
+		fact(f, node_take_changed, key, 100 + i, "x");
 		directory_by_id(f->node->directory, 100 + i)->feeds = 1000;
 	}
 	before = f->calls.hello_bytes;
@@ -756,7 +756,7 @@
 						   .zone = f->calls.last.zone,
 						   .boot = 1 };
 
-				node_hello(f->node, &h, f->now_ns);
+				node_receive_hello(f->node, &h, f->now_ns);
 			}
 			pass(f, 20 * MS);
 		}
@@ -780,7 +780,7 @@
 				   .boot = 1 };
 
 		load(f, requests);
-		node_hello(f->node, &h, f->now_ns);
+		node_receive_hello(f->node, &h, f->now_ns);
 		pass(f, 200 * MS);
 	}
 	return f->calls.hellos - before;
@@ -826,10 +826,10 @@
 {
 	struct fixture *f = *state;
 
-	fact(f, node_changed, "t/1", 6, "x");
-	fact(f, node_changed, "t/2", 7, "bad");
+	fact(f, node_take_changed, "t/1", 6, "x");
+	fact(f, node_take_changed, "t/2", 7, "bad");
 	assert_int_equal(directory_slots(f->node->directory), 0);
-	fact(f, node_changed, "routes", 5, "3");
+	fact(f, node_take_changed, "routes", 5, "3");
 	assert_int_equal(directory_slots(f->node->directory), 1);
 	assert_int_equal(f->node->counters.documents_refused, 2);
 }
@@ -846,10 +846,10 @@
 	listed(f);
 	t = directory_by_id(f->node->directory, 1);
 	assert_int_equal(t->stage, TARGET_SERVING);
-	fact(f, node_changed, "t/1", 20, "bad");
+	fact(f, node_take_changed, "t/1", 20, "bad");
 	assert_int_equal(t->stage, TARGET_ABSENT);
 	assert_false(t->presumed);
-	fact(f, node_changed, "t/1", 21, "x");
+	fact(f, node_take_changed, "t/1", 21, "x");
 	assert_int_equal(t->stage, TARGET_SERVING);
 }
 
@@ -858,14 +858,15 @@
 			const char *version)
 {
 	struct answer_head head = { .revision = revision };
-	bool joined = node_answering(f->node, epoch, f->now_ns);
+	bool joined = node_answer_begin(f->node, epoch, f->now_ns);
 
 	if (joined)
 		fact(f,
-		     f->node->step == SOURCE_LIST ? node_listed : node_changed,
+		     f->node->step == SOURCE_LIST ? node_take_listed
+						  : node_take_changed,
 		     "routes", revision, version);
-	node_answer(f->node, joined ? SOURCE_OK : SOURCE_BEHIND, &head,
-		    f->now_ns);
+	node_answer_end(f->node, joined ? SOURCE_OK : SOURCE_BEHIND, &head,
+			f->now_ns);
 	return joined;
 }
 
@@ -927,10 +928,10 @@
 				   .whole = true };
 
 	before_restore(f);
-	node_hello(f->node, &h, f->now_ns);
+	node_receive_hello(f->node, &h, f->now_ns);
 	assert_int_equal(f->calls.fetches, 1);
-	assert_true(node_fetching(f->node, &head, f->now_ns));
-	node_fetched(f->node, &head, f->now_ns);
+	assert_true(node_fetch_begin(f->node, &head, f->now_ns));
+	node_fetch_end(f->node, &head, f->now_ns);
 	/* It asked after 26, and would miss 24 to 26. */
 	assert_false(answered_in(f, 2, 30, "32"));
 }
@@ -943,9 +944,9 @@
 
 	strcpy(more.last_key, "t/1");
 	pass(f, 40 * MS);
-	assert_true(node_answering(f->node, 1, f->now_ns));
-	fact(f, node_listed, "routes", 5, "3");
-	node_answer(f->node, SOURCE_OK, &more, f->now_ns);
+	assert_true(node_answer_begin(f->node, 1, f->now_ns));
+	fact(f, node_take_listed, "routes", 5, "3");
+	node_answer_end(f->node, SOURCE_OK, &more, f->now_ns);
 	assert_false(answered_in(f, 2, 23, "14"));
 	assert_false(f->node->ready);
 	pass(f, 40 * MS);
@@ -968,9 +969,9 @@
 	pass(f, 40 * MS);
 	assert_int_equal(f->calls.lists, 2);
 	assert_false(answered_in(f, 1, 80, "30"));
-	assert_false(node_fetching(f->node, &head, f->now_ns));
+	assert_false(node_fetch_begin(f->node, &head, f->now_ns));
 	head.whole = false;
-	assert_false(node_fetching(f->node, &head, f->now_ns));
+	assert_false(node_fetch_begin(f->node, &head, f->now_ns));
 	assert_int_equal(version_of(f), 28);
 }
 
@@ -985,14 +986,14 @@
 	pass(f, 400 * MS);
 	assert_int_equal(f->calls.watches, 1);
 	/* Nobody has seen the store away. */
-	assert_false(node_answering(f->node, 1, f->now_ns));
-	node_answer(f->node, SOURCE_BEHIND, &head, f->now_ns);
+	assert_false(node_answer_begin(f->node, 1, f->now_ns));
+	node_answer_end(f->node, SOURCE_BEHIND, &head, f->now_ns);
 	pass(f, 20 * MS);
-	assert_true(node_answering(f->node, 1, f->now_ns));
-	fact(f, node_listed, "routes", 5, "3");
-	fact(f, node_listed, "t/1", 6, "x");
-	node_answer(f->node, SOURCE_OK, &head, f->now_ns);
-	fact(f, node_changed, "t/1", 13, NULL);
+	assert_true(node_answer_begin(f->node, 1, f->now_ns));
+	fact(f, node_take_listed, "routes", 5, "3");
+	fact(f, node_take_listed, "t/1", 6, "x");
+	node_answer_end(f->node, SOURCE_OK, &head, f->now_ns);
+	fact(f, node_take_changed, "t/1", 13, NULL);
 	assert_int_equal(directory_by_id(f->node->directory, 1)->stage,
 			 TARGET_ABSENT);
 	assert_true(directory_by_id(f->node->directory, 1)->presumed);
@@ -1012,14 +1013,14 @@
 
 	pass(f, 40 * MS);
 	/* Its first heartbeat comes while the listing is on its way. */
-	node_hello(f->node, &h, f->now_ns);
-	node_fetched(f->node, NULL, f->now_ns);
+	node_receive_hello(f->node, &h, f->now_ns);
+	node_fetch_end(f->node, NULL, f->now_ns);
 	assert_true(answered_in(f, 2, 23, "14"));
 	assert_false(f->node->ready);
-	assert_true(node_fetching(f->node, &head, f->now_ns));
+	assert_true(node_fetch_begin(f->node, &head, f->now_ns));
 	kept.epoch = 1;
-	node_relayed(f->node, &kept);
-	node_fetched(f->node, &head, f->now_ns);
+	node_take_relayed(f->node, &kept);
+	node_fetch_end(f->node, &head, f->now_ns);
 	assert_true(f->node->ready);
 	assert_int_equal(version_of(f), 24);
 }
@@ -1028,11 +1029,11 @@
 {
 	struct fixture *f = *state;
 
-	assert_false(node_late(f->node, 100 * MS, f->now_ns));
+	assert_false(node_process_stalled(f->node, 100 * MS, f->now_ns));
 	assert_int_equal(f->node->counters.held_up, 0);
-	assert_false(node_late(f->node, 500 * MS, f->now_ns));
+	assert_false(node_process_stalled(f->node, 500 * MS, f->now_ns));
 	assert_int_equal(f->node->counters.held_up, 1);
-	assert_true(node_late(f->node, 2 * NS_PER_S, f->now_ns));
+	assert_true(node_process_stalled(f->node, 2 * NS_PER_S, f->now_ns));
 	assert_int_equal(f->node->counters.paused, 1);
 }
 
--- a/test/packet_relay_test.c
+++ b/test/packet_relay_test.c
@@ -40,15 +40,15 @@
 }
 
 static bool begin(void *ctx, const struct relay_head *head,
-		  struct facts_port *to)
+		  struct document_sink *to)
 {
 	(void)head;
-	*to = (struct facts_port){ ctx, collect };
+	*to = (struct document_sink){ ctx, collect };
 	return true;
 }
 
 static bool refuse(void *ctx, const struct relay_head *head,
-		   struct facts_port *to)
+		   struct document_sink *to)
 {
 	(void)ctx;
 	(void)head;
@@ -345,10 +345,10 @@
 }
 
 static bool begin_count(void *ctx, const struct relay_head *head,
-			struct facts_port *to)
+			struct document_sink *to)
 {
 	(void)head;
-	*to = (struct facts_port){ ctx, count_large };
+	*to = (struct document_sink){ ctx, count_large };
 	return true;
 }
 
--- a/test/users_platform_test.c
+++ b/test/users_platform_test.c
@@ -74,7 +74,7 @@
 		0, 0, 0, 0, 0x7f, 0x3a, 0x91, 0xc2
 	};
 	struct target t = { .news.id = 0x7f3a91c2 };
-	uint8_t out[ENVELOPE_MAX_BYTES];
+	uint8_t out[ENCAPSULATION_MAX_BYTES];
 
 	(void)state;
 	assert_int_equal(users_envelope(&t, out), 8);
@@ -114,7 +114,7 @@
 {
 	memset(s, 0, sizeof(*s));
 	return users_read_list(body, strlen(body),
-			       (struct facts_port){ s, see }, head);
+			       (struct document_sink){ s, see }, head);
 }
 
 static void test_reads_the_epoch(void **state)
@@ -250,7 +250,7 @@
 
 	(void)state;
 	assert_int_equal(users_read_changes(body, strlen(body),
-					    (struct facts_port){ &s, see },
+					    (struct document_sink){ &s, see },
 					    &head),
 			 0);
 	assert_true(s.last.deleted);
@@ -277,7 +277,7 @@
 }
 
 static int read(const char *key, const char *value, struct directory *names,
-		struct document_news *out)
+		struct decoded_document *out)
 {
 	struct document d = { .revision = 9, .created = 4 };
 	const char *problem = NULL;
@@ -308,7 +308,7 @@
 static void test_reads_a_target(void **state)
 {
 	struct directory *names = names_open();
-	struct document_news n;
+	struct decoded_document n;
 
 	(void)state;
 	directory_name(names, "s");
@@ -396,7 +396,7 @@
 		{ "born", "-5" },
 	};
 	struct directory *names = names_open();
-	struct document_news n;
+	struct decoded_document n;
 
 	(void)state;
 	directory_name(names, "s");
@@ -425,7 +425,7 @@
 		"servers/i-0000",
 	};
 	struct directory *names = names_open();
-	struct document_news n;
+	struct decoded_document n;
 
 	(void)state;
 	directory_name(names, "s");
@@ -440,7 +440,7 @@
 static void test_target_of_a_service_not_named_yet(void **state)
 {
 	struct directory *names = names_open();
-	struct document_news n;
+	struct decoded_document n;
 
 	(void)state;
 	assert_int_equal(read("servers/i-7f3a91c2", ENTRY "}", names, &n),
@@ -458,7 +458,7 @@
 	struct document d = { .key = "servers/i-7f3a91c2",
 			      .revision = 9,
 			      .deleted = true };
-	struct document_news n;
+	struct decoded_document n;
 	const char *problem;
 
 	(void)state;
@@ -482,7 +482,7 @@
 static void test_reads_a_configuration(void **state)
 {
 	struct directory *names = names_open();
-	struct document_news n;
+	struct decoded_document n;
 
 	(void)state;
 	assert_int_equal(read("op/config",
@@ -529,7 +529,7 @@
 		{ "servers/i-12", "{\"address\":\"1.2.3.4:80\"}" },
 	};
 	struct directory *names = names_open();
-	struct document_news n;
+	struct decoded_document n;
 
 	(void)state;
 	for (size_t i = 0; i < sizeof(bad) / sizeof(bad[0]); i++)
@@ -545,7 +545,7 @@
 {
 	static const char *const bodies[] = { "{}", "", "[1]", "not JSON" };
 	struct directory *names = names_open();
-	struct document_news n;
+	struct decoded_document n;
 
 	(void)state;
 	for (size_t i = 0; i < sizeof(bodies) / sizeof(bodies[0]); i++) {
@@ -563,7 +563,7 @@
 static void test_refuses_an_evacuation_of_no_name(void **state)
 {
 	struct directory *names = names_open();
-	struct document_news n;
+	struct decoded_document n;
 	char key[128] = "op/evacuate/";
 
 	(void)state;
@@ -590,7 +590,7 @@
 
 static void test_paths(void **state)
 {
-	char path[PATH_MAX_BYTES];
+	char path[URL_PATH_MAX_BYTES];
 
 	(void)state;
 	users_list_path(NULL, true, path);
