--- a/core/packet/flow/flow_cache.c
+++ b/core/packet/flow/flow_cache.c
@@ -139,7 +139,7 @@
 /**
  * flow_cache_running_count() - count the running requests of a service
  * @c: cache
- * @service: number of the service's name in the directory
+ * @service: number of the service in the directory
  *
  * Return: requests of this entry that are at targets of @service.
  */
--- a/core/packet/flow/path.h
+++ b/core/packet/flow/path.h
@@ -97,7 +97,7 @@
 
 /**
  * struct path_conf - settings
- * @policy: tuning parameters; not owned; NULL for policy_usual
+ * @policy: limits and switches; not owned; NULL for policy_usual
  * @zone: hash of the name of this VM's data centre
  * @flows_max: capacity of the flow cache
  * @flow_lifetime_ns: longest time that a flow stays open
--- a/core/packet/flow/path_impl.h
+++ b/core/packet/flow/path_impl.h
@@ -11,7 +11,7 @@
 /**
  * struct path - state of the decisions on packets
  * @conf: settings
- * @policy: tuning parameters; never NULL
+ * @policy: limits and switches; never NULL
  * @directory: targets and routes; not owned
  * @port: calls to the owner
  * @rng: random number generator
--- a/core/packet/flow/path_wait.c
+++ b/core/packet/flow/path_wait.c
@@ -198,7 +198,7 @@
  * path_release_queued() - forward queued requests as far as the load of their
  *	targets allows
  * @p: state
- * @service: number of the service's name in the directory
+ * @service: number of the service in the directory
  * @now_ns: current time
  */
 void path_release_queued(struct path *p, uint32_t service, uint64_t now_ns)
@@ -257,7 +257,7 @@
 /**
  * path_limits() - get the limits on the requests to a service
  * @p: state
- * @service: number of the service's name in the directory
+ * @service: number of the service in the directory
  *
  * Return: a copy of the present limits.
  */
--- a/core/packet/node.h
+++ b/core/packet/node.h
@@ -21,7 +21,7 @@
 
 /**
  * struct node_conf - settings of an entry
- * @policy: tuning parameters; not owned; NULL for policy_usual
+ * @policy: limits and switches; not owned; NULL for policy_usual
  * @self: address and port under which peers reach this entry
  * @data_centre: name of its data centre
  * @boot: number of this process, another one after each start
@@ -130,7 +130,7 @@
  * struct node - an entry; members may be read by anyone, and are changed only by
  *	the functions below
  * @conf: settings
- * @policy: tuning parameters; never NULL
+ * @policy: limits and switches; never NULL
  * @port: calls to the owner
  * @directory: targets and routes
  * @documents: published documents
--- a/test/packet_bed.c
+++ b/test/packet_bed.c
@@ -4,11 +4,11 @@
 #include <string.h>
 
 #define TICK_NS (20 * MS)
-#define HEAD_BYTES 32
-/* From an entry to a target, to the client and back. */
-#define TRIP_NS 1000
+#define HEADER_BYTES 32
+/* Round trip from an entry to a target, to the client and back. */
+#define RTT_NS 1000
 
-static const uint8_t syn_bytes[HEAD_BYTES];
+static const uint8_t syn_bytes[HEADER_BYTES];
 
 static void on_probe(void *ctx, const struct target *t)
 {
@@ -18,16 +18,16 @@
 		(struct bed_probe){ target_incarnation(t), b->now_ns, false };
 }
 
-static void on_again(void *ctx, const struct flow_state *f, uint8_t reason)
+static void on_resend(void *ctx, const struct flow_state *f, uint8_t reason)
 {
 	struct bed *b = ctx;
 
 	(void)reason;
-	b->again[b->n_again++ % BED_EVENTS_MAX] = f->target->news.id;
+	b->resent_to[b->n_resent++ % BED_EVENTS_MAX] = f->target->news.id;
 }
 
-static void on_send(void *ctx, const struct flow_state *f, const uint8_t *bytes,
-		    uint32_t n_bytes)
+static void on_send_queued(void *ctx, const struct flow_state *f,
+			   const uint8_t *bytes, uint32_t n_bytes)
 {
 	struct bed *b = ctx;
 
@@ -75,8 +75,8 @@
 	struct path_port port = {
 		.ctx = b,
 		.health = { b, on_probe, on_dead, on_health },
-		.resend = on_again,
-		.send_queued = on_send,
+		.resend = on_resend,
+		.send_queued = on_send_queued,
 		.reset = on_reset,
 		.eject = on_eject,
 	};
@@ -101,14 +101,16 @@
 	directory_free(b->directory);
 }
 
-/* Requests have a target latency and a timeout from now on. */
-void bed_times(struct bed *b, uint32_t aim_ms, uint32_t timeout_ms)
+/* Publish a latency objective and a timeout for all routes; feeds get priority 1,
+ * the others 0, which is served first. */
+void bed_set_route_times(struct bed *b, uint32_t objective_ms,
+			 uint32_t timeout_ms)
 {
 	struct route_table *t =
 		bed_table(b, directory_table(b->directory)->version + 1);
 
 	for (uint32_t i = 0; i < t->n_routes; i++) {
-		t->routes[i].aim_ms = aim_ms;
+		t->routes[i].aim_ms = objective_ms;
 		t->routes[i].timeout_ms = timeout_ms;
 		t->routes[i].priority = t->routes[i].kind == ROUTE_FEED;
 	}
@@ -126,7 +128,7 @@
 				      1 };
 }
 
-/* Three routes: feeds and reports of one service, uploads of another. */
+/* Make three routes: feeds and reports of one service, uploads of another. */
 struct route_table *bed_table(struct bed *b, uint64_t version)
 {
 	struct route_table *t = calloc(1, sizeof(*t));
@@ -166,7 +168,7 @@
 	return t;
 }
 
-void bed_absent(struct bed *b, uint64_t id, uint64_t trouble_ns)
+void bed_remove_entry(struct bed *b, uint64_t id, uint64_t trouble_ns)
 {
 	struct target_news news = { .id = id, .entry = id };
 
@@ -181,7 +183,7 @@
 		.ack = copies,
 		.flags = PACKET_SYN,
 		.bytes = syn_bytes,
-		.n_bytes = HEAD_BYTES,
+		.n_bytes = HEADER_BYTES,
 	};
 	struct path_verdict v;
 
@@ -193,7 +195,7 @@
 			     uint32_t cookie, uint32_t seq, uint32_t ack,
 			     uint16_t size_bytes)
 {
-	uint8_t bytes[HEAD_BYTES] = { (uint8_t)caller };
+	uint8_t bytes[HEADER_BYTES] = { (uint8_t)caller };
 	struct packet k = {
 		.flow = { caller, vip },
 		.cookie = cookie,
@@ -202,7 +204,7 @@
 		.size_bytes = size_bytes,
 		.flags = PACKET_ACK,
 		.bytes = bytes,
-		.n_bytes = size_bytes ? HEAD_BYTES : 0,
+		.n_bytes = size_bytes ? HEADER_BYTES : 0,
 	};
 	struct path_verdict v;
 
@@ -210,20 +212,20 @@
 	return v;
 }
 
-/* A SYN and the client's answer to the target's. */
+/* Open a flow: a SYN, and the client's answer to the target's SYN. */
 struct path_verdict bed_open_flow(struct bed *b, uint64_t caller, uint64_t vip)
 {
 	struct path_verdict v = bed_syn(b, caller, vip, 0);
 
 	if (v.action != PATH_FORWARD)
 		return v;
-	b->now_ns += TRIP_NS;
+	b->now_ns += RTT_NS;
 	bed_data(b, caller, vip, v.target->cookie, 1, 1, 0);
 	return v;
 }
 
-/* Time goes on in ticks, as in the daemon. */
-void bed_pass(struct bed *b, uint64_t ns)
+/* Advance the clock by @ns, with ticks as in the daemon. */
+void bed_advance(struct bed *b, uint64_t ns)
 {
 	uint64_t end_ns = b->now_ns + ns;
 
@@ -233,8 +235,8 @@
 	}
 }
 
-/* The outcome of every probe that is out to a target. */
-void bed_answer(struct bed *b, uint64_t id, enum probe_outcome outcome)
+/* End all pending probes of a target with @outcome. */
+void bed_end_probes(struct bed *b, uint64_t id, enum probe_outcome outcome)
 {
 	uint32_t n = b->n_probes;
 
@@ -247,8 +249,9 @@
 	}
 }
 
-/* The first attempt that was made at a target is answered once more, late. */
-void bed_answer_late(struct bed *b, uint64_t id, enum probe_outcome outcome)
+/* Pass a second, late outcome of the first probe of a target. */
+void bed_end_first_probe_late(struct bed *b, uint64_t id,
+			      enum probe_outcome outcome)
 {
 	for (uint32_t i = 0; i < b->n_probes; i++) {
 		if (b->probes[i].who.id != id)
@@ -259,7 +262,7 @@
 	}
 }
 
-uint32_t bed_open_probes(const struct bed *b)
+uint32_t bed_pending_probes(const struct bed *b)
 {
 	uint32_t open = 0;
 
--- a/test/packet_cold_test.c
+++ b/test/packet_cold_test.c
@@ -156,8 +156,8 @@
 	bed_open(&b);
 	t = bed_target(&b, 1, SERVICE, ZONE);
 	t->health = HEALTH_DEAD;
-	bed_pass(&b, 20 * MS);
-	bed_answer(&b, 1, PROBE_OPEN);
+	bed_advance(&b, 20 * MS);
+	bed_end_probes(&b, 1, PROBE_OPEN);
 	assert_int_equal(t->health, HEALTH_GOOD);
 	assert_int_equal(t->returned_ns, b.now_ns);
 	bed_close(&b);
--- a/test/packet_evacuation_test.c
+++ b/test/packet_evacuation_test.c
@@ -64,7 +64,7 @@
 	v = bed_data(b, CALLER, VIP, t->cookie, 2, 2, 100);
 	assert_int_equal(v.action, PATH_FORWARD);
 	assert_ptr_equal(v.target, t);
-	bed_pass(b, 2 * NS_PER_S);
+	bed_advance(b, 2 * NS_PER_S);
 	assert_int_equal(b->n_resets, 0);
 }
 
@@ -83,9 +83,9 @@
 	bed_target(b, 2, SERVICE, OTHER_ZONE);
 	directory_evacuate(b->directory, ZONE, true);
 	assert_int_equal(bed_syn(b, CALLER, VIP, 1).target->news.id, 2);
-	bed_pass(b, 100 * MS);
-	assert_int_equal(b->n_again, 1);
-	assert_int_equal(b->again[0], 2);
+	bed_advance(b, 100 * MS);
+	assert_int_equal(b->n_resent, 1);
+	assert_int_equal(b->resent_to[0], 2);
 }
 
 static void test_refused_at_once_with_no_target_left(void **state)
@@ -110,10 +110,10 @@
 
 	t->health = HEALTH_DEAD;
 	directory_evacuate(b->directory, ZONE, true);
-	bed_pass(b, 2 * NS_PER_S);
+	bed_advance(b, 2 * NS_PER_S);
 	assert_int_equal(b->n_probes, 0);
 	directory_evacuate(b->directory, ZONE, false);
-	bed_pass(b, NS_PER_S);
+	bed_advance(b, NS_PER_S);
 	assert_int_not_equal(b->n_probes, 0);
 }
 
@@ -128,14 +128,14 @@
 	struct target *t = bed_target(b, 1, SERVICE, ZONE);
 	uint32_t asked = 0;
 
-	bed_times(b, 300, 2000);
+	bed_set_route_times(b, 300, 2000);
 	for (; asked < FLOWS * 2; asked++) {
 		bed_open_flow(b, CALLER + asked, VIP);
 		bed_data(b, CALLER + asked, VIP, t->cookie, 2, 1, 100);
 	}
 	assert_int_not_equal(path_queued_count(b->path), 0);
 	directory_evacuate(b->directory, ZONE, true);
-	bed_pass(b, 20 * MS);
+	bed_advance(b, 20 * MS);
 	assert_int_equal(path_queued_count(b->path), 0);
 	assert_int_equal(b->n_resets, 0);
 }
--- a/test/packet_incarnation_test.c
+++ b/test/packet_incarnation_test.c
@@ -1,6 +1,6 @@
 /*
- * Targets that start again under their id, and entries that no target wrote:
- * what ends a process, what brings the next one back, whose word counts.
+ * Targets that restart with their id, and entries that no target wrote: when a
+ * process counts as ended, when the next one gets flows, which entry is in force.
  */
 #include "packet_bed.h"
 
@@ -47,11 +47,11 @@
 }
 
 /*
- * Symptom: a service has fewer and fewer targets, though all run. Sequence: a
- * target crashes, its port refuses a connection, it starts again under its id.
- * Cause: "an id never comes back" kept it dead until its entry was forgotten.
+ * A service would lose its targets one by one though all run: a target crashes,
+ * its port refuses a connection, and it restarts with its id. It must not stay
+ * dead until its entry is forgotten.
  */
-static void test_started_again_serves_again(void **state)
+static void test_restarted_target_gets_flows_again(void **state)
 {
 	struct target *t;
 	struct bed b;
@@ -72,10 +72,10 @@
 }
 
 /*
- * Symptom: as above, while the platform is away. Sequence: a target crashes and
- * starts again; nobody can publish it. Cause: nothing looked at it any more.
+ * As above while the platform does not answer, so that nobody can publish the
+ * restart: the entry has to go on probing a dead target.
  */
-static void test_started_again_unpublished_is_found(void **state)
+static void test_unpublished_restart_is_found_by_probe(void **state)
 {
 	struct target *t;
 	struct bed b;
@@ -84,39 +84,39 @@
 	bed_open(&b);
 	t = publish(&b, 1, STARTED_MS, 7);
 	path_peer_reported_dead(b.path, &(struct incarnation){ 1, STARTED_MS });
-	bed_pass(&b, 600 * MS);
-	assert_int_equal(bed_open_probes(&b), 1);
-	bed_answer(&b, 1, PROBE_REFUSED);
+	bed_advance(&b, 600 * MS);
+	assert_int_equal(bed_pending_probes(&b), 1);
+	bed_end_probes(&b, 1, PROBE_REFUSED);
 	assert_int_equal(t->health, HEALTH_DEAD);
-	bed_pass(&b, 600 * MS);
-	bed_answer(&b, 1, PROBE_OPEN);
+	bed_advance(&b, 600 * MS);
+	bed_end_probes(&b, 1, PROBE_OPEN);
 	assert_int_equal(bed_syn(&b, CALLER, VIP, 0).action, PATH_FORWARD);
 	bed_close(&b);
 }
 
-/* A lapsed entry's target is looked at as long as it is presumed to live. */
-static void test_presumed_one_is_looked_at(void **state)
+/* It is probed for as long as it is presumed to live. */
+static void test_dead_target_with_lapsed_entry_is_probed(void **state)
 {
 	struct bed b;
 
 	(void)state;
 	bed_open(&b);
 	publish(&b, 1, STARTED_MS, 7);
-	bed_absent(&b, 1, b.now_ns);
+	bed_remove_entry(&b, 1, b.now_ns);
 	path_peer_reported_dead(b.path, &(struct incarnation){ 1, STARTED_MS });
-	bed_pass(&b, 600 * MS);
-	bed_answer(&b, 1, PROBE_OPEN);
+	bed_advance(&b, 600 * MS);
+	bed_end_probes(&b, 1, PROBE_OPEN);
 	assert_int_equal(bed_syn(&b, CALLER, VIP, 0).action, PATH_FORWARD);
 	bed_close(&b);
 }
 
 /*
- * Symptom: a target that has just started again gets no flows. Sequence: a peer
- * finds its earlier process dead, and its word comes after the next process was
- * published; or a connection attempt of before is refused after it. Cause: the
- * word named the id alone.
+ * A target that has just restarted would get no flows: a peer's report of the
+ * earlier process's end, or a refusal of a probe sent before the restart, comes
+ * after the next process was published. Reports name the process, not only the
+ * id.
  */
-static void test_late_word_of_the_earlier_process(void **state)
+static void test_late_report_about_earlier_process_is_ignored(void **state)
 {
 	struct target *t;
 	struct bed b;
@@ -126,14 +126,14 @@
 	t = publish(&b, 1, STARTED_MS, 7);
 	bed_open_flow(&b, CALLER, VIP);
 	bed_data(&b, CALLER, VIP, t->cookie, 2, 2, 100);
-	bed_pass(&b, 500 * MS);
-	assert_int_equal(bed_open_probes(&b), 1);
+	bed_advance(&b, 500 * MS);
+	assert_int_equal(bed_pending_probes(&b), 1);
 	publish(&b, 1, STARTED_MS + 900, 1);
-	bed_answer(&b, 1, PROBE_REFUSED);
+	bed_end_probes(&b, 1, PROBE_REFUSED);
 	assert_int_equal(t->health, HEALTH_GOOD);
 	path_peer_reported_dead(b.path, &(struct incarnation){ 1, STARTED_MS });
 	assert_int_equal(t->health, HEALTH_GOOD);
-	/* A later one than is known here has ended, so this one has too. */
+	/* A later process than the published one has ended, so this one has too. */
 	path_peer_reported_dead(b.path,
 				&(struct incarnation){ 1, STARTED_MS + 2000 });
 	assert_int_equal(t->health, HEALTH_DEAD);
@@ -141,13 +141,11 @@
 }
 
 /*
- * Symptom: clients wait until their deadlines for an answer of a process that
- * is gone. Sequence: a target starts again so fast that no connection attempt
- * met the gap. Cause: nothing told the clients; the target itself would, if it
- * got any packet of their flows.
+ * Clients would wait until their deadlines for an answer of a process that has
+ * ended, when a target restarts faster than any probe notices. The target
+ * resets their flows when it gets any packet of them.
  */
-static void
-test_flows_of_the_earlier_process_are_shown_to_the_next(void **state)
+static void test_packets_of_earlier_process_are_resent_to_next(void **state)
 {
 	static const uint8_t ack[32];
 	struct packet k = {
@@ -171,8 +169,8 @@
 	bed_data(&b, CALLER, VIP, t->cookie, 1, 1, 100);
 	assert_int_equal(t->busy, 1);
 	publish(&b, 1, STARTED_MS + 900, 1);
-	assert_int_equal(b.n_again, 1);
-	/* A reset of ours might meet a flow that the next process has opened. */
+	assert_int_equal(b.n_resent, 1);
+	/* A reset by the entry could end a flow that the next process has opened. */
 	assert_int_equal(b.n_resets, 0);
 	assert_int_equal(t->busy, 0);
 	assert_int_equal(t->flows, 0);
@@ -182,12 +180,11 @@
 }
 
 /*
- * Symptom: a target that drains gets new flows again, or one that has started
- * again loses what was learned of it. Sequence: the platform does a write late,
- * after the ones that followed it. Cause: the newest revision was taken for the
- * newest word.
+ * A draining target would get new flows again, or a restarted one would lose
+ * its state, when the platform applies a write after later ones: the newest
+ * revision need not be the newest entry.
  */
-static void test_late_write_changes_nothing(void **state)
+static void test_late_write_of_entry_is_ignored(void **state)
 {
 	struct target_news leaving, late;
 	struct target *t;
@@ -212,8 +209,7 @@
 	bed_close(&b);
 }
 
-/* The next process may be elsewhere, of another service and size. */
-static void test_next_process_has_its_own_place(void **state)
+static void test_next_process_may_change_service_and_address(void **state)
 {
 	struct target *const *all = NULL;
 	struct target_news news;
@@ -239,11 +235,11 @@
 }
 
 /*
- * Symptom: all flows of a target that serves are reset, and it gets no more.
- * Sequence: somebody else writes an entry with its address. Cause: an address
- * with two entries was taken for one whose first process has ended.
+ * All flows of a serving target would be reset, and it would get no more, when
+ * somebody else writes an entry with its address: two entries of an address
+ * don't prove that the first process has ended.
  */
-static void test_entry_with_its_address_ends_no_target(void **state)
+static void test_foreign_entry_with_same_address_keeps_target(void **state)
 {
 	struct target_news other;
 	struct target *t;
@@ -257,20 +253,19 @@
 	other.addr = t->news.addr;
 	bed_publish(&b, &other);
 	assert_false(directory_serving(b.directory, t));
-	/* It answers: whoever was published at its address is not there. */
+	/* The target answers, so no other one listens at its address. */
 	b.now_ns += 10 * MS;
 	bed_data(&b, CALLER, VIP, t->cookie, 2, 2, 100);
 	b.now_ns += 10 * MS;
 	bed_data(&b, CALLER, VIP, t->cookie, 102, 300, 0);
 	assert_true(directory_serving(b.directory, t));
-	bed_pass(&b, NS_PER_S);
+	bed_advance(&b, NS_PER_S);
 	assert_int_equal(b.n_resets, 0);
 	assert_int_equal(t->health, HEALTH_GOOD);
 	bed_close(&b);
 }
 
-/* An earlier process than the one that has the address takes nothing from it. */
-static void test_earlier_entry_takes_no_address(void **state)
+static void test_entry_of_earlier_start_does_not_take_address(void **state)
 {
 	struct target_news other;
 	struct target *t;
@@ -289,8 +284,11 @@
 	bed_close(&b);
 }
 
-/* Where targets tell when they started, an entry that doesn't is no target's. */
-static void test_entry_without_a_start_among_others(void **state)
+/*
+ * Where the targets publish when they started, an entry without a start was not
+ * written by a target.
+ */
+static void test_entry_without_start_gets_no_flows_beside_others(void **state)
 {
 	struct bed b;
 
@@ -306,8 +304,9 @@
 	bed_close(&b);
 }
 
-/* Where none tells, one that does takes nothing from the others. */
-static void test_start_told_by_one_alone(void **state)
+/* Where targets do not publish their start, one that does has no precedence. */
+static void
+test_single_entry_with_start_takes_no_flows_from_others(void **state)
 {
 	uint32_t others = 0;
 	struct bed b;
@@ -324,8 +323,11 @@
 	bed_close(&b);
 }
 
-/* Two keys of one id: the entry created first has it, in whatever order. */
-static void test_second_key_of_an_id(void **state)
+/*
+ * Of two keys with one id the one created first has it, in whatever order they
+ * come.
+ */
+static void test_id_belongs_to_key_created_first(void **state)
 {
 	(void)state;
 	for (uint32_t order = 0; order < 2; order++) {
@@ -342,7 +344,7 @@
 		bed_publish(&b, order ? &second : &first);
 		assert_int_equal(directory_by_id(b.directory, 1)->news.addr,
 				 first.addr);
-		/* Nor does its end end the target. */
+		/* Deleting the second key doesn't end the target. */
 		directory_absent(b.directory, &second, b.now_ns, 0);
 		assert_int_equal(bed_syn(&b, CALLER, VIP, 0).action,
 				 PATH_FORWARD);
@@ -350,9 +352,12 @@
 	}
 }
 
-/* Guards against a successor taken for the earlier one: its entry's creation has
- * a lower revision when the store has come back from an older copy. */
-static void test_successor_created_in_a_later_epoch(void **state)
+/*
+ * A successor would count as the earlier target: the store was restored from an
+ * older copy, so that the creation of its entry has a lower revision, of a
+ * later epoch.
+ */
+static void test_successor_of_later_epoch_has_lower_revision(void **state)
 {
 	struct target_news first, second;
 	struct bed b;
@@ -370,9 +375,11 @@
 	bed_close(&b);
 }
 
-/* Guards against a second key that has the id since its creation has a lower
- * revision, of a later epoch. */
-static void test_second_key_of_an_id_in_a_later_epoch(void **state)
+/*
+ * A second key would take the id, since its creation has a lower revision, of a
+ * later epoch.
+ */
+static void test_second_key_of_later_epoch_does_not_take_id(void **state)
 {
 	struct target_news first, second;
 	struct bed b;
@@ -391,8 +398,8 @@
 	bed_close(&b);
 }
 
-/* Guards against an older copy's entry that ends a target's leaving. */
-static void test_entries_are_ordered_by_start_and_number(void **state)
+/* An entry of an older copy of the store would end the draining of a target. */
+static void test_entries_are_ordered_by_start_and_sequence(void **state)
 {
 	struct target_news news, other;
 	struct bed b;
@@ -408,7 +415,7 @@
 	assert_true(directory_compare(b.directory, &news) > 0);
 	news = entry(&b, 1, STARTED_MS - 1, 9);
 	assert_true(directory_compare(b.directory, &news) < 0);
-	/* Nothing orders another key's entry, nor an unknown target's. */
+	/* Entries of another key and of unknown targets have no order. */
 	other = entry(&b, 1, STARTED_MS + 1, 1);
 	other.entry = 2;
 	assert_int_equal(directory_compare(b.directory, &other), 0);
@@ -420,22 +427,31 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_started_again_serves_again),
-		cmocka_unit_test(test_started_again_unpublished_is_found),
-		cmocka_unit_test(test_presumed_one_is_looked_at),
-		cmocka_unit_test(test_late_word_of_the_earlier_process),
+		cmocka_unit_test(test_restarted_target_gets_flows_again),
+		cmocka_unit_test(test_unpublished_restart_is_found_by_probe),
+		cmocka_unit_test(test_dead_target_with_lapsed_entry_is_probed),
+		cmocka_unit_test(
+			test_late_report_about_earlier_process_is_ignored),
+		cmocka_unit_test(
+			test_packets_of_earlier_process_are_resent_to_next),
+		cmocka_unit_test(test_late_write_of_entry_is_ignored),
+		cmocka_unit_test(
+			test_next_process_may_change_service_and_address),
+		cmocka_unit_test(
+			test_foreign_entry_with_same_address_keeps_target),
+		cmocka_unit_test(
+			test_entry_of_earlier_start_does_not_take_address),
+		cmocka_unit_test(
+			test_entry_without_start_gets_no_flows_beside_others),
+		cmocka_unit_test(
+			test_single_entry_with_start_takes_no_flows_from_others),
+		cmocka_unit_test(test_id_belongs_to_key_created_first),
+		cmocka_unit_test(
+			test_second_key_of_later_epoch_does_not_take_id),
+		cmocka_unit_test(
+			test_entries_are_ordered_by_start_and_sequence),
 		cmocka_unit_test(
-			test_flows_of_the_earlier_process_are_shown_to_the_next),
-		cmocka_unit_test(test_late_write_changes_nothing),
-		cmocka_unit_test(test_next_process_has_its_own_place),
-		cmocka_unit_test(test_entry_with_its_address_ends_no_target),
-		cmocka_unit_test(test_earlier_entry_takes_no_address),
-		cmocka_unit_test(test_entry_without_a_start_among_others),
-		cmocka_unit_test(test_start_told_by_one_alone),
-		cmocka_unit_test(test_second_key_of_an_id),
-		cmocka_unit_test(test_second_key_of_an_id_in_a_later_epoch),
-		cmocka_unit_test(test_entries_are_ordered_by_start_and_number),
-		cmocka_unit_test(test_successor_created_in_a_later_epoch),
+			test_successor_of_later_epoch_has_lower_revision),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/packet_node_test.c
+++ b/test/packet_node_test.c
@@ -1,4 +1,5 @@
-/* An entry without its sockets: reading, relaying, readiness, pause, stop. */
+/* struct node: reading the platform, documents of peers, readiness, pauses, planned
+ * stops, heartbeats. */
 #include "hello_codec.h"
 #include "node.h"
 #include "outlier.h"
@@ -92,15 +93,15 @@
 	(void)t;
 }
 
-static void on_again(void *ctx, const struct flow_state *f, uint8_t reason)
+static void on_resend(void *ctx, const struct flow_state *f, uint8_t reason)
 {
 	(void)ctx;
 	(void)f;
 	(void)reason;
 }
 
-static void on_send(void *ctx, const struct flow_state *f, const uint8_t *bytes,
-		    uint32_t n_bytes)
+static void on_send_queued(void *ctx, const struct flow_state *f,
+			   const uint8_t *bytes, uint32_t n_bytes)
 {
 	struct fixture *x = ctx;
 
@@ -110,7 +111,7 @@
 	x->calls.sends++;
 }
 
-static void on_flow(void *ctx, const struct flow_state *f)
+static void on_reset(void *ctx, const struct flow_state *f)
 {
 	(void)ctx;
 	(void)f;
@@ -134,8 +135,9 @@
 }
 
 /*
- * "routes" holds a version and a target latency as text, "t/ID" is a target of
- * the one service, "e/NAME" the evacuation of a data centre.
+ * Decode a document of these tests: the value of "routes" is the version and the
+ * latency objective in ms as text, "t/ID" is a target of the only service, "e/NAME"
+ * the evacuation of a data centre.
  */
 static int decode(const struct document *d, struct directory *names,
 		  struct decoded_document *out, const char **problem)
@@ -201,9 +203,9 @@
 		.fetch = on_fetch,
 		.hello = on_hello,
 		.probe = on_probe,
-		.resend = on_again,
-		.send_queued = on_send,
-		.reset = on_flow,
+		.resend = on_resend,
+		.send_queued = on_send_queued,
+		.reset = on_reset,
 		.health = on_health,
 		.decode = decode,
 		.log = on_log,
@@ -224,7 +226,7 @@
 	return 0;
 }
 
-static void pass(struct fixture *f, uint64_t ns)
+static void advance(struct fixture *f, uint64_t ns)
 {
 	uint64_t end_ns = f->now_ns + ns;
 
@@ -244,29 +246,29 @@
 	return d;
 }
 
-static void fact(struct fixture *f,
-		 void (*take)(void *, const struct document *), const char *key,
-		 uint64_t revision, const char *value)
+static void put_document(struct fixture *f,
+			 void (*take)(void *, const struct document *),
+			 const char *key, uint64_t revision, const char *value)
 {
 	struct document d = doc(key, revision, value);
 
 	take(f->node, &d);
 }
 
-static void listed(struct fixture *f)
+static void apply_listing(struct fixture *f)
 {
 	struct answer_head head = { .revision = 10 };
 
-	pass(f, 40 * MS);
+	advance(f, 40 * MS);
 	assert_int_equal(f->calls.lists, 1);
 	node_answer_begin(f->node, 0, f->now_ns);
-	fact(f, node_take_listed, "routes", 5, "3");
-	fact(f, node_take_listed, "t/1", 6, "x");
+	put_document(f, node_take_listed, "routes", 5, "3");
+	put_document(f, node_take_listed, "t/1", 6, "x");
 	node_answer_end(f->node, SOURCE_OK, &head, f->now_ns);
 }
 
-/* What becomes of an opening packet. */
-static uint8_t opening(struct fixture *f, uint64_t vip)
+/* Pass a SYN of a client to @vip. Return: the action decided, enum path_action. */
+static uint8_t send_syn(struct fixture *f, uint64_t vip)
 {
 	static const uint8_t bytes[32];
 	struct packet k = { .flow = { CALLER, vip },
@@ -279,28 +281,29 @@
 	return v.action;
 }
 
-static void test_ready_once_it_knows(void **state)
+static void test_ready_after_first_listing(void **state)
 {
 	struct fixture *f = *state;
 
-	pass(f, 20 * MS);
+	advance(f, 20 * MS);
 	assert_false(f->node->ready);
-	listed(f);
+	apply_listing(f);
 	assert_true(f->node->ready);
-	/* Changes that come in a row are read in one call. */
-	pass(f, 280 * MS);
+	/* The watch starts later, so that changes in close succession are read
+	 * in one call. */
+	advance(f, 280 * MS);
 	assert_int_equal(f->calls.watches, 0);
-	pass(f, 60 * MS);
+	advance(f, 60 * MS);
 	assert_int_equal(f->calls.watches, 1);
 	assert_int_equal(f->calls.watch_after, 10);
 }
 
 /*
- * Symptom: a young entry refuses routes that are in force. Sequence: it starts
- * while the platform turns it away; a peer told that it knows more. Cause: it
- * was ready with an older view.
+ * A young entry would refuse routes that are in force, if it became ready with
+ * an older state than a peer: it starts while the platform rejects its calls,
+ * and a heartbeat shows that the peer is ahead.
  */
-static void test_not_ready_before_it_knows_what_peers_do(void **state)
+static void test_not_ready_while_behind_a_peer(void **state)
 {
 	struct fixture *f = *state;
 	struct hello h = { .from = PEER, .newest = { 0, 50 }, .boot = 1 };
@@ -309,35 +312,35 @@
 	node_receive_hello(f->node, &h, f->now_ns);
 	assert_int_equal(f->calls.fetches, 1);
 	assert_int_equal(f->calls.fetch_from, PEER);
-	/* The peer does not answer; after a second the platform is read. */
-	pass(f, 900 * MS);
+	/* The peer does not answer. After a second the platform is read. */
+	advance(f, 900 * MS);
 	assert_int_equal(f->calls.lists, 0);
 	node_receive_hello(f->node, &h, f->now_ns);
-	pass(f, 200 * MS);
+	advance(f, 200 * MS);
 	node_receive_hello(f->node, &h, f->now_ns);
-	listed(f);
+	apply_listing(f);
 	assert_false(f->node->ready);
 	assert_true(node_fetch_begin(f->node, &head, f->now_ns));
-	fact(f, node_take_changed, "routes", 50, "9");
+	put_document(f, node_take_changed, "routes", 50, "9");
 	node_fetch_end(f->node, &head, f->now_ns);
 	assert_true(f->node->ready);
 	assert_int_equal(directory_table(f->node->directory)->version, 9);
-	/* A peer that is ahead later is no reason to leave; but what is missing
-	 * here may be there. */
-	assert_int_equal(opening(f, NO_VIP), PATH_RESET);
+	/* The entry stays ready when a peer gets ahead, but a route that is
+	 * missing here may then be in force. */
+	assert_int_equal(send_syn(f, NO_VIP), PATH_RESET);
 	h.newest.revision = 70;
 	node_receive_hello(f->node, &h, f->now_ns);
-	assert_int_equal(opening(f, NO_VIP), PATH_DROP);
-	pass(f, 40 * MS);
+	assert_int_equal(send_syn(f, NO_VIP), PATH_DROP);
+	advance(f, 40 * MS);
 	assert_true(f->node->ready);
 }
 
 /*
- * Symptom: after all entries lost power each serves 0.1 s later than it could.
- * Sequence: targets publish themselves all the time, so that another peer knows
- * more than the one that was asked. Cause: an entry asked one after the other.
+ * After a power failure of all entries each would be ready 0.1 s later than
+ * possible, if it asked one peer after the other: targets publish themselves
+ * all the time, so that some other peer is always ahead of the one asked.
  */
-static void test_ready_though_a_peer_went_on(void **state)
+static void test_ready_with_state_of_one_peer(void **state)
 {
 	struct fixture *f = *state;
 	struct hello h = { .from = PEER, .newest = { 0, 50 }, .boot = 1 };
@@ -348,35 +351,34 @@
 	h.newest.revision = 55;
 	node_receive_hello(f->node, &h, f->now_ns);
 	assert_true(node_fetch_begin(f->node, &head, f->now_ns));
-	fact(f, node_take_changed, "routes", 50, "9");
+	put_document(f, node_take_changed, "routes", 50, "9");
 	node_fetch_end(f->node, &head, f->now_ns);
 	assert_true(f->node->ready);
-	/* What is missing here may be there all the same. */
-	assert_int_equal(opening(f, NO_VIP), PATH_DROP);
+	/* A route that is missing here may be in force at the other peer. */
+	assert_int_equal(send_syn(f, NO_VIP), PATH_DROP);
 }
 
 /*
- * Symptom: entries that start together have no time to read what is published.
- * Sequence: one that knows nothing asks for an answer, the other, too, in its
- * answer. Cause: they answered each other as fast as the network allowed.
+ * Entries that start together would answer each other as fast as the network
+ * allows, and have no time to read the documents.
  */
-static void test_an_answer_asks_for_none(void **state)
+static void test_reply_to_heartbeat_requests_no_reply(void **state)
 {
 	struct fixture *f = *state;
 	struct hello h = { .from = PEER, .boot = 1, .reply = true };
 
-	pass(f, 20 * MS);
+	advance(f, 20 * MS);
 	assert_true(f->calls.last.reply);
 	node_receive_hello(f->node, &h, f->now_ns);
 	assert_false(f->calls.last.reply);
 }
 
 /*
- * Symptom: targets vanish from one entry. Sequence: it lists the platform over
- * two pages; in between a peer sends its whole state. Cause: the second listing
- * began inside the first, and what only the first had named counted as gone.
+ * Targets would vanish from an entry that lists the platform in two pages, when
+ * a peer sends all its documents in between: a second listing inside the first
+ * makes documents that only the first names count as deleted.
  */
-static void test_no_whole_state_of_a_peer_while_listing(void **state)
+static void test_state_of_peer_is_refused_while_listing(void **state)
 {
 	struct fixture *f = *state;
 	struct answer_head more = { .revision = 20, .more = true };
@@ -384,20 +386,20 @@
 				    .newest = { 0, 18 },
 				    .whole = true };
 
-	/* What it had asked for is gone: it lists anew. */
-	listed(f);
-	pass(f, 400 * MS);
+	/* The watched history is gone, so the entry lists again. */
+	apply_listing(f);
+	advance(f, 400 * MS);
 	node_answer_end(f->node, SOURCE_BEHIND, &more, f->now_ns);
-	pass(f, 40 * MS);
+	advance(f, 40 * MS);
 	strcpy(more.last_key, "t/1");
 	node_answer_begin(f->node, 0, f->now_ns);
-	fact(f, node_take_listed, "routes", 5, "3");
-	fact(f, node_take_listed, "t/1", 6, "x");
+	put_document(f, node_take_listed, "routes", 5, "3");
+	put_document(f, node_take_listed, "t/1", 6, "x");
 	node_answer_end(f->node, SOURCE_OK, &more, f->now_ns);
 	assert_false(node_fetch_begin(f->node, &whole, f->now_ns));
 	node_fetch_end(f->node, NULL, f->now_ns);
 	node_answer_begin(f->node, 0, f->now_ns);
-	fact(f, node_take_listed, "t/2", 7, "x");
+	put_document(f, node_take_listed, "t/2", 7, "x");
 	more.more = false;
 	node_answer_end(f->node, SOURCE_OK, &more, f->now_ns);
 	assert_int_equal(directory_by_id(f->node->directory, 1)->stage,
@@ -406,9 +408,11 @@
 			 TARGET_SERVING);
 }
 
-/* The same of an entry that knows nothing yet: the peer is sooner, so the listing
- * is what ends, and the peer's state alone says what stands. */
-static void test_whole_state_of_a_peer_ends_the_first_listing(void **state)
+/*
+ * An entry without documents gets them from a peer sooner than by its listing.
+ * It abandons the listing, and only the peer's documents count.
+ */
+static void test_state_of_peer_replaces_first_listing(void **state)
 {
 	struct fixture *f = *state;
 	struct answer_head more = { .revision = 10, .more = true };
@@ -418,66 +422,66 @@
 				    .whole = true };
 
 	strcpy(more.last_key, "t/1");
-	pass(f, 40 * MS);
+	advance(f, 40 * MS);
 	node_answer_begin(f->node, 0, f->now_ns);
-	fact(f, node_take_listed, "routes", 5, "3");
-	fact(f, node_take_listed, "t/1", 6, "x");
+	put_document(f, node_take_listed, "routes", 5, "3");
+	put_document(f, node_take_listed, "t/1", 6, "x");
 	node_answer_end(f->node, SOURCE_OK, &more, f->now_ns);
 	assert_int_equal(f->calls.cancels, 0);
 	assert_true(node_fetch_begin(f->node, &whole, f->now_ns));
 	assert_int_equal(f->calls.cancels, 1);
-	fact(f, node_take_relay_listed, "routes", 5, "3");
-	fact(f, node_take_relay_listed, "t/2", 7, "x");
+	put_document(f, node_take_relay_listed, "routes", 5, "3");
+	put_document(f, node_take_relay_listed, "t/2", 7, "x");
 	node_fetch_end(f->node, &whole, f->now_ns);
-	/* Target 1 left after the page that named it. */
+	/* Target 1 was deleted after the page that named it. */
 	assert_int_equal(directory_by_id(f->node->directory, 1)->stage,
 			 TARGET_ABSENT);
 	assert_int_equal(directory_by_id(f->node->directory, 2)->stage,
 			 TARGET_SERVING);
 	assert_true(f->node->ready);
-	/* The page on its way is of the listing that was given up. */
-	pass(f, 400 * MS);
+	/* The pending page belongs to the abandoned listing. */
+	advance(f, 400 * MS);
 	assert_int_equal(f->calls.lists, 2);
 	assert_int_equal(f->calls.watches, 1);
 	assert_int_equal(f->calls.watch_after, 18);
 }
 
 /*
- * Symptom: an entry opens flows at targets that are gone, and refuses routes
- * that are in force. Sequence: it starts and lists the platform; the pages
- * after the first may be seconds old, and one is. Cause: it was ready with that.
+ * An entry would open flows at targets that are gone, and refuse routes that
+ * are in force, if it became ready with a listing of which pages after the
+ * first are seconds old.
  */
-static void test_not_ready_with_pages_that_are_old(void **state)
+static void test_not_ready_with_old_pages(void **state)
 {
 	struct fixture *f = *state;
 	struct answer_head head = { .revision = 20, .more = true };
 	struct hello h = { .from = PEER, .boot = 1 };
 
 	strcpy(head.last_key, "t/1");
-	pass(f, 40 * MS);
+	advance(f, 40 * MS);
 	assert_true(f->calls.list_exact);
 	node_answer_begin(f->node, 0, f->now_ns);
-	fact(f, node_take_listed, "routes", 5, "3");
-	fact(f, node_take_listed, "t/1", 6, "x");
+	put_document(f, node_take_listed, "routes", 5, "3");
+	put_document(f, node_take_listed, "t/1", 6, "x");
 	node_answer_end(f->node, SOURCE_OK, &head, f->now_ns);
 	assert_int_equal(f->calls.lists, 2);
 	assert_false(f->calls.list_exact);
 	head = (struct answer_head){ .revision = 12 };
 	node_answer_begin(f->node, 0, f->now_ns);
-	fact(f, node_take_listed, "t/2", 7, "x");
+	put_document(f, node_take_listed, "t/2", 7, "x");
 	node_answer_end(f->node, SOURCE_OK, &head, f->now_ns);
 	assert_false(f->node->ready);
 	node_receive_hello(f->node, &h, f->now_ns);
 	node_stop(f->node, f->now_ns);
 	assert_int_equal(f->calls.last.newest.revision, 0);
 	f->node->stop_ns = 0;
-	/* What came since is asked for at once. */
+	/* Changes since the old pages are requested at once. */
 	assert_int_equal(f->calls.watches, 1);
 	assert_int_equal(f->calls.watch_after, 12);
 	assert_int_equal(f->calls.watch_wait_ns, 0);
 	head.revision = 20;
 	node_answer_begin(f->node, 0, f->now_ns);
-	fact(f, node_take_changed, "t/2", 15, NULL);
+	put_document(f, node_take_changed, "t/2", 15, NULL);
 	node_answer_end(f->node, SOURCE_OK, &head, f->now_ns);
 	assert_true(f->node->ready);
 	assert_int_equal(directory_by_id(f->node->directory, 1)->stage,
@@ -493,78 +497,77 @@
 }
 
 /*
- * Symptom: flows go to an evacuated data centre, or one that was taken back
- * gets none. Sequence: an entry starts while both change; the later pages of
- * its listing are from before, and show one that is over and lack one that was
- * begun. Cause: it was ready, and told others, with the old pages.
+ * Flows would go to an evacuated data centre, or one whose evacuation is over
+ * would get none: an entry starts while both change, and the old later pages of
+ * its listing show the one that is over and lack the one that has begun. The
+ * entry must neither be ready nor advertise such pages.
  */
-static void test_old_page_ends_and_hides_no_evacuation(void **state)
+static void test_old_page_neither_ends_nor_starts_an_evacuation(void **state)
 {
 	struct fixture *f = *state;
 	struct answer_head head = { .revision = 20, .more = true };
 
 	strcpy(head.last_key, "routes");
-	pass(f, 40 * MS);
+	advance(f, 40 * MS);
 	node_answer_begin(f->node, 0, f->now_ns);
-	fact(f, node_take_listed, "routes", 5, "3");
+	put_document(f, node_take_listed, "routes", 5, "3");
 	node_answer_end(f->node, SOURCE_OK, &head, f->now_ns);
-	/* A peer tells of the one that was begun, at 18. */
-	fact(f, node_take_changed, "e/garda", 18, "{}");
+	/* A peer sends the evacuation that began at revision 18. */
+	put_document(f, node_take_changed, "e/garda", 18, "{}");
 	head = (struct answer_head){ .revision = 12 };
 	node_answer_begin(f->node, 0, f->now_ns);
-	fact(f, node_take_listed, "e/como", 7, "{}");
-	fact(f, node_take_listed, "t/1", 6, "x");
+	put_document(f, node_take_listed, "e/como", 7, "{}");
+	put_document(f, node_take_listed, "t/1", 6, "x");
 	node_answer_end(f->node, SOURCE_OK, &head, f->now_ns);
 	assert_false(f->node->ready);
 	assert_true(evacuated(f, "garda"));
 	head.revision = 20;
 	node_answer_begin(f->node, 0, f->now_ns);
-	fact(f, node_take_changed, "e/como", 15, NULL);
-	fact(f, node_take_changed, "e/garda", 18, "{}");
+	put_document(f, node_take_changed, "e/como", 15, NULL);
+	put_document(f, node_take_changed, "e/garda", 18, "{}");
 	node_answer_end(f->node, SOURCE_OK, &head, f->now_ns);
 	assert_true(f->node->ready);
 	assert_true(evacuated(f, "garda"));
 	assert_false(evacuated(f, "como"));
 }
 
-/* A write that was held up, or a peer that is behind, begins none anew. */
-static void test_evacuation_that_is_over_stays_over(void **state)
+/* The write was delayed, or a peer that is behind sends it. */
+static void test_late_write_does_not_restart_an_evacuation(void **state)
 {
 	struct fixture *f = *state;
 
-	listed(f);
-	fact(f, node_take_changed, "e/garda", 11, "{}");
+	apply_listing(f);
+	put_document(f, node_take_changed, "e/garda", 11, "{}");
 	assert_true(evacuated(f, "garda"));
-	fact(f, node_take_changed, "e/garda", 13, NULL);
-	fact(f, node_take_changed, "e/garda", 12, "{}");
+	put_document(f, node_take_changed, "e/garda", 13, NULL);
+	put_document(f, node_take_changed, "e/garda", 12, "{}");
 	assert_false(evacuated(f, "garda"));
-	fact(f, node_take_changed, "e/garda", 14, "{}");
+	put_document(f, node_take_changed, "e/garda", 14, "{}");
 	assert_true(evacuated(f, "garda"));
 }
 
-/* All pages as new as the first: there is nothing to wait for. */
-static void test_ready_with_pages_that_are_not_old(void **state)
+static void test_ready_with_pages_as_new_as_the_first(void **state)
 {
 	struct fixture *f = *state;
 	struct answer_head head = { .revision = 20, .more = true };
 
 	strcpy(head.last_key, "t/1");
-	pass(f, 40 * MS);
+	advance(f, 40 * MS);
 	node_answer_begin(f->node, 0, f->now_ns);
-	fact(f, node_take_listed, "routes", 5, "3");
+	put_document(f, node_take_listed, "routes", 5, "3");
 	node_answer_end(f->node, SOURCE_OK, &head, f->now_ns);
 	head = (struct answer_head){ .revision = 21 };
 	node_answer_begin(f->node, 0, f->now_ns);
-	fact(f, node_take_listed, "t/2", 7, "x");
+	put_document(f, node_take_listed, "t/2", 7, "x");
 	node_answer_end(f->node, SOURCE_OK, &head, f->now_ns);
 	assert_true(f->node->ready);
 }
 
 /*
- * Symptom: a start of many entries takes thousands of calls. Sequence: a peer
- * brings everything while the first pages are read. Cause: the rest was read.
+ * A start of many entries would take thousands of calls to the platform, if an
+ * entry read the remaining pages after a peer has sent all documents.
  */
-static void test_listing_ends_when_a_peer_brings_all(void **state)
+static void test_listing_is_cancelled_when_peer_sends_all(void **state)
 {
 	struct fixture *f = *state;
 	struct answer_head head = { .revision = 20, .more = true };
@@ -572,61 +575,61 @@
 	struct hello h = { .from = PEER, .newest = { 0, 50 }, .boot = 1 };
 
 	strcpy(head.last_key, "t/1");
-	pass(f, 40 * MS);
+	advance(f, 40 * MS);
 	node_answer_begin(f->node, 0, f->now_ns);
-	fact(f, node_take_listed, "routes", 5, "3");
+	put_document(f, node_take_listed, "routes", 5, "3");
 	node_answer_end(f->node, SOURCE_OK, &head, f->now_ns);
 	assert_int_equal(f->calls.lists, 2);
 	node_receive_hello(f->node, &h, f->now_ns);
 	assert_true(node_fetch_begin(f->node, &relay, f->now_ns));
-	fact(f, node_take_changed, "routes", 50, "9");
-	fact(f, node_take_changed, "t/3", 30, "x");
+	put_document(f, node_take_changed, "routes", 50, "9");
+	put_document(f, node_take_changed, "t/3", 30, "x");
 	node_fetch_end(f->node, &relay, f->now_ns);
 	assert_true(f->node->ready);
-	/* The page on its way would keep others from theirs. */
+	/* The pending page would delay those of other entries. */
 	assert_int_equal(f->calls.cancels, 1);
 	assert_int_equal(f->calls.lists, 2);
 	assert_int_equal(directory_by_id(f->node->directory, 3)->stage,
 			 TARGET_SERVING);
 }
 
-static void test_bad_document_leaves_the_old_one(void **state)
+static void test_invalid_configuration_keeps_previous_one(void **state)
 {
 	struct fixture *f = *state;
 
-	listed(f);
-	fact(f, node_take_changed, "routes", 12, "bad");
+	apply_listing(f);
+	put_document(f, node_take_changed, "routes", 12, "bad");
 	assert_int_equal(directory_table(f->node->directory)->version, 3);
 	assert_int_equal(f->node->counters.documents_refused, 1);
-	fact(f, node_take_changed, "routes", 13, "4");
+	put_document(f, node_take_changed, "routes", 13, "4");
 	assert_int_equal(directory_table(f->node->directory)->version, 4);
 }
 
-static void test_news_are_told_at_once(void **state)
+static void test_changes_are_advertised_at_once(void **state)
 {
 	struct fixture *f = *state;
 	struct hello h = { .from = PEER, .boot = 1 };
 	struct answer_head head = { .revision = 20 };
 	uint32_t before;
 
-	listed(f);
+	apply_listing(f);
 	node_receive_hello(f->node, &h, f->now_ns);
 	before = f->calls.hellos;
 	node_answer_begin(f->node, 0, f->now_ns);
-	fact(f, node_take_changed, "routes", 20, "4");
+	put_document(f, node_take_changed, "routes", 20, "4");
 	node_answer_end(f->node, SOURCE_OK, &head, f->now_ns);
 	assert_int_equal(f->calls.hellos, before + 1);
 	assert_int_equal(f->calls.last.newest.revision, 20);
 }
 
 /*
- * Answers to the last requests, and next ones, at a target with one slot.
- * Return: how many wait.
+ * Send the next request of each flow at a target with one slot, which also
+ * acknowledges the answers to the previous ones. Return: number of queued requests.
  */
-static uint32_t next_requests(struct fixture *f, uint32_t requests)
+static uint32_t send_next_requests(struct fixture *f, uint32_t requests)
 {
 	struct target *t = directory_by_id(f->node->directory, 1);
-	uint32_t wait = 0;
+	uint32_t queued = 0;
 
 	f->rounds++;
 	for (uint32_t i = 0; i < requests; i++) {
@@ -641,42 +644,41 @@
 		struct path_verdict v;
 
 		node_packet(f->node, &k, f->now_ns, &v);
-		wait += v.action == PATH_WAIT;
+		queued += v.action == PATH_WAIT;
 	}
-	return wait;
+	return queued;
 }
 
-static void load(struct fixture *f, uint32_t requests)
+static void send_requests_unqueued(struct fixture *f, uint32_t requests)
 {
-	assert_int_equal(next_requests(f, requests), 0);
+	assert_int_equal(send_next_requests(f, requests), 0);
 }
 
 /*
- * Symptom: a planned stop cuts flows. Sequence: the process is told to stop and
- * ends while the router still sends it packets. Cause: it did not wait for the
- * router.
+ * A planned stop would break flows, if the process ended while the router still
+ * sends it packets.
  */
-static void test_planned_stop_forwards_until_the_router_moved(void **state)
+static void test_planned_stop_forwards_until_router_stops_sending(void **state)
 {
 	struct fixture *f = *state;
 	struct hello h = { .from = PEER, .boot = 1 };
 
-	listed(f);
+	apply_listing(f);
 	node_receive_hello(f->node, &h, f->now_ns);
 	node_stop(f->node, f->now_ns);
 	assert_false(f->node->ready);
 	assert_true(f->calls.last.leaving);
 	for (uint32_t i = 0; i < 20; i++) {
-		pass(f, 100 * MS);
+		advance(f, 100 * MS);
 		assert_false(node_may_exit(f->node, f->now_ns));
-		assert_int_equal(opening(f, VIP), PATH_FORWARD);
+		assert_int_equal(send_syn(f, VIP), PATH_FORWARD);
 		assert_false(f->node->ready);
 	}
-	pass(f, 700 * MS);
+	advance(f, 700 * MS);
 	assert_true(node_may_exit(f->node, f->now_ns));
 }
 
-/* A client's opening packet comes; its next follows a microsecond later. */
+/* Open a flow; its next packet follows a microsecond later. */
 static void open_flow(struct fixture *f)
 {
 	struct packet k = {
@@ -690,54 +692,54 @@
 	f->now_ns += NS_PER_US;
 }
 
-static void test_planned_stop_sends_what_waits(void **state)
+static void test_planned_stop_releases_queue(void **state)
 {
 	struct fixture *f = *state;
 
-	listed(f);
-	fact(f, node_take_changed, "routes", 20, "4 100");
-	/* The first answer shows that the one slot takes 40 ms. */
+	apply_listing(f);
+	put_document(f, node_take_changed, "routes", 20, "4 100");
+	/* The first answer shows that a request takes 40 ms. */
 	open_flow(f);
-	load(f, 1);
-	pass(f, 40 * MS);
-	load(f, 1);
-	pass(f, 40 * MS);
-	assert_in_range(next_requests(f, 8), 1, 7);
+	send_requests_unqueued(f, 1);
+	advance(f, 40 * MS);
+	send_requests_unqueued(f, 1);
+	advance(f, 40 * MS);
+	assert_in_range(send_next_requests(f, 8), 1, 7);
 	assert_int_equal(f->calls.sends, 0);
 	node_stop(f->node, f->now_ns);
 	assert_in_range(f->calls.sends, 1, 7);
 	assert_int_equal(path_queued_count(f->node->path), 0);
 }
 
-static void test_planned_stop_has_an_end(void **state)
+static void test_planned_stop_ends_at_its_time_limit(void **state)
 {
 	struct fixture *f = *state;
 
-	listed(f);
+	apply_listing(f);
 	node_stop(f->node, f->now_ns);
 	for (uint32_t i = 0; i < 45; i++) {
-		pass(f, 100 * MS);
-		assert_int_equal(opening(f, VIP), PATH_FORWARD);
+		advance(f, 100 * MS);
+		assert_int_equal(send_syn(f, VIP), PATH_FORWARD);
 	}
 	assert_true(node_may_exit(f->node, f->now_ns));
 }
 
 /*
- * Symptom: entries spend more on heartbeats than a node may. Sequence: many
- * targets have flows; ten peers are told of each five times a second. Cause:
- * loads went with every heartbeat whatever their number.
+ * Heartbeats of an entry exceed the budget of control traffic, if the loads of
+ * many targets are sent to ten peers in every heartbeat. Return: bytes sent in
+ * a second, on average of ten.
  */
 static uint64_t heartbeat_bytes_per_s(struct fixture *f, uint32_t targets,
 				      uint32_t peers, uint32_t requests)
 {
 	uint64_t before;
 
-	listed(f);
+	apply_listing(f);
 	for (uint32_t i = 0; i < targets; i++) {
 		char key[16];
 
 		snprintf(key, sizeof(key), "t/%u", 100 + i);
-		fact(f, node_take_changed, key, 100 + i, "x");
+		put_document(f, node_take_changed, key, 100 + i, "x");
 		directory_by_id(f->node->directory, 100 + i)->feeds = 1000;
 	}
 	before = f->calls.hello_bytes;
@@ -750,7 +752,7 @@
 					&policy_usual, f->now_ns);
 		for (uint32_t i = 0; i < 50; i++) {
 			if (i % 10 == 0)
-				load(f, requests);
+				send_requests_unqueued(f, requests);
 			for (uint32_t p = 0; i % 10 == 0 && p < peers; p++) {
 				struct hello h = { .from = PEER + p * 65536,
 						   .zone = f->calls.last.zone,
@@ -758,19 +760,19 @@
 
 				node_receive_hello(f->node, &h, f->now_ns);
 			}
-			pass(f, 20 * MS);
+			advance(f, 20 * MS);
 		}
 	}
 	return (f->calls.hello_bytes - before) / 10;
 }
 
-static void test_heartbeats_stay_within_the_budget(void **state)
+static void test_heartbeats_stay_within_budget(void **state)
 {
 	assert_in_range(heartbeat_bytes_per_s(*state, 200, 20, 0), 1, 21000);
 }
 
-/* How many in a second, to one peer. */
-static uint32_t heartbeats(struct fixture *f, uint32_t requests)
+/* Return: heartbeats sent to one peer in a second. */
+static uint32_t count_heartbeats(struct fixture *f, uint32_t requests)
 {
 	uint32_t before = f->calls.hellos;
 
@@ -779,27 +781,26 @@
 				   .zone = f->calls.last.zone,
 				   .boot = 1 };
 
-		load(f, requests);
+		send_requests_unqueued(f, requests);
 		node_receive_hello(f->node, &h, f->now_ns);
-		pass(f, 200 * MS);
+		advance(f, 200 * MS);
 	}
 	return f->calls.hellos - before;
 }
 
 /*
- * Symptom: requests wait for targets that are idle by now, or meet others that
- * came at the same time. Sequence: a target has as much to do as it can, and
- * entries learn of each other's requests five times a second. Cause: what was
- * told is older than what requests take.
+ * Requests would be queued for targets that are idle by now, or meet requests
+ * of other entries: with five heartbeats a second the reported loads are older
+ * than requests take.
  */
-static void test_heartbeats_come_sooner_under_load(void **state)
+static void test_heartbeats_are_more_frequent_under_load(void **state)
 {
 	struct fixture *f = *state;
 	uint32_t calm, loaded;
 
-	listed(f);
-	calm = heartbeats(f, 0);
-	loaded = heartbeats(f, 3);
+	apply_listing(f);
+	calm = count_heartbeats(f, 0);
+	loaded = count_heartbeats(f, 3);
 	assert_in_range(calm, 5, 6);
 	assert_in_range(loaded, 12, 17);
 	assert_true(f->calls.last.has_loads);
@@ -807,119 +808,124 @@
 	assert_in_range(f->calls.last.loads[0].running_centi, 200, 300);
 }
 
-static void test_heartbeats_under_load_stay_within_the_budget(void **state)
+static void test_heartbeats_under_load_stay_within_budget(void **state)
 {
 	assert_in_range(heartbeat_bytes_per_s(*state, 18, 3, 3), 9000, 21000);
 }
 
-static void test_many_heartbeats_under_load_stay_within_it(void **state)
+static void
+test_heartbeats_of_many_targets_under_load_stay_within_budget(void **state)
 {
 	assert_in_range(heartbeat_bytes_per_s(*state, 200, 20, 3), 1, 21000);
 }
 
 /*
- * Symptom: an entry that has started knows no target for ever. Sequence: a peer
- * tells the targets before the configuration. Cause: a target of a service that
- * nothing had named was refused, and not looked at again.
+ * An entry that has just started would never know a target: a peer sends the
+ * targets before the configuration, and a target of a service that no
+ * configuration names yet is refused. It has to be applied again later.
  */
-static void test_targets_before_their_configuration(void **state)
+static void test_targets_apply_after_later_configuration(void **state)
 {
 	struct fixture *f = *state;
 
-	fact(f, node_take_changed, "t/1", 6, "x");
-	fact(f, node_take_changed, "t/2", 7, "bad");
+	put_document(f, node_take_changed, "t/1", 6, "x");
+	put_document(f, node_take_changed, "t/2", 7, "bad");
 	assert_int_equal(directory_slots(f->node->directory), 0);
-	fact(f, node_take_changed, "routes", 5, "3");
+	put_document(f, node_take_changed, "routes", 5, "3");
 	assert_int_equal(directory_slots(f->node->directory), 1);
 	assert_int_equal(f->node->counters.documents_refused, 2);
 }
 
 /*
- * Symptom: flows go to a target that nobody published. Sequence: somebody else
- * writes over its entry. Cause: what had been published before stayed in force.
+ * Flows would go to a target that is no longer published, when somebody else
+ * overwrites its entry with an invalid one.
  */
-static void test_entry_written_over_names_no_target(void **state)
+static void test_overwritten_entry_ends_its_target(void **state)
 {
 	struct fixture *f = *state;
 	struct target *t;
 
-	listed(f);
+	apply_listing(f);
 	t = directory_by_id(f->node->directory, 1);
 	assert_int_equal(t->stage, TARGET_SERVING);
-	fact(f, node_take_changed, "t/1", 20, "bad");
+	put_document(f, node_take_changed, "t/1", 20, "bad");
 	assert_int_equal(t->stage, TARGET_ABSENT);
 	assert_false(t->presumed);
-	fact(f, node_take_changed, "t/1", 21, "x");
+	put_document(f, node_take_changed, "t/1", 21, "x");
 	assert_int_equal(t->stage, TARGET_SERVING);
 }
 
-/* The platform's answer to the call under way, of an epoch. */
-static bool answered_in(struct fixture *f, uint64_t epoch, uint64_t revision,
-			const char *version)
+/* Answer the pending call to the platform with a configuration of an epoch.
+ * Return: whether the answer was applied. */
+static bool answer_in_epoch(struct fixture *f, uint64_t epoch,
+			    uint64_t revision, const char *version)
 {
 	struct answer_head head = { .revision = revision };
-	bool joined = node_answer_begin(f->node, epoch, f->now_ns);
-
-	if (joined)
-		fact(f,
-		     f->node->step == SOURCE_LIST ? node_take_listed
-						  : node_take_changed,
-		     "routes", revision, version);
-	node_answer_end(f->node, joined ? SOURCE_OK : SOURCE_BEHIND, &head,
+	bool is_applied = node_answer_begin(f->node, epoch, f->now_ns);
+
+	if (is_applied)
+		put_document(f,
+			     f->node->step == SOURCE_LIST ? node_take_listed
+							  : node_take_changed,
+			     "routes", revision, version);
+	node_answer_end(f->node, is_applied ? SOURCE_OK : SOURCE_BEHIND, &head,
 			f->now_ns);
-	return joined;
+	return is_applied;
 }
 
-static uint64_t version_of(const struct fixture *f)
+static uint64_t configuration_version(const struct fixture *f)
 {
 	return directory_table(f->node->directory)->version;
 }
 
-/* It knows version 24 at revision 26 of epoch 1, and watches. */
-static void before_restore(struct fixture *f)
+/* Apply version 24 at revision 26 of epoch 1, and start the watch. */
+static void watch_before_restore(struct fixture *f)
 {
-	pass(f, 40 * MS);
-	assert_true(answered_in(f, 1, 26, "24"));
-	pass(f, 400 * MS);
+	advance(f, 40 * MS);
+	assert_true(answer_in_epoch(f, 1, 26, "24"));
+	advance(f, 400 * MS);
 	assert_int_equal(f->calls.watches, 1);
 	assert_int_equal(f->calls.watch_after, 26);
 }
 
-/* Guards against a watch that misses what came before its revision. */
-static void test_watch_of_another_epoch_is_no_answer(void **state)
+/* Changes of the new epoch before the watched revision would be missed. */
+static void test_answer_to_watch_of_other_epoch_is_refused(void **state)
 {
 	struct fixture *f = *state;
 
-	before_restore(f);
-	assert_false(answered_in(f, 2, 30, "32"));
-	assert_int_equal(version_of(f), 24);
-	pass(f, 40 * MS);
+	watch_before_restore(f);
+	assert_false(answer_in_epoch(f, 2, 30, "32"));
+	assert_int_equal(configuration_version(f), 24);
+	advance(f, 40 * MS);
 	assert_int_equal(f->calls.lists, 2);
 	assert_true(f->calls.list_exact);
-	assert_true(answered_in(f, 2, 30, "32"));
-	assert_int_equal(version_of(f), 32);
-	pass(f, 400 * MS);
+	assert_true(answer_in_epoch(f, 2, 30, "32"));
+	assert_int_equal(configuration_version(f), 32);
+	advance(f, 400 * MS);
 	assert_int_equal(f->calls.watch_after, 30);
 }
 
-/* Guards against a configuration that is late: its revision was used before. */
-static void test_lower_revision_of_a_later_epoch_is_in_force(void **state)
+/*
+ * A configuration would be late, since its revision was used before in the
+ * earlier epoch.
+ */
+static void test_lower_revision_of_later_epoch_is_applied(void **state)
 {
 	struct fixture *f = *state;
 
-	before_restore(f);
-	answered_in(f, 2, 23, "14");
-	pass(f, 40 * MS);
-	assert_true(answered_in(f, 2, 23, "14"));
-	assert_int_equal(version_of(f), 24);
-	pass(f, 400 * MS);
+	watch_before_restore(f);
+	answer_in_epoch(f, 2, 23, "14");
+	advance(f, 40 * MS);
+	assert_true(answer_in_epoch(f, 2, 23, "14"));
+	assert_int_equal(configuration_version(f), 24);
+	advance(f, 400 * MS);
 	assert_int_equal(f->calls.watch_after, 23);
-	assert_true(answered_in(f, 2, 26, "28"));
-	assert_int_equal(version_of(f), 28);
+	assert_true(answer_in_epoch(f, 2, 26, "28"));
+	assert_int_equal(configuration_version(f), 28);
 }
 
-/* Guards against answers that were under way while a peer told of the epoch. */
-static void test_watch_asked_before_a_peer_told_of_the_epoch(void **state)
+/* The watch was pending when a peer advertised the new epoch. */
+static void test_watch_started_before_new_epoch_is_refused(void **state)
 {
 	struct fixture *f = *state;
 	struct hello h = { .from = PEER, .newest = { 2, 23 }, .boot = 1 };
@@ -927,80 +933,88 @@
 				   .newest = { 2, 23 },
 				   .whole = true };
 
-	before_restore(f);
+	watch_before_restore(f);
 	node_receive_hello(f->node, &h, f->now_ns);
 	assert_int_equal(f->calls.fetches, 1);
 	assert_true(node_fetch_begin(f->node, &head, f->now_ns));
 	node_fetch_end(f->node, &head, f->now_ns);
-	/* It asked after 26, and would miss 24 to 26. */
-	assert_false(answered_in(f, 2, 30, "32"));
+	/* The watch is after 26, and would miss revisions 24 to 26. */
+	assert_false(answer_in_epoch(f, 2, 30, "32"));
 }
 
-/* Guards against a listing of two halves that were never there together. */
-static void test_pages_of_two_epochs_make_no_listing(void **state)
+/* Its two halves would be of states that never existed together. */
+static void test_pages_of_two_epochs_form_no_listing(void **state)
 {
 	struct fixture *f = *state;
 	struct answer_head more = { .revision = 26, .more = true };
 
 	strcpy(more.last_key, "t/1");
-	pass(f, 40 * MS);
+	advance(f, 40 * MS);
 	assert_true(node_answer_begin(f->node, 1, f->now_ns));
-	fact(f, node_take_listed, "routes", 5, "3");
+	put_document(f, node_take_listed, "routes", 5, "3");
 	node_answer_end(f->node, SOURCE_OK, &more, f->now_ns);
-	assert_false(answered_in(f, 2, 23, "14"));
+	assert_false(answer_in_epoch(f, 2, 23, "14"));
 	assert_false(f->node->ready);
-	pass(f, 40 * MS);
-	assert_true(answered_in(f, 2, 23, "14"));
+	advance(f, 40 * MS);
+	assert_true(answer_in_epoch(f, 2, 23, "14"));
 	assert_true(f->node->ready);
 }
 
-/* Guards against a replica that lags, and a peer that has not heard of it. */
-static void test_earlier_epoch_takes_nothing_back(void **state)
+/*
+ * A replica of the platform that lags, or a peer that has not learned of the
+ * new epoch, would restore older documents.
+ */
+static void test_answers_of_earlier_epoch_are_refused(void **state)
 {
 	struct fixture *f = *state;
 	struct relay_head head = { .through = { 1, 90 },
 				   .newest = { 1, 90 },
 				   .whole = true };
 
-	pass(f, 40 * MS);
-	assert_true(answered_in(f, 2, 23, "28"));
-	pass(f, 400 * MS);
-	assert_false(answered_in(f, 1, 80, "30"));
-	pass(f, 40 * MS);
+	advance(f, 40 * MS);
+	assert_true(answer_in_epoch(f, 2, 23, "28"));
+	advance(f, 400 * MS);
+	assert_false(answer_in_epoch(f, 1, 80, "30"));
+	advance(f, 40 * MS);
 	assert_int_equal(f->calls.lists, 2);
-	assert_false(answered_in(f, 1, 80, "30"));
+	assert_false(answer_in_epoch(f, 1, 80, "30"));
 	assert_false(node_fetch_begin(f->node, &head, f->now_ns));
 	head.whole = false;
 	assert_false(node_fetch_begin(f->node, &head, f->now_ns));
-	assert_int_equal(version_of(f), 28);
+	assert_int_equal(configuration_version(f), 28);
 }
 
-/* Guards against targets taken for gone: in a copy their entries are as old as it
- * is, and run out before they are renewed. */
-static void test_entries_that_lapse_in_a_restored_store(void **state)
+/*
+ * Targets would count as gone: in a restored copy their entries are as old as
+ * the copy, and lapse before they are renewed.
+ */
+static void test_lapsed_entries_of_restored_store_keep_targets(void **state)
 {
 	struct fixture *f = *state;
 	struct answer_head head = { .revision = 12 };
 
-	listed(f);
-	pass(f, 400 * MS);
+	apply_listing(f);
+	advance(f, 400 * MS);
 	assert_int_equal(f->calls.watches, 1);
-	/* Nobody has seen the store away. */
+	/* No call to the store has failed before. */
 	assert_false(node_answer_begin(f->node, 1, f->now_ns));
 	node_answer_end(f->node, SOURCE_BEHIND, &head, f->now_ns);
-	pass(f, 20 * MS);
+	advance(f, 20 * MS);
 	assert_true(node_answer_begin(f->node, 1, f->now_ns));
-	fact(f, node_take_listed, "routes", 5, "3");
-	fact(f, node_take_listed, "t/1", 6, "x");
+	put_document(f, node_take_listed, "routes", 5, "3");
+	put_document(f, node_take_listed, "t/1", 6, "x");
 	node_answer_end(f->node, SOURCE_OK, &head, f->now_ns);
-	fact(f, node_take_changed, "t/1", 13, NULL);
+	put_document(f, node_take_changed, "t/1", 13, NULL);
 	assert_int_equal(directory_by_id(f->node->directory, 1)->stage,
 			 TARGET_ABSENT);
 	assert_true(directory_by_id(f->node->directory, 1)->presumed);
 }
 
-/* Guards against a newcomer that serves what only the older copy says. */
-static void test_not_ready_before_it_has_what_peers_carry(void **state)
+/*
+ * An entry that has just started would serve what only the restored older copy
+ * contains.
+ */
+static void test_not_ready_without_documents_retained_by_peers(void **state)
 {
 	struct fixture *f = *state;
 	struct hello h = {
@@ -1011,21 +1025,21 @@
 				   .whole = false };
 	struct document kept = doc("routes", 26, "24");
 
-	pass(f, 40 * MS);
-	/* Its first heartbeat comes while the listing is on its way. */
+	advance(f, 40 * MS);
+	/* The peer's first heartbeat comes while the listing is pending. */
 	node_receive_hello(f->node, &h, f->now_ns);
 	node_fetch_end(f->node, NULL, f->now_ns);
-	assert_true(answered_in(f, 2, 23, "14"));
+	assert_true(answer_in_epoch(f, 2, 23, "14"));
 	assert_false(f->node->ready);
 	assert_true(node_fetch_begin(f->node, &head, f->now_ns));
 	kept.epoch = 1;
 	node_take_relayed(f->node, &kept);
 	node_fetch_end(f->node, &head, f->now_ns);
 	assert_true(f->node->ready);
-	assert_int_equal(version_of(f), 24);
+	assert_int_equal(configuration_version(f), 24);
 }
 
-static void test_pause_drops_what_waited(void **state)
+static void test_long_pause_drops_unread_packets(void **state)
 {
 	struct fixture *f = *state;
 
@@ -1041,36 +1055,36 @@
 {
 #define TEST(name) cmocka_unit_test_setup_teardown(name, setup, teardown)
 	const struct CMUnitTest tests[] = {
-		TEST(test_ready_once_it_knows),
-		TEST(test_not_ready_before_it_knows_what_peers_do),
-		TEST(test_no_whole_state_of_a_peer_while_listing),
-		TEST(test_whole_state_of_a_peer_ends_the_first_listing),
-		TEST(test_ready_though_a_peer_went_on),
-		TEST(test_an_answer_asks_for_none),
-		TEST(test_not_ready_with_pages_that_are_old),
-		TEST(test_old_page_ends_and_hides_no_evacuation),
-		TEST(test_evacuation_that_is_over_stays_over),
-		TEST(test_ready_with_pages_that_are_not_old),
-		TEST(test_listing_ends_when_a_peer_brings_all),
-		TEST(test_bad_document_leaves_the_old_one),
-		TEST(test_news_are_told_at_once),
-		TEST(test_planned_stop_forwards_until_the_router_moved),
-		TEST(test_planned_stop_sends_what_waits),
-		TEST(test_planned_stop_has_an_end),
-		TEST(test_heartbeats_stay_within_the_budget),
-		TEST(test_heartbeats_come_sooner_under_load),
-		TEST(test_heartbeats_under_load_stay_within_the_budget),
-		TEST(test_many_heartbeats_under_load_stay_within_it),
-		TEST(test_targets_before_their_configuration),
-		TEST(test_entry_written_over_names_no_target),
-		TEST(test_entries_that_lapse_in_a_restored_store),
-		TEST(test_watch_of_another_epoch_is_no_answer),
-		TEST(test_lower_revision_of_a_later_epoch_is_in_force),
-		TEST(test_watch_asked_before_a_peer_told_of_the_epoch),
-		TEST(test_pages_of_two_epochs_make_no_listing),
-		TEST(test_earlier_epoch_takes_nothing_back),
-		TEST(test_not_ready_before_it_has_what_peers_carry),
-		TEST(test_pause_drops_what_waited),
+		TEST(test_ready_after_first_listing),
+		TEST(test_not_ready_while_behind_a_peer),
+		TEST(test_state_of_peer_is_refused_while_listing),
+		TEST(test_state_of_peer_replaces_first_listing),
+		TEST(test_ready_with_state_of_one_peer),
+		TEST(test_reply_to_heartbeat_requests_no_reply),
+		TEST(test_not_ready_with_old_pages),
+		TEST(test_old_page_neither_ends_nor_starts_an_evacuation),
+		TEST(test_late_write_does_not_restart_an_evacuation),
+		TEST(test_ready_with_pages_as_new_as_the_first),
+		TEST(test_listing_is_cancelled_when_peer_sends_all),
+		TEST(test_invalid_configuration_keeps_previous_one),
+		TEST(test_changes_are_advertised_at_once),
+		TEST(test_planned_stop_forwards_until_router_stops_sending),
+		TEST(test_planned_stop_releases_queue),
+		TEST(test_planned_stop_ends_at_its_time_limit),
+		TEST(test_heartbeats_stay_within_budget),
+		TEST(test_heartbeats_are_more_frequent_under_load),
+		TEST(test_heartbeats_under_load_stay_within_budget),
+		TEST(test_heartbeats_of_many_targets_under_load_stay_within_budget),
+		TEST(test_targets_apply_after_later_configuration),
+		TEST(test_overwritten_entry_ends_its_target),
+		TEST(test_lapsed_entries_of_restored_store_keep_targets),
+		TEST(test_answer_to_watch_of_other_epoch_is_refused),
+		TEST(test_lower_revision_of_later_epoch_is_applied),
+		TEST(test_watch_started_before_new_epoch_is_refused),
+		TEST(test_pages_of_two_epochs_form_no_listing),
+		TEST(test_answers_of_earlier_epoch_are_refused),
+		TEST(test_not_ready_without_documents_retained_by_peers),
+		TEST(test_long_pause_drops_unread_packets),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/packet_outlier_test.c
+++ b/test/packet_outlier_test.c
@@ -39,7 +39,7 @@
 		b->now_ns += 10 * MS;
 		bed_data(b, CALLER + i, REPORT_VIP, v.target->cookie, 3,
 			 1 + (here ? error_bytes : ANSWER_BYTES), 0);
-		bed_pass(b, 20 * MS);
+		bed_advance(b, 20 * MS);
 	}
 	return got;
 }
@@ -79,9 +79,9 @@
 	for (uint32_t i = 0; i < 8; i++)
 		bed_data(&b, CALLER + i, REPORT_VIP, target_cookie(1), 2, 1,
 			 900);
-	bed_pass(&b, 500 * MS);
+	bed_advance(&b, 500 * MS);
 	assert_int_equal(b.n_probes, 1);
-	bed_answer(&b, 1, PROBE_OPEN);
+	bed_end_probes(&b, 1, PROBE_OPEN);
 	assert_int_equal(directory_by_id(b.directory, 1)->health, HEALTH_GOOD);
 	assert_int_equal(b.n_ejected, 1);
 	assert_int_equal(b.ejected[0], 1);
@@ -99,7 +99,7 @@
 		for (uint32_t i = 1; i <= TARGETS; i++)
 			outlier_failed(directory_by_id(b.directory, i),
 				       &policy_usual, b.now_ns);
-		bed_pass(&b, 100 * MS);
+		bed_advance(&b, 100 * MS);
 	}
 	assert_int_equal(b.n_ejected, 0);
 	bed_close(&b);
@@ -119,10 +119,10 @@
 	for (uint32_t i = 1; i <= TARGETS; i++)
 		directory_by_id(b.directory, i)->peers_failures = 1.2f;
 	directory_by_id(b.directory, 2)->peers_failures = 6;
-	bed_pass(&b, 200 * MS);
+	bed_advance(&b, 200 * MS);
 	assert_int_equal(b.n_ejected, 0);
 	directory_by_id(b.directory, 2)->peers_failures = 10;
-	bed_pass(&b, 200 * MS);
+	bed_advance(&b, 200 * MS);
 	assert_int_equal(b.n_ejected, 1);
 	bed_close(&b);
 }
@@ -146,7 +146,7 @@
 	open_bed(&b);
 	for (uint64_t id = 1; id <= 4; id++) {
 		fail_much(&b, id);
-		bed_pass(&b, 200 * MS);
+		bed_advance(&b, 200 * MS);
 	}
 	assert_int_equal(b.n_ejected, TARGETS / 3);
 	bed_close(&b);
@@ -184,7 +184,7 @@
 	open_bed(&b);
 	t = directory_by_id(b.directory, 1);
 	fail_much(&b, 1);
-	bed_pass(&b, 200 * MS);
+	bed_advance(&b, 200 * MS);
 	assert_int_equal(b.n_ejected, 1);
 	b.now_ns = t->ejected_until_ns + MS;
 	assert_true(outlier_on_trial(t, &policy_usual, b.now_ns));
@@ -207,13 +207,13 @@
 	open_bed(&b);
 	t = directory_by_id(b.directory, 1);
 	fail_much(&b, 1);
-	bed_pass(&b, 200 * MS);
+	bed_advance(&b, 200 * MS);
 	first_ns = t->ejected_until_ns - b.now_ns;
 	b.now_ns = t->ejected_until_ns + MS;
 	outlier_failed(t, &policy_usual, b.now_ns);
 	outlier_failed(t, &policy_usual, b.now_ns);
 	outlier_failed(t, &policy_usual, b.now_ns);
-	bed_pass(&b, 100 * MS);
+	bed_advance(&b, 100 * MS);
 	assert_int_equal(b.n_ejected, 2);
 	second_ns = t->ejected_until_ns - b.now_ns;
 	assert_in_range(second_ns, first_ns + NS_PER_S, 3 * first_ns);
@@ -228,7 +228,7 @@
 	(void)state;
 	open_bed(&b);
 	directory_by_id(b.directory, 3)->peers_failures = 6;
-	bed_pass(&b, 200 * MS);
+	bed_advance(&b, 200 * MS);
 	assert_int_equal(b.n_ejected, 1);
 	assert_int_equal(b.ejected[0], 3);
 	bed_close(&b);
--- a/test/packet_path_test.c
+++ b/test/packet_path_test.c
@@ -1,4 +1,4 @@
-/* What becomes of each packet: cookie, route, dead targets, copies of a SYN. */
+/* Decisions on packets: cookies, routes, failed targets, repeated SYNs. */
 #include "packet_bed.h"
 
 #include <setjmp.h>
@@ -9,7 +9,11 @@
 
 #define CALLER ADDR(0x64400001, 1000)
 
-static void test_cookie_leads_to_its_target_at_any_entry(void **state)
+/*
+ * Open flows would break at another entry if cookies depended on the order in
+ * which entries learn of targets.
+ */
+static void test_cookie_selects_same_target_at_all_entries(void **state)
 {
 	struct bed a, b;
 	struct path_verdict v;
@@ -19,7 +23,7 @@
 	bed_open(&b);
 	bed_target(&a, 1, SERVICE, ZONE);
 	bed_target(&a, 2, SERVICE, ZONE);
-	/* Learned in another order. */
+	/* The other entry learns of the targets in another order. */
 	bed_target(&b, 2, SERVICE, ZONE);
 	bed_target(&b, 1, SERVICE, ZONE);
 	for (uint32_t i = 0; i < 16; i++) {
@@ -35,9 +39,8 @@
 }
 
 /*
- * Symptom: a client gets a connection to a service that it did not ask for.
- * Sequence: a client writes a cookie that belongs to a target of another
- * service into its packets. Cause: the cookie alone decided.
+ * A client must not reach a service that its route does not have by forging the
+ * cookie of one of that service's targets.
  */
 static void test_cookie_of_another_service_is_dropped(void **state)
 {
@@ -56,7 +59,8 @@
 	bed_close(&b);
 }
 
-static void test_unknown_cookie_is_never_reset(void **state)
+/* The flow may be alive at a target that this entry has not learned of yet. */
+static void test_unknown_cookie_is_dropped_without_reset(void **state)
 {
 	struct bed b;
 	struct path_verdict v;
@@ -71,11 +75,10 @@
 }
 
 /*
- * Symptom: feeds break when a route gets another service. Sequence: the route
- * changes while a feed is open. Cause: the route instead of the cookie decided
- * where the feed's packets go.
+ * Feeds would break when their route gets another service, if the route instead
+ * of the cookie selected the target of their packets.
  */
-static void test_changed_route_leaves_open_flows(void **state)
+static void test_changed_route_keeps_open_flows(void **state)
 {
 	struct bed b;
 	struct route_table *next;
@@ -99,7 +102,7 @@
 	bed_close(&b);
 }
 
-static void test_dropped_route_resets_its_flows(void **state)
+static void test_removed_route_resets_its_flows(void **state)
 {
 	struct bed b;
 	struct route_table *next;
@@ -119,7 +122,7 @@
 	bed_close(&b);
 }
 
-static void test_configuration_never_goes_back(void **state)
+static void test_older_configuration_is_rejected(void **state)
 {
 	struct bed b;
 
@@ -135,11 +138,10 @@
 }
 
 /*
- * Symptom: new flows meet a dead target for as long as their deadline.
- * Sequence: a target dies; a SYN to it stays unanswered. Cause: nothing but the
- * client's copy after 200 ms told of it.
+ * New flows would fail until their deadline when a target dies, if only the
+ * client's repeated SYN after 200 ms showed that the target does not answer.
  */
-static void test_unanswered_syn_goes_elsewhere(void **state)
+static void test_unanswered_syn_is_sent_to_another_target(void **state)
 {
 	struct bed b;
 	uint64_t first;
@@ -149,18 +151,18 @@
 	bed_target(&b, 1, SERVICE, ZONE);
 	bed_target(&b, 2, SERVICE, ZONE);
 	first = bed_syn(&b, CALLER, VIP, 0).target->news.id;
-	bed_pass(&b, 60 * MS);
-	assert_int_equal(b.n_again, 1);
-	assert_int_not_equal(b.again[0], first);
-	assert_int_equal(bed_open_probes(&b), 1);
-	/* New flows avoid it while the probe is out. */
+	bed_advance(&b, 60 * MS);
+	assert_int_equal(b.n_resent, 1);
+	assert_int_not_equal(b.resent_to[0], first);
+	assert_int_equal(bed_pending_probes(&b), 1);
+	/* New flows avoid the target while the probe is pending. */
 	for (uint32_t i = 1; i < 8; i++)
 		assert_int_not_equal(
 			bed_syn(&b, CALLER + i, VIP, 0).target->news.id, first);
 	bed_close(&b);
 }
 
-static void test_times_are_counted_by_class(void **state)
+static void test_latencies_are_recorded_by_route_kind(void **state)
 {
 	struct bed b;
 	struct path_verdict v;
@@ -183,7 +185,7 @@
 	bed_close(&b);
 }
 
-static void test_copy_of_a_syn_goes_elsewhere(void **state)
+static void test_repeated_syn_is_sent_to_another_target(void **state)
 {
 	struct bed b;
 	uint64_t first;
@@ -200,11 +202,11 @@
 }
 
 /*
- * Symptom: clients of a dead target wait out their deadlines. Sequence: a
- * target's process ends with flows open; a request on one stays unanswered.
- * Cause: nobody told the clients.
+ * Clients of a dead target would wait until their deadlines. Its process ends
+ * with open flows, a request on one of them stays unanswered, and the probe is
+ * refused.
  */
-static void test_refused_probe_ends_the_flows(void **state)
+static void test_refused_probe_resets_flows_of_target(void **state)
 {
 	struct bed b;
 	struct path_verdict v;
@@ -218,9 +220,9 @@
 	bed_open_flow(&b, CALLER + 1, VIP);
 	b.now_ns += 100 * MS;
 	bed_data(&b, CALLER, VIP, cookie, 2, 2, 100);
-	bed_pass(&b, 500 * MS);
-	assert_int_equal(bed_open_probes(&b), 1);
-	bed_answer(&b, 1, PROBE_REFUSED);
+	bed_advance(&b, 500 * MS);
+	assert_int_equal(bed_pending_probes(&b), 1);
+	bed_end_probes(&b, 1, PROBE_REFUSED);
 	assert_int_equal(b.n_resets, 2);
 	assert_int_equal(b.n_dead, 1);
 	v = bed_data(&b, CALLER + 1, VIP, cookie, 2, 2, 100);
@@ -231,11 +233,11 @@
 }
 
 /*
- * Symptom: an open flow is reset while its target still serves it. Sequence: the
- * target leaves; an entry doubts it and tries to connect; the target, about to
- * end, listens no more, and refuses. Cause: a refusal was taken for its end.
+ * An open flow would be reset while its target still serves it: a leaving
+ * target that is about to end no longer listens and refuses the probe, but its
+ * process has not ended.
  */
-static void test_leaving_target_refuses_before_it_ends(void **state)
+static void test_one_refusal_of_leaving_target_keeps_flows(void **state)
 {
 	struct bed b;
 	struct target_news news;
@@ -252,25 +254,24 @@
 	bed_publish(&b, &news);
 	b.now_ns += 100 * MS;
 	bed_data(&b, CALLER, VIP, cookie, 2, 2, 100);
-	bed_pass(&b, 500 * MS);
-	assert_int_equal(bed_open_probes(&b), 1);
-	bed_answer(&b, 1, PROBE_REFUSED);
+	bed_advance(&b, 500 * MS);
+	assert_int_equal(bed_pending_probes(&b), 1);
+	bed_end_probes(&b, 1, PROBE_REFUSED);
 	assert_int_equal(b.n_resets, 0);
 	assert_int_equal(b.n_dead, 0);
 	v = bed_data(&b, CALLER, VIP, cookie, 2, 2, 100);
 	assert_int_equal(v.action, PATH_FORWARD);
-	/* Refused again after half a second it has ended. */
-	bed_pass(&b, 500 * MS);
+	/* A second refusal after half a second shows that it has ended. */
+	bed_advance(&b, 500 * MS);
 	bed_data(&b, CALLER, VIP, cookie, 2, 2, 100);
-	assert_int_equal(bed_open_probes(&b), 1);
-	bed_answer(&b, 1, PROBE_REFUSED);
+	assert_int_equal(bed_pending_probes(&b), 1);
+	bed_end_probes(&b, 1, PROBE_REFUSED);
 	assert_int_equal(b.n_resets, 1);
 	assert_int_equal(b.n_dead, 1);
 	bed_close(&b);
 }
 
-/* What one entry found ends the flows at the others too. */
-static void test_told_dead_ends_the_flows(void **state)
+static void test_dead_target_reported_by_peer_resets_flows(void **state)
 {
 	struct bed b;
 
@@ -287,11 +288,11 @@
 }
 
 /*
- * Symptom: live flows are reset. Sequence: this VM's link is full for 200 ms;
- * two probes of a live target go unanswered. Cause: silence was laid to the
- * target; nothing else was asked for comparison.
+ * Flows of live targets would be reset when this VM's link is full for 200 ms
+ * and two probes of a target go unanswered, if no other target were probed for
+ * comparison.
  */
-static void test_full_link_here_condemns_nobody(void **state)
+static void test_full_link_of_this_vm_resets_no_flows(void **state)
 {
 	struct bed b;
 	struct path_verdict v;
@@ -303,18 +304,18 @@
 	v = bed_open_flow(&b, CALLER, VIP);
 	b.now_ns += 100 * MS;
 	bed_data(&b, CALLER, VIP, v.target->cookie, 2, 2, 100);
-	bed_pass(&b, 500 * MS);
+	bed_advance(&b, 500 * MS);
 	for (uint32_t i = 0; i < 4; i++) {
 		b.now_ns += 60 * MS;
-		bed_answer(&b, 1, PROBE_SILENT);
-		bed_answer(&b, 2, PROBE_SILENT);
+		bed_end_probes(&b, 1, PROBE_SILENT);
+		bed_end_probes(&b, 2, PROBE_SILENT);
 	}
 	assert_int_equal(b.n_resets, 0);
 	assert_int_not_equal(v.target->health, HEALTH_SILENT);
 	bed_close(&b);
 }
 
-static void test_silence_beside_a_witness_ends_the_flows(void **state)
+static void test_silent_target_resets_flows_when_witness_answers(void **state)
 {
 	struct bed b;
 	struct path_verdict v;
@@ -328,28 +329,27 @@
 	witness = 3 - v.target->news.id;
 	b.now_ns += 100 * MS;
 	bed_data(&b, CALLER, VIP, v.target->cookie, 2, 2, 100);
-	bed_pass(&b, 500 * MS);
+	bed_advance(&b, 500 * MS);
 	b.now_ns += 60 * MS;
-	bed_answer(&b, v.target->news.id, PROBE_SILENT);
-	bed_answer(&b, witness, PROBE_OPEN);
+	bed_end_probes(&b, v.target->news.id, PROBE_SILENT);
+	bed_end_probes(&b, witness, PROBE_OPEN);
 	b.now_ns += 60 * MS;
-	bed_answer(&b, v.target->news.id, PROBE_SILENT);
+	bed_end_probes(&b, v.target->news.id, PROBE_SILENT);
 	assert_int_equal(v.target->health, HEALTH_SILENT);
 	assert_int_equal(b.n_resets, 1);
-	/* It was only paused. */
-	bed_pass(&b, 600 * MS);
-	bed_answer(&b, v.target->news.id, PROBE_OPEN);
+	/* The target was only paused. */
+	bed_advance(&b, 600 * MS);
+	bed_end_probes(&b, v.target->news.id, PROBE_OPEN);
 	assert_int_equal(v.target->health, HEALTH_GOOD);
 	bed_close(&b);
 }
 
 /*
- * Symptom: an open flow is reset while its target serves. Sequence: the link
- * keeps packets for 60 ms; connection attempts to a target nearby are answered
- * just before the time limit, those to one farther away just after it. Cause: an
- * attempt's answer no longer counted then.
+ * An open flow would be reset while its target serves: the link delays packets
+ * by 60 ms, so that probes of a near target are answered just before the time
+ * limit and those of a distant one just after it. Late answers have to count.
  */
-static void test_late_answer_is_a_sign_of_life(void **state)
+static void test_late_probe_answer_shows_target_alive(void **state)
 {
 	struct bed b;
 	struct path_verdict v;
@@ -364,13 +364,13 @@
 	witness = 3 - target;
 	b.now_ns += 100 * MS;
 	bed_data(&b, CALLER, VIP, v.target->cookie, 2, 2, 100);
-	bed_pass(&b, 500 * MS);
+	bed_advance(&b, 500 * MS);
 	for (uint32_t i = 0; i < 4; i++) {
 		b.now_ns += 60 * MS;
-		bed_answer(&b, target, PROBE_SILENT);
+		bed_end_probes(&b, target, PROBE_SILENT);
 		b.now_ns += 2 * MS;
-		bed_answer_late(&b, target, PROBE_OPEN);
-		bed_answer(&b, witness, PROBE_OPEN);
+		bed_end_first_probe_late(&b, target, PROBE_OPEN);
+		bed_end_probes(&b, witness, PROBE_OPEN);
 	}
 	assert_int_not_equal(v.target->health, HEALTH_SILENT);
 	assert_int_equal(b.n_resets, 0);
@@ -378,12 +378,11 @@
 }
 
 /*
- * Symptom: half of all targets look silent at once, and their flows are reset.
- * Sequence: the link is full; an attempt at the witness from before is answered
- * late, while all that went out since is on its way. Cause: that answer counted
- * as one to the attempt that was made last.
+ * Half of all targets would look silent at once and their flows be reset: on a
+ * full link a probe of the witness is answered late, while all later probes are
+ * still on their way. Its answer counts for the time when that probe was sent.
  */
-static void test_late_answer_is_no_witness_for_what_came_after(void **state)
+static void test_late_witness_answer_does_not_cover_later_probes(void **state)
 {
 	struct bed b;
 	struct path_verdict v;
@@ -398,14 +397,14 @@
 	witness = 3 - target;
 	b.now_ns += 100 * MS;
 	bed_data(&b, CALLER, VIP, v.target->cookie, 2, 2, 100);
-	bed_pass(&b, 500 * MS);
+	bed_advance(&b, 500 * MS);
 	b.now_ns += 60 * MS;
-	bed_answer(&b, target, PROBE_SILENT);
+	bed_end_probes(&b, target, PROBE_SILENT);
 	for (uint32_t i = 0; i < 3; i++) {
 		b.now_ns += 60 * MS;
-		bed_answer(&b, witness, PROBE_SILENT);
-		bed_answer_late(&b, witness, PROBE_OPEN);
-		bed_answer(&b, target, PROBE_SILENT);
+		bed_end_probes(&b, witness, PROBE_SILENT);
+		bed_end_first_probe_late(&b, witness, PROBE_OPEN);
+		bed_end_probes(&b, target, PROBE_SILENT);
 	}
 	assert_int_not_equal(v.target->health, HEALTH_SILENT);
 	assert_int_equal(b.n_resets, 0);
@@ -413,12 +412,11 @@
 }
 
 /*
- * Symptom: flows of most targets are reset at once. Sequence: the link is full
- * for half a second; all targets are doubted within it, so that none is left to
- * compare with. Cause: a target without any other to compare with is condemned
- * after a few more attempts.
+ * Flows of most targets would be reset when the link is full for half a second:
+ * all targets are suspected in that time, so that no target is left to compare
+ * with, and one without a witness counts as silent after a few more probes.
  */
-static void test_all_doubted_at_once_condemns_nobody(void **state)
+static void test_all_targets_suspected_at_once_resets_no_flows(void **state)
 {
 	struct bed b;
 	struct path_verdict v[2];
@@ -433,20 +431,20 @@
 	b.now_ns += 100 * MS;
 	for (uint32_t i = 0; i < 2; i++)
 		bed_data(&b, CALLER + i, VIP, v[i].target->cookie, 2, 2, 100);
-	bed_pass(&b, 500 * MS);
+	bed_advance(&b, 500 * MS);
 	assert_int_equal(v[0].target->health, HEALTH_DOUBTED);
 	assert_int_equal(v[1].target->health, HEALTH_DOUBTED);
 	for (uint32_t i = 0; i < 8; i++) {
 		b.now_ns += 60 * MS;
-		bed_answer(&b, 1, PROBE_SILENT);
-		bed_answer(&b, 2, PROBE_SILENT);
+		bed_end_probes(&b, 1, PROBE_SILENT);
+		bed_end_probes(&b, 2, PROBE_SILENT);
 	}
 	assert_int_equal(b.n_resets, 0);
 	bed_close(&b);
 }
 
-/* A sign of life after an attempt went out ends what that attempt says. */
-static void test_silence_before_a_sign_of_life_is_void(void **state)
+/* A sign of life that comes after a probe was sent overrides its silence. */
+static void test_probe_silence_is_void_after_sign_of_life(void **state)
 {
 	struct bed b;
 	struct path_verdict v;
@@ -460,25 +458,24 @@
 	target = v.target->news.id;
 	b.now_ns += 100 * MS;
 	bed_data(&b, CALLER, VIP, v.target->cookie, 2, 2, 100);
-	bed_pass(&b, 500 * MS);
+	bed_advance(&b, 500 * MS);
 	bed_data(&b, CALLER, VIP, v.target->cookie, 102, 50, 0);
 	b.now_ns += 10 * MS;
-	bed_answer(&b, target, PROBE_SILENT);
+	bed_end_probes(&b, target, PROBE_SILENT);
 	assert_int_equal(v.target->misses, 0);
 	assert_int_equal(v.target->health, HEALTH_GOOD);
 	bed_close(&b);
 }
 
 /*
- * Symptom: each opening packet goes to two targets. Sequence: a document fills
- * the link, and handshakes take longer than the time after which they are begun
- * elsewhere. Cause: that time was the same on any link.
+ * Each SYN would go to two targets while a document fills the link and
+ * handshakes take longer than a fixed time limit.
  */
-static void test_slow_handshakes_are_waited_for(void **state)
+static void test_handshake_timeout_follows_slow_handshakes(void **state)
 {
 	struct bed b;
 	uint64_t caller = CALLER;
-	uint32_t again;
+	uint32_t resent;
 
 	(void)state;
 	bed_open(&b);
@@ -487,23 +484,23 @@
 	for (uint32_t i = 0; i < 40; i++, caller++) {
 		struct path_verdict v = bed_syn(&b, caller, VIP, 0);
 
-		bed_pass(&b, 60 * MS);
+		bed_advance(&b, 60 * MS);
 		bed_data(&b, caller, VIP, v.target->cookie, 1, 1, 0);
 	}
-	again = b.n_again;
-	assert_int_not_equal(again, 0);
+	resent = b.n_resent;
+	assert_int_not_equal(resent, 0);
 	bed_syn(&b, caller, VIP, 0);
-	bed_pass(&b, 80 * MS);
-	assert_int_equal(b.n_again, again);
+	bed_advance(&b, 80 * MS);
+	assert_int_equal(b.n_resent, resent);
 	bed_close(&b);
 }
 
 /*
- * Symptom: targets are doubted and connected to many times a second on a calm
- * day, and get no new flows meanwhile. Sequence: packets of an upload overtake
- * each other. Cause: one older than the newest counted as a repeat.
+ * Targets would be suspected many times a second without any fault, and get no
+ * new flows meanwhile, if a packet of an upload that another one overtook
+ * counted as a repeat.
  */
-static void test_packets_that_were_overtaken_doubt_nobody(void **state)
+static void test_reordered_packets_suspect_no_target(void **state)
 {
 	struct bed b;
 	struct path_verdict v;
@@ -521,7 +518,7 @@
 	bed_data(&b, CALLER, REPORT_VIP, cookie, 2, 1, 1200);
 	assert_int_equal(b.n_probes, 0);
 	assert_int_equal(v.target->health, HEALTH_GOOD);
-	/* The client's own repeat does. */
+	/* A repeat that the client sends after a pause does suspect it. */
 	b.now_ns += 200 * MS;
 	bed_data(&b, CALLER, REPORT_VIP, cookie, 2, 1, 1200);
 	assert_int_equal(b.n_probes, 1);
@@ -529,11 +526,10 @@
 }
 
 /*
- * Symptom: after a pause of this VM, healthy targets are out of use. Sequence:
- * the process does not run for seconds; all that was due is overdue. Cause:
- * the answers lay unread in the socket.
+ * Healthy targets would be out of use after this process did not run for
+ * seconds: all answers are overdue, since they are unread in the socket.
  */
-static void test_own_pause_doubts_nobody(void **state)
+static void test_stall_of_this_process_suspects_no_target(void **state)
 {
 	struct bed b;
 	struct path_verdict v;
@@ -546,13 +542,13 @@
 	bed_data(&b, CALLER, VIP, v.target->cookie, 2, 2, 100);
 	b.now_ns += 500 * MS;
 	path_process_stalled(b.path, b.now_ns);
-	bed_pass(&b, 40 * MS);
+	bed_advance(&b, 40 * MS);
 	assert_int_equal(b.n_probes, 0);
 	assert_int_equal(v.target->health, HEALTH_GOOD);
 	bed_close(&b);
 }
 
-static void test_leaving_target_keeps_flows_and_gets_none(void **state)
+static void test_leaving_target_keeps_flows_and_gets_no_new_ones(void **state)
 {
 	struct bed b;
 	struct target *t;
@@ -577,18 +573,18 @@
 }
 
 /*
- * Symptom: a service has no targets for seconds though all live. Sequence: the
- * platform is away; the targets' entries run out; it comes back without them.
- * Cause: entries that lapsed were taken for targets that left.
+ * A service would have no targets for seconds though all live: the entries of
+ * its targets lapse while the platform does not answer, and are missing when it
+ * answers again. They must not count as deleted.
  */
-static void test_lapsed_entries_are_presumed_to_live(void **state)
+static void test_targets_with_lapsed_entries_get_flows(void **state)
 {
 	struct bed b;
 
 	(void)state;
 	bed_open(&b);
 	bed_target(&b, 1, SERVICE, ZONE);
-	bed_absent(&b, 1, b.now_ns);
+	bed_remove_entry(&b, 1, b.now_ns);
 	assert_int_equal(bed_syn(&b, CALLER, VIP, 0).action, PATH_FORWARD);
 	b.now_ns += 2600 * MS;
 	directory_tick(b.directory,
@@ -599,51 +595,50 @@
 }
 
 /*
- * Symptom: all requests of a data centre that is cut off are refused though its
- * targets live. Sequence: the platform is away and entries lapse; it comes
- * back; before the entries are renewed the data centre is cut off from it.
- * Cause: the time for their return ran out unseen, and they counted as gone.
+ * All requests of a partitioned data centre would be refused though its targets
+ * live: entries lapse in an outage of the platform, and before they are renewed
+ * the data centre is cut off from it. The time to renew them must not run out
+ * without an answer of the platform.
  */
-static void test_cut_off_before_the_return_keeps_presuming(void **state)
+static void test_lapsed_entries_survive_partition_after_outage(void **state)
 {
 	struct bed b;
-	uint64_t back_ns;
+	uint64_t recovered_ns;
 
 	(void)state;
 	bed_open(&b);
 	bed_target(&b, 1, SERVICE, ZONE);
-	back_ns = b.now_ns;
-	bed_absent(&b, 1, back_ns);
+	recovered_ns = b.now_ns;
+	bed_remove_entry(&b, 1, recovered_ns);
 	b.now_ns += 10 * NS_PER_S;
 	directory_tick(b.directory,
-		       &(struct directory_clock){ b.now_ns, back_ns,
-						  back_ns + 100 * MS });
+		       &(struct directory_clock){ b.now_ns, recovered_ns,
+						  recovered_ns + 100 * MS });
 	assert_int_equal(bed_syn(&b, CALLER, VIP, 0).action, PATH_FORWARD);
-	/* Answered again, and the entry is still missing. */
+	/* The platform answers again, and the entry is still missing. */
 	directory_tick(b.directory, &(struct directory_clock){
-					    b.now_ns, back_ns, b.now_ns });
+					    b.now_ns, recovered_ns, b.now_ns });
 	assert_int_equal(bed_syn(&b, CALLER + 1, VIP, 0).action, PATH_RESET);
 	bed_close(&b);
 }
 
-static void test_deletion_on_a_calm_platform_counts_at_once(void **state)
+static void test_deleted_entry_gets_no_flows_without_outage(void **state)
 {
 	struct bed b;
 
 	(void)state;
 	bed_open(&b);
 	bed_target(&b, 1, SERVICE, ZONE);
-	bed_absent(&b, 1, 0);
+	bed_remove_entry(&b, 1, 0);
 	assert_int_equal(bed_syn(&b, CALLER, VIP, 0).action, PATH_RESET);
 	bed_close(&b);
 }
 
 /*
- * Symptom: packets of a flow get no answer for as long as the client tries.
- * Sequence: a target dies and its address passes on to another one. Cause: the
- * address alone looked alive.
+ * Packets of a flow would get no answer for as long as the client tries: its
+ * target dies and another one gets its address, which then looks alive.
  */
-static void test_address_used_again_ends_the_earlier_target(void **state)
+static void test_reused_address_ends_earlier_target(void **state)
 {
 	struct bed b;
 	struct target *t;
@@ -662,11 +657,11 @@
 	news.service = directory_name(b.directory, OTHER_SERVICE);
 	bed_publish(&b, &news);
 	assert_int_equal(bed_syn(&b, CALLER + 2, VIP, 0).action, PATH_RESET);
-	/* The first request that is not answered shows it, at once for all. */
-	bed_pass(&b, 20 * MS);
+	/* The first unanswered request ends all flows of the earlier target. */
+	bed_advance(&b, 20 * MS);
 	assert_int_equal(bed_data(&b, CALLER, VIP, cookie, 2, 1, 9).action,
 			 PATH_FORWARD);
-	bed_pass(&b, 420 * MS);
+	bed_advance(&b, 420 * MS);
 	assert_int_equal(b.n_probes, 0);
 	assert_int_equal(b.n_resets, 2);
 	assert_int_equal(bed_data(&b, CALLER, VIP, cookie, 2, 2, 9).action,
@@ -674,7 +669,7 @@
 	bed_close(&b);
 }
 
-static void test_no_routes_yet_drops(void **state)
+static void test_packets_are_dropped_before_first_routes(void **state)
 {
 	struct directory_conf dir = { 60 * NS_PER_S, 2500 * MS };
 	struct path_conf conf = { .flows_max = 16 };
@@ -691,7 +686,7 @@
 	directory_free(d);
 }
 
-static void test_route_missing_here_but_not_at_peers_drops(void **state)
+static void test_missing_route_is_not_reset_while_peer_is_ahead(void **state)
 {
 	struct bed b;
 	struct packet k = { .flow = { CALLER, NO_VIP }, .flags = PACKET_SYN };
@@ -709,39 +704,45 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_cookie_leads_to_its_target_at_any_entry),
+		cmocka_unit_test(
+			test_cookie_selects_same_target_at_all_entries),
 		cmocka_unit_test(test_cookie_of_another_service_is_dropped),
-		cmocka_unit_test(test_unknown_cookie_is_never_reset),
-		cmocka_unit_test(test_changed_route_leaves_open_flows),
-		cmocka_unit_test(test_dropped_route_resets_its_flows),
-		cmocka_unit_test(test_configuration_never_goes_back),
-		cmocka_unit_test(test_unanswered_syn_goes_elsewhere),
-		cmocka_unit_test(test_times_are_counted_by_class),
-		cmocka_unit_test(test_copy_of_a_syn_goes_elsewhere),
-		cmocka_unit_test(test_refused_probe_ends_the_flows),
-		cmocka_unit_test(test_leaving_target_refuses_before_it_ends),
-		cmocka_unit_test(test_told_dead_ends_the_flows),
-		cmocka_unit_test(test_full_link_here_condemns_nobody),
-		cmocka_unit_test(test_silence_beside_a_witness_ends_the_flows),
-		cmocka_unit_test(test_late_answer_is_a_sign_of_life),
+		cmocka_unit_test(test_unknown_cookie_is_dropped_without_reset),
+		cmocka_unit_test(test_changed_route_keeps_open_flows),
+		cmocka_unit_test(test_removed_route_resets_its_flows),
+		cmocka_unit_test(test_older_configuration_is_rejected),
+		cmocka_unit_test(test_unanswered_syn_is_sent_to_another_target),
+		cmocka_unit_test(test_latencies_are_recorded_by_route_kind),
+		cmocka_unit_test(test_repeated_syn_is_sent_to_another_target),
+		cmocka_unit_test(test_refused_probe_resets_flows_of_target),
+		cmocka_unit_test(
+			test_one_refusal_of_leaving_target_keeps_flows),
+		cmocka_unit_test(
+			test_dead_target_reported_by_peer_resets_flows),
+		cmocka_unit_test(test_full_link_of_this_vm_resets_no_flows),
+		cmocka_unit_test(
+			test_silent_target_resets_flows_when_witness_answers),
+		cmocka_unit_test(test_late_probe_answer_shows_target_alive),
+		cmocka_unit_test(
+			test_late_witness_answer_does_not_cover_later_probes),
+		cmocka_unit_test(
+			test_all_targets_suspected_at_once_resets_no_flows),
+		cmocka_unit_test(test_probe_silence_is_void_after_sign_of_life),
 		cmocka_unit_test(
-			test_late_answer_is_no_witness_for_what_came_after),
-		cmocka_unit_test(test_all_doubted_at_once_condemns_nobody),
-		cmocka_unit_test(test_silence_before_a_sign_of_life_is_void),
-		cmocka_unit_test(test_slow_handshakes_are_waited_for),
-		cmocka_unit_test(test_packets_that_were_overtaken_doubt_nobody),
-		cmocka_unit_test(test_own_pause_doubts_nobody),
-		cmocka_unit_test(test_leaving_target_keeps_flows_and_gets_none),
-		cmocka_unit_test(test_lapsed_entries_are_presumed_to_live),
+			test_handshake_timeout_follows_slow_handshakes),
+		cmocka_unit_test(test_reordered_packets_suspect_no_target),
+		cmocka_unit_test(test_stall_of_this_process_suspects_no_target),
 		cmocka_unit_test(
-			test_cut_off_before_the_return_keeps_presuming),
+			test_leaving_target_keeps_flows_and_gets_no_new_ones),
+		cmocka_unit_test(test_targets_with_lapsed_entries_get_flows),
 		cmocka_unit_test(
-			test_deletion_on_a_calm_platform_counts_at_once),
+			test_lapsed_entries_survive_partition_after_outage),
 		cmocka_unit_test(
-			test_address_used_again_ends_the_earlier_target),
-		cmocka_unit_test(test_no_routes_yet_drops),
+			test_deleted_entry_gets_no_flows_without_outage),
+		cmocka_unit_test(test_reused_address_ends_earlier_target),
+		cmocka_unit_test(test_packets_are_dropped_before_first_routes),
 		cmocka_unit_test(
-			test_route_missing_here_but_not_at_peers_drops),
+			test_missing_route_is_not_reset_while_peer_is_ahead),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/packet_wait_prop.cc
+++ b/test/packet_wait_prop.cc
@@ -1,7 +1,7 @@
 /*
- * Requests, answers, repeats, ends of flows, targets that leave or die, and
- * time, in any order: a request goes to its target at most once, never after
- * its client's timeout, and the counts that limits go by stay true.
+ * Requests, answers, repeats, resets by clients, targets that leave or die, and
+ * time, in any order: a queued request is forwarded at most once and never after
+ * its client's timeout, and the counts of requests match the flows.
  */
 #include <rapidcheck.h>
 
@@ -17,19 +17,19 @@
 constexpr uint64_t CALLER = ADDR(0x64400001, 1000);
 constexpr unsigned FLOWS = 24;
 constexpr unsigned TARGETS = 2;
-constexpr uint32_t AIM_MS = 300;
+constexpr uint32_t OBJECTIVE_MS = 300;
 constexpr uint32_t TIMEOUT_MS = 2000;
 
 enum Act {
-	ASK,
-	ASK_AGAIN,
-	ASK_A_THIRD_TIME,
+	REQUEST,
+	REQUEST_AGAIN,
+	REQUEST_A_THIRD_TIME,
 	REPEAT,
 	ANSWER,
-	ANSWER_ANOTHER,
-	END,
-	PASS,
-	LONG_PASS,
+	ANSWER_AGAIN,
+	RESET,
+	WAIT,
+	LONG_WAIT,
 	LEAVE,
 	DIE,
 	ACTS,
@@ -40,9 +40,9 @@
 	const struct target *target = nullptr;
 	uint32_t seq = 1;
 	uint32_t ack = 1;
-	bool asked = false;
-	uint64_t asked_ns = 0;
-	unsigned gone = 0; /* times that the request went to the target */
+	bool has_request = false;
+	uint64_t requested_ns = 0;
+	unsigned forwarded = 0; /* times that the request was forwarded */
 };
 
 class Entry
@@ -51,10 +51,10 @@
 	Entry()
 	{
 		policy = policy_usual;
-		policy.limit_percent = 1; /* as many as slots */
+		policy.limit_percent = 1; /* as many requests as slots */
 		policy.waiting_max = 5;
 		bed_open_with(&bed, &policy);
-		bed_times(&bed, AIM_MS, TIMEOUT_MS);
+		bed_set_route_times(&bed, OBJECTIVE_MS, TIMEOUT_MS);
 		for (unsigned i = 0; i < TARGETS; i++)
 			targets[i] = bed_target(&bed, i + 1, SERVICE, ZONE);
 	}
@@ -69,37 +69,38 @@
 	{
 		Flow &f = flows[flow];
 
-		if (what <= ASK_A_THIRD_TIME)
-			ask(f, flow);
-		else if (what == REPEAT && f.asked)
+		if (what <= REQUEST_A_THIRD_TIME)
+			request(f, flow);
+		else if (what == REPEAT && f.has_request)
 			repeat(f, flow);
-		else if ((what == ANSWER || what == ANSWER_ANOTHER) && f.gone)
+		else if ((what == ANSWER || what == ANSWER_AGAIN) &&
+			 f.forwarded)
 			answer(f, flow);
-		else if (what == END && f.open)
-			end(f, flow);
-		else if (what == PASS || what == LONG_PASS)
-			bed_pass(&bed, what == PASS ? 40 * MS : 700 * MS);
+		else if (what == RESET && f.open)
+			reset(f, flow);
+		else if (what == WAIT || what == LONG_WAIT)
+			bed_advance(&bed, what == WAIT ? 40 * MS : 700 * MS);
 		else if (what == LEAVE && flow == 0)
 			leave(targets[0]);
 		else if (what == DIE && flow == 0)
 			die(targets[1]);
-		note_sent();
+		check_sent();
 		check();
 	}
 
-	/* All clients end their flows. */
+	/* Reset all flows, after which no request may be counted. */
 	void finish()
 	{
 		for (unsigned i = 0; i < FLOWS; i++)
 			if (flows[i].open)
-				end(flows[i], i);
+				reset(flows[i], i);
 		check();
 		RC_ASSERT(path_queued_count(bed.path) == 0);
 		for (const struct target *t : targets)
 			RC_ASSERT(t->running == 0 && t->busy == 0);
 	}
 
-	uint64_t waits() const
+	uint64_t queued() const
 	{
 		return path_verdict_counts(bed.path)[PATH_waits];
 	}
@@ -109,21 +110,22 @@
 	struct bed bed;
 	struct target *targets[TARGETS];
 	Flow flows[FLOWS];
-	uint32_t noted = 0;
+	uint32_t n_checked = 0;
 
-	/* Feeds and reports. */
+	/* Flows alternate between feeds and reports. */
 	static uint64_t vip(unsigned flow)
 	{
 		return flow % 2 ? REPORT_VIP : VIP;
 	}
 
-	struct path_verdict packet(const Flow &f, unsigned flow, uint16_t bytes)
+	struct path_verdict send_packet(const Flow &f, unsigned flow,
+					uint16_t bytes)
 	{
 		return bed_data(&bed, CALLER + flow, vip(flow),
 				f.target->cookie, f.seq, f.ack, bytes);
 	}
 
-	void ask(Flow &f, unsigned flow)
+	void request(Flow &f, unsigned flow)
 	{
 		if (!f.open) {
 			struct path_verdict v =
@@ -135,45 +137,46 @@
 			f.open = true;
 			f.target = v.target;
 		}
-		if (f.asked)
+		if (f.has_request)
 			return;
 		f.seq++;
-		f.asked = true;
-		f.asked_ns = bed.now_ns;
-		take(f, packet(f, flow, 100));
+		f.has_request = true;
+		f.requested_ns = bed.now_ns;
+		handle_verdict(f, send_packet(f, flow, 100));
 	}
 
-	void take(Flow &f, const struct path_verdict &v)
+	void handle_verdict(Flow &f, const struct path_verdict &v)
 	{
 		if (v.action == PATH_FORWARD)
-			f.gone++;
+			f.forwarded++;
 		else if (v.action == PATH_RESET)
 			f = Flow();
 	}
 
-	/* Of a request that has gone, a copy may go as well: it may be lost. */
+	/* A repeat of a forwarded request is forwarded, since the first packet
+	 * may be lost; so is one of a request that expired. */
 	void repeat(Flow &f, unsigned flow)
 	{
-		struct path_verdict v = packet(f, flow, 100);
-		bool old = f.asked_ns + TIMEOUT_MS * MS <= bed.now_ns;
+		struct path_verdict v = send_packet(f, flow, 100);
+		bool old = f.requested_ns + TIMEOUT_MS * MS <= bed.now_ns;
 
 		if (v.action == PATH_RESET)
 			f = Flow();
 		else
-			RC_ASSERT(v.action ==
-				  (f.gone || old ? PATH_FORWARD : PATH_WAIT));
+			RC_ASSERT(v.action == (f.forwarded || old ? PATH_FORWARD
+								  : PATH_WAIT));
 	}
 
 	void answer(Flow &f, unsigned flow)
 	{
 		f.ack += 1000;
-		f.asked = false;
-		f.gone = 0;
-		if (packet(f, flow, 0).action == PATH_RESET)
+		f.has_request = false;
+		f.forwarded = 0;
+		if (send_packet(f, flow, 0).action == PATH_RESET)
 			f = Flow();
 	}
 
-	void end(Flow &f, unsigned flow)
+	void reset(Flow &f, unsigned flow)
 	{
 		struct packet k = {};
 		struct path_verdict v;
@@ -206,16 +209,17 @@
 				f = Flow();
 	}
 
-	void note_sent()
+	void check_sent()
 	{
-		for (; noted < bed.n_sent; noted++) {
-			const bed_sent &s = bed.sent[noted % BED_EVENTS_MAX];
+		for (; n_checked < bed.n_sent; n_checked++) {
+			const bed_sent &s =
+				bed.sent[n_checked % BED_EVENTS_MAX];
 			Flow &f = flows[s.caller - CALLER];
 
-			RC_ASSERT(f.asked && !f.gone);
+			RC_ASSERT(f.has_request && !f.forwarded);
 			RC_ASSERT(bed.now_ns <
-				  f.asked_ns + TIMEOUT_MS * MS + 20 * MS);
-			f.gone++;
+				  f.requested_ns + TIMEOUT_MS * MS + 20 * MS);
+			f.forwarded++;
 		}
 	}
 
@@ -243,7 +247,7 @@
 	}
 };
 
-void a_request_goes_at_most_once()
+void request_is_forwarded_at_most_once()
 {
 	auto acts = *rc::gen::scale(
 		10,
@@ -254,7 +258,7 @@
 
 	for (const auto &a : acts)
 		e.act((Act)a.first, a.second);
-	RC_TAG(e.waits() != 0 ? "some wait" : "none waits");
+	RC_TAG(e.queued() != 0 ? "some queued" : "none queued");
 	e.finish();
 }
 
@@ -262,8 +266,8 @@
 
 int main()
 {
-	return rc::check("a request goes at most once",
-			 a_request_goes_at_most_once)
+	return rc::check("a request is forwarded at most once",
+			 request_is_forwarded_at_most_once)
 		       ? 0
 		       : 1;
 }
--- a/test/packet_wait_queue_test.c
+++ b/test/packet_wait_queue_test.c
@@ -1,4 +1,4 @@
-/* Where packets wait: lists of targets over one pool of places. */
+/* Queue of packets: one list for each target, over one pool of slots. */
 #include "flow_cache.h"
 #include "wait_queue.h"
 
@@ -8,16 +8,16 @@
 #include <string.h>
 #include <cmocka.h>
 
-#define PLACES 4
+#define SLOTS 4
 
 static struct flow_state flow(struct target *t)
 {
 	return (struct flow_state){ .target = t };
 }
 
-static void test_kept_as_it_came(void **state)
+static void test_queued_packet_is_unchanged(void **state)
 {
-	struct wait_queue *w = wait_queue_new(PLACES);
+	struct wait_queue *w = wait_queue_new(SLOTS);
 	struct target t = { 0 };
 	struct flow_state f = flow(&t);
 	uint8_t bytes[WAIT_QUEUE_PACKET_MAX_BYTES + 1] = { 1, 2, 3 };
@@ -37,9 +37,9 @@
 	wait_queue_free(w);
 }
 
-static void test_removing_what_does_not_wait_is_nothing(void **state)
+static void test_remove_of_flow_not_queued_changes_nothing(void **state)
 {
-	struct wait_queue *w = wait_queue_new(PLACES);
+	struct wait_queue *w = wait_queue_new(SLOTS);
 	struct target t = { 0 };
 	struct flow_state f = flow(&t), other = flow(&t);
 
@@ -50,23 +50,26 @@
 	wait_queue_free(w);
 }
 
-/* First, middle and last of a list go, in any order, and the rest holds. */
-static void test_lists_of_targets(void **state)
+/*
+ * The first, the middle and the last of three queued flows are removed in all
+ * orders, beside a flow that is queued for another target.
+ */
+static void test_lists_hold_after_removal_in_any_order(void **state)
 {
 	static const uint8_t orders[][3] = { { 0, 1, 2 }, { 0, 2, 1 },
 					     { 1, 0, 2 }, { 1, 2, 0 },
 					     { 2, 0, 1 }, { 2, 1, 0 } };
-	struct wait_queue *w = wait_queue_new(PLACES);
+	struct wait_queue *w = wait_queue_new(SLOTS);
 
 	(void)state;
 	for (uint32_t i = 0; i < 6; i++) {
 		struct target t = { 0 }, other = { 0 };
 		struct flow_state f[3] = { flow(&t), flow(&t), flow(&t) };
-		struct flow_state far = flow(&other);
+		struct flow_state other_flow = flow(&other);
 
 		for (uint32_t k = 0; k < 3; k++)
 			wait_queue_add(w, &f[k], (const uint8_t *)"x", 1);
-		wait_queue_add(w, &far, (const uint8_t *)"y", 1);
+		wait_queue_add(w, &other_flow, (const uint8_t *)"y", 1);
 		assert_ptr_equal(wait_queue_first(w, &t), &f[2]);
 		for (uint32_t k = 0; k < 3; k++) {
 			uint32_t left = 0;
@@ -77,35 +80,35 @@
 				left++;
 			assert_int_equal(left, 2 - k);
 		}
-		assert_ptr_equal(wait_queue_first(w, &other), &far);
-		wait_queue_remove(w, &far);
+		assert_ptr_equal(wait_queue_first(w, &other), &other_flow);
+		wait_queue_remove(w, &other_flow);
 	}
 	wait_queue_free(w);
 }
 
-static void test_places_are_used_again(void **state)
+static void test_slots_are_reused_after_removal(void **state)
 {
-	struct wait_queue *w = wait_queue_new(PLACES);
+	struct wait_queue *w = wait_queue_new(SLOTS);
 	struct target t = { 0 };
-	struct flow_state f[PLACES + 1];
+	struct flow_state f[SLOTS + 1];
 
 	(void)state;
 	for (uint32_t round = 0; round < 3; round++) {
-		for (uint32_t i = 0; i <= PLACES; i++) {
+		for (uint32_t i = 0; i <= SLOTS; i++) {
 			f[i] = flow(&t);
 			assert_int_equal(wait_queue_add(w, &f[i],
 							(const uint8_t *)"x",
 							1),
-					 i < PLACES);
+					 i < SLOTS);
 		}
-		for (uint32_t i = 0; i < PLACES; i++)
+		for (uint32_t i = 0; i < SLOTS; i++)
 			wait_queue_remove(w, &f[i]);
 		assert_int_equal(wait_queue_count(w), 0);
 	}
 	wait_queue_free(w);
 }
 
-static void test_no_places(void **state)
+static void test_queue_of_capacity_0_rejects_packets(void **state)
 {
 	struct wait_queue *w = wait_queue_new(0);
 	struct target t = { 0 };
@@ -119,11 +122,12 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_kept_as_it_came),
-		cmocka_unit_test(test_removing_what_does_not_wait_is_nothing),
-		cmocka_unit_test(test_lists_of_targets),
-		cmocka_unit_test(test_places_are_used_again),
-		cmocka_unit_test(test_no_places),
+		cmocka_unit_test(test_queued_packet_is_unchanged),
+		cmocka_unit_test(
+			test_remove_of_flow_not_queued_changes_nothing),
+		cmocka_unit_test(test_lists_hold_after_removal_in_any_order),
+		cmocka_unit_test(test_slots_are_reused_after_removal),
+		cmocka_unit_test(test_queue_of_capacity_0_rejects_packets),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/packet_wait_test.c
+++ b/test/packet_wait_test.c
@@ -1,4 +1,4 @@
-/* Requests that wait at an entry while their target has enough to do. */
+/* Queue of requests at an entry whose targets have enough requests. */
 #include "packet_bed.h"
 
 #include <setjmp.h>
@@ -8,13 +8,14 @@
 #include <cmocka.h>
 
 #define CALLER ADDR(0x64400001, 1000)
-#define AIM_MS 300
+#define OBJECTIVE_MS 300
 #define TIMEOUT_MS 2000
 #define WORK_NS (50 * MS)
 #define SLOTS 3
-/* Three slots, and for five times 50 ms beside its own 85 % of three each. */
+/* Limit of a request in time: the three slots, and for each of the five times 50 ms
+ * that remain beside its own work 85 % of three. */
 #define LIMIT 16
-/* Of the 85 %, 60 for those that will be late. */
+/* Limit of a late request: 60 % of three instead of 85 %. */
 #define LATE_LIMIT 11
 
 struct fixture {
@@ -24,7 +25,7 @@
 	uint32_t answered;
 };
 
-/* Flows are numbered; the packets of each carry its number. */
+/* Client of a flow. The lowest byte of its address starts each packet of the flow. */
 static uint64_t caller(uint32_t flow)
 {
 	return CALLER + flow;
@@ -38,7 +39,7 @@
 	return flow;
 }
 
-static struct path_verdict ask(struct fixture *f, uint64_t vip)
+static struct path_verdict send_request(struct fixture *f, uint64_t vip)
 {
 	uint32_t flow = (uint32_t)open_flow(f, vip);
 
@@ -46,27 +47,27 @@
 			100);
 }
 
-static struct path_verdict answer_of(struct fixture *f, uint32_t flow,
-				     uint64_t vip)
+static struct path_verdict answer_request(struct fixture *f, uint32_t flow,
+					  uint64_t vip)
 {
 	return bed_data(&f->bed, caller(flow), vip, f->target->cookie, 2, 1001,
 			0);
 }
 
-/* One target that takes 50 ms for a request, as an answer has shown. */
+/* One target whose work time of 50 ms is known from an answer of each kind. */
 static int setup(void **state)
 {
 	struct fixture *f = calloc(1, sizeof(*f));
 
 	bed_open(&f->bed);
-	bed_times(&f->bed, AIM_MS, TIMEOUT_MS);
+	bed_set_route_times(&f->bed, OBJECTIVE_MS, TIMEOUT_MS);
 	f->target = bed_target(&f->bed, 1, SERVICE, ZONE);
-	ask(f, VIP);
+	send_request(f, VIP);
 	f->bed.now_ns += WORK_NS;
-	answer_of(f, 0, VIP);
-	ask(f, REPORT_VIP);
+	answer_request(f, 0, VIP);
+	send_request(f, REPORT_VIP);
 	f->bed.now_ns += WORK_NS;
-	answer_of(f, 1, REPORT_VIP);
+	answer_request(f, 1, REPORT_VIP);
 	*state = f;
 	return 0;
 }
@@ -85,36 +86,37 @@
 	return path_verdict_counts(f->bed.path)[reason];
 }
 
-/* Feeds ask until @n are at the target. Return: the first one's number. */
-static uint32_t fill(struct fixture *f, uint32_t n)
+/* Send requests of feeds until @n are at the target. Return: the first flow. */
+static uint32_t fill_target(struct fixture *f, uint32_t n)
 {
 	uint32_t first = f->flows;
 
 	for (uint32_t i = 0; i < n; i++)
-		assert_int_equal(ask(f, VIP).action, PATH_FORWARD);
+		assert_int_equal(send_request(f, VIP).action, PATH_FORWARD);
 	assert_int_equal(f->target->running, n);
 	return first;
 }
 
-/* Answers to @n of those that waited at the target, of @fill's the first. */
-static void answer(struct fixture *f, uint32_t first, uint32_t n)
+/* Answer @n requests that were queued at the target, beginning with the one after
+ * SLOTS others; @first is the flow that fill_target() returned. */
+static void answer_queued(struct fixture *f, uint32_t first, uint32_t n)
 {
 	for (uint32_t i = 0; i < n; i++)
-		answer_of(f, first + SLOTS + i, VIP);
+		answer_request(f, first + SLOTS + i, VIP);
 }
 
 /*
- * Symptom: in the seconds after a fleet woke no answer comes in time. Sequence:
- * more requests come than are worked off, the target takes them in turn. Cause:
- * each waited there for all that came before it, wanted or not.
+ * In overload no answer would come in time, when many clients start at once:
+ * the target serves requests in order of arrival, so that each waits for all
+ * earlier ones, even those whose clients have given up.
  */
-static void test_waits_here_while_the_target_has_enough(void **state)
+static void test_request_is_queued_at_limit_of_target(void **state)
 {
 	struct fixture *f = *state;
 	struct path_verdict v;
 
-	fill(f, LIMIT);
-	v = ask(f, VIP);
+	fill_target(f, LIMIT);
+	v = send_request(f, VIP);
 	assert_int_equal(v.action, PATH_WAIT);
 	assert_int_equal(v.reason, PATH_waits);
 	assert_int_equal(f->target->running, LIMIT);
@@ -122,14 +124,14 @@
 	assert_int_equal(f->bed.n_sent, 0);
 }
 
-static void test_goes_when_an_answer_came(void **state)
+static void test_queued_request_is_forwarded_after_an_answer(void **state)
 {
 	struct fixture *f = *state;
-	uint32_t first = fill(f, LIMIT);
+	uint32_t first = fill_target(f, LIMIT);
 
-	ask(f, VIP);
+	send_request(f, VIP);
 	f->bed.now_ns += 10 * MS;
-	answer_of(f, first, VIP);
+	answer_request(f, first, VIP);
 	assert_int_equal(f->bed.n_sent, 1);
 	assert_int_equal(f->bed.sent[0].caller, caller(f->flows - 1));
 	assert_int_equal(f->bed.sent[0].first, (uint8_t)caller(f->flows - 1));
@@ -139,19 +141,18 @@
 			 1);
 }
 
-/* The route's priority first, then the last to come. */
-static void test_order_of_those_in_time(void **state)
+static void test_requests_in_time_go_by_priority_then_newest_first(void **state)
 {
 	struct fixture *f = *state;
-	uint32_t first = fill(f, LIMIT), feed, report;
+	uint32_t first = fill_target(f, LIMIT), feed, report;
 
-	ask(f, VIP);
+	send_request(f, VIP);
 	report = f->flows;
-	assert_int_equal(ask(f, REPORT_VIP).action, PATH_WAIT);
+	assert_int_equal(send_request(f, REPORT_VIP).action, PATH_WAIT);
 	f->bed.now_ns += MS;
 	feed = f->flows;
-	ask(f, VIP);
-	answer(f, first, 3);
+	send_request(f, VIP);
+	answer_queued(f, first, 3);
 	assert_int_equal(f->bed.n_sent, 3);
 	assert_int_equal(f->bed.sent[0].caller, caller(report));
 	assert_int_equal(f->bed.sent[1].caller, caller(feed));
@@ -159,58 +160,58 @@
 }
 
 /*
- * Symptom: feeds expire though targets have slots free half of the time.
- * Sequence: peers' words of what they have there are some 100 ms old. Cause:
- * those that will be late went only when every slot was believed to be free.
+ * Feeds would expire though targets have free slots half of the time, if late
+ * requests were forwarded only when all slots are believed to be free: the
+ * loads that peers report are some 100 ms old.
  */
-static void test_late_ones_go_when_there_is_room(void **state)
+static void test_late_requests_go_below_their_limit(void **state)
 {
 	struct fixture *f = *state;
-	uint32_t first = fill(f, LIMIT), late = f->flows;
+	uint32_t first = fill_target(f, LIMIT), late = f->flows;
 
-	ask(f, VIP);
+	send_request(f, VIP);
 	f->bed.now_ns += 10 * MS;
-	ask(f, VIP);
+	send_request(f, VIP);
 	f->bed.now_ns += 280 * MS;
-	answer(f, first, LIMIT - LATE_LIMIT);
+	answer_queued(f, first, LIMIT - LATE_LIMIT);
 	assert_int_equal(f->bed.n_sent, 0);
-	answer(f, first + LIMIT - LATE_LIMIT, 1);
+	answer_queued(f, first + LIMIT - LATE_LIMIT, 1);
 	assert_int_equal(f->bed.n_sent, 1);
 	assert_int_equal(f->bed.sent[0].caller, caller(late));
 }
 
-/* One in time goes before one that is late, whatever their priorities. */
-static void test_late_ones_go_last(void **state)
+/* This holds even when the late one has the higher priority. */
+static void test_late_request_goes_after_one_in_time(void **state)
 {
 	struct fixture *f = *state;
-	uint32_t first = fill(f, LIMIT), report = f->flows;
+	uint32_t first = fill_target(f, LIMIT), report = f->flows;
 
-	ask(f, REPORT_VIP);
+	send_request(f, REPORT_VIP);
 	f->bed.now_ns += 290 * MS;
-	ask(f, VIP);
-	answer(f, first, LIMIT - LATE_LIMIT + 2);
+	send_request(f, VIP);
+	answer_queued(f, first, LIMIT - LATE_LIMIT + 2);
 	assert_int_equal(f->bed.n_sent, 2);
 	assert_int_equal(f->bed.sent[0].caller, caller(report + 1));
 	assert_int_equal(f->bed.sent[1].caller, caller(report));
 }
 
 /*
- * Symptom: a target works on what nobody waits for. Sequence: newer requests
- * come all the time and go first. Cause: the old one was kept for ever.
+ * A target would serve requests that no client waits for, if a queued request
+ * were kept for ever while newer ones are forwarded before it.
  */
-static void test_never_sent_after_its_timeout(void **state)
+static void test_request_is_dropped_after_its_timeout(void **state)
 {
 	struct fixture *f = *state;
 	uint32_t old;
 
 	f->target->peers_running = 10 * LIMIT;
-	fill(f, 1);
+	fill_target(f, 1);
 	old = f->flows;
-	assert_int_equal(ask(f, VIP).action, PATH_WAIT);
+	assert_int_equal(send_request(f, VIP).action, PATH_WAIT);
 	for (uint32_t i = 0; i < TIMEOUT_MS / 100; i++) {
 		assert_int_equal(count(f, PATH_expired), 0);
-		bed_pass(&f->bed, 100 * MS);
-		ask(f, VIP);
+		bed_advance(&f->bed, 100 * MS);
+		send_request(f, VIP);
 	}
 	assert_int_equal(count(f, PATH_expired), 1);
 	assert_in_range(f->bed.n_sent, 5, BED_EVENTS_MAX);
@@ -218,14 +219,11 @@
 		assert_int_not_equal(f->bed.sent[i].caller, caller(old));
 }
 
-/*
- * Symptom: a request that waits runs though its client said that it ended.
- * Sequence: the client resets its flow. Cause: its packet was still kept.
- */
-static void test_client_that_ends_its_flow_waits_no_more(void **state)
+/* A queued request would run though its client has ended the flow. */
+static void test_reset_by_client_removes_queued_request(void **state)
 {
 	struct fixture *f = *state;
-	uint32_t first = fill(f, LIMIT), flow = f->flows;
+	uint32_t first = fill_target(f, LIMIT), flow = f->flows;
 	struct packet k = {
 		.flow = { caller(flow), VIP },
 		.cookie = f->target->cookie,
@@ -235,22 +233,22 @@
 	};
 	struct path_verdict v;
 
-	ask(f, VIP);
+	send_request(f, VIP);
 	path_packet(f->bed.path, &k, true, f->bed.now_ns, &v);
 	assert_int_equal(path_queued_count(f->bed.path), 0);
-	answer_of(f, first, VIP);
+	answer_request(f, first, VIP);
 	assert_int_equal(f->bed.n_sent, 0);
 }
 
-/* The client repeats what nobody acknowledged; the target must not get it. */
-static void test_repeats_of_what_waits_are_dropped(void **state)
+/* The client repeats the packet since nobody acknowledged it. */
+static void test_repeat_of_queued_request_is_not_forwarded(void **state)
 {
 	struct fixture *f = *state;
 	uint32_t flow;
 
-	fill(f, LIMIT);
+	fill_target(f, LIMIT);
 	flow = f->flows;
-	ask(f, VIP);
+	send_request(f, VIP);
 	f->bed.now_ns += 200 * MS;
 	assert_int_equal(bed_data(&f->bed, caller(flow), VIP, f->target->cookie,
 				  2, 1, 100)
@@ -260,8 +258,11 @@
 	assert_int_equal(f->bed.n_probes, 0);
 }
 
-/* What follows the first packet of an upload would overtake it. */
-static void test_uploads_never_wait(void **state)
+/*
+ * The packets after the first one of an upload would reach the target before
+ * it.
+ */
+static void test_uploads_are_not_queued(void **state)
 {
 	struct fixture *f = *state;
 	struct target *t = bed_target(&f->bed, 2, OTHER_SERVICE, ZONE);
@@ -281,197 +282,208 @@
 	}
 }
 
-static void test_without_a_target_latency_nothing_waits(void **state)
+static void test_requests_without_latency_objective_are_not_queued(void **state)
 {
 	struct fixture *f = *state;
 
-	bed_times(&f->bed, 0, TIMEOUT_MS);
-	fill(f, 2 * LIMIT);
+	bed_set_route_times(&f->bed, 0, TIMEOUT_MS);
+	fill_target(f, 2 * LIMIT);
 }
 
 /*
- * Symptom: unanswered requests when a target is replaced under load. Sequence:
- * it is to leave and serves what it has for a few seconds. Cause: requests went
- * on waiting here for a target that ended meanwhile.
+ * Requests would stay unanswered when a target is replaced under load: it
+ * serves what it has for a few seconds, and would end while requests are still
+ * queued for it.
  */
-static void test_goes_at_once_to_a_target_that_leaves(void **state)
+static void test_queue_is_released_when_target_leaves(void **state)
 {
 	struct fixture *f = *state;
 	struct target_news news = f->target->news;
 
-	fill(f, LIMIT);
+	fill_target(f, LIMIT);
 	for (uint32_t i = 0; i < 5; i++)
-		ask(f, VIP);
+		send_request(f, VIP);
 	news.leaving = true;
 	news.sequence++;
 	bed_publish(&f->bed, &news);
-	bed_pass(&f->bed, 20 * MS);
+	bed_advance(&f->bed, 20 * MS);
 	assert_int_equal(f->bed.n_sent, 5);
-	assert_int_equal(ask(f, VIP).action, PATH_FORWARD);
+	assert_int_equal(send_request(f, VIP).action, PATH_FORWARD);
 }
 
-/* An entry that stops hands over what it has: its peers know nothing of it. */
-static void test_nothing_waits_at_an_entry_that_stops(void **state)
+/*
+ * An entry that stops forwards its queued requests, since its peers don't have
+ * them.
+ */
+static void test_stopping_entry_releases_its_queue(void **state)
 {
 	struct fixture *f = *state;
 
-	fill(f, LIMIT);
+	fill_target(f, LIMIT);
 	for (uint32_t i = 0; i < 5; i++)
-		ask(f, VIP);
+		send_request(f, VIP);
 	path_stop(f->bed.path, f->bed.now_ns);
 	assert_int_equal(f->bed.n_sent, 5);
-	assert_int_equal(ask(f, VIP).action, PATH_FORWARD);
+	assert_int_equal(send_request(f, VIP).action, PATH_FORWARD);
 }
 
-/* The flow is reset; a packet of it to whatever comes after would be foreign. */
-static void test_dead_target_gets_nothing(void **state)
+/*
+ * Their flows are reset; the next process at the address must get no packet of
+ * them.
+ */
+static void test_queued_requests_of_dead_target_are_dropped(void **state)
 {
 	struct fixture *f = *state;
 	struct incarnation who = target_incarnation(f->target);
 
-	fill(f, LIMIT);
-	ask(f, VIP);
+	fill_target(f, LIMIT);
+	send_request(f, VIP);
 	path_peer_reported_dead(f->bed.path, &who);
-	bed_pass(&f->bed, 3 * NS_PER_S);
+	bed_advance(&f->bed, 3 * NS_PER_S);
 	assert_int_equal(f->bed.n_sent, 0);
 	assert_int_equal(path_queued_count(f->bed.path), 0);
 	assert_int_equal(count(f, PATH_swept), f->flows);
 }
 
-/* What peers have there counts, but one of this entry's always goes. */
-static void test_peers_requests_count(void **state)
+/*
+ * Requests of peers at the target count, but one of this entry's is always
+ * forwarded.
+ */
+static void test_requests_of_peers_count_as_load(void **state)
 {
 	struct fixture *f = *state;
 
 	f->target->peers_running = LIMIT + 100;
-	fill(f, 1);
-	assert_int_equal(ask(f, VIP).action, PATH_WAIT);
+	fill_target(f, 1);
+	assert_int_equal(send_request(f, VIP).action, PATH_WAIT);
 	f->target->peers_running = 0;
-	bed_pass(&f->bed, 20 * MS);
+	bed_advance(&f->bed, 20 * MS);
 	assert_int_equal(f->bed.n_sent, 1);
 }
 
 /*
- * Symptom: requests expire here though their target idles. Sequence: answers
- * were lost with a cut, or the target hangs. Cause: requests that nobody will
- * answer counted as work of the target's for ever.
+ * Requests would expire in the queue though their target is idle, if requests
+ * that will never be answered counted for ever: their answers were lost in a
+ * network partition, or the target hangs.
  */
-static void test_overdue_requests_are_not_counted(void **state)
+static void test_overdue_requests_do_not_count_as_load(void **state)
 {
 	struct fixture *f = *state;
 
-	fill(f, LIMIT);
-	ask(f, VIP);
-	bed_pass(&f->bed, 500 * MS);
+	fill_target(f, LIMIT);
+	send_request(f, VIP);
+	bed_advance(&f->bed, 500 * MS);
 	assert_int_equal(f->bed.n_sent, 1);
 }
 
 /*
- * Symptom: a target counts as loaded for ever. Sequence: a request goes after a
- * long wait, and is not answered. Cause: what is due was looked for only among
- * flows whose clients were heard of late.
+ * A target would count as loaded for ever when a request that was queued for
+ * long is not answered, if only flows whose clients sent a packet recently were
+ * checked.
  */
-static void test_overdue_after_a_long_wait(void **state)
+static void test_request_queued_for_long_becomes_overdue(void **state)
 {
 	struct fixture *f = *state;
 	uint32_t first;
 
 	f->target->peers_running = 10 * LIMIT;
-	first = fill(f, 1);
-	ask(f, VIP);
+	first = fill_target(f, 1);
+	send_request(f, VIP);
 	for (uint32_t i = 0; i < 15; i++) {
-		bed_pass(&f->bed, 100 * MS);
+		bed_advance(&f->bed, 100 * MS);
 		bed_data(&f->bed, caller(first), VIP, f->target->cookie, 3 + i,
 			 1, 100);
 	}
 	assert_int_equal(f->bed.n_sent, 0);
-	bed_pass(&f->bed, 440 * MS);
+	bed_advance(&f->bed, 440 * MS);
 	assert_int_equal(f->bed.n_sent, 1);
 	assert_int_equal(f->target->running, 1);
-	bed_pass(&f->bed, 400 * MS);
+	bed_advance(&f->bed, 400 * MS);
 	assert_int_equal(f->target->running, 0);
 }
 
-/* A new process, of which @policy holds. */
-static void start_again(struct fixture *f, const struct policy *policy)
+/* Replace the entry by a new process with @policy. */
+static void restart_entry(struct fixture *f, const struct policy *policy)
 {
 	bed_close(&f->bed);
 	bed_open_with(&f->bed, policy);
 	f->flows = 0;
-	bed_times(&f->bed, AIM_MS, TIMEOUT_MS);
+	bed_set_route_times(&f->bed, OBJECTIVE_MS, TIMEOUT_MS);
 	f->target = bed_target(&f->bed, 1, SERVICE, ZONE);
 }
 
-static struct path_verdict ask_unseen(struct fixture *f)
+static struct path_verdict send_unseen_request(struct fixture *f)
 {
 	return bed_data(&f->bed, caller(f->flows++), VIP, f->target->cookie, 2,
 			1, 100);
 }
 
 /*
- * Symptom: requests that come after all entries were away wait behind those that
- * came before. Sequence: clients repeat these on flows that the new process has
- * not seen. Cause: they went as new ones, up to the limit.
+ * New requests would be queued behind old ones after an outage of all entries:
+ * clients repeat the old ones on flows that the new process has not seen, and
+ * these would be forwarded as new up to the limit.
  */
-static void test_repeats_to_a_young_entry_get_free_slots(void **state)
+static void
+test_presumed_repeats_get_only_free_slots_of_young_entry(void **state)
 {
 	struct fixture *f = *state;
 	struct policy policy = policy_usual;
 
 	policy.young_ns = f->bed.now_ns + NS_PER_S;
-	start_again(f, &policy);
+	restart_entry(f, &policy);
 	for (uint32_t i = 0; i < SLOTS; i++)
-		assert_int_equal(ask_unseen(f).action, PATH_FORWARD);
-	assert_int_equal(ask_unseen(f).action, PATH_WAIT);
-	assert_int_equal(ask(f, VIP).action, PATH_FORWARD);
+		assert_int_equal(send_unseen_request(f).action, PATH_FORWARD);
+	assert_int_equal(send_unseen_request(f).action, PATH_WAIT);
+	assert_int_equal(send_request(f, VIP).action, PATH_FORWARD);
 }
 
-static void test_older_entry_takes_them_as_new(void **state)
+static void test_older_entry_treats_unseen_requests_as_new(void **state)
 {
 	struct fixture *f = *state;
 
-	start_again(f, &policy_usual);
+	restart_entry(f, &policy_usual);
 	f->bed.now_ns += policy_usual.young_ns;
 	for (uint32_t i = 0; i < 2 * SLOTS; i++)
-		assert_int_equal(ask_unseen(f).action, PATH_FORWARD);
+		assert_int_equal(send_unseen_request(f).action, PATH_FORWARD);
 }
 
-static void test_without_room_it_goes_at_once(void **state)
+static void test_request_is_forwarded_when_queue_is_full(void **state)
 {
 	struct fixture *f = *state;
 	struct policy policy = policy_usual;
 
 	policy.waiting_max = 2;
-	start_again(f, &policy);
-	ask(f, VIP);
+	restart_entry(f, &policy);
+	send_request(f, VIP);
 	f->bed.now_ns += WORK_NS;
-	answer_of(f, 0, VIP);
-	fill(f, LIMIT);
-	assert_int_equal(ask(f, VIP).action, PATH_WAIT);
-	assert_int_equal(ask(f, VIP).action, PATH_WAIT);
-	assert_int_equal(ask(f, VIP).action, PATH_FORWARD);
+	answer_request(f, 0, VIP);
+	fill_target(f, LIMIT);
+	assert_int_equal(send_request(f, VIP).action, PATH_WAIT);
+	assert_int_equal(send_request(f, VIP).action, PATH_WAIT);
+	assert_int_equal(send_request(f, VIP).action, PATH_FORWARD);
 }
 
 /*
- * Symptom: the work of a request is taken for longer and longer in overload,
- * and less and less is sent. Sequence: answers come late. Cause: the time that
- * requests waited at their target was taken for work.
+ * In overload the work of a request would be overestimated more and more, and
+ * fewer and fewer requests forwarded, if the time that they were queued at the
+ * target counted as work.
  */
-static void test_only_answers_that_found_a_slot_measure_work(void **state)
+static void test_time_in_queue_of_target_is_not_work(void **state)
 {
 	struct fixture *f = *state;
-	uint32_t first = fill(f, LIMIT);
+	uint32_t first = fill_target(f, LIMIT);
 
 	f->bed.now_ns += 200 * MS;
-	answer(f, first, LIMIT - SLOTS);
+	answer_queued(f, first, LIMIT - SLOTS);
 	for (uint32_t i = SLOTS; i < LIMIT; i++)
-		assert_int_equal(ask(f, VIP).action, PATH_FORWARD);
-	assert_int_equal(ask(f, VIP).action, PATH_WAIT);
+		assert_int_equal(send_request(f, VIP).action, PATH_FORWARD);
+	assert_int_equal(send_request(f, VIP).action, PATH_WAIT);
 }
 
 /*
- * What is refused at once by a loaded target teaches how many may be there at a
- * time; what an idle one fails at once, nothing.
+ * Refuse @n requests after 1 ms, while peers have @peers_running requests at the
+ * target. Refusals of a loaded target limit the requests there; failures of an idle
+ * one don't.
  */
 static void refuse(struct fixture *f, uint32_t n, float peers_running)
 {
@@ -479,61 +491,61 @@
 		uint32_t flow = f->flows;
 
 		f->target->peers_running = peers_running;
-		assert_int_equal(ask(f, VIP).action, PATH_FORWARD);
+		assert_int_equal(send_request(f, VIP).action, PATH_FORWARD);
 		f->bed.now_ns += MS;
 		bed_data(&f->bed, caller(flow), VIP, f->target->cookie, 2, 101,
 			 0);
 	}
 }
 
-static void test_refusals_limit_what_is_at_the_service(void **state)
+static void test_refusals_of_loaded_target_limit_requests(void **state)
 {
 	struct fixture *f = *state;
 
 	refuse(f, 1, SLOTS);
-	fill(f, 4);
+	fill_target(f, 4);
 	refuse(f, 1, SLOTS);
 	assert_int_equal(count(f, PATH_refused), 2);
 	f->target->peers_running = 0;
-	assert_int_equal(ask(f, VIP).action, PATH_FORWARD);
-	assert_int_equal(ask(f, VIP).action, PATH_WAIT);
+	assert_int_equal(send_request(f, VIP).action, PATH_FORWARD);
+	assert_int_equal(send_request(f, VIP).action, PATH_WAIT);
 }
 
-static void test_failures_of_an_idle_target_limit_nothing(void **state)
+static void test_failures_of_idle_target_limit_no_requests(void **state)
 {
 	struct fixture *f = *state;
 
 	refuse(f, 20, 0);
 	assert_int_equal(count(f, PATH_refused), 0);
-	fill(f, LIMIT);
+	fill_target(f, LIMIT);
 }
 
 int main(void)
 {
 #define TEST(name) cmocka_unit_test_setup_teardown(name, setup, teardown)
 	const struct CMUnitTest tests[] = {
-		TEST(test_waits_here_while_the_target_has_enough),
-		TEST(test_goes_when_an_answer_came),
-		TEST(test_order_of_those_in_time),
-		TEST(test_late_ones_go_when_there_is_room),
-		TEST(test_late_ones_go_last),
-		TEST(test_never_sent_after_its_timeout),
-		TEST(test_client_that_ends_its_flow_waits_no_more),
-		TEST(test_repeats_of_what_waits_are_dropped),
-		TEST(test_uploads_never_wait),
-		TEST(test_without_a_target_latency_nothing_waits),
-		TEST(test_goes_at_once_to_a_target_that_leaves),
-		TEST(test_nothing_waits_at_an_entry_that_stops),
-		TEST(test_dead_target_gets_nothing),
-		TEST(test_peers_requests_count),
-		TEST(test_overdue_requests_are_not_counted),
-		TEST(test_overdue_after_a_long_wait),
-		TEST(test_refusals_limit_what_is_at_the_service),
-		TEST(test_failures_of_an_idle_target_limit_nothing),
-		TEST(test_repeats_to_a_young_entry_get_free_slots),
-		TEST(test_older_entry_takes_them_as_new),
-		TEST(test_without_room_it_goes_at_once),
-		TEST(test_only_answers_that_found_a_slot_measure_work),
+		TEST(test_request_is_queued_at_limit_of_target),
+		TEST(test_queued_request_is_forwarded_after_an_answer),
+		TEST(test_requests_in_time_go_by_priority_then_newest_first),
+		TEST(test_late_requests_go_below_their_limit),
+		TEST(test_late_request_goes_after_one_in_time),
+		TEST(test_request_is_dropped_after_its_timeout),
+		TEST(test_reset_by_client_removes_queued_request),
+		TEST(test_repeat_of_queued_request_is_not_forwarded),
+		TEST(test_uploads_are_not_queued),
+		TEST(test_requests_without_latency_objective_are_not_queued),
+		TEST(test_queue_is_released_when_target_leaves),
+		TEST(test_stopping_entry_releases_its_queue),
+		TEST(test_queued_requests_of_dead_target_are_dropped),
+		TEST(test_requests_of_peers_count_as_load),
+		TEST(test_overdue_requests_do_not_count_as_load),
+		TEST(test_request_queued_for_long_becomes_overdue),
+		TEST(test_refusals_of_loaded_target_limit_requests),
+		TEST(test_failures_of_idle_target_limit_no_requests),
+		TEST(test_presumed_repeats_get_only_free_slots_of_young_entry),
+		TEST(test_older_entry_treats_unseen_requests_as_new),
+		TEST(test_request_is_forwarded_when_queue_is_full),
+		TEST(test_time_in_queue_of_target_is_not_work),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
