--- a/core/packet/flow/flow_cache.c
+++ b/core/packet/flow/flow_cache.c
@@ -24,224 +24,230 @@
 
 /**
  * flow_cache_new() - create an empty cache
- * @flows_max: capacity in flows; a full cache evicts the least recently seen flow
+ * @flows_max: capacity in flows; a full cache evicts the least recently seen
+ *	flow
  * @wait_queue: queue of the flows' requests; not owned, must outlive the cache
  *
- * Return: cache, to be freed with flow_cache_free(), or NULL when out of memory.
+ * Return: cache, to be freed with flow_cache_free(), or NULL when out of
+ * memory.
  */
 struct flow_cache *flow_cache_new(uint32_t flows_max,
 				  struct wait_queue *wait_queue)
 {
-	struct flow_cache *c = calloc(1, sizeof(*c));
+	struct flow_cache *cache = calloc(1, sizeof(*cache));
 
-	if (!c)
+	if (!cache)
 		return NULL;
-	c->flows_max = flows_max;
-	c->wait_queue = wait_queue;
-	c->flows = calloc(flows_max, sizeof(*c->flows));
-	c->by_key = index_new(flows_max);
-	c->free_list = c->newest = c->oldest = NONE;
-	if (c->flows && c->by_key)
-		return c;
-	flow_cache_free(c);
+	cache->flows_max = flows_max;
+	cache->wait_queue = wait_queue;
+	cache->flows = calloc(flows_max, sizeof(*cache->flows));
+	cache->by_key = index_new(flows_max);
+	cache->free_list = cache->newest = cache->oldest = NONE;
+	if (cache->flows && cache->by_key)
+		return cache;
+	flow_cache_free(cache);
 	return NULL;
 }
 
-void flow_cache_free(struct flow_cache *c)
+void flow_cache_free(struct flow_cache *cache)
 {
-	if (!c)
+	if (!cache)
 		return;
-	index_free(c->by_key);
-	free(c->flows);
-	free(c);
+	index_free(cache->by_key);
+	free(cache->flows);
+	free(cache);
 }
 
-static uint32_t slot_of(const struct flow_cache *c, const struct flow_state *f)
+static uint32_t slot_of(const struct flow_cache *cache,
+			const struct flow_state *flow)
 {
-	return (uint32_t)(f - c->flows);
+	return (uint32_t)(flow - cache->flows);
 }
 
-static void unlink_flow(struct flow_cache *c, struct flow_state *f)
+static void unlink_flow(struct flow_cache *cache, struct flow_state *flow)
 {
-	if (f->newer != NONE)
-		c->flows[f->newer].older = f->older;
+	if (flow->newer != NONE)
+		cache->flows[flow->newer].older = flow->older;
 	else
-		c->newest = f->older;
-	if (f->older != NONE)
-		c->flows[f->older].newer = f->newer;
+		cache->newest = flow->older;
+	if (flow->older != NONE)
+		cache->flows[flow->older].newer = flow->newer;
 	else
-		c->oldest = f->newer;
+		cache->oldest = flow->newer;
 }
 
-static void link_newest(struct flow_cache *c, struct flow_state *f)
+static void link_newest(struct flow_cache *cache, struct flow_state *flow)
 {
-	uint32_t i = slot_of(c, f);
+	uint32_t i = slot_of(cache, flow);
 
-	f->newer = NONE;
-	f->older = c->newest;
-	if (c->newest != NONE)
-		c->flows[c->newest].newer = i;
+	flow->newer = NONE;
+	flow->older = cache->newest;
+	if (cache->newest != NONE)
+		cache->flows[cache->newest].newer = i;
 	else
-		c->oldest = i;
-	c->newest = i;
+		cache->oldest = i;
+	cache->newest = i;
 }
 
 /**
  * flow_cache_find() - look up a flow
- * @c: cache
+ * @cache: cache
  * @key: client address and VIP
  *
  * Return: flow, valid until it is removed or evicted, or NULL when not cached.
  */
-struct flow_state *flow_cache_find(struct flow_cache *c,
+struct flow_state *flow_cache_find(struct flow_cache *cache,
 				   const struct flow_key *key)
 {
-	uint32_t i = index_get(c->by_key, flow_hash(key));
-	struct flow_state *f = i == INDEX_NONE ? NULL : &c->flows[i];
+	uint32_t i = index_get(cache->by_key, flow_hash(key));
+	struct flow_state *flow = i == INDEX_NONE ? NULL : &cache->flows[i];
 
-	if (!f || f->key.caller != key->caller || f->key.vip != key->vip)
+	if (!flow || flow->key.caller != key->caller ||
+	    flow->key.vip != key->vip)
 		return NULL;
-	return f;
+	return flow;
 }
 
 /* Add @by to the target's counts of open flows and of feeds among them. */
-static void add_to_target_counts(struct flow_state *f, int by)
+static void add_to_target_counts(struct flow_state *flow, int by)
 {
-	struct target *t = f->target;
+	struct target *target = flow->target;
 
-	t->flows += (uint32_t)by;
-	if (f->kind == ROUTE_FEED)
-		t->feeds += (uint32_t)by;
+	target->flows += (uint32_t)by;
+	if (flow->kind == ROUTE_FEED)
+		target->feeds += (uint32_t)by;
 }
 
 /**
  * flow_cache_set_running() - set whether the target has the flow's request, and
  *	update the counts of running requests
- * @c: cache
- * @f: flow
+ * @cache: cache
+ * @flow: flow
  * @running: true when the request is forwarded, false when it is answered,
  *	overdue or given up
  */
-void flow_cache_set_running(struct flow_cache *c, struct flow_state *f,
+void flow_cache_set_running(struct flow_cache *cache, struct flow_state *flow,
 			    bool running)
 {
 	uint32_t by = running ? 1U : -1U;
 
-	if (f->running == running)
+	if (flow->running == running)
 		return;
 	if (running)
-		f->service = f->target->news.service;
-	f->running = running;
-	f->target->running += by;
-	c->running[f->service] += by;
+		flow->service = flow->target->news.service;
+	flow->running = running;
+	flow->target->running += by;
+	cache->running[flow->service] += by;
 }
 
 /**
  * flow_cache_running_count() - count the running requests of a service
- * @c: cache
+ * @cache: cache
  * @service: number of the service in the directory
  *
  * Return: requests of this entry that are at targets of @service.
  */
-uint32_t flow_cache_running_count(const struct flow_cache *c, uint32_t service)
+uint32_t flow_cache_running_count(const struct flow_cache *cache,
+				  uint32_t service)
 {
-	return c->running[service];
+	return cache->running[service];
 }
 
 /**
  * flow_cache_set_busy() - begin or end a request
- * @c: cache
- * @f: flow
- * @busy: whether a request is in progress; false also drops its queued packet and
- *	ends the wait for its answer
+ * @cache: cache
+ * @flow: flow
+ * @busy: whether a request is in progress; false also drops its queued packet
+ *	and ends the wait for its answer
  */
-void flow_cache_set_busy(struct flow_cache *c, struct flow_state *f, bool busy)
+void flow_cache_set_busy(struct flow_cache *cache, struct flow_state *flow,
+			 bool busy)
 {
-	if (f->busy == busy)
+	if (flow->busy == busy)
 		return;
-	f->busy = busy;
-	f->target->busy += busy ? 1U : -1U;
-	if (f->kind != ROUTE_FEED)
-		f->target->busy_short += busy ? 1U : -1U;
+	flow->busy = busy;
+	flow->target->busy += busy ? 1U : -1U;
+	if (flow->kind != ROUTE_FEED)
+		flow->target->busy_short += busy ? 1U : -1U;
 	if (busy)
 		return;
-	wait_queue_remove(c->wait_queue, f);
-	flow_cache_set_running(c, f, false);
-	f->answer_due_ns = 0;
+	wait_queue_remove(cache->wait_queue, flow);
+	flow_cache_set_running(cache, flow, false);
+	flow->answer_due_ns = 0;
 }
 
 /**
  * flow_cache_close() - mark a flow as closed; it stays cached so that stray
  *	packets of it are recognised
- * @c: cache
- * @f: flow
+ * @cache: cache
+ * @flow: flow
  */
-void flow_cache_close(struct flow_cache *c, struct flow_state *f)
+void flow_cache_close(struct flow_cache *cache, struct flow_state *flow)
 {
-	if (f->stage == FLOW_CLOSED)
+	if (flow->stage == FLOW_CLOSED)
 		return;
-	flow_cache_set_busy(c, f, false);
-	add_to_target_counts(f, -1);
-	f->stage = FLOW_CLOSED;
-	f->answer_due_ns = 0;
+	flow_cache_set_busy(cache, flow, false);
+	add_to_target_counts(flow, -1);
+	flow->stage = FLOW_CLOSED;
+	flow->answer_due_ns = 0;
 }
 
 /**
  * flow_cache_set_target() - assign a flow to another target
- * @c: cache
- * @f: flow
+ * @cache: cache
+ * @flow: flow
  * @to: new target; nothing happens when it is the present one
  *
  * Ends a request in progress, since the new target does not have it.
  */
-void flow_cache_set_target(struct flow_cache *c, struct flow_state *f,
+void flow_cache_set_target(struct flow_cache *cache, struct flow_state *flow,
 			   struct target *to)
 {
-	if (f->target == to)
+	if (flow->target == to)
 		return;
-	flow_cache_set_busy(c, f, false);
-	if (f->stage != FLOW_CLOSED)
-		add_to_target_counts(f, -1);
-	f->target->held--;
-	f->target = to;
+	flow_cache_set_busy(cache, flow, false);
+	if (flow->stage != FLOW_CLOSED)
+		add_to_target_counts(flow, -1);
+	flow->target->held--;
+	flow->target = to;
 	to->held++;
-	if (f->stage != FLOW_CLOSED)
-		add_to_target_counts(f, 1);
+	if (flow->stage != FLOW_CLOSED)
+		add_to_target_counts(flow, 1);
 }
 
 /**
  * flow_cache_remove() - close a flow and remove it from the cache
- * @c: cache
- * @f: flow; invalid afterwards
+ * @cache: cache
+ * @flow: flow; invalid afterwards
  */
-void flow_cache_remove(struct flow_cache *c, struct flow_state *f)
+void flow_cache_remove(struct flow_cache *cache, struct flow_state *flow)
 {
-	flow_cache_close(c, f);
-	f->target->held--;
-	unlink_flow(c, f);
-	index_del(c->by_key, flow_hash(&f->key), slot_of(c, f));
-	f->older = c->free_list;
-	c->free_list = slot_of(c, f);
-	c->count--;
+	flow_cache_close(cache, flow);
+	flow->target->held--;
+	unlink_flow(cache, flow);
+	index_del(cache->by_key, flow_hash(&flow->key), slot_of(cache, flow));
+	flow->older = cache->free_list;
+	cache->free_list = slot_of(cache, flow);
+	cache->count--;
 }
 
-static struct flow_state *alloc_flow(struct flow_cache *c)
+static struct flow_state *alloc_flow(struct flow_cache *cache)
 {
-	struct flow_state *f;
-
-	if (c->free_list == NONE && c->slots_used == c->flows_max)
-		flow_cache_remove(c, &c->flows[c->oldest]);
-	if (c->free_list == NONE)
-		return &c->flows[c->slots_used++];
-	f = &c->flows[c->free_list];
-	c->free_list = f->older;
-	return f;
+	struct flow_state *flow;
+
+	if (cache->free_list == NONE && cache->slots_used == cache->flows_max)
+		flow_cache_remove(cache, &cache->flows[cache->oldest]);
+	if (cache->free_list == NONE)
+		return &cache->flows[cache->slots_used++];
+	flow = &cache->flows[cache->free_list];
+	cache->free_list = flow->older;
+	return flow;
 }
 
 /**
  * flow_cache_add() - add a flow, evicting the least recently seen one when the
  *	cache is full
- * @c: cache
+ * @cache: cache
  * @key: client address and VIP; must not be in the cache
  * @target: target that the flow is assigned to
  * @kind: enum route_kind
@@ -250,14 +256,14 @@
  *
  * Return: flow, never NULL.
  */
-struct flow_state *flow_cache_add(struct flow_cache *c,
+struct flow_state *flow_cache_add(struct flow_cache *cache,
 				  const struct flow_key *key,
 				  struct target *target, uint8_t kind,
 				  uint8_t stage, uint64_t now_ns)
 {
-	struct flow_state *f = alloc_flow(c);
+	struct flow_state *flow = alloc_flow(cache);
 
-	*f = (struct flow_state){
+	*flow = (struct flow_state){
 		.key = *key,
 		.target = target,
 		.stage = stage,
@@ -266,47 +272,47 @@
 		.opened_ns = now_ns,
 	};
 	target->held++;
-	add_to_target_counts(f, 1);
-	link_newest(c, f);
-	index_put(c->by_key, flow_hash(key), slot_of(c, f));
-	c->count++;
-	return f;
+	add_to_target_counts(flow, 1);
+	link_newest(cache, flow);
+	index_put(cache->by_key, flow_hash(key), slot_of(cache, flow));
+	cache->count++;
+	return flow;
 }
 
-void flow_cache_touch(struct flow_cache *c, struct flow_state *f,
+void flow_cache_touch(struct flow_cache *cache, struct flow_state *flow,
 		      uint64_t now_ns)
 {
-	f->seen_ns = now_ns;
-	if (c->newest == slot_of(c, f))
+	flow->seen_ns = now_ns;
+	if (cache->newest == slot_of(cache, flow))
 		return;
-	unlink_flow(c, f);
-	link_newest(c, f);
+	unlink_flow(cache, flow);
+	link_newest(cache, flow);
 }
 
 /**
  * flow_cache_expire() - remove idle flows
- * @c: cache
+ * @cache: cache
  * @seen_before_ns: flows whose last packet came before this time are removed
  */
-void flow_cache_expire(struct flow_cache *c, uint64_t seen_before_ns)
+void flow_cache_expire(struct flow_cache *cache, uint64_t seen_before_ns)
 {
-	while (c->oldest != NONE &&
-	       c->flows[c->oldest].seen_ns < seen_before_ns)
-		flow_cache_remove(c, &c->flows[c->oldest]);
+	while (cache->oldest != NONE &&
+	       cache->flows[cache->oldest].seen_ns < seen_before_ns)
+		flow_cache_remove(cache, &cache->flows[cache->oldest]);
 }
 
-uint32_t flow_cache_count(const struct flow_cache *c)
+uint32_t flow_cache_count(const struct flow_cache *cache)
 {
-	return c->count;
+	return cache->count;
 }
 
-struct flow_state *flow_cache_newest(struct flow_cache *c)
+struct flow_state *flow_cache_newest(struct flow_cache *cache)
 {
-	return c->newest == NONE ? NULL : &c->flows[c->newest];
+	return cache->newest == NONE ? NULL : &cache->flows[cache->newest];
 }
 
-struct flow_state *flow_cache_older(struct flow_cache *c,
-				    const struct flow_state *f)
+struct flow_state *flow_cache_older(struct flow_cache *cache,
+				    const struct flow_state *flow)
 {
-	return f->older == NONE ? NULL : &c->flows[f->older];
+	return flow->older == NONE ? NULL : &cache->flows[flow->older];
 }
--- a/core/packet/flow/flow_cache.h
+++ b/core/packet/flow/flow_cache.h
@@ -14,27 +14,29 @@
 
 struct flow_cache *flow_cache_new(uint32_t flows_max,
 				  struct wait_queue *wait_queue);
-void flow_cache_free(struct flow_cache *c);
-struct flow_state *flow_cache_find(struct flow_cache *c,
+void flow_cache_free(struct flow_cache *cache);
+struct flow_state *flow_cache_find(struct flow_cache *cache,
 				   const struct flow_key *key);
-struct flow_state *flow_cache_add(struct flow_cache *c,
+struct flow_state *flow_cache_add(struct flow_cache *cache,
 				  const struct flow_key *key,
 				  struct target *target, uint8_t kind,
 				  uint8_t stage, uint64_t now_ns);
-void flow_cache_touch(struct flow_cache *c, struct flow_state *f,
+void flow_cache_touch(struct flow_cache *cache, struct flow_state *flow,
 		      uint64_t now_ns);
-void flow_cache_set_target(struct flow_cache *c, struct flow_state *f,
+void flow_cache_set_target(struct flow_cache *cache, struct flow_state *flow,
 			   struct target *to);
-void flow_cache_set_busy(struct flow_cache *c, struct flow_state *f, bool busy);
-void flow_cache_set_running(struct flow_cache *c, struct flow_state *f,
+void flow_cache_set_busy(struct flow_cache *cache, struct flow_state *flow,
+			 bool busy);
+void flow_cache_set_running(struct flow_cache *cache, struct flow_state *flow,
 			    bool running);
-uint32_t flow_cache_running_count(const struct flow_cache *c, uint32_t service);
-void flow_cache_close(struct flow_cache *c, struct flow_state *f);
-void flow_cache_remove(struct flow_cache *c, struct flow_state *f);
-void flow_cache_expire(struct flow_cache *c, uint64_t seen_before_ns);
-uint32_t flow_cache_count(const struct flow_cache *c);
-struct flow_state *flow_cache_newest(struct flow_cache *c);
-struct flow_state *flow_cache_older(struct flow_cache *c,
-				    const struct flow_state *f);
+uint32_t flow_cache_running_count(const struct flow_cache *cache,
+				  uint32_t service);
+void flow_cache_close(struct flow_cache *cache, struct flow_state *flow);
+void flow_cache_remove(struct flow_cache *cache, struct flow_state *flow);
+void flow_cache_expire(struct flow_cache *cache, uint64_t seen_before_ns);
+uint32_t flow_cache_count(const struct flow_cache *cache);
+struct flow_state *flow_cache_newest(struct flow_cache *cache);
+struct flow_state *flow_cache_older(struct flow_cache *cache,
+				    const struct flow_state *flow);
 
 #endif
--- a/core/packet/flow/flow_state.h
+++ b/core/packet/flow/flow_state.h
@@ -26,9 +26,9 @@
  * @busy: a request is in progress, queued at this entry or at the target
  * @running: the request was forwarded and is neither answered nor overdue;
  *	implies @busy
- * @found_free_slot: when the request was forwarded, the known load of the target
- *	was below its number of slots, so that the time to the answer contains no
- *	queueing at the target
+ * @found_free_slot: when the request was forwarded, the known load of the
+ *	target was below its number of slots, so that the time to the answer
+ *	contains no queueing at the target
  * @priority: priority of the route; 0 is served first
  * @service: service under which the request is counted while @running; kept
  *	apart from the target, which may restart as a target of another service
@@ -40,8 +40,9 @@
  * @expires_ns: end of the route's timeout, after which the client has given up
  * @forwarded_ns: when the request was forwarded to the target; before the first
  *	request, when the SYN was
- * @rtt_ns: duration of the handshake as seen here, from this entry to the target,
- *	to the client and back to this entry; 0 when this entry did not see it
+ * @rtt_ns: duration of the handshake as seen here, from this entry to the
+ *	target, to the client and back to this entry; 0 when this entry did not
+ *	see it
  * @seen_ns: when the last packet of the flow came, or was forwarded from the
  *	queue
  * @opened_ns: when the first packet of the flow came
--- a/core/packet/flow/path.c
+++ b/core/packet/flow/path.c
@@ -20,43 +20,43 @@
 /**
  * path_new() - create the state of the decisions on packets
  * @conf: settings, copied; its policy must outlive the state
- * @d: directory; not owned, must outlive the state
+ * @directory: directory; not owned, must outlive the state
  * @port: calls to the owner
  * @rng: seeded random number generator, copied
  *
  * Return: state, to be freed with path_free(), or NULL when out of memory.
  */
-struct path *path_new(const struct path_conf *conf, struct directory *d,
+struct path *path_new(const struct path_conf *conf, struct directory *directory,
 		      struct path_port port, struct rng rng)
 {
-	struct path *p = calloc(1, sizeof(*p));
+	struct path *path = calloc(1, sizeof(*path));
 
-	if (!p)
+	if (!path)
 		return NULL;
-	p->conf = *conf;
-	p->policy = conf->policy ? conf->policy : &policy_usual;
-	p->directory = d;
-	p->port = port;
-	p->rng = rng;
-	p->feed_load = FEED_LOAD_INITIAL;
+	path->conf = *conf;
+	path->policy = conf->policy ? conf->policy : &policy_usual;
+	path->directory = directory;
+	path->port = port;
+	path->rng = rng;
+	path->feed_load = FEED_LOAD_INITIAL;
 	for (uint32_t i = 0; i < ROUTE_KINDS; i++)
-		p->answer_ns[i] = p->policy->request_due_max_ns /
-				  p->policy->request_due_means;
-	p->wait_queue = wait_queue_new(p->policy->waiting_max);
-	p->flows = flow_cache_new(conf->flows_max, p->wait_queue);
-	if (p->wait_queue && p->flows)
-		return p;
-	path_free(p);
+		path->answer_ns[i] = path->policy->request_due_max_ns /
+				     path->policy->request_due_means;
+	path->wait_queue = wait_queue_new(path->policy->waiting_max);
+	path->flows = flow_cache_new(conf->flows_max, path->wait_queue);
+	if (path->wait_queue && path->flows)
+		return path;
+	path_free(path);
 	return NULL;
 }
 
-void path_free(struct path *p)
+void path_free(struct path *path)
 {
-	if (!p)
+	if (!path)
 		return;
-	flow_cache_free(p->flows);
-	wait_queue_free(p->wait_queue);
-	free(p);
+	flow_cache_free(path->flows);
+	wait_queue_free(path->wait_queue);
+	free(path);
 }
 
 /*
@@ -64,11 +64,11 @@
  * Targets of this data centre are better, since others may be cut off; among
  * equals the one with the latest sign of life.
  */
-static bool is_better_witness(const struct path *p, const struct target *a,
+static bool is_better_witness(const struct path *path, const struct target *a,
 			      const struct target *b)
 {
-	bool a_is_local = a->news.zone == p->conf.zone;
-	bool b_is_local = b->news.zone == p->conf.zone;
+	bool a_is_local = a->news.zone == path->conf.zone;
+	bool b_is_local = b->news.zone == path->conf.zone;
 
 	return a_is_local != b_is_local ? a_is_local
 					: a->alive_ns > b->alive_ns;
@@ -76,119 +76,124 @@
 
 /*
  * Probe another target that is expected to answer. Its answer shows that this
- * VM's own link works. While all other targets are suspected, a fault of the link
- * is more likely than one of all targets; their pending probes then serve the
- * same purpose.
+ * VM's own link works. While all other targets are suspected, a fault of the
+ * link is more likely than one of all targets; their pending probes then serve
+ * the same purpose.
  * Return: whether any other target can answer: one that was probed now, or one
  * that is suspected.
  */
 static bool probe_witness(void *ctx, const struct target *about)
 {
-	struct path *p = ctx;
+	struct path *path = ctx;
 	struct target *best = NULL;
 	struct health_context c;
 	bool has_suspected = false;
 
-	for (uint32_t i = 0; i < directory_slots(p->directory); i++) {
-		struct target *t = directory_slot(p->directory, i);
+	for (uint32_t i = 0; i < directory_slots(path->directory); i++) {
+		struct target *target = directory_slot(path->directory, i);
 
-		if (t == about || t->stage == TARGET_ABSENT ||
-		    directory_evacuated(p->directory, t))
+		if (target == about || target->stage == TARGET_ABSENT ||
+		    directory_evacuated(path->directory, target))
 			continue;
-		has_suspected |= t->health == HEALTH_DOUBTED;
-		if (t->health == HEALTH_GOOD &&
-		    (!best || is_better_witness(p, t, best)))
-			best = t;
+		has_suspected |= target->health == HEALTH_DOUBTED;
+		if (target->health == HEALTH_GOOD &&
+		    (!best || is_better_witness(path, target, best)))
+			best = target;
 	}
 	if (!best)
 		return has_suspected;
-	c = path_health_context(p, about->probed_ns);
+	c = path_health_context(path, about->probed_ns);
 	health_probe(best, &c);
 	return true;
 }
 
-struct health_context path_health_context(struct path *p, uint64_t now_ns)
+struct health_context path_health_context(struct path *path, uint64_t now_ns)
 {
-	return (struct health_context){ p->policy, &p->port.health,
-					now_ns,	   probe_witness,
-					p,	   p->answered_probe_ns };
+	return (struct health_context){ path->policy, &path->port.health,
+					now_ns,	      probe_witness,
+					path,	      path->answered_probe_ns };
 }
 
-static void mark_alive(struct path *p, struct target *t, uint64_t now_ns)
+static void mark_alive(struct path *path, struct target *target,
+		       uint64_t now_ns)
 {
-	struct health_context c = path_health_context(p, now_ns);
+	struct health_context c = path_health_context(path, now_ns);
 
-	health_answered(t, &c);
+	health_answered(target, &c);
 }
 
-void path_suspect(struct path *p, struct target *t, uint64_t since_ns,
+void path_suspect(struct path *path, struct target *target, uint64_t since_ns,
 		  uint64_t now_ns)
 {
-	struct health_context c = path_health_context(p, now_ns);
+	struct health_context c = path_health_context(path, now_ns);
 
-	health_doubt(t, &c, since_ns);
+	health_doubt(target, &c, since_ns);
 }
 
-static void set_verdict(struct path *p, struct path_verdict *out,
-			uint8_t action, uint8_t reason, const struct target *t)
+static void set_verdict(struct path *path, struct path_verdict *out,
+			uint8_t action, uint8_t reason,
+			const struct target *target)
 {
 	out->action = action;
 	out->reason = reason;
-	out->target = t;
-	p->counts[reason]++;
+	out->target = target;
+	path->counts[reason]++;
 }
 
 /* Whether the policy demands a reset of the flows of a target in this state. */
-bool path_must_reset_flows(const struct path *p, const struct target *t)
+bool path_must_reset_flows(const struct path *path, const struct target *target)
 {
-	return (t->health == HEALTH_DEAD && p->policy->reset_dead) ||
-	       (t->health == HEALTH_SILENT && p->policy->reset_silent);
+	return (target->health == HEALTH_DEAD && path->policy->reset_dead) ||
+	       (target->health == HEALTH_SILENT && path->policy->reset_silent);
 }
 
 /* Time after which an incomplete handshake is retried at another target. */
-uint64_t path_handshake_timeout_ns(const struct path *p)
+uint64_t path_handshake_timeout_ns(const struct path *path)
 {
-	uint64_t due_ns = p->open_ns * p->policy->opening_due_means;
+	uint64_t due_ns = path->open_ns * path->policy->opening_due_means;
 
-	return due_ns > p->policy->opening_due_ns ? due_ns
-						  : p->policy->opening_due_ns;
+	return due_ns > path->policy->opening_due_ns
+		       ? due_ns
+		       : path->policy->opening_due_ns;
 }
 
-uint64_t path_answer_timeout_ns(const struct path *p, uint8_t kind)
+uint64_t path_answer_timeout_ns(const struct path *path, uint8_t kind)
 {
-	uint64_t due_ns = p->answer_ns[kind] * p->policy->request_due_means;
+	uint64_t due_ns =
+		path->answer_ns[kind] * path->policy->request_due_means;
 
-	if (due_ns < p->policy->request_due_min_ns)
-		return p->policy->request_due_min_ns;
-	if (due_ns > p->policy->request_due_max_ns)
-		return p->policy->request_due_max_ns;
+	if (due_ns < path->policy->request_due_min_ns)
+		return path->policy->request_due_min_ns;
+	if (due_ns > path->policy->request_due_max_ns)
+		return path->policy->request_due_max_ns;
 	return due_ns;
 }
 
-struct target *path_assign_target(struct path *p, const struct flow_key *key,
-				  const struct route *r,
+struct target *path_assign_target(struct path *path, const struct flow_key *key,
+				  const struct route *route,
 				  const struct target *avoid, uint64_t now_ns)
 {
 	struct place_query q = {
-		.policy = p->policy,
-		.service = route_service(r, flow_hash(key)),
-		.zone = p->conf.zone,
-		.kind = r->kind,
+		.policy = path->policy,
+		.service = route_service(route, flow_hash(key)),
+		.zone = path->conf.zone,
+		.kind = route->kind,
 		.avoid = avoid,
-		.feed_load = p->feed_load,
+		.feed_load = path->feed_load,
 		.now_ns = now_ns,
 	};
 
-	return place_target(p->directory, &q, &p->rng);
+	return place_target(path->directory, &q, &path->rng);
 }
 
 /* Keep a packet for path_port.resend; only one without data may be resent. */
-static void keep_for_resend(struct flow_state *f, const struct packet *k)
+static void keep_for_resend(struct flow_state *flow,
+			    const struct packet *packet)
 {
-	if (k->size_bytes || k->n_bytes > RESEND_MAX_BYTES)
+	if (packet->size_bytes || packet->n_bytes > RESEND_MAX_BYTES)
 		return;
-	f->resend_bytes = (uint8_t)k->n_bytes;
-	memcpy(f->resend_packet, k->bytes, k->n_bytes);
+	flow->resend_bytes = (uint8_t)packet->n_bytes;
+	memcpy(flow->resend_packet, packet->bytes, packet->n_bytes);
 }
 
 /*
@@ -196,92 +201,95 @@
  * another target, since the first one may be dead or full. If both answer, the
  * client uses one and the other's handshake is never completed.
  */
-static void handle_syn(struct path *p, const struct packet *k,
-		       const struct route *r, uint64_t now_ns,
+static void handle_syn(struct path *path, const struct packet *packet,
+		       const struct route *route, uint64_t now_ns,
 		       struct path_verdict *out)
 {
-	struct flow_state *f = flow_cache_find(p->flows, &k->flow);
+	struct flow_state *flow = flow_cache_find(path->flows, &packet->flow);
 	const struct target *avoid = NULL;
-	struct target *t;
+	struct target *target;
 
-	if (f && f->stage == FLOW_OPEN) {
-		set_verdict(p, out, PATH_FORWARD, PATH_pinned, f->target);
+	if (flow && flow->stage == FLOW_OPEN) {
+		set_verdict(path, out, PATH_FORWARD, PATH_pinned, flow->target);
 		return;
 	}
-	if (f && f->stage == FLOW_CLOSED) { /* the client reuses its port */
-		flow_cache_remove(p->flows, f);
-		f = NULL;
+	if (flow &&
+	    flow->stage == FLOW_CLOSED) { /* the client reuses its port */
+		flow_cache_remove(path->flows, flow);
+		flow = NULL;
 	}
-	if (f) {
-		path_suspect(p, f->target, f->opened_ns, now_ns);
-		avoid = f->target;
+	if (flow) {
+		path_suspect(path, flow->target, flow->opened_ns, now_ns);
+		avoid = flow->target;
 	}
-	t = path_assign_target(p, &k->flow, r, avoid, now_ns);
-	if (!t) {
-		set_verdict(p, out, PATH_RESET, PATH_no_target, NULL);
+	target = path_assign_target(path, &packet->flow, route, avoid, now_ns);
+	if (!target) {
+		set_verdict(path, out, PATH_RESET, PATH_no_target, NULL);
 		return;
 	}
-	if (f)
-		flow_cache_set_target(p->flows, f, t);
+	if (flow)
+		flow_cache_set_target(path->flows, flow, target);
 	else
-		f = flow_cache_add(p->flows, &k->flow, t, r->kind, FLOW_OPENING,
-				   now_ns);
-	flow_cache_touch(p->flows, f, now_ns);
-	f->forwarded_ns = now_ns;
-	f->seq = k->seq;
-	keep_for_resend(f, k);
-	if (p->policy->opening_due_ns)
-		f->answer_due_ns = now_ns + path_handshake_timeout_ns(p);
-	set_verdict(p, out, PATH_FORWARD,
-		    avoid ? PATH_placed_copy : PATH_placed, t);
+		flow = flow_cache_add(path->flows, &packet->flow, target,
+				      route->kind, FLOW_OPENING, now_ns);
+	flow_cache_touch(path->flows, flow, now_ns);
+	flow->forwarded_ns = now_ns;
+	flow->seq = packet->seq;
+	keep_for_resend(flow, packet);
+	if (path->policy->opening_due_ns)
+		flow->answer_due_ns = now_ns + path_handshake_timeout_ns(path);
+	set_verdict(path, out, PATH_FORWARD,
+		    avoid ? PATH_placed_copy : PATH_placed, target);
 }
 
-static void handle_answer(struct path *p, struct flow_state *f,
+static void handle_answer(struct path *path, struct flow_state *flow,
 			  uint32_t size_bytes, uint64_t now_ns)
 {
-	uint64_t elapsed_ns = now_ns - f->forwarded_ns;
-	uint64_t *mean_ns = &p->answer_ns[f->kind];
+	uint64_t elapsed_ns = now_ns - flow->forwarded_ns;
+	uint64_t *mean_ns = &path->answer_ns[flow->kind];
 	bool small;
 
-	if (!f->busy)
+	if (!flow->busy)
 		return;
-	histogram_add(&p->latencies[f->kind].answer_us, elapsed_ns / NS_PER_US);
-	small = outlier_small(&p->sizes, p->policy, f->kind, size_bytes);
+	histogram_add(&path->latencies[flow->kind].answer_us,
+		      elapsed_ns / NS_PER_US);
+	small = outlier_small(&path->sizes, path->policy, flow->kind,
+			      size_bytes);
 	if (small)
-		outlier_failed(f->target, p->policy, now_ns);
-	if (f->running)
-		path_record_answer(p, f, small, now_ns);
+		outlier_failed(flow->target, path->policy, now_ns);
+	if (flow->running)
+		path_record_answer(path, flow, small, now_ns);
 	*mean_ns += elapsed_ns / ANSWER_DIVISOR - *mean_ns / ANSWER_DIVISOR;
-	flow_cache_set_busy(p->flows, f, false);
-	path_release_queued(p, f->target->news.service, now_ns);
+	flow_cache_set_busy(path->flows, flow, false);
+	path_release_queued(path, flow->target->news.service, now_ns);
 }
 
 /*
- * Clients repeat requests that they sent while no entry forwarded them. A repeat
- * can't be told from a new request, but nearly all requests that a young process
- * gets first on flows whose handshake it has not seen are repeats.
+ * Clients repeat requests that they sent while no entry forwarded them. A
+ * repeat can't be told from a new request, but nearly all requests that a young
+ * process gets first on flows whose handshake it has not seen are repeats.
  */
-static bool presumed_repeat(const struct path *p, const struct flow_state *f,
-			    uint64_t now_ns)
+static bool presumed_repeat(const struct path *path,
+			    const struct flow_state *flow, uint64_t now_ns)
 {
-	bool young = now_ns < p->conf.start_ns + p->policy->young_ns;
-	bool first = f->opened_ns == now_ns;
+	bool young = now_ns < path->conf.start_ns + path->policy->young_ns;
+	bool first = flow->opened_ns == now_ns;
 
-	return young && first && !f->rtt_ns;
+	return young && first && !flow->rtt_ns;
 }
 
 /* Start a request of the client. */
-static void begin_request(struct path *p, struct flow_state *f,
-			  const struct route *r, uint64_t now_ns)
+static void begin_request(struct path *path, struct flow_state *flow,
+			  const struct route *route, uint64_t now_ns)
 {
-	f->priority = r->priority;
-	f->arrived_ns = now_ns;
-	f->objective_deadline_ns =
-		r->aim_ms ? now_ns + r->aim_ms * NS_PER_MS : 0;
-	if (f->objective_deadline_ns && presumed_repeat(p, f, now_ns))
-		f->objective_deadline_ns = now_ns;
-	f->expires_ns = now_ns + r->timeout_ms * NS_PER_MS;
-	flow_cache_set_busy(p->flows, f, true);
+	flow->priority = route->priority;
+	flow->arrived_ns = now_ns;
+	flow->objective_deadline_ns =
+		route->aim_ms ? now_ns + route->aim_ms * NS_PER_MS : 0;
+	if (flow->objective_deadline_ns && presumed_repeat(path, flow, now_ns))
+		flow->objective_deadline_ns = now_ns;
+	flow->expires_ns = now_ns + route->timeout_ms * NS_PER_MS;
+	flow_cache_set_busy(path->flows, flow, true);
 }
 
 /*
@@ -289,25 +297,27 @@
  * in progress, or a repeat.
  * Return: whether the packet was queued or repeats a queued one.
  */
-static bool handle_data(struct path *p, struct flow_state *f,
-			const struct packet *k, const struct route *r,
+static bool handle_data(struct path *path, struct flow_state *flow,
+			const struct packet *packet, const struct route *route,
 			uint64_t quiet_ns, uint64_t now_ns)
 {
-	if ((int32_t)(k->seq - f->seq) <= 0) {
-		if (f->waiting)
+	if ((int32_t)(packet->seq - flow->seq) <= 0) {
+		if (flow->waiting)
 			return true;
-		if (quiet_ns >= p->policy->repeat_quiet_ns)
-			path_suspect(p, f->target, f->forwarded_ns, now_ns);
+		if (quiet_ns >= path->policy->repeat_quiet_ns)
+			path_suspect(path, flow->target, flow->forwarded_ns,
+				     now_ns);
 		return false;
 	}
-	f->seq = k->seq;
-	if (!f->busy) {
-		begin_request(p, f, r, now_ns);
-		if (path_queue_request(p, f, k))
+	flow->seq = packet->seq;
+	if (!flow->busy) {
+		begin_request(path, flow, route, now_ns);
+		if (path_queue_request(path, flow, packet))
 			return true;
-		path_request_sent(p, f, now_ns);
-	} else if (!f->waiting) {
-		f->answer_due_ns = now_ns + path_answer_timeout_ns(p, f->kind);
+		path_request_sent(path, flow, now_ns);
+	} else if (!flow->waiting) {
+		flow->answer_due_ns =
+			now_ns + path_answer_timeout_ns(path, flow->kind);
 	}
 	return false;
 }
@@ -316,192 +326,200 @@
  * Update the flow and its target's health from a packet other than a SYN.
  * Return: whether the packet was queued or repeats a queued one.
  */
-static bool track_packet(struct path *p, struct flow_state *f,
-			 const struct packet *k, const struct route *r,
+static bool track_packet(struct path *path, struct flow_state *flow,
+			 const struct packet *packet, const struct route *route,
 			 uint64_t now_ns)
 {
-	bool newer_ack = (int32_t)(k->ack - f->ack) > 0;
-	uint64_t quiet_ns = now_ns - f->seen_ns;
+	bool newer_ack = (int32_t)(packet->ack - flow->ack) > 0;
+	uint64_t quiet_ns = now_ns - flow->seen_ns;
 
-	flow_cache_touch(p->flows, f, now_ns);
-	if (f->stage == FLOW_CLOSED)
+	flow_cache_touch(path->flows, flow, now_ns);
+	if (flow->stage == FLOW_CLOSED)
 		return false;
-	if (f->stage == FLOW_OPENING) {
-		uint64_t elapsed_ns = now_ns - f->opened_ns;
+	if (flow->stage == FLOW_OPENING) {
+		uint64_t elapsed_ns = now_ns - flow->opened_ns;
 
-		histogram_add(&p->latencies[f->kind].open_us,
+		histogram_add(&path->latencies[flow->kind].open_us,
 			      elapsed_ns / NS_PER_US);
-		p->open_ns +=
-			elapsed_ns / OPEN_DIVISOR - p->open_ns / OPEN_DIVISOR;
-		f->stage = FLOW_OPEN;
-		f->rtt_ns = now_ns - f->forwarded_ns;
-		f->resend_bytes = 0;
-		f->ack = k->ack;
-		f->seq = k->seq - 1;
-		f->answer_due_ns = 0;
-		mark_alive(p, f->target, now_ns);
+		path->open_ns += elapsed_ns / OPEN_DIVISOR -
+				 path->open_ns / OPEN_DIVISOR;
+		flow->stage = FLOW_OPEN;
+		flow->rtt_ns = now_ns - flow->forwarded_ns;
+		flow->resend_bytes = 0;
+		flow->ack = packet->ack;
+		flow->seq = packet->seq - 1;
+		flow->answer_due_ns = 0;
+		mark_alive(path, flow->target, now_ns);
 	} else if (newer_ack) {
-		uint32_t size_bytes = k->ack - f->ack;
+		uint32_t size_bytes = packet->ack - flow->ack;
 
-		f->ack = k->ack;
-		mark_alive(p, f->target, now_ns);
-		handle_answer(p, f, size_bytes, now_ns);
+		flow->ack = packet->ack;
+		mark_alive(path, flow->target, now_ns);
+		handle_answer(path, flow, size_bytes, now_ns);
 	}
-	if (k->flags & (PACKET_FIN | PACKET_RST)) {
-		flow_cache_close(p->flows, f);
-		path_release_queued(p, f->target->news.service, now_ns);
+	if (packet->flags & (PACKET_FIN | PACKET_RST)) {
+		flow_cache_close(path->flows, flow);
+		path_release_queued(path, flow->target->news.service, now_ns);
 		return false;
 	}
-	keep_for_resend(f, k);
-	return k->size_bytes && handle_data(p, f, k, r, quiet_ns, now_ns);
+	keep_for_resend(flow, packet);
+	return packet->size_bytes &&
+	       handle_data(path, flow, packet, route, quiet_ns, now_ns);
 }
 
-static struct flow_state *find_or_add_flow(struct path *p,
-					   const struct packet *k,
-					   struct target *t, uint8_t kind,
+static struct flow_state *find_or_add_flow(struct path *path,
+					   const struct packet *packet,
+					   struct target *target, uint8_t kind,
 					   uint64_t now_ns)
 {
-	struct flow_state *f = flow_cache_find(p->flows, &k->flow);
+	struct flow_state *flow = flow_cache_find(path->flows, &packet->flow);
 
-	if (!f) {
-		f = flow_cache_add(p->flows, &k->flow, t, kind, FLOW_OPEN,
-				   now_ns);
-		f->seq = k->seq - 1;
-		f->ack = k->ack;
+	if (!flow) {
+		flow = flow_cache_add(path->flows, &packet->flow, target, kind,
+				      FLOW_OPEN, now_ns);
+		flow->seq = packet->seq - 1;
+		flow->ack = packet->ack;
 	} else {
-		flow_cache_set_target(p->flows, f, t);
+		flow_cache_set_target(path->flows, flow, target);
 	}
-	return f;
+	return flow;
 }
 
 /* Decide on a packet other than a SYN, whose target is named by its cookie. */
-static void forward_by_cookie(struct path *p, const struct packet *k,
-			      const struct route *r, bool fresh,
+static void forward_by_cookie(struct path *path, const struct packet *packet,
+			      const struct route *route, bool fresh,
 			      uint64_t now_ns, struct path_verdict *out)
 {
-	struct target *t = directory_by_cookie(p->directory, k->cookie);
+	struct target *target =
+		directory_by_cookie(path->directory, packet->cookie);
 	bool knows_route_history =
-		now_ns > p->conf.start_ns + p->conf.flow_lifetime_ns;
+		now_ns > path->conf.start_ns + path->conf.flow_lifetime_ns;
 
-	if (!k->cookie) {
-		set_verdict(p, out, PATH_DROP, PATH_no_cookie, NULL);
+	if (!packet->cookie) {
+		set_verdict(path, out, PATH_DROP, PATH_no_cookie, NULL);
 		return;
 	}
-	if (!r) {
-		set_verdict(p, out, fresh ? PATH_RESET : PATH_DROP,
-			    PATH_route_dropped, t);
+	if (!route) {
+		set_verdict(path, out, fresh ? PATH_RESET : PATH_DROP,
+			    PATH_route_dropped, target);
 		return;
 	}
-	if (!t) {
-		set_verdict(p, out, PATH_DROP, PATH_unknown_cookie, NULL);
+	if (!target) {
+		set_verdict(path, out, PATH_DROP, PATH_unknown_cookie, NULL);
 		return;
 	}
 	/*
 	 * Clients can forge cookies, so the target must belong to a service of
-	 * the route. A process that has run for less than the lifetime of a flow
-	 * doesn't know all services that the route had, and skips this check; the
-	 * target itself rejects packets of unknown flows.
+	 * the route. A process that has run for less than the lifetime of a
+	 * flow doesn't know all services that the route had, and skips this
+	 * check; the target itself rejects packets of unknown flows.
 	 */
-	if (knows_route_history && !route_allows(r, t->news.service, now_ns)) {
-		set_verdict(p, out, PATH_DROP, PATH_foreign_cookie, t);
+	if (knows_route_history &&
+	    !route_allows(route, target->news.service, now_ns)) {
+		set_verdict(path, out, PATH_DROP, PATH_foreign_cookie, target);
 		return;
 	}
-	if (path_must_reset_flows(p, t)) {
-		struct flow_state *f = flow_cache_find(p->flows, &k->flow);
-
-		if (f)
-			flow_cache_close(p->flows, f);
-		set_verdict(p, out, PATH_RESET,
-			    t->health == HEALTH_DEAD ? PATH_target_dead
-						     : PATH_target_silent,
-			    t);
+	if (path_must_reset_flows(path, target)) {
+		struct flow_state *flow =
+			flow_cache_find(path->flows, &packet->flow);
+
+		if (flow)
+			flow_cache_close(path->flows, flow);
+		set_verdict(path, out, PATH_RESET,
+			    target->health == HEALTH_DEAD ? PATH_target_dead
+							  : PATH_target_silent,
+			    target);
 		return;
 	}
-	if (track_packet(p, find_or_add_flow(p, k, t, r->kind, now_ns), k, r,
-			 now_ns))
-		set_verdict(p, out, PATH_WAIT, PATH_waits, t);
+	if (track_packet(path,
+			 find_or_add_flow(path, packet, target, route->kind,
+					  now_ns),
+			 packet, route, now_ns))
+		set_verdict(path, out, PATH_WAIT, PATH_waits, target);
 	else
-		set_verdict(p, out, PATH_FORWARD, PATH_pinned, t);
+		set_verdict(path, out, PATH_FORWARD, PATH_pinned, target);
 }
 
 /**
  * path_packet() - decide what is done with a packet of a client
- * @p: state
- * @k: packet; copied if it is kept or queued
+ * @path: state
+ * @packet: packet; copied if it is kept or queued
  * @fresh: no peer is known to have newer documents; a missing route is then
  *	answered with a reset, otherwise the packet is dropped
  * @now_ns: current time
  * @out: set to the decision
  */
-void path_packet(struct path *p, const struct packet *k, bool fresh,
+void path_packet(struct path *path, const struct packet *packet, bool fresh,
 		 uint64_t now_ns, struct path_verdict *out)
 {
-	const struct route_table *table = directory_table(p->directory);
-	const struct route *r = route_table_find(table, k->flow.vip);
+	const struct route_table *table = directory_table(path->directory);
+	const struct route *route = route_table_find(table, packet->flow.vip);
 
-	out->ack = k->ack;
-	out->kind = r ? r->kind : ROUTE_REPORT;
+	out->ack = packet->ack;
+	out->kind = route ? route->kind : ROUTE_REPORT;
 	if (!table)
-		set_verdict(p, out, PATH_DROP, PATH_no_routes_yet, NULL);
-	else if (!(k->flags & PACKET_SYN))
-		forward_by_cookie(p, k, r, fresh, now_ns, out);
-	else if (r)
-		handle_syn(p, k, r, now_ns, out);
+		set_verdict(path, out, PATH_DROP, PATH_no_routes_yet, NULL);
+	else if (!(packet->flags & PACKET_SYN))
+		forward_by_cookie(path, packet, route, fresh, now_ns, out);
+	else if (route)
+		handle_syn(path, packet, route, now_ns, out);
 	else
-		set_verdict(p, out, fresh ? PATH_RESET : PATH_DROP,
+		set_verdict(path, out, fresh ? PATH_RESET : PATH_DROP,
 			    PATH_no_route, NULL);
-	if (out->action == PATH_RESET && k->flags & PACKET_RST)
+	if (out->action == PATH_RESET && packet->flags & PACKET_RST)
 		out->action = PATH_DROP;
 }
 
 /**
  * path_verdict_counts() - get the number of decisions for each reason
- * @p: state
+ * @path: state
  *
- * Return: PATH_REASON_COUNT counters, indexed by enum path_reason, owned by @p.
+ * Return: PATH_REASON_COUNT counters, indexed by enum path_reason, owned by
+ * @path.
  */
-const uint64_t *path_verdict_counts(const struct path *p)
+const uint64_t *path_verdict_counts(const struct path *path)
 {
-	return p->counts;
+	return path->counts;
 }
 
 /**
  * path_latencies() - get the durations seen on flows of a kind
- * @p: state
+ * @path: state
  * @kind: enum route_kind
  *
- * Return: histograms, owned by @p.
+ * Return: histograms, owned by @path.
  */
-const struct path_latencies *path_latencies(const struct path *p, uint8_t kind)
+const struct path_latencies *path_latencies(const struct path *path,
+					    uint8_t kind)
 {
-	return &p->latencies[kind];
+	return &path->latencies[kind];
 }
 
-uint32_t path_flow_count(const struct path *p)
+uint32_t path_flow_count(const struct path *path)
 {
-	return flow_cache_count(p->flows);
+	return flow_cache_count(path->flows);
 }
 
-uint32_t path_queued_count(const struct path *p)
+uint32_t path_queued_count(const struct path *path)
 {
-	return wait_queue_count(p->wait_queue);
+	return wait_queue_count(path->wait_queue);
 }
 
 /**
  * path_find_flow() - look up a flow in the cache
- * @p: state
+ * @path: state
  * @key: client address and VIP
  *
- * Return: flow, valid until the next call that changes @p, or NULL.
+ * Return: flow, valid until the next call that changes @path, or NULL.
  */
-const struct flow_state *path_find_flow(const struct path *p,
+const struct flow_state *path_find_flow(const struct path *path,
 					const struct flow_key *key)
 {
-	return flow_cache_find(p->flows, key);
+	return flow_cache_find(path->flows, key);
 }
 
 /* Mean number of requests in progress of an open feed. */
-float path_feed_load(const struct path *p)
+float path_feed_load(const struct path *path)
 {
-	return p->feed_load;
+	return path->feed_load;
 }
--- a/core/packet/flow/path.h
+++ b/core/packet/flow/path.h
@@ -57,8 +57,8 @@
  * struct path_verdict - decision on a packet
  * @action: enum path_action
  * @reason: enum path_reason
- * @kind: kind of the packet's route, enum route_kind; ROUTE_REPORT when it has no
- *	route
+ * @kind: kind of the packet's route, enum route_kind; ROUTE_REPORT when it has
+ *	no route
  * @target: target to forward to, or that the reason is about; owned by the
  *	directory; NULL when no target is involved
  * @ack: sequence number that a reset has to carry
@@ -76,23 +76,25 @@
  * @ctx: first argument of each call
  * @health: calls of the health checks; the outcome of a probe is returned with
  *	path_probe_ended()
- * @resend: send the flow's kept packet (resend_packet) to its target; @reason is
- *	one of enum path_reason
- * @send_queued: forward a packet from the queue to the flow's target; the packet
- *	is valid only during the call
+ * @resend: send the flow's kept packet (resend_packet) to its target; @reason
+ *	is one of enum path_reason
+ * @send_queued: forward a packet from the queue to the flow's target; the
+ *	packet is valid only during the call
  * @reset: send a reset of a flow to the client
  * @eject: a target was ejected for its failures and gets no new flows for a
- *	while; @others_failures is the mean number of recently failed requests at
- *	the other targets of its service
+ *	while; @others_failures is the mean number of recently failed requests
+ *	at the other targets of its service
  */
 struct path_port {
 	void *ctx;
 	struct health_port health;
-	void (*resend)(void *ctx, const struct flow_state *f, uint8_t reason);
-	void (*send_queued)(void *ctx, const struct flow_state *f,
+	void (*resend)(void *ctx, const struct flow_state *flow,
+		       uint8_t reason);
+	void (*send_queued)(void *ctx, const struct flow_state *flow,
 			    const uint8_t *bytes, uint32_t n_bytes);
-	void (*reset)(void *ctx, const struct flow_state *f);
-	void (*eject)(void *ctx, const struct target *t, float others_failures);
+	void (*reset)(void *ctx, const struct flow_state *flow);
+	void (*eject)(void *ctx, const struct target *target,
+		      float others_failures);
 };
 
 /**
@@ -112,13 +114,14 @@
 };
 
 /**
- * struct path_latencies - durations seen in the clients' packets, for one kind of
- *	route
+ * struct path_latencies - durations seen in the clients' packets, for one kind
+ *	of route
  * @open_us: from the first SYN of a flow to the client's answer to the target's
  *	SYN
  * @wait_us: from the first packet of a request until it was forwarded; only
  *	requests that were queued here
- * @answer_us: from forwarding a request until the client acknowledged the answer
+ * @answer_us: from forwarding a request until the client acknowledged the
+ *	answer
  */
 struct path_latencies {
 	struct histogram open_us;
@@ -143,29 +146,30 @@
 
 struct path;
 
-struct path *path_new(const struct path_conf *conf, struct directory *d,
+struct path *path_new(const struct path_conf *conf, struct directory *directory,
 		      struct path_port port, struct rng rng);
-void path_free(struct path *p);
-void path_packet(struct path *p, const struct packet *packet, bool fresh,
+void path_free(struct path *path);
+void path_packet(struct path *path, const struct packet *packet, bool fresh,
 		 uint64_t now_ns, struct path_verdict *out);
-void path_probe_ended(struct path *p, const struct incarnation *who,
+void path_probe_ended(struct path *path, const struct incarnation *who,
 		      enum probe_outcome outcome, uint64_t since_ns,
 		      uint64_t now_ns);
-uint64_t path_probe_timeout_ns(const struct path *p, uint64_t now_ns);
-void path_peer_reported_dead(struct path *p, const struct incarnation *who);
-void path_target_restarted(struct path *p, const struct target *t);
-void path_process_stalled(struct path *p, uint64_t now_ns);
-void path_stop(struct path *p, uint64_t now_ns);
-void path_tick(struct path *p, uint64_t now_ns);
-bool path_has_loaded_target(const struct path *p);
-const uint64_t *path_verdict_counts(const struct path *p);
-const struct path_latencies *path_latencies(const struct path *p, uint8_t kind);
-uint32_t path_flow_count(const struct path *p);
-uint32_t path_queued_count(const struct path *p);
-struct path_limits path_limits(const struct path *p, uint32_t service);
-const struct flow_state *path_find_flow(const struct path *p,
+uint64_t path_probe_timeout_ns(const struct path *path, uint64_t now_ns);
+void path_peer_reported_dead(struct path *path, const struct incarnation *who);
+void path_target_restarted(struct path *path, const struct target *target);
+void path_process_stalled(struct path *path, uint64_t now_ns);
+void path_stop(struct path *path, uint64_t now_ns);
+void path_tick(struct path *path, uint64_t now_ns);
+bool path_has_loaded_target(const struct path *path);
+const uint64_t *path_verdict_counts(const struct path *path);
+const struct path_latencies *path_latencies(const struct path *path,
+					    uint8_t kind);
+uint32_t path_flow_count(const struct path *path);
+uint32_t path_queued_count(const struct path *path);
+struct path_limits path_limits(const struct path *path, uint32_t service);
+const struct flow_state *path_find_flow(const struct path *path,
 					const struct flow_key *key);
-float path_feed_load(const struct path *p);
+float path_feed_load(const struct path *path);
 extern const char *const path_reason_names[PATH_REASON_COUNT];
 
 #endif
--- a/core/packet/flow/path_impl.h
+++ b/core/packet/flow/path_impl.h
@@ -20,19 +20,21 @@
  * @counts: decisions, by reason
  * @latencies: durations, by kind of route
  * @sizes: mean sizes of answers
- * @outliers_checked_ns: when targets were last checked for an excess of failures
+ * @outliers_checked_ns: when targets were last checked for an excess of
+ *	failures
  * @feed_load: mean number of requests in progress of an open feed, that is, the
  *	slots it takes
  * @work: time that requests take at their targets, by service
  * @windows: most requests that may be at the targets at once, by service
  * @wait_queue: requests not forwarded yet
- * @any_target_loaded: at the last tick, some target had as many requests as slots
+ * @any_target_loaded: at the last tick, some target had as many requests as
+ *	slots
  * @stopping: a planned stop has begun; no request is queued any more
  * @stalled_ns: when this process last ran again after a stall; 0 for never
  * @trips: recent round trip times of connection attempts
  * @open_ns: mean duration of a handshake
- * @answered_probe_ns: start of the latest probe that a target accepted; this VM's
- *	own link worked at that time
+ * @answered_probe_ns: start of the latest probe that a target accepted; this
+ *	VM's own link worked at that time
  */
 struct path {
 	struct path_conf conf;
@@ -58,28 +60,30 @@
 	uint64_t answered_probe_ns;
 };
 
-uint64_t path_handshake_timeout_ns(const struct path *p);
-uint64_t path_answer_timeout_ns(const struct path *p, uint8_t kind);
+uint64_t path_handshake_timeout_ns(const struct path *path);
+uint64_t path_answer_timeout_ns(const struct path *path, uint8_t kind);
 
 /* path_wait.c */
-bool path_queue_request(struct path *p, struct flow_state *f,
-			const struct packet *k);
-void path_request_sent(struct path *p, struct flow_state *f, uint64_t now_ns);
-void path_release_queued(struct path *p, uint32_t service, uint64_t now_ns);
-void path_record_answer(struct path *p, struct flow_state *f, bool small,
+bool path_queue_request(struct path *path, struct flow_state *flow,
+			const struct packet *packet);
+void path_request_sent(struct path *path, struct flow_state *flow,
+		       uint64_t now_ns);
+void path_release_queued(struct path *path, uint32_t service, uint64_t now_ns);
+void path_record_answer(struct path *path, struct flow_state *flow, bool small,
 			uint64_t now_ns);
-void path_release_all_queued(struct path *p, uint64_t now_ns);
-void path_expire_queued(struct path *p, const struct target *t,
+void path_release_all_queued(struct path *path, uint64_t now_ns);
+void path_expire_queued(struct path *path, const struct target *target,
 			uint64_t now_ns);
-bool path_target_loaded(const struct target *t);
+bool path_target_loaded(const struct target *target);
 
 /* path.c */
-bool path_must_reset_flows(const struct path *p, const struct target *t);
-struct health_context path_health_context(struct path *p, uint64_t now_ns);
-void path_suspect(struct path *p, struct target *t, uint64_t since_ns,
+bool path_must_reset_flows(const struct path *path,
+			   const struct target *target);
+struct health_context path_health_context(struct path *path, uint64_t now_ns);
+void path_suspect(struct path *path, struct target *target, uint64_t since_ns,
 		  uint64_t now_ns);
-struct target *path_assign_target(struct path *p, const struct flow_key *key,
-				  const struct route *r,
+struct target *path_assign_target(struct path *path, const struct flow_key *key,
+				  const struct route *route,
 				  const struct target *avoid, uint64_t now_ns);
 
 #endif
--- a/core/packet/flow/wait_queue.c
+++ b/core/packet/flow/wait_queue.c
@@ -29,141 +29,144 @@
  * wait_queue_new() - create an empty queue
  * @packets_max: capacity in packets, for all targets together; may be 0
  *
- * Return: queue, to be freed with wait_queue_free(), or NULL when out of memory.
+ * Return: queue, to be freed with wait_queue_free(), or NULL when out of
+ * memory.
  */
 struct wait_queue *wait_queue_new(uint32_t packets_max)
 {
-	struct wait_queue *w = calloc(1, sizeof(*w));
+	struct wait_queue *queue = calloc(1, sizeof(*queue));
 
-	if (!w)
+	if (!queue)
 		return NULL;
-	w->packets_max = packets_max;
-	w->slots = calloc(packets_max + 1, sizeof(*w->slots));
-	if (w->slots)
-		return w;
-	free(w);
+	queue->packets_max = packets_max;
+	queue->slots = calloc(packets_max + 1, sizeof(*queue->slots));
+	if (queue->slots)
+		return queue;
+	free(queue);
 	return NULL;
 }
 
-void wait_queue_free(struct wait_queue *w)
+void wait_queue_free(struct wait_queue *queue)
 {
-	if (!w)
+	if (!queue)
 		return;
-	free(w->slots);
-	free(w);
+	free(queue->slots);
+	free(queue);
 }
 
-static uint32_t alloc_slot(struct wait_queue *w)
+static uint32_t alloc_slot(struct wait_queue *queue)
 {
-	uint32_t i = w->free_list;
+	uint32_t i = queue->free_list;
 
 	if (i) {
-		w->free_list = w->slots[i].next;
+		queue->free_list = queue->slots[i].next;
 		return i;
 	}
-	return w->slots_used < w->packets_max ? ++w->slots_used : 0;
+	return queue->slots_used < queue->packets_max ? ++queue->slots_used : 0;
 }
 
 /**
  * wait_queue_add() - queue a packet for its flow's target
- * @w: queue
- * @f: flow of the packet; must have no packet in the queue
+ * @queue: queue
+ * @flow: flow of the packet; must have no packet in the queue
  * @bytes: packet, copied
  * @n_bytes: size of the packet
  *
- * Return: true when queued, false when the queue is full or the packet is larger
- * than WAIT_QUEUE_PACKET_MAX_BYTES.
+ * Return: true when queued, false when the queue is full or the packet is
+ * larger than WAIT_QUEUE_PACKET_MAX_BYTES.
  */
-bool wait_queue_add(struct wait_queue *w, struct flow_state *f,
+bool wait_queue_add(struct wait_queue *queue, struct flow_state *flow,
 		    const uint8_t *bytes, uint32_t n_bytes)
 {
-	uint32_t i = n_bytes <= WAIT_QUEUE_PACKET_MAX_BYTES ? alloc_slot(w) : 0;
-	struct slot *slot = &w->slots[i];
-	struct target *t = f->target;
+	uint32_t i =
+		n_bytes <= WAIT_QUEUE_PACKET_MAX_BYTES ? alloc_slot(queue) : 0;
+	struct slot *slot = &queue->slots[i];
+	struct target *target = flow->target;
 
 	if (!i)
 		return false;
-	w->count++;
-	slot->flow = f;
+	queue->count++;
+	slot->flow = flow;
 	slot->n_bytes = n_bytes;
 	memcpy(slot->bytes, bytes, n_bytes);
 	slot->previous = 0;
-	slot->next = t->waiting;
-	if (t->waiting)
-		w->slots[t->waiting].previous = i;
-	t->waiting = i;
-	f->waiting = i;
+	slot->next = target->waiting;
+	if (target->waiting)
+		queue->slots[target->waiting].previous = i;
+	target->waiting = i;
+	flow->waiting = i;
 	return true;
 }
 
 /**
  * wait_queue_remove() - drop the queued packet of a flow
- * @w: queue
- * @f: flow; nothing happens when it has no packet in the queue
+ * @queue: queue
+ * @flow: flow; nothing happens when it has no packet in the queue
  */
-void wait_queue_remove(struct wait_queue *w, struct flow_state *f)
+void wait_queue_remove(struct wait_queue *queue, struct flow_state *flow)
 {
-	struct slot *slot = &w->slots[f->waiting];
+	struct slot *slot = &queue->slots[flow->waiting];
 
-	if (!f->waiting)
+	if (!flow->waiting)
 		return;
 	if (slot->next)
-		w->slots[slot->next].previous = slot->previous;
+		queue->slots[slot->next].previous = slot->previous;
 	if (slot->previous)
-		w->slots[slot->previous].next = slot->next;
+		queue->slots[slot->previous].next = slot->next;
 	else
-		f->target->waiting = slot->next;
-	slot->next = w->free_list;
-	w->free_list = f->waiting;
-	f->waiting = 0;
-	w->count--;
+		flow->target->waiting = slot->next;
+	slot->next = queue->free_list;
+	queue->free_list = flow->waiting;
+	flow->waiting = 0;
+	queue->count--;
 }
 
 /**
  * wait_queue_packet() - get the queued packet of a flow
- * @w: queue
- * @f: flow with a packet in the queue
+ * @queue: queue
+ * @flow: flow with a packet in the queue
  * @n_bytes: set to the size of the packet
  *
  * Return: packet, owned by the queue and valid until it is removed.
  */
-const uint8_t *wait_queue_packet(const struct wait_queue *w,
-				 const struct flow_state *f, uint32_t *n_bytes)
+const uint8_t *wait_queue_packet(const struct wait_queue *queue,
+				 const struct flow_state *flow,
+				 uint32_t *n_bytes)
 {
-	*n_bytes = w->slots[f->waiting].n_bytes;
-	return w->slots[f->waiting].bytes;
+	*n_bytes = queue->slots[flow->waiting].n_bytes;
+	return queue->slots[flow->waiting].bytes;
 }
 
 /**
  * wait_queue_first() - get the flow that was queued last for a target
- * @w: queue
- * @t: target
+ * @queue: queue
+ * @target: target
  *
- * Return: flow, or NULL when none is queued for @t.
+ * Return: flow, or NULL when none is queued for @target.
  */
-struct flow_state *wait_queue_first(const struct wait_queue *w,
-				    const struct target *t)
+struct flow_state *wait_queue_first(const struct wait_queue *queue,
+				    const struct target *target)
 {
-	return t->waiting ? w->slots[t->waiting].flow : NULL;
+	return target->waiting ? queue->slots[target->waiting].flow : NULL;
 }
 
 /**
  * wait_queue_next() - get the flow that was queued before another one for the
  *	same target
- * @w: queue
- * @f: flow with a packet in the queue
+ * @queue: queue
+ * @flow: flow with a packet in the queue
  *
- * Return: flow, or NULL when @f was queued first.
+ * Return: flow, or NULL when @flow was queued first.
  */
-struct flow_state *wait_queue_next(const struct wait_queue *w,
-				   const struct flow_state *f)
+struct flow_state *wait_queue_next(const struct wait_queue *queue,
+				   const struct flow_state *flow)
 {
-	uint32_t next = w->slots[f->waiting].next;
+	uint32_t next = queue->slots[flow->waiting].next;
 
-	return next ? w->slots[next].flow : NULL;
+	return next ? queue->slots[next].flow : NULL;
 }
 
-uint32_t wait_queue_count(const struct wait_queue *w)
+uint32_t wait_queue_count(const struct wait_queue *queue)
 {
-	return w->count;
+	return queue->count;
 }
--- a/core/packet/flow/wait_queue.h
+++ b/core/packet/flow/wait_queue.h
@@ -15,16 +15,17 @@
 #define WAIT_QUEUE_PACKET_MAX_BYTES 1280
 
 struct wait_queue *wait_queue_new(uint32_t packets_max);
-void wait_queue_free(struct wait_queue *w);
-bool wait_queue_add(struct wait_queue *w, struct flow_state *f,
+void wait_queue_free(struct wait_queue *queue);
+bool wait_queue_add(struct wait_queue *queue, struct flow_state *flow,
 		    const uint8_t *bytes, uint32_t n_bytes);
-void wait_queue_remove(struct wait_queue *w, struct flow_state *f);
-const uint8_t *wait_queue_packet(const struct wait_queue *w,
-				 const struct flow_state *f, uint32_t *n_bytes);
-struct flow_state *wait_queue_first(const struct wait_queue *w,
-				    const struct target *t);
-struct flow_state *wait_queue_next(const struct wait_queue *w,
-				   const struct flow_state *f);
-uint32_t wait_queue_count(const struct wait_queue *w);
+void wait_queue_remove(struct wait_queue *queue, struct flow_state *flow);
+const uint8_t *wait_queue_packet(const struct wait_queue *queue,
+				 const struct flow_state *flow,
+				 uint32_t *n_bytes);
+struct flow_state *wait_queue_first(const struct wait_queue *queue,
+				    const struct target *target);
+struct flow_state *wait_queue_next(const struct wait_queue *queue,
+				   const struct flow_state *flow);
+uint32_t wait_queue_count(const struct wait_queue *queue);
 
 #endif
--- a/core/packet/node.h
+++ b/core/packet/node.h
@@ -51,21 +51,22 @@
 /**
  * struct node_port - calls that an entry makes
  * @ctx: first argument of each call
- * @list: request a page of the platform's listing, from the first key or from the
- *	one after @after_key. @exact demands the present state; otherwise the page
- *	may be seconds old. node_answer_end() reports the end of the call.
+ * @list: request a page of the platform's listing, from the first key or from
+ *	the one after @after_key. @exact demands the present state; otherwise
+ *	the page may be seconds old. node_answer_end() reports the end of the
+ *	call.
  * @watch: request the changes after revision @after; the platform answers when
- *	there are any, at the latest after @wait_ns. node_answer_end() reports the
- *	end of the call.
+ *	there are any, at the latest after @wait_ns. node_answer_end() reports
+ *	the end of the call.
  * @cancel: cancel the pending call to the platform
  * @fetch: request the documents that changed after @after from a peer;
  *	node_fetch_end() reports the end of the call
- * @hello: send a heartbeat to @n peers
+ * @hello: send a heartbeat to the @n_to peers in @to
  * @probe: connect to a target; node_probe_ended() reports the outcome
- * @resend: send the flow's kept packet (resend_packet) to its target; @reason is
- *	one of enum path_reason
- * @send_queued: forward a packet from the queue to the flow's target; the packet
- *	is valid only during the call
+ * @resend: send the flow's kept packet (resend_packet) to its target; @reason
+ *	is one of enum path_reason
+ * @send_queued: forward a packet from the queue to the flow's target; the
+ *	packet is valid only during the call
  * @reset: send a reset of a flow to the client
  * @health: the health of a target changed from @before, enum target_health
  * @decode: decode a document, as read_document of struct packet_platform
@@ -77,15 +78,16 @@
 	void (*watch)(void *ctx, uint64_t after, uint64_t wait_ns);
 	void (*cancel)(void *ctx);
 	void (*fetch)(void *ctx, uint64_t peer, struct position after);
-	void (*hello)(void *ctx, const uint64_t *to, uint32_t n,
-		      const struct hello *h);
-	void (*probe)(void *ctx, const struct target *t);
-	void (*resend)(void *ctx, const struct flow_state *f, uint8_t reason);
-	void (*send_queued)(void *ctx, const struct flow_state *f,
+	void (*hello)(void *ctx, const uint64_t *to, uint32_t n_to,
+		      const struct hello *hello);
+	void (*probe)(void *ctx, const struct target *target);
+	void (*resend)(void *ctx, const struct flow_state *flow,
+		       uint8_t reason);
+	void (*send_queued)(void *ctx, const struct flow_state *flow,
 			    const uint8_t *bytes, uint32_t n_bytes);
-	void (*reset)(void *ctx, const struct flow_state *f);
-	void (*health)(void *ctx, const struct target *t, uint8_t before);
-	int (*decode)(const struct document *d, struct directory *names,
+	void (*reset)(void *ctx, const struct flow_state *flow);
+	void (*health)(void *ctx, const struct target *target, uint8_t before);
+	int (*decode)(const struct document *doc, struct directory *names,
 		      struct decoded_document *out, const char **problem);
 	void (*log)(void *ctx, enum node_log_level level, const char *step,
 		    const char *peer, const char *format, ...)
@@ -127,8 +129,8 @@
 };
 
 /**
- * struct node - an entry; members may be read by anyone, and are changed only by
- *	the functions below
+ * struct node - an entry; members may be read by anyone, and are changed only
+ *	by the functions below
  * @conf: settings
  * @policy: limits and switches; never NULL
  * @port: calls to the owner
@@ -139,14 +141,14 @@
  * @peers: the other entries
  * @source: schedule of the calls to the platform
  * @step: kind of the pending call to the platform
- * @list_first_revision: revision of the first page of the listing in progress; 0
- *	before it came
+ * @list_first_revision: revision of the first page of the listing in progress;
+ *	0 before it came
  * @list_min_revision: lowest revision of the pages so far
  * @list_after_key: last key of the previous page
  * @watched_after: position after which the pending watch asks for changes
  * @answer_epoch: epoch of the last accepted answer of the platform
- * @advertised: newest position that was advertised to the neighbours outside the
- *	regular heartbeats
+ * @advertised: newest position that was advertised to the neighbours outside
+ *	the regular heartbeats
  * @fetching: a call to a peer is pending
  * @fetching_other_zone: that peer is in another data centre
  * @fetching_retained: digest of what that peer retains from earlier epochs
@@ -154,7 +156,8 @@
  * @lacks_retained_ns: since when a peer is known to retain documents that are
  *	missing here; 0 when none is
  * @now_ns: time of the call in progress
- * @loads_due_ns: when loads may be sent next within the budget of control traffic
+ * @loads_due_ns: when loads may be sent next within the budget of control
+ *	traffic
  * @fresh: this entry has a snapshot, and no peer is known to be ahead of it
  * @behind_ns: since when @behind_position is missing here; 0 when no peer is
  *	ahead
@@ -210,28 +213,30 @@
 
 struct node *node_new(const struct node_conf *conf, struct node_port port,
 		      uint64_t now_ns);
-void node_free(struct node *n);
-void node_packet(struct node *n, const struct packet *k, uint64_t now_ns,
-		 struct path_verdict *out);
-void node_tick(struct node *n, uint64_t now_ns);
-void node_take_listed(void *ctx, const struct document *d);
-void node_take_changed(void *ctx, const struct document *d);
-void node_take_relay_listed(void *ctx, const struct document *d);
-void node_take_relayed(void *ctx, const struct document *d);
-bool node_platform_connected(struct node *n, uint64_t took_ns, uint64_t now_ns);
-bool node_answer_begin(struct node *n, uint64_t epoch, uint64_t now_ns);
-void node_answer_end(struct node *n, enum source_outcome outcome,
+void node_free(struct node *node);
+void node_packet(struct node *node, const struct packet *packet,
+		 uint64_t now_ns, struct path_verdict *out);
+void node_tick(struct node *node, uint64_t now_ns);
+void node_take_listed(void *ctx, const struct document *doc);
+void node_take_changed(void *ctx, const struct document *doc);
+void node_take_relay_listed(void *ctx, const struct document *doc);
+void node_take_relayed(void *ctx, const struct document *doc);
+bool node_platform_connected(struct node *node, uint64_t took_ns,
+			     uint64_t now_ns);
+bool node_answer_begin(struct node *node, uint64_t epoch, uint64_t now_ns);
+void node_answer_end(struct node *node, enum source_outcome outcome,
 		     const struct answer_head *head, uint64_t now_ns);
-bool node_fetch_begin(struct node *n, const struct relay_head *head,
+bool node_fetch_begin(struct node *node, const struct relay_head *head,
 		      uint64_t now_ns);
-void node_fetch_end(struct node *n, const struct relay_head *head,
+void node_fetch_end(struct node *node, const struct relay_head *head,
 		    uint64_t now_ns);
-void node_receive_hello(struct node *n, const struct hello *h, uint64_t now_ns);
-void node_probe_ended(struct node *n, const struct incarnation *who,
+void node_receive_hello(struct node *node, const struct hello *hello,
+			uint64_t now_ns);
+void node_probe_ended(struct node *node, const struct incarnation *who,
 		      enum probe_outcome outcome, uint64_t since_ns,
 		      uint64_t now_ns);
-bool node_process_stalled(struct node *n, uint64_t gap_ns, uint64_t now_ns);
-void node_stop(struct node *n, uint64_t now_ns);
-bool node_may_exit(const struct node *n, uint64_t now_ns);
+bool node_process_stalled(struct node *node, uint64_t gap_ns, uint64_t now_ns);
+void node_stop(struct node *node, uint64_t now_ns);
+bool node_may_exit(const struct node *node, uint64_t now_ns);
 
 #endif
--- a/core/packet/node_cold.c
+++ b/core/packet/node_cold.c
@@ -5,65 +5,66 @@
 
 /*
  * Whether the other entries know this one, and it knows them. An entry that has
- * just started or resumed after a pause would take a permit that another entry has
- * as well.
+ * just started or resumed after a pause would take a permit that another entry
+ * has as well.
  */
-static bool is_known_to_peers(const struct node *n)
+static bool is_known_to_peers(const struct node *node)
 {
-	uint64_t since_ns =
-		n->start_ns > n->paused_ns ? n->start_ns : n->paused_ns;
+	uint64_t since_ns = node->start_ns > node->paused_ns ? node->start_ns
+							     : node->paused_ns;
 
-	return n->now_ns >= since_ns + n->policy->young_ns &&
-	       !peer_set_lone(n->peers);
+	return node->now_ns >= since_ns + node->policy->young_ns &&
+	       !peer_set_lone(node->peers);
 }
 
 /*
  * Treat a target as cold that answers again after it counted as ended: a new
  * process may have started that is not published yet.
  */
-static void presume_cold_start(const struct node *n, struct target *t,
+static void presume_cold_start(const struct node *node, struct target *target,
 			       const struct service_cold *cold)
 {
-	uint64_t until_ns = t->returned_ns + cold->start_ms * NS_PER_MS;
+	uint64_t until_ns = target->returned_ns + cold->start_ms * NS_PER_MS;
 
-	if (t->cold_presumed && n->now_ns >= t->cold_until_ns)
-		t->cold_presumed = false;
-	if (!t->returned_ns)
+	if (target->cold_presumed && node->now_ns >= target->cold_until_ns)
+		target->cold_presumed = false;
+	if (!target->returned_ns)
 		return;
-	if (until_ns > t->cold_until_ns) {
-		cold_begin(t, until_ns, t->returned_ns);
-		t->cold_presumed = true;
+	if (until_ns > target->cold_until_ns) {
+		cold_begin(target, until_ns, target->returned_ns);
+		target->cold_presumed = true;
 	}
-	t->returned_ns = 0;
+	target->returned_ns = 0;
 }
 
-static void refill_credit(struct node *n, struct target *t, bool known_to_peers)
+static void refill_credit(struct node *node, struct target *target,
+			  bool known_to_peers)
 {
 	struct service_cold cold =
-		directory_cold(n->directory, t->news.service);
+		directory_cold(node->directory, target->news.service);
 	struct cold_share share;
 	bool has_permit;
 
-	presume_cold_start(n, t, &cold);
-	if (!cold_limited(t, cold.per_s, n->now_ns))
+	presume_cold_start(node, target, &cold);
+	if (!cold_limited(target, cold.per_s, node->now_ns))
 		return;
-	share = cold_share(cold.per_s, &n->conf.cold);
-	has_permit = known_to_peers && t->news.zone == node_zone(n) &&
-		     peer_set_seat(n->peers, t->news.id) < share.seats;
-	cold_refill(t, has_permit, share.per_s, n->now_ns);
+	share = cold_share(cold.per_s, &node->conf.cold);
+	has_permit = known_to_peers && target->news.zone == node_zone(node) &&
+		     peer_set_seat(node->peers, target->news.id) < share.seats;
+	cold_refill(target, has_permit, share.per_s, node->now_ns);
 }
 
 /* Update the number of flows that this entry may open at each cold target. */
-void node_cold_tick(struct node *n)
+void node_cold_tick(struct node *node)
 {
-	uint32_t slots = directory_slots(n->directory);
+	uint32_t slots = directory_slots(node->directory);
 	bool known_to_peers;
 
-	if (!directory_any_cold(n->directory))
+	if (!directory_any_cold(node->directory))
 		return;
-	known_to_peers = is_known_to_peers(n);
+	known_to_peers = is_known_to_peers(node);
 	for (uint32_t i = 0; i < slots; i++)
-		refill_credit(n, directory_slot(n->directory, i),
+		refill_credit(node, directory_slot(node->directory, i),
 			      known_to_peers);
 }
 
@@ -71,15 +72,15 @@
  * Treat the targets of a data centre as cold when its evacuation is over, since
  * they may not have published so yet. @zone: hash of the data centre's name.
  */
-void node_cold_evacuation_over(struct node *n, uint32_t zone)
+void node_cold_evacuation_over(struct node *node, uint32_t zone)
 {
-	uint32_t slots = directory_slots(n->directory);
+	uint32_t slots = directory_slots(node->directory);
 
 	for (uint32_t i = 0; i < slots; i++) {
-		struct target *t = directory_slot(n->directory, i);
+		struct target *target = directory_slot(node->directory, i);
 
-		if (t->news.zone == zone)
-			t->returned_ns = n->now_ns;
+		if (target->news.zone == zone)
+			target->returned_ns = node->now_ns;
 	}
-	node_cold_tick(n);
+	node_cold_tick(node);
 }
--- a/core/packet/platform_port.h
+++ b/core/packet/platform_port.h
@@ -19,12 +19,12 @@
 /**
  * struct document_sink - receives the documents of an answer
  * @ctx: first argument of @take
- * @take: called for each document, which is valid only during the call; the value
- *	of a deleted one is NULL
+ * @take: called for each document, which is valid only during the call; the
+ *	value of a deleted one is NULL
  */
 struct document_sink {
 	void *ctx;
-	void (*take)(void *ctx, const struct document *d);
+	void (*take)(void *ctx, const struct document *doc);
 };
 
 /**
@@ -46,7 +46,8 @@
  * @DOCUMENT_OTHER: not used by this program
  * @DOCUMENT_ROUTES: a configuration
  * @DOCUMENT_TARGET: the entry of a target
- * @DOCUMENT_EVACUATION: a data centre is evacuated as long as the document exists
+ * @DOCUMENT_EVACUATION: a data centre is evacuated as long as the document
+ *	exists
  */
 enum document_kind {
 	DOCUMENT_OTHER,
@@ -59,8 +60,8 @@
  * struct decoded_document - a decoded document
  * @kind: enum document_kind
  * @routes: configuration, to be freed by the caller; NULL for other kinds
- * @target: target; only @target.id and @target.entry are set when the document was
- *	deleted without a value, or refused
+ * @target: target; only @target.id and @target.entry are set when the document
+ *	was deleted without a value, or refused
  * @data_centre: name of the evacuated data centre
  */
 struct decoded_document {
@@ -74,31 +75,34 @@
  * struct packet_platform - formats of the platform
  * @read_packet: decode a datagram. Return: 0, or -EPROTO when it is malformed.
  * @write_cookie: write a target's cookie into a SYN
- * @write_encapsulation: write the header that precedes a packet on its way to @t.
- *	Return: its size in bytes.
- * @write_reset: write a reset of a flow; @ack is the acknowledgement number that
- *	the client sent last. Return: its size in bytes.
- * @list_path: write the path of a request that lists all documents, from the first
- *	key when @after_key is NULL, otherwise from the one after it. Without @exact
- *	the answer may be seconds old, and costs the platform less.
- * @watch_path: write the path of a request for the changes after a revision, which
- *	is answered after @wait_ms at the latest
+ * @write_encapsulation: write the header that precedes a packet on its way to
+ *	@target. Return: its size in bytes.
+ * @write_reset: write a reset of a flow; @ack is the acknowledgement number
+ *	that the client sent last. Return: its size in bytes.
+ * @list_path: write the path of a request that lists all documents, from the
+ *	first key when @after_key is NULL, otherwise from the one after it.
+ *	Without @exact the answer may be seconds old, and costs the platform
+ *	less.
+ * @watch_path: write the path of a request for the changes after a revision,
+ *	which is answered after @wait_ms at the latest
  * @epoch_header: name of the header of all answers that contains the epoch: how
- *	often the platform was restored from an older copy of its store, after which
- *	it assigns revisions a second time
+ *	often the platform was restored from an older copy of its store, after
+ *	which it assigns revisions a second time
  * @read_epoch: decode that header, "" when an answer has none. Return: 0 or
  *	-EPROTO.
  * @read_list: decode a page of a listing. Return: 0 or a negative error.
- * @read_changes: decode an answer to @watch_path. Return: 0 or a negative error.
+ * @read_changes: decode an answer to @watch_path. Return: 0 or a negative
+ *	error.
  * @read_document: decode a document. Return: 0; -EPROTO with *@problem set to a
- *	static text; -ENOENT for a target of a service that no configuration names.
+ *	static text; -ENOENT for a target of a service that no configuration
+ *	names.
  * @ready_path: path under which the platform asks whether this VM is ready
  */
 struct packet_platform {
 	int (*read_packet)(const uint8_t *data, uint32_t size_bytes,
 			   struct packet *out);
 	void (*write_cookie)(uint8_t *data, uint32_t cookie);
-	uint32_t (*write_encapsulation)(const struct target *t,
+	uint32_t (*write_encapsulation)(const struct target *target,
 					uint8_t out[ENCAPSULATION_MAX_BYTES]);
 	uint32_t (*write_reset)(const struct flow_key *flow, uint32_t ack,
 				uint8_t out[RESET_MAX_BYTES]);
@@ -113,7 +117,8 @@
 	int (*read_changes)(const char *body, size_t size_bytes,
 			    struct document_sink sink,
 			    struct answer_head *head);
-	int (*read_document)(const struct document *d, struct directory *names,
+	int (*read_document)(const struct document *doc,
+			     struct directory *names,
 			     struct decoded_document *out,
 			     const char **problem);
 	const char *ready_path;
--- a/test/packet_bed.c
+++ b/test/packet_bed.c
@@ -101,8 +101,8 @@
 	directory_free(b->directory);
 }
 
-/* Publish a latency objective and a timeout for all routes; feeds get priority 1,
- * the others 0, which is served first. */
+/* Publish a latency objective and a timeout for all routes; feeds get priority
+ * 1, the others 0, which is served first. */
 void bed_set_route_times(struct bed *b, uint32_t objective_ms,
 			 uint32_t timeout_ms)
 {
--- a/test/packet_bed.h
+++ b/test/packet_bed.h
@@ -1,6 +1,6 @@
 /*
- * Test bed for the decisions on packets: a directory and a struct path whose calls
- * are recorded, with a clock that the test sets.
+ * Test bed for the decisions on packets: a directory and a struct path whose
+ * calls are recorded, with a clock that the test sets.
  */
 #ifndef CB_TEST_PACKET_BED_H
 #define CB_TEST_PACKET_BED_H
--- a/test/packet_incarnation_test.c
+++ b/test/packet_incarnation_test.c
@@ -1,6 +1,7 @@
 /*
  * Targets that restart with their id, and entries that no target wrote: when a
- * process counts as ended, when the next one gets flows, which entry is in force.
+ * process counts as ended, when the next one gets flows, which entry is in
+ * force.
  */
 #include "packet_bed.h"
 
@@ -133,7 +134,8 @@
 	assert_int_equal(t->health, HEALTH_GOOD);
 	path_peer_reported_dead(b.path, &(struct incarnation){ 1, STARTED_MS });
 	assert_int_equal(t->health, HEALTH_GOOD);
-	/* A later process than the published one has ended, so this one has too. */
+	/* A later process than the published one has ended, so this one has
+	 * too. */
 	path_peer_reported_dead(b.path,
 				&(struct incarnation){ 1, STARTED_MS + 2000 });
 	assert_int_equal(t->health, HEALTH_DEAD);
@@ -170,7 +172,8 @@
 	assert_int_equal(t->busy, 1);
 	publish(&b, 1, STARTED_MS + 900, 1);
 	assert_int_equal(b.n_resent, 1);
-	/* A reset by the entry could end a flow that the next process has opened. */
+	/* A reset by the entry could end a flow that the next process has
+	 * opened. */
 	assert_int_equal(b.n_resets, 0);
 	assert_int_equal(t->busy, 0);
 	assert_int_equal(t->flows, 0);
@@ -305,8 +308,7 @@
 }
 
 /* Where targets do not publish their start, one that does has no precedence. */
-static void
-test_single_entry_with_start_takes_no_flows_from_others(void **state)
+static void test_single_entry_with_start_has_no_precedence(void **state)
 {
 	uint32_t others = 0;
 	struct bed b;
@@ -444,7 +446,7 @@
 		cmocka_unit_test(
 			test_entry_without_start_gets_no_flows_beside_others),
 		cmocka_unit_test(
-			test_single_entry_with_start_takes_no_flows_from_others),
+			test_single_entry_with_start_has_no_precedence),
 		cmocka_unit_test(test_id_belongs_to_key_created_first),
 		cmocka_unit_test(
 			test_second_key_of_later_epoch_does_not_take_id),
--- a/test/packet_node_test.c
+++ b/test/packet_node_test.c
@@ -1,5 +1,5 @@
-/* struct node: reading the platform, documents of peers, readiness, pauses, planned
- * stops, heartbeats. */
+/* struct node: reading the platform, documents of peers, readiness, pauses,
+ * planned stops, heartbeats. */
 #include "hello_codec.h"
 #include "node.h"
 #include "outlier.h"
@@ -135,9 +135,9 @@
 }
 
 /*
- * Decode a document of these tests: the value of "routes" is the version and the
- * latency objective in ms as text, "t/ID" is a target of the only service, "e/NAME"
- * the evacuation of a data centre.
+ * Decode a document of these tests: the value of "routes" is the version and
+ * the latency objective in ms as text, "t/ID" is a target of the only service,
+ * "e/NAME" the evacuation of a data centre.
  */
 static int decode(const struct document *d, struct directory *names,
 		  struct decoded_document *out, const char **problem)
@@ -267,7 +267,8 @@
 	node_answer_end(f->node, SOURCE_OK, &head, f->now_ns);
 }
 
-/* Pass a SYN of a client to @vip. Return: the action decided, enum path_action. */
+/* Pass a SYN of a client to @vip. Return: the action decided, enum
+ * path_action. */
 static uint8_t send_syn(struct fixture *f, uint64_t vip)
 {
 	static const uint8_t bytes[32];
@@ -624,7 +625,8 @@
 
 /*
  * Send the next request of each flow at a target with one slot, which also
- * acknowledges the answers to the previous ones. Return: number of queued requests.
+ * acknowledges the answers to the previous ones. Return: number of queued
+ * requests.
  */
 static uint32_t send_next_requests(struct fixture *f, uint32_t requests)
 {
@@ -814,7 +816,7 @@
 }
 
 static void
-test_heartbeats_of_many_targets_under_load_stay_within_budget(void **state)
+test_loaded_heartbeats_of_many_targets_stay_within_budget(void **state)
 {
 	assert_in_range(heartbeat_bytes_per_s(*state, 200, 20, 3), 1, 21000);
 }
@@ -1074,7 +1076,7 @@
 		TEST(test_heartbeats_stay_within_budget),
 		TEST(test_heartbeats_are_more_frequent_under_load),
 		TEST(test_heartbeats_under_load_stay_within_budget),
-		TEST(test_heartbeats_of_many_targets_under_load_stay_within_budget),
+		TEST(test_loaded_heartbeats_of_many_targets_stay_within_budget),
 		TEST(test_targets_apply_after_later_configuration),
 		TEST(test_overwritten_entry_ends_its_target),
 		TEST(test_lapsed_entries_of_restored_store_keep_targets),
--- a/test/packet_wait_prop.cc
+++ b/test/packet_wait_prop.cc
@@ -1,7 +1,7 @@
 /*
  * Requests, answers, repeats, resets by clients, targets that leave or die, and
- * time, in any order: a queued request is forwarded at most once and never after
- * its client's timeout, and the counts of requests match the flows.
+ * time, in any order: a queued request is forwarded at most once and never
+ * after its client's timeout, and the counts of requests match the flows.
  */
 #include <rapidcheck.h>
 
--- a/test/packet_wait_test.c
+++ b/test/packet_wait_test.c
@@ -12,8 +12,8 @@
 #define TIMEOUT_MS 2000
 #define WORK_NS (50 * MS)
 #define SLOTS 3
-/* Limit of a request in time: the three slots, and for each of the five times 50 ms
- * that remain beside its own work 85 % of three. */
+/* Limit of a request in time: the three slots, and for each of the five times
+ * 50 ms that remain beside its own work 85 % of three. */
 #define LIMIT 16
 /* Limit of a late request: 60 % of three instead of 85 %. */
 #define LATE_LIMIT 11
@@ -25,7 +25,8 @@
 	uint32_t answered;
 };
 
-/* Client of a flow. The lowest byte of its address starts each packet of the flow. */
+/* Client of a flow. The lowest byte of its address starts each packet of the
+ * flow. */
 static uint64_t caller(uint32_t flow)
 {
 	return CALLER + flow;
@@ -97,8 +98,8 @@
 	return first;
 }
 
-/* Answer @n requests that were queued at the target, beginning with the one after
- * SLOTS others; @first is the flow that fill_target() returned. */
+/* Answer @n requests that were queued at the target, beginning with the one
+ * after SLOTS others; @first is the flow that fill_target() returned. */
 static void answer_queued(struct fixture *f, uint32_t first, uint32_t n)
 {
 	for (uint32_t i = 0; i < n; i++)
@@ -481,9 +482,9 @@
 }
 
 /*
- * Refuse @n requests after 1 ms, while peers have @peers_running requests at the
- * target. Refusals of a loaded target limit the requests there; failures of an idle
- * one don't.
+ * Refuse @n requests after 1 ms, while peers have @peers_running requests at
+ * the target. Refusals of a loaded target limit the requests there; failures of
+ * an idle one don't.
  */
 static void refuse(struct fixture *f, uint32_t n, float peers_running)
 {
