--- a/core/packet/flow/path.c
+++ b/core/packet/flow/path.c
@@ -61,8 +61,8 @@
 
 /*
  * Whether @a is a better target than @b to compare an unresponsive target with.
- * Targets of this data centre are better, since others may be cut off; among
- * equals the one with the latest sign of life.
+ * Targets of this data centre are better, since others may be partitioned;
+ * among equals the one with the latest sign of life.
  */
 static bool is_better_witness(const struct path *path, const struct target *a,
 			      const struct target *b)
--- a/core/packet/flow/path_wait.c
+++ b/core/packet/flow/path_wait.c
@@ -26,9 +26,10 @@
 
 /*
  * Whether the request of @flow may be forwarded now. One request at a time may
- * be, whatever load the peers reported: otherwise an entry that is cut off from
- * its peers would keep its requests queued until their reports expire. Only the
- * window, which depends on this entry's own observations, can delay that one.
+ * be, whatever load the peers reported: otherwise an entry that is partitioned
+ * from its peers would keep its requests queued until their reports expire.
+ * Only the window, which depends on this entry's own observations, can delay
+ * that one.
  */
 static bool may_forward(const struct path *path, const struct flow_state *flow,
 			uint64_t now_ns)
--- a/core/packet/node_published.c
+++ b/core/packet/node_published.c
@@ -102,10 +102,11 @@
 		log_target(node, doc, target, stage_names[target->stage]);
 }
 
-/* @trouble_ns: time of the platform's last trouble, in which the entry may only
- * have lapsed; 0 to take it as deleted. */
+/* @platform_failed_ns: when the platform last failed to answer, so that the
+ * entry may only have lapsed; 0 to take it as deleted. */
 static void apply_absence(struct node *node, const struct document *doc,
-			  const struct target_news *news, uint64_t trouble_ns)
+			  const struct target_news *news,
+			  uint64_t platform_failed_ns)
 {
 	struct target *target = directory_by_id(node->directory, news->id);
 	uint8_t before;
@@ -118,7 +119,8 @@
 	if (!target)
 		return;
 	before = target->stage;
-	directory_absent(node->directory, news, node->now_ns, trouble_ns);
+	directory_absent(node->directory, news, node->now_ns,
+			 platform_failed_ns);
 	if (target->stage != before)
 		log_target(node, doc, target, stage_names[target->stage]);
 }
--- a/test/packet_bed.c
+++ b/test/packet_bed.c
@@ -168,11 +168,11 @@
 	return t;
 }
 
-void bed_remove_entry(struct bed *b, uint64_t id, uint64_t trouble_ns)
+void bed_remove_entry(struct bed *b, uint64_t id, uint64_t platform_failed_ns)
 {
 	struct target_news news = { .id = id, .entry = id };
 
-	directory_absent(b->directory, &news, b->now_ns, trouble_ns);
+	directory_absent(b->directory, &news, b->now_ns, platform_failed_ns);
 }
 
 struct path_verdict bed_syn(struct bed *b, uint64_t caller, uint64_t vip,
--- a/test/packet_bed.h
+++ b/test/packet_bed.h
@@ -65,7 +65,7 @@
 struct target *bed_target(struct bed *b, uint64_t id, const char *service,
 			  const char *zone);
 struct target *bed_publish(struct bed *b, const struct target_news *news);
-void bed_remove_entry(struct bed *b, uint64_t id, uint64_t trouble_ns);
+void bed_remove_entry(struct bed *b, uint64_t id, uint64_t platform_failed_ns);
 struct path_verdict bed_syn(struct bed *b, uint64_t caller, uint64_t vip,
 			    uint32_t copies);
 struct path_verdict bed_data(struct bed *b, uint64_t caller, uint64_t vip,
--- a/test/packet_path_test.c
+++ b/test/packet_path_test.c
@@ -597,8 +597,8 @@
 /*
  * All requests of a partitioned data centre would be refused though its targets
  * live: entries lapse in an outage of the platform, and before they are renewed
- * the data centre is cut off from it. The time to renew them must not run out
- * without an answer of the platform.
+ * the data centre is partitioned from it. The time to renew them must not run
+ * out without an answer of the platform.
  */
 static void test_lapsed_entries_survive_partition_after_outage(void **state)
 {
