--- a/cmd/cb-packet/clients.c
+++ b/cmd/cb-packet/clients.c
@@ -108,12 +108,12 @@
 		      enum pacer_class c, uint64_t name, const uint8_t *data,
 		      uint32_t size_bytes)
 {
-	uint8_t head[ENVELOPE_MAX_BYTES];
+	uint8_t head[ENCAPSULATION_MAX_BYTES];
 	struct datagram g = {
 		.destination = t->advertised.addr,
 		.copy_id = name,
 		.head = head,
-		.head_bytes = d->platform->envelope(t, head),
+		.head_bytes = d->platform->write_encapsulation(t, head),
 		.data = data,
 		.data_bytes = size_bytes,
 	};
@@ -188,7 +188,7 @@
  * @bytes: packet, valid during the call
  * @n_bytes: its size
  */
-void clients_send(void *ctx, const struct flow_seen *f, const uint8_t *bytes,
+void clients_send(void *ctx, const struct flow_state *f, const uint8_t *bytes,
 		  uint32_t n_bytes)
 {
 	struct packet_daemon *d = ctx;
@@ -206,13 +206,13 @@
  * @d: process
  * @f: flow
  */
-void clients_again(struct packet_daemon *d, const struct flow_seen *f)
+void clients_again(struct packet_daemon *d, const struct flow_state *f)
 {
-	uint8_t copy[KEPT_MAX_BYTES];
+	uint8_t copy[RESEND_MAX_BYTES];
 
-	memcpy(copy, f->kept, f->kept_bytes);
-	d->platform->pin(copy, f->target->cookie);
-	to_target(d, f->target, PACER_CONTROL, 0, copy, f->kept_bytes);
+	memcpy(copy, f->resend_packet, f->resend_bytes);
+	d->platform->write_cookie(copy, f->target->cookie);
+	to_target(d, f->target, PACER_CONTROL, 0, copy, f->resend_bytes);
 	clients_flush(d); /* before @copy goes */
 }
 
@@ -232,7 +232,7 @@
 		clients_reset(d, &k.flow, v.ack);
 	} else if (v.action == PATH_FORWARD) {
 		if (k.flags & PACKET_SYN)
-			d->platform->pin(data, v.target->cookie);
+			d->platform->write_cookie(data, v.target->cookie);
 		to_target(d, v.target, pacer_classify(&k, v.kind),
 			  pacer_copy_id(&k), data, size_bytes);
 	}
--- a/core/packet/flow/path_tick.c
+++ b/core/packet/flow/path_tick.c
@@ -1,309 +1,328 @@
-/* What time and probes bring: unanswered flows, loads, targets that are gone. */
+/*
+ * Reactions to timers, probes and reports of peers: overdue answers, mean
+ * loads, flows of failed targets.
+ */
 #include "path_impl.h"
 
-/* Loads are averaged over a second: some twenty requests of a target. */
+/* Window of the mean loads, in which a target serves some 20 requests. */
 #define LOAD_WINDOW_NS NS_PER_S
-/* A mean that has sunk below this is none. */
-#define LOAD_LEAST 0.001f
+/* A lower mean load of a target without requests is set to 0. */
+#define LOAD_MIN 0.001f
 /* Weight of one measurement in the mean load of a feed. */
 #define FEED_LOAD_WEIGHT 0.02f
-/* Failures are told with heartbeats, one in 200 ms. */
-#define JUDGE_NS (100 * NS_PER_MS)
-/* A flow not seen for this long is forgotten; clients repeat within 1.6 s, and
- * feeds pause for seconds. */
-#define FLOW_FORGET_NS (15 * NS_PER_S)
+/* Interval of the checks for outliers; peers report failures every 200 ms. */
+#define OUTLIER_CHECK_NS (100 * NS_PER_MS)
+/* A flow without packets for this long is removed. Clients repeat within 1.6 s,
+ * and feeds pause for seconds. */
+#define FLOW_IDLE_TIMEOUT_NS (15 * NS_PER_S)
 
 /*
- * End the flows of a target that is gone: their clients would wait out their
- * deadlines, and can open another flow at once instead.
+ * Reset the flows of a failed target. Their clients would otherwise wait until
+ * their deadlines; after a reset they open another flow at once.
  */
-static void sweep(struct path *p, const struct target *t)
+static void reset_flows(struct path *path, const struct target *target)
 {
-	struct flow_seen *f = flow_cache_newest(p->flows);
+	struct flow_state *flow = flow_cache_newest(path->flows);
 
-	for (; f; f = flow_cache_older(p->flows, f)) {
-		if (f->target != t || f->stage == FLOW_CLOSED)
+	for (; flow; flow = flow_cache_older(path->flows, flow)) {
+		if (flow->target != target || flow->stage == FLOW_CLOSED)
 			continue;
-		if (f->stage == FLOW_OPEN) {
-			p->counts[PATH_swept]++;
-			p->port.reset(p->port.ctx, f);
+		if (flow->stage == FLOW_OPEN) {
+			path->counts[PATH_swept]++;
+			path->port.reset(path->port.ctx, flow);
 		}
-		flow_cache_close(p->flows, f);
+		flow_cache_close(path->flows, flow);
 	}
 }
 
-/* @t->flows tells whether any is left to end. */
-static void sweep_if_gone(struct path *p, const struct target *t)
+/* Skips the walk over all flows when @target has none. */
+static void reset_flows_if_required(struct path *path,
+				    const struct target *target)
 {
-	if (t->flows && path_gone(p, t))
-		sweep(p, t);
+	if (target->flows && path_must_reset_flows(path, target))
+		reset_flows(path, target);
 }
 
 /**
- * path_probe_wait_ns() - how long an attempt may take before it is silent
- * @p: state
- * @now_ns: time
+ * path_probe_timeout_ns() - get the time limit of a connection attempt
+ * @path: state
+ * @now_ns: current time
  *
- * Return: time.
+ * Return: time after which an attempt without an answer counts as silent; grows
+ * with the latest round trip times.
  */
-uint64_t path_probe_wait_ns(const struct path *p, uint64_t now_ns)
+uint64_t path_probe_timeout_ns(const struct path *path, uint64_t now_ns)
 {
-	return connect_rtt_timeout_ns(&p->connect_rtt, p->policy, now_ns);
+	return connect_rtt_timeout_ns(&path->connect_rtt, path->policy, now_ns);
 }
 
 /*
- * What it means that an attempt has no answer so far. One that failed at once
- * was not given up too soon.
+ * Classify a connection attempt without an answer. One that ended before
+ * probe_wait_ns has failed at once, and was not given up early.
  */
-static enum probe_outcome silence(const struct path *p, const struct target *t,
-				  uint64_t since_ns, uint64_t now_ns)
+static enum probe_outcome classify_timeout(const struct path *path,
+					   const struct target *target,
+					   uint64_t since_ns, uint64_t now_ns)
 {
 	uint64_t waited_ns = now_ns - since_ns;
 
-	if (t->last_alive_ns > since_ns)
+	if (target->last_alive_ns > since_ns)
 		return PROBE_INCONCLUSIVE;
-	if (waited_ns >= p->policy->probe_wait_ns &&
-	    waited_ns < path_probe_wait_ns(p, now_ns))
+	if (waited_ns >= path->policy->probe_wait_ns &&
+	    waited_ns < path_probe_timeout_ns(path, now_ns))
 		return PROBE_WAIT_TOO_SHORT;
 	return PROBE_SILENT;
 }
 
 /**
- * path_probed() - take the outcome of a connection attempt
- * @p: state
- * @who: target, and its process when the attempt began; what it shows of one
- *	process says nothing of the next
- * @outcome: what it showed
+ * path_probe_ended() - handle the outcome of a connection attempt
+ * @path: state
+ * @who: target and the process that ran when the attempt began; the outcome is
+ *	void when a later process was published since
+ * @outcome: outcome, enum probe_outcome
  * @since_ns: when the attempt began
- * @now_ns: time
+ * @now_ns: current time
  */
-void path_probed(struct path *p, const struct incarnation *who,
-		 enum probe_outcome outcome, uint64_t since_ns, uint64_t now_ns)
+void path_probe_ended(struct path *path, const struct incarnation *who,
+		      enum probe_outcome outcome, uint64_t since_ns,
+		      uint64_t now_ns)
 {
-	struct target *t = directory_by_id(p->directory, who->id);
+	struct target *target = directory_by_id(path->directory, who->id);
 	struct health_context c;
 
 	if (outcome == PROBE_ACCEPTED || outcome == PROBE_REFUSED)
-		connect_rtt_record(&p->connect_rtt, now_ns - since_ns, now_ns);
-	if (!t)
+		connect_rtt_record(&path->connect_rtt, now_ns - since_ns,
+				   now_ns);
+	if (!target)
 		return;
 	if (outcome == PROBE_SILENT)
-		outcome = silence(p, t, since_ns, now_ns);
-	if (who->started_ms != t->advertised.started_ms)
+		outcome = classify_timeout(path, target, since_ns, now_ns);
+	if (who->started_ms != target->advertised.started_ms)
 		outcome = PROBE_INCONCLUSIVE;
-	if (outcome == PROBE_SILENT && p->held_up_ns + NS_PER_S > now_ns)
+	if (outcome == PROBE_SILENT && path->stalled_ns + NS_PER_S > now_ns)
 		outcome = PROBE_INCONCLUSIVE;
-	if (outcome == PROBE_ACCEPTED && since_ns > p->witnessed_ns)
-		p->witnessed_ns = since_ns;
-	c = path_context(p, now_ns);
-	health_record_probe(t, &c, outcome);
-	sweep_if_gone(p, t);
+	if (outcome == PROBE_ACCEPTED && since_ns > path->answered_probe_ns)
+		path->answered_probe_ns = since_ns;
+	c = path_health_context(path, now_ns);
+	health_record_probe(target, &c, outcome);
+	reset_flows_if_required(path, target);
 }
 
 /**
- * path_told_dead() - a peer found that a target's process has ended
- * @p: state
- * @who: target and process. Of an earlier process than the one known here the
- *	word came late; a later one's word holds for all before it.
+ * path_peer_reported_dead() - handle a peer's report that a process has ended
+ * @path: state
+ * @who: target and process. A report about an earlier process than the
+ *	published one is late and is ignored; the end of a later process implies
+ *	the end of the published one.
  */
-void path_told_dead(struct path *p, const struct incarnation *who)
+void path_peer_reported_dead(struct path *path, const struct incarnation *who)
 {
-	struct target *t = directory_by_id(p->directory, who->id);
-	struct health_context c = path_context(p, 0);
+	struct target *target = directory_by_id(path->directory, who->id);
+	struct health_context c = path_health_context(path, 0);
 
-	if (!t || who->started_ms < t->advertised.started_ms)
+	if (!target || who->started_ms < target->advertised.started_ms)
 		return;
-	health_mark_dead(t, &c);
-	sweep_if_gone(p, t);
+	health_mark_dead(target, &c);
+	reset_flows_if_required(path, target);
 }
 
 /**
- * path_restarted() - the next process of a target was published
- * @p: state
- * @t: target
+ * path_target_restarted() - handle the publication of a target's next process
+ * @path: state
+ * @target: target
  *
- * It knows none of the flows of the one before: a client that waits for an
- * answer of that one would wait until its deadline. Which flows those are can't
- * be told here, since some may have been opened at the new process before it
- * was published. The target can: it ends a flow that it doesn't know when it
- * gets any packet of it, and takes another copy of one that it has seen.
+ * The new process doesn't have the flows of the previous one, whose clients
+ * would wait until their deadlines. This entry can't tell which flows are
+ * affected, since some may have been opened at the new process before it was
+ * published. The target can, so each flow's last packet without data is sent to
+ * it again: the target resets a flow that it doesn't have, and accepts a
+ * repeated packet of one that it has.
  */
-void path_restarted(struct path *p, const struct target *t)
+void path_target_restarted(struct path *path, const struct target *target)
 {
-	struct flow_seen *f = flow_cache_newest(p->flows);
+	struct flow_state *flow = flow_cache_newest(path->flows);
 
-	while (f) {
-		struct flow_seen *older = flow_cache_older(p->flows, f);
+	while (flow) {
+		struct flow_state *older = flow_cache_older(path->flows, flow);
 
-		if (f->target == t && f->stage == FLOW_OPEN) {
-			p->counts[PATH_restarted]++;
-			if (f->kept_bytes)
-				p->port.again(p->port.ctx, f, PATH_restarted);
-			flow_cache_remove(p->flows, f);
+		if (flow->target == target && flow->stage == FLOW_OPEN) {
+			path->counts[PATH_restarted]++;
+			if (flow->resend_bytes)
+				path->port.resend(path->port.ctx, flow,
+						  PATH_restarted);
+			flow_cache_remove(path->flows, flow);
 		}
-		f = older;
+		flow = older;
 	}
 }
 
 /**
- * path_held_up() - this process did not run for a while
- * @p: state
- * @now_ns: time
+ * path_process_stalled() - handle a stall of this process
+ * @path: state
+ * @now_ns: current time, after the stall
  *
- * What was due meanwhile may lie unread in the socket: nothing is doubted for
- * it. Without this a pause of this VM condemns healthy targets.
+ * Answers that were due during the stall may be unread in the socket, so none
+ * counts as overdue. Otherwise a pause of this VM would make healthy targets
+ * suspected.
  */
-void path_held_up(struct path *p, uint64_t now_ns)
+void path_process_stalled(struct path *path, uint64_t now_ns)
 {
-	struct flow_seen *f = flow_cache_newest(p->flows);
+	struct flow_state *flow = flow_cache_newest(path->flows);
 
-	p->held_up_ns = now_ns;
-	for (; f; f = flow_cache_older(p->flows, f))
-		f->due_ns = 0;
+	path->stalled_ns = now_ns;
+	for (; flow; flow = flow_cache_older(path->flows, flow))
+		flow->answer_due_ns = 0;
 }
 
 /*
- * A SYN that nobody answered goes to another target without waiting for the
- * client's copy after 200 ms, which alone would miss a target latency of
- * 100 ms.
+ * Send an unanswered SYN to another target without waiting for the client to
+ * repeat it. The client does so after 200 ms, which is too late for a latency
+ * objective of 100 ms.
  */
-static void place_again(struct path *p, struct flow_seen *f, uint64_t now_ns)
+static void assign_again(struct path *path, struct flow_state *flow,
+			 uint64_t now_ns)
 {
-	const struct route *r = route_table_find(
-		directory_route_table(p->directory), f->key.vip);
-	struct target *t;
+	const struct route *route = route_table_find(
+		directory_route_table(path->directory), flow->key.vip);
+	struct target *target;
 
-	path_doubt(p, f->target, f->opened_ns, now_ns);
-	if (!r || !f->kept_bytes ||
-	    now_ns - f->opened_ns > p->policy->opening_until_ns)
+	path_suspect(path, flow->target, flow->opened_ns, now_ns);
+	if (!route || !flow->resend_bytes ||
+	    now_ns - flow->opened_ns > path->policy->opening_until_ns)
 		return;
-	t = path_place(p, &f->key, r, f->target, now_ns);
-	if (!t || t == f->target)
+	target = path_assign_target(path, &flow->key, route, flow->target,
+				    now_ns);
+	if (!target || target == flow->target)
 		return;
-	flow_cache_move(p->flows, f, t);
-	f->request_ns = now_ns;
-	f->due_ns = now_ns + path_opening_due_ns(p);
-	p->counts[PATH_placed_again]++;
-	p->port.again(p->port.ctx, f, PATH_placed_again);
+	flow_cache_set_target(path->flows, flow, target);
+	flow->forwarded_ns = now_ns;
+	flow->answer_due_ns = now_ns + path_handshake_timeout_ns(path);
+	path->counts[PATH_placed_again]++;
+	path->port.resend(path->port.ctx, flow, PATH_placed_again);
 }
 
-static void check_due(struct path *p, uint64_t now_ns)
+static void check_overdue(struct path *path, uint64_t now_ns)
 {
-	struct flow_seen *f = flow_cache_newest(p->flows);
+	struct flow_state *flow = flow_cache_newest(path->flows);
 
-	for (; f; f = flow_cache_older(p->flows, f)) {
-		if (f->seen_ns + 2 * p->policy->request_due_max_ns < now_ns)
+	for (; flow; flow = flow_cache_older(path->flows, flow)) {
+		if (flow->seen_ns + 2 * path->policy->request_due_max_ns <
+		    now_ns)
 			break;
-		if (!f->due_ns || f->due_ns > now_ns)
+		if (!flow->answer_due_ns || flow->answer_due_ns > now_ns)
 			continue;
-		f->due_ns = 0;
-		if (f->stage == FLOW_OPENING) {
-			place_again(p, f, now_ns);
+		flow->answer_due_ns = 0;
+		if (flow->stage == FLOW_OPENING) {
+			assign_again(path, flow, now_ns);
 			continue;
 		}
-		path_doubt(p, f->target, f->request_ns, now_ns);
-		outlier_record_failure(f->target, p->policy, now_ns);
-		flow_cache_sent(p->flows, f, false);
+		path_suspect(path, flow->target, flow->forwarded_ns, now_ns);
+		outlier_record_failure(flow->target, path->policy, now_ns);
+		flow_cache_set_running(path->flows, flow, false);
 	}
 }
 
-static void blend(float *mean, uint32_t now, uint64_t since_ns,
-		  uint64_t window_ns)
+static void update_mean(float *mean, uint32_t now, uint64_t since_ns,
+			uint64_t window_ns)
 {
-	float part = (float)since_ns / (float)window_ns;
+	float weight = (float)since_ns / (float)window_ns;
 
-	*mean += ((float)now - *mean) * (part < 1 ? part : 1);
-	if (!now && *mean < LOAD_LEAST)
+	*mean += ((float)now - *mean) * (weight < 1 ? weight : 1);
+	if (!now && *mean < LOAD_MIN)
 		*mean = 0;
 }
 
-static void average(struct target *t, const struct policy *policy,
-		    uint64_t now_ns)
+static void update_target_means(struct target *target,
+				const struct policy *policy, uint64_t now_ns)
 {
-	uint64_t since_ns = now_ns - t->means_updated_ns;
+	uint64_t since_ns = now_ns - target->means_updated_ns;
 
-	blend(&t->short_mean, t->busy_short, since_ns, LOAD_WINDOW_NS);
-	blend(&t->running_mean, t->running, since_ns,
-	      policy->running_window_ns);
-	t->means_updated_ns = now_ns;
+	update_mean(&target->short_mean, target->busy_short, since_ns,
+		    LOAD_WINDOW_NS);
+	update_mean(&target->running_mean, target->running, since_ns,
+		    policy->running_window_ns);
+	target->means_updated_ns = now_ns;
 }
 
-static void measure_feeds(struct path *p, uint32_t feeds, uint32_t busy)
+static void update_feed_load(struct path *path, uint32_t feeds, uint32_t busy)
 {
 	if (feeds)
-		p->feed_load += ((float)busy / (float)feeds - p->feed_load) *
-				FEED_LOAD_WEIGHT;
+		path->feed_load +=
+			((float)busy / (float)feeds - path->feed_load) *
+			FEED_LOAD_WEIGHT;
 }
 
 /*
- * Whether time brings nothing to a target: of thousands most have no flow of
- * this entry, and all are looked at in every tick.
+ * Whether a tick changes nothing about a target. Each tick walks all targets,
+ * and most of the thousands have no flow of this entry.
  */
-static bool at_rest(const struct target *t)
+static bool is_idle(const struct target *target)
 {
-	return !t->cached_flows && t->health == HEALTH_GOOD &&
-	       t->short_mean <= 0 && t->running_mean <= 0;
+	return !target->cached_flows && target->health == HEALTH_GOOD &&
+	       target->short_mean <= 0 && target->running_mean <= 0;
 }
 
-static void judge(struct path *p, struct target *t, uint64_t now_ns)
+static void eject_if_outlier(struct path *path, struct target *target,
+			     uint64_t now_ns)
 {
-	float others = 0;
+	float others_failures = 0;
 
-	if (t->failures <= 0 && t->peers_failures <= 0)
+	if (target->failures <= 0 && target->peers_failures <= 0)
 		return;
-	if (outlier_eject_if_failing(p->directory, t, p->policy, now_ns,
-				     &others))
-		p->port.eject(p->port.ctx, t, others);
+	if (outlier_eject_if_failing(path->directory, target, path->policy,
+				     now_ns, &others_failures))
+		path->port.eject(path->port.ctx, target, others_failures);
 }
 
 /**
- * path_tick() - what time brings; every 20 to 50 ms
- * @p: state
- * @now_ns: time
+ * path_tick() - do what is due; to be called every 20 to 50 ms
+ * @path: state
+ * @now_ns: current time
  */
-void path_tick(struct path *p, uint64_t now_ns)
+void path_tick(struct path *path, uint64_t now_ns)
 {
-	uint32_t n = directory_target_count(p->directory);
+	uint32_t n = directory_target_count(path->directory);
 	uint32_t feeds = 0, busy = 0;
-	struct health_context c = path_context(p, now_ns);
-	bool judging = now_ns >= p->judged_ns + JUDGE_NS;
-
-	if (judging)
-		p->judged_ns = now_ns;
-	check_due(p, now_ns);
-	p->loaded = false;
+	struct health_context c = path_health_context(path, now_ns);
+	bool checks_outliers =
+		now_ns >= path->outliers_checked_ns + OUTLIER_CHECK_NS;
+
+	if (checks_outliers)
+		path->outliers_checked_ns = now_ns;
+	check_overdue(path, now_ns);
+	path->any_target_loaded = false;
 	for (uint32_t i = 0; i < n; i++) {
-		struct target *t = directory_target_at(p->directory, i);
+		struct target *target = directory_target_at(path->directory, i);
 
-		if (judging)
-			judge(p, t, now_ns);
-		if (at_rest(t)) {
-			t->means_updated_ns = now_ns;
+		if (checks_outliers)
+			eject_if_outlier(path, target, now_ns);
+		if (is_idle(target)) {
+			target->means_updated_ns = now_ns;
 			continue;
 		}
-		average(t, p->policy, now_ns);
-		if (t->flows || !directory_is_evacuated(p->directory, t))
-			health_tick(t, &c);
-		sweep_if_gone(p, t);
-		path_expire(p, t, now_ns);
-		p->loaded |= path_loaded(t);
-		feeds += t->feeds;
-		busy += t->busy - t->busy_short;
+		update_target_means(target, path->policy, now_ns);
+		if (target->flows ||
+		    !directory_is_evacuated(path->directory, target))
+			health_tick(target, &c);
+		reset_flows_if_required(path, target);
+		path_expire_queued(path, target, now_ns);
+		path->any_target_loaded |= path_target_loaded(target);
+		feeds += target->feeds;
+		busy += target->busy - target->busy_short;
 	}
-	path_release_all(p, now_ns);
-	measure_feeds(p, feeds, busy);
-	if (now_ns > FLOW_FORGET_NS)
-		flow_cache_expire(p->flows, now_ns - FLOW_FORGET_NS);
+	path_release_all_queued(path, now_ns);
+	update_feed_load(path, feeds, busy);
+	if (now_ns > FLOW_IDLE_TIMEOUT_NS)
+		flow_cache_expire(path->flows, now_ns - FLOW_IDLE_TIMEOUT_NS);
 }
 
 /**
- * path_any_loaded() - whether a target with requests of this entry has as much
- *	to do as it has slots
- * @p: state
+ * path_has_loaded_target() - check for a target with as many requests as slots
+ * @path: state
  *
- * Return: whether it was so at the last tick.
+ * Return: whether path_target_loaded() held for any target at the last tick.
  */
-bool path_any_loaded(const struct path *p)
+bool path_has_loaded_target(const struct path *path)
 {
-	return p->loaded;
+	return path->any_target_loaded;
 }
--- a/core/packet/target/target.h
+++ b/core/packet/target/target.h
@@ -100,7 +100,7 @@
  *	answered nor overdue; the others are queued at this entry or presumed
  *	lost
  * @queue_head: latest of its requests that are queued at this entry, 0 for
- *	none, see struct waiting
+ *	none, see struct wait_queue
  * @short_mean: @busy_short, averaged over LOAD_WINDOW_NS
  * @running_mean: @running, averaged over struct policy's running_window_ns
  * @means_updated_ns: when the two means were last updated
--- a/test/packet_outlier_test.c
+++ b/test/packet_outlier_test.c
@@ -41,7 +41,7 @@
 		b->now_ns += 10 * MS;
 		bed_data(b, CALLER + i, REPORT_VIP, v.target->cookie, 3,
 			 1 + (is_failing ? error_bytes : ANSWER_BYTES), 0);
-		bed_pass(b, 20 * MS);
+		bed_advance(b, 20 * MS);
 	}
 	return got;
 }
@@ -79,9 +79,9 @@
 	for (uint32_t i = 0; i < 8; i++)
 		bed_data(&b, CALLER + i, REPORT_VIP, target_cookie(1), 2, 1,
 			 900);
-	bed_pass(&b, 500 * MS);
+	bed_advance(&b, 500 * MS);
 	assert_int_equal(b.n_probes, 1);
-	bed_answer(&b, 1, PROBE_ACCEPTED);
+	bed_end_probes(&b, 1, PROBE_ACCEPTED);
 	assert_int_equal(directory_by_id(b.directory, 1)->health, HEALTH_GOOD);
 	assert_int_equal(b.n_ejected, 1);
 	assert_int_equal(b.ejected[0], 1);
@@ -99,7 +99,7 @@
 		for (uint32_t i = 1; i <= TARGETS; i++)
 			outlier_record_failure(directory_by_id(b.directory, i),
 					       &policy_default, b.now_ns);
-		bed_pass(&b, 100 * MS);
+		bed_advance(&b, 100 * MS);
 	}
 	assert_int_equal(b.n_ejected, 0);
 	bed_close(&b);
@@ -118,10 +118,10 @@
 	for (uint32_t i = 1; i <= TARGETS; i++)
 		directory_by_id(b.directory, i)->peers_failures = 1.2f;
 	directory_by_id(b.directory, 2)->peers_failures = 6;
-	bed_pass(&b, 200 * MS);
+	bed_advance(&b, 200 * MS);
 	assert_int_equal(b.n_ejected, 0);
 	directory_by_id(b.directory, 2)->peers_failures = 10;
-	bed_pass(&b, 200 * MS);
+	bed_advance(&b, 200 * MS);
 	assert_int_equal(b.n_ejected, 1);
 	bed_close(&b);
 }
@@ -142,7 +142,7 @@
 	open_bed(&b);
 	for (uint64_t id = 1; id <= 4; id++) {
 		record_many_failures(&b, id);
-		bed_pass(&b, 200 * MS);
+		bed_advance(&b, 200 * MS);
 	}
 	assert_int_equal(b.n_ejected, TARGETS / 3);
 	bed_close(&b);
@@ -181,7 +181,7 @@
 	open_bed(&b);
 	t = directory_by_id(b.directory, 1);
 	record_many_failures(&b, 1);
-	bed_pass(&b, 200 * MS);
+	bed_advance(&b, 200 * MS);
 	assert_int_equal(b.n_ejected, 1);
 	b.now_ns = t->ejected_until_ns + MS;
 	assert_true(outlier_is_on_trial(t, &policy_default, b.now_ns));
@@ -204,13 +204,13 @@
 	open_bed(&b);
 	t = directory_by_id(b.directory, 1);
 	record_many_failures(&b, 1);
-	bed_pass(&b, 200 * MS);
+	bed_advance(&b, 200 * MS);
 	first_ns = t->ejected_until_ns - b.now_ns;
 	b.now_ns = t->ejected_until_ns + MS;
 	outlier_record_failure(t, &policy_default, b.now_ns);
 	outlier_record_failure(t, &policy_default, b.now_ns);
 	outlier_record_failure(t, &policy_default, b.now_ns);
-	bed_pass(&b, 100 * MS);
+	bed_advance(&b, 100 * MS);
 	assert_int_equal(b.n_ejected, 2);
 	second_ns = t->ejected_until_ns - b.now_ns;
 	assert_in_range(second_ns, first_ns + NS_PER_S, 3 * first_ns);
@@ -225,7 +225,7 @@
 	(void)state;
 	open_bed(&b);
 	directory_by_id(b.directory, 3)->peers_failures = 6;
-	bed_pass(&b, 200 * MS);
+	bed_advance(&b, 200 * MS);
 	assert_int_equal(b.n_ejected, 1);
 	assert_int_equal(b.ejected[0], 3);
 	bed_close(&b);
