--- a/cmd/cb-entry/actions.c
+++ b/cmd/cb-entry/actions.c
@@ -118,9 +118,10 @@
 }
 
 /**
- * actions_reset_log_limit() - called each second: allow new log lines and report
- *	suppressed ones
+ * actions_reset_log_limit() - allow new log lines; called each second
  * @d: daemon
+ *
+ * Logs how many lines were suppressed in the second before.
  */
 void actions_reset_log_limit(struct daemon *d)
 {
--- a/cmd/cb-entry/daemon.c
+++ b/cmd/cb-entry/daemon.c
@@ -94,7 +94,9 @@
 	stop_when_left(d);
 }
 
-/* Time since the tick was due, or since the loop began to wait if that is later. */
+/*
+ * Time since the tick was due, or since the loop began to wait if that is later.
+ */
 static uint64_t lateness_ns(const struct daemon *d, uint64_t now_ns)
 {
 	uint64_t due_ns = d->tick_due_ns > d->wait_start_ns ? d->tick_due_ns
@@ -122,8 +124,8 @@
  *
  * After the process or its VM did not run for a while, libuv delivers the
  * datagrams that wait in the sockets before it runs timers. The entry would
- * handle them under a lease that expired long ago. So each callback for an event
- * runs a tick that is due first.
+ * handle them under a lease that expired long ago. So each callback for an
+ * event runs a tick that is due first.
  *
  * Return: time of the event in nanoseconds (uv_hrtime()).
  */
@@ -202,8 +204,8 @@
  * daemon_open() - create the entry, open all sockets and start the timers
  * @d: daemon; @settings and @loop are set
  *
- * Return: 0 or a negative error number. Errors of a socket have been logged with
- * their step and address.
+ * Return: 0 or a negative error number. Errors of a socket have been logged
+ * with their step and address.
  */
 int daemon_open(struct daemon *d)
 {
--- a/cmd/cb-entry/operators.c
+++ b/cmd/cb-entry/operators.c
@@ -154,7 +154,7 @@
 	return !strcmp(text, s->name);
 }
 
-/* Sets *@vip to the VIP of the service named @text. Return: number of matches. */
+/* Return: number of services named @text; *@vip is the VIP of the last one. */
 static uint32_t find_named_vip(const struct config *c, const char *text,
 			       uint64_t *vip)
 {
--- a/cmd/cb-entry/polls.c
+++ b/cmd/cb-entry/polls.c
@@ -163,8 +163,8 @@
 }
 
 /*
- * Sorts the endpoints and removes duplicates: a target of two services is polled
- * once. Return: number that remain.
+ * Sorts the endpoints and removes duplicates: a target of two services is
+ * polled once. Return: number that remain.
  */
 static uint32_t sort_unique(uint64_t *list, uint32_t n)
 {
--- a/cmd/cb-packet/clients.c
+++ b/cmd/cb-packet/clients.c
@@ -115,12 +115,12 @@
 			      enum pacer_class c, uint64_t copy_id,
 			      const uint8_t *data, uint32_t size_bytes)
 {
-	uint8_t head[ENVELOPE_MAX_BYTES];
+	uint8_t head[ENCAPSULATION_MAX_BYTES];
 	struct datagram g = {
 		.destination = t->advertised.addr,
 		.copy_id = copy_id,
 		.head = head,
-		.head_bytes = d->platform->envelope(t, head),
+		.head_bytes = d->platform->write_encapsulation(t, head),
 		.data = data,
 		.data_bytes = size_bytes,
 	};
@@ -148,7 +148,7 @@
 }
 
 /**
- * clients_send_paced() - send the batch and the datagrams that the pacer releases
+ * clients_send_paced() - send the batch, and datagrams that the pacer releases
  * @d: process
  */
 void clients_send_paced(struct packet_daemon *d)
@@ -196,7 +196,7 @@
  * @bytes: packet, valid during the call only
  * @n_bytes: size of @bytes
  */
-void clients_send_queued(void *ctx, const struct flow_seen *f,
+void clients_send_queued(void *ctx, const struct flow_state *f,
 			 const uint8_t *bytes, uint32_t n_bytes)
 {
 	struct packet_daemon *d = ctx;
@@ -214,13 +214,14 @@
  * @d: process
  * @f: flow, with its current target
  */
-void clients_resend(struct packet_daemon *d, const struct flow_seen *f)
+void clients_resend(struct packet_daemon *d, const struct flow_state *f)
 {
-	uint8_t copy[KEPT_MAX_BYTES];
+	uint8_t copy[RESEND_MAX_BYTES];
 
-	memcpy(copy, f->kept, f->kept_bytes);
-	d->platform->pin(copy, f->target->cookie);
-	forward_to_target(d, f->target, PACER_CONTROL, 0, copy, f->kept_bytes);
+	memcpy(copy, f->resend_packet, f->resend_bytes);
+	d->platform->write_cookie(copy, f->target->cookie);
+	forward_to_target(d, f->target, PACER_CONTROL, 0, copy,
+			  f->resend_bytes);
 	clients_flush(d); /* @copy goes out of scope */
 }
 
@@ -240,7 +241,7 @@
 		clients_send_reset(d, &k.flow, v.ack);
 	} else if (v.action == PATH_FORWARD) {
 		if (k.flags & PACKET_SYN)
-			d->platform->pin(data, v.target->cookie);
+			d->platform->write_cookie(data, v.target->cookie);
 		forward_to_target(d, v.target, pacer_classify(&k, v.kind),
 				  pacer_copy_id(&k), data, size_bytes);
 	}
@@ -283,7 +284,7 @@
 }
 
 /**
- * clients_discard_received() - drop the datagrams that wait in the clients' socket
+ * clients_discard_received() - drop the datagrams that wait in the socket
  * @d: process
  */
 void clients_discard_received(struct packet_daemon *d)
--- a/cmd/cb-packet/daemon.c
+++ b/cmd/cb-packet/daemon.c
@@ -66,7 +66,7 @@
 	d->total_suspended_ns = total_ns;
 	d->stall_checked_ns = now_ns;
 	gap_ns += suspended_ns;
-	if (node_late(d->node, gap_ns, now_ns))
+	if (node_process_stalled(d->node, gap_ns, now_ns))
 		clients_discard_received(d);
 	return now_ns;
 }
@@ -144,13 +144,14 @@
 	d->log_tokens += (double)d->settings.decisions_per_s * TICK_MS / 1000;
 	if (d->log_tokens > d->settings.decisions_per_s)
 		d->log_tokens = d->settings.decisions_per_s;
-	if (!node_stopped(d->node, now_ns))
+	if (!node_may_exit(d->node, now_ns))
 		return;
-	log_line(LOG_INFO, "stop", NULL,
-		 "exiting after %llu ms, last client packet %llu ms ago",
-		 (unsigned long long)((now_ns - d->node->stop_ns) / NS_PER_MS),
-		 (unsigned long long)((now_ns - d->node->client_ns) /
-				      NS_PER_MS));
+	log_line(
+		LOG_INFO, "stop", NULL,
+		"exiting after %llu ms, last client packet %llu ms ago",
+		(unsigned long long)((now_ns - d->node->stop_ns) / NS_PER_MS),
+		(unsigned long long)((now_ns - d->node->last_client_packet_ns) /
+				     NS_PER_MS));
 	uv_stop(d->loop);
 }
 
@@ -163,23 +164,23 @@
 	node_stop(d->node, daemon_begin_event(d));
 }
 
-static void resend_packet(void *ctx, const struct flow_seen *f, uint8_t reason)
+static void resend_packet(void *ctx, const struct flow_state *f, uint8_t reason)
 {
 	decision_log_resend(ctx, f, reason);
 	clients_resend(ctx, f);
 }
 
-static void reset_flow(void *ctx, const struct flow_seen *f)
+static void reset_flow(void *ctx, const struct flow_state *f)
 {
 	decision_log_reset(ctx, f);
 	clients_send_reset(ctx, &f->key, f->ack);
 }
 
-static void write_log(void *ctx, enum node_log level, const char *step,
+static void write_log(void *ctx, enum node_log_level level, const char *step,
 		      const char *peer, const char *format, ...)
 	__attribute__((format(printf, 5, 6)));
 
-static void write_log(void *ctx, enum node_log level, const char *step,
+static void write_log(void *ctx, enum node_log_level level, const char *step,
 		      const char *peer, const char *format, ...)
 {
 	static const enum log_level levels[] = {
@@ -219,8 +220,8 @@
 		.fetch = sync_fetch,
 		.hello = peers_send,
 		.probe = probes_start,
-		.again = resend_packet,
-		.send = clients_send_queued,
+		.resend = resend_packet,
+		.send_queued = clients_send_queued,
 		.reset = reset_flow,
 		.health = decision_log_health,
 		.decode = d->platform->read_document,
--- a/cmd/cb-packet/daemon.h
+++ b/cmd/cb-packet/daemon.h
@@ -189,9 +189,9 @@
 void clients_send_paced(struct packet_daemon *d);
 void clients_send_reset(struct packet_daemon *d, const struct flow_key *flow,
 			uint32_t ack);
-void clients_send_queued(void *ctx, const struct flow_seen *f,
+void clients_send_queued(void *ctx, const struct flow_state *f,
 			 const uint8_t *bytes, uint32_t n_bytes);
-void clients_resend(struct packet_daemon *d, const struct flow_seen *f);
+void clients_resend(struct packet_daemon *d, const struct flow_state *f);
 
 /* peers.c: heartbeats. */
 int peers_open(struct packet_daemon *d);
@@ -220,8 +220,8 @@
 void decision_log_packet(struct packet_daemon *d, const struct packet *k,
 			 const struct path_verdict *v);
 void decision_log_health(void *ctx, const struct target *t, uint8_t before);
-void decision_log_reset(struct packet_daemon *d, const struct flow_seen *f);
-void decision_log_resend(struct packet_daemon *d, const struct flow_seen *f,
+void decision_log_reset(struct packet_daemon *d, const struct flow_state *f);
+void decision_log_resend(struct packet_daemon *d, const struct flow_state *f,
 			 uint8_t reason);
 
 #endif
--- a/cmd/cb-packet/decision_log.c
+++ b/cmd/cb-packet/decision_log.c
@@ -103,7 +103,7 @@
  * @d: process
  * @f: flow
  */
-void decision_log_reset(struct packet_daemon *d, const struct flow_seen *f)
+void decision_log_reset(struct packet_daemon *d, const struct flow_state *f)
 {
 	if (take_log_token(d))
 		log_decision(d, "flow.reset", &f->key, "swept", f->target);
@@ -115,7 +115,7 @@
  * @f: flow, with the target that gets the packet
  * @reason: why, enum path_reason
  */
-void decision_log_resend(struct packet_daemon *d, const struct flow_seen *f,
+void decision_log_resend(struct packet_daemon *d, const struct flow_state *f,
 			 uint8_t reason)
 {
 	if (take_log_token(d))
--- a/cmd/cb-packet/main.c
+++ b/cmd/cb-packet/main.c
@@ -44,7 +44,7 @@
 
 static int run_with_settings(const char *path, bool check)
 {
-	/* Too large for the stack: it contains buffers for a batch of datagrams. */
+	/* Too large for the stack: it contains the receive buffers. */
 	struct packet_daemon *d = calloc(1, sizeof(*d));
 	struct mistakes m = { 0 };
 	int code = DAEMON_USAGE;
--- a/cmd/cb-packet/probes.c
+++ b/cmd/cb-packet/probes.c
@@ -29,7 +29,8 @@
 {
 	d->counters.probes_refused += outcome == PROBE_REFUSED;
 	d->counters.probes_silent += outcome == PROBE_SILENT;
-	node_probed(d->node, target, outcome, start_ns, daemon_begin_event(d));
+	node_probe_ended(d->node, target, outcome, start_ns,
+			 daemon_begin_event(d));
 	clients_send_paced(d);
 }
 
@@ -98,7 +99,8 @@
  * @ctx: struct packet_daemon
  * @t: target
  *
- * The outcome goes to node_probed(); it is inconclusive when no slot is free.
+ * The outcome goes to node_probe_ended(). It is PROBE_INCONCLUSIVE when no slot
+ * is free.
  */
 void probes_start(void *ctx, const struct target *t)
 {
@@ -114,8 +116,8 @@
 	int err;
 
 	if (!p) {
-		node_probed(d->node, &target, PROBE_INCONCLUSIVE, d->now_ns,
-			    d->now_ns);
+		node_probe_ended(d->node, &target, PROBE_INCONCLUSIVE,
+				 d->now_ns, d->now_ns);
 		return;
 	}
 	d->counters.probes++;
@@ -124,7 +126,7 @@
 	p->target = target;
 	p->start_ns = uv_hrtime();
 	p->deadline_ns =
-		p->start_ns + path_probe_wait_ns(d->node->path, p->start_ns);
+		p->start_ns + path_probe_timeout_ns(d->node->path, p->start_ns);
 	uv_tcp_init(d->loop, &p->tcp);
 	p->tcp.data = p;
 	p->connect.data = p;
--- a/cmd/cb-packet/sync.c
+++ b/cmd/cb-packet/sync.c
@@ -27,7 +27,8 @@
 						struct answer_head *head)
 {
 	bool list = d->node->step == SOURCE_LIST;
-	struct facts_port to = { d->node, list ? node_listed : node_changed };
+	struct document_sink to = { d->node, list ? node_take_listed
+						  : node_take_changed };
 	uint64_t epoch;
 	int err;
 
@@ -39,7 +40,7 @@
 		return SOURCE_FAILED;
 	if (d->platform->read_epoch(r->header, &epoch))
 		return SOURCE_FAILED;
-	if (!node_answering(d->node, epoch, now_ns))
+	if (!node_answer_begin(d->node, epoch, now_ns))
 		return SOURCE_GONE;
 	err = list ? d->platform->read_list(r->body, r->size_bytes, to, head)
 		   : d->platform->read_changes(r->body, r->size_bytes, to,
@@ -55,19 +56,19 @@
 	enum source_outcome outcome;
 
 	outcome = read_platform_answer(d, r, now_ns, &head);
-	head.came_ns = r->came_ns;
+	head.transfer_ns = r->came_ns;
 	if (outcome == SOURCE_FAILED && !d->node->source.failures)
 		log_line(LOG_WARNING, "platform", NULL,
 			 "call failed: %s, status %d",
 			 r->err ? uv_strerror(r->err) : "answered", r->status);
-	node_answer(d->node, outcome, &head, now_ns);
+	node_answer_end(d->node, outcome, &head, now_ns);
 }
 
 static bool on_platform_connected(void *ctx, uint64_t took_ns)
 {
 	struct packet_daemon *d = ctx;
 
-	return node_connected(d->node, took_ns, daemon_begin_event(d));
+	return node_platform_connected(d->node, took_ns, daemon_begin_event(d));
 }
 
 static void call_platform(struct packet_daemon *d, const char *path,
@@ -91,7 +92,7 @@
 void sync_list(void *ctx, const char *after_key, bool exact)
 {
 	struct packet_daemon *d = ctx;
-	char path[PATH_MAX_BYTES];
+	char path[URL_PATH_MAX_BYTES];
 
 	d->platform->list_path(after_key, exact, path);
 	call_platform(d, path, LIST_TIMEOUT_MS);
@@ -107,7 +108,7 @@
 {
 	struct packet_daemon *d = ctx;
 	uint32_t wait_ms = (uint32_t)(wait_ns / NS_PER_MS);
-	char path[PATH_MAX_BYTES];
+	char path[URL_PATH_MAX_BYTES];
 
 	d->platform->watch_path(after, wait_ms, path);
 	call_platform(d, path, wait_ms + WATCH_MARGIN_MS);
@@ -125,13 +126,14 @@
 }
 
 static bool begin_relay(void *ctx, const struct relay_head *head,
-			struct facts_port *to)
+			struct document_sink *to)
 {
 	struct packet_daemon *d = ctx;
 
-	*to = (struct facts_port){ d->node, head->whole ? node_relay_listed
-							: node_relayed };
-	return node_fetching(d->node, head, uv_hrtime());
+	*to = (struct document_sink){ d->node, head->whole
+						       ? node_take_relay_listed
+						       : node_take_relayed };
+	return node_fetch_begin(d->node, head, uv_hrtime());
 }
 
 static struct document_value find_base_value(void *ctx, uint64_t key_hash,
@@ -169,7 +171,7 @@
 			 addr_text(d->fetch_peer, addr, sizeof(addr)),
 			 "fetch failed: %s, status %d", strerror(-err),
 			 r->status);
-	node_fetched(d->node, err ? NULL : &head, now_ns);
+	node_fetch_end(d->node, err ? NULL : &head, now_ns);
 }
 
 /**
@@ -182,7 +184,7 @@
 {
 	struct packet_daemon *d = ctx;
 	struct relay_base base = relay_base(d->node->documents);
-	char path[PATH_MAX_BYTES];
+	char path[URL_PATH_MAX_BYTES];
 	int err;
 
 	g_snprintf(path, sizeof(path),
--- a/cmd/cb-watch/documents.c
+++ b/cmd/cb-watch/documents.c
@@ -1,6 +1,6 @@
 /*
- * Documents of the platform: rendered, checked and published to the spread, which
- * sends them to the other VMs.
+ * Documents of the platform: rendered, checked and published to the spread,
+ * which sends them to the other VMs.
  */
 #include "watch.h"
 
@@ -16,8 +16,8 @@
 /**
  * struct rendering - context of rendering one account's document
  * @watch: process
- * @missing_template: name of a template that the document needs and that was not
- *	read yet; empty for none
+ * @missing_template: name of a template that the document needs and that was
+ *	not read yet; empty for none
  */
 struct rendering {
 	const struct watch *watch;
@@ -149,7 +149,7 @@
 		return err;
 	err = publish_content(w, key, a->generation, revision, c);
 	content_free(c);
-	/* Undoes what documents_check_content() stored for a content not in force. */
+	/* Undo what documents_check_content() stored: it is not in force. */
 	if (err)
 		update_vips(w, key, spread_content(w->spread, key));
 	return err;
@@ -158,8 +158,8 @@
 /*
  * If two accounts had the same VIP, its callers would reach the targets of the
  * account that an entry finds first. The account in force keeps the VIP. The
- * other account is refused as a whole, and read again when the accounts in force
- * change. Return: whether there is no conflict.
+ * other account is refused as a whole, and read again when the accounts in
+ * force change. Return: whether there is no conflict.
  */
 static bool check_vip_conflicts(struct watch *w, const char *key,
 				const char *text, struct template_source source,
@@ -318,7 +318,7 @@
 	if (strncmp(key, ACCOUNT_PREFIX, strlen(ACCOUNT_PREFIX)))
 		return -EINVAL;
 	err = account_decode(key + strlen(ACCOUNT_PREFIX), 1, content, &a);
-	/* Stored already: the content comes in force only when this VM serves. */
+	/* Stored before it is in force, which waits until this VM serves. */
 	if (!err)
 		vips_put(w->vips, a->name, a);
 	account_free(a);
--- a/cmd/cb-watch/main.c
+++ b/cmd/cb-watch/main.c
@@ -1,4 +1,4 @@
-/* cb-watch: relays published documents between VMs, and to the cb-entry here. */
+/* cb-watch: reads or relays what is published, for the cb-entry of its VM. */
 #include "watch.h"
 
 #include "daemon_args.h"
--- a/core/packet/node_cold.c
+++ b/core/packet/node_cold.c
@@ -1,84 +1,88 @@
-/* Which cold targets this entry may open flows at. */
+/* Decides at which cold targets this entry may open flows. */
 #include "node_impl.h"
 
 #include "cold.h"
 
 /*
- * Who has just started, or stood still, is not known to all others yet, nor they
- * to it: it would have a seat that another has as well.
+ * Whether the other entries know this one, and it knows them. An entry that has
+ * just started or resumed after a pause would take a permit that another entry
+ * has as well.
  */
-static bool settled(const struct node *n)
+static bool is_known_to_peers(const struct node *node)
 {
-	uint64_t since_ns =
-		n->start_ns > n->paused_ns ? n->start_ns : n->paused_ns;
+	uint64_t since_ns = node->start_ns > node->paused_ns ? node->start_ns
+							     : node->paused_ns;
 
-	return n->now_ns >= since_ns + n->policy->young_ns &&
-	       !peer_set_is_alone(n->peers);
+	return node->now_ns >= since_ns + node->policy->young_ns &&
+	       !peer_set_is_alone(node->peers);
 }
 
 /*
- * It answers again after it was taken for ended: another process may have
- * started that was not published yet.
+ * Treat a target as cold that answers again after it counted as ended: a new
+ * process may have started that is not published yet.
  */
-static void presume_start(const struct node *n, struct target *t,
-			  const struct service_cold *cold)
+static void presume_cold_start(const struct node *node, struct target *target,
+			       const struct service_cold *cold)
 {
-	uint64_t until_ns = t->recovered_ns + cold->cold_ms * NS_PER_MS;
+	uint64_t until_ns = target->recovered_ns + cold->cold_ms * NS_PER_MS;
 
-	if (t->cold_presumed && n->now_ns >= t->cold_until_ns)
-		t->cold_presumed = false;
-	if (!t->recovered_ns)
+	if (target->cold_presumed && node->now_ns >= target->cold_until_ns)
+		target->cold_presumed = false;
+	if (!target->recovered_ns)
 		return;
-	if (until_ns > t->cold_until_ns) {
-		cold_begin(t, until_ns, t->recovered_ns);
-		t->cold_presumed = true;
+	if (until_ns > target->cold_until_ns) {
+		cold_begin(target, until_ns, target->recovered_ns);
+		target->cold_presumed = true;
 	}
-	t->recovered_ns = 0;
+	target->recovered_ns = 0;
 }
 
-static void share_out(struct node *n, struct target *t, bool may)
+static void refill_credit(struct node *node, struct target *target,
+			  bool known_to_peers)
 {
-	struct service_cold cold =
-		directory_cold_limits(n->directory, t->advertised.service);
+	struct service_cold cold = directory_cold_limits(
+		node->directory, target->advertised.service);
 	struct cold_allocation share;
-	bool seat;
+	bool has_permit;
 
-	presume_start(n, t, &cold);
-	if (!cold_is_limited(t, cold.flows_per_s, n->now_ns))
+	presume_cold_start(node, target, &cold);
+	if (!cold_is_limited(target, cold.flows_per_s, node->now_ns))
 		return;
-	share = cold_allocate(cold.flows_per_s, &n->conf.cold);
-	seat = may && t->advertised.zone == node_zone(n) &&
-	       peer_set_rendezvous_rank(n->peers, t->advertised.id) <
-		       share.permits;
-	cold_refill(t, seat, share.per_s, n->now_ns);
+	share = cold_allocate(cold.flows_per_s, &node->conf.cold);
+	has_permit =
+		known_to_peers && target->advertised.zone == node_zone(node) &&
+		peer_set_rendezvous_rank(node->peers, target->advertised.id) <
+			share.permits;
+	cold_refill(target, has_permit, share.per_s, node->now_ns);
 }
 
-/* Bring up to date what may be opened at cold targets. */
-void node_cold_tick(struct node *n)
+/* Update the number of flows that this entry may open at each cold target. */
+void node_cold_tick(struct node *node)
 {
-	uint32_t slots = directory_target_count(n->directory);
-	bool may;
+	uint32_t slots = directory_target_count(node->directory);
+	bool known_to_peers;
 
-	if (!directory_has_cold_limits(n->directory))
+	if (!directory_has_cold_limits(node->directory))
 		return;
-	may = settled(n);
+	known_to_peers = is_known_to_peers(node);
 	for (uint32_t i = 0; i < slots; i++)
-		share_out(n, directory_target_at(n->directory, i), may);
+		refill_credit(node, directory_target_at(node->directory, i),
+			      known_to_peers);
 }
 
 /*
- * The targets of a data centre that is taken back are cold, and may not have
- * said so yet.
+ * Treat the targets of a data centre as cold when its evacuation is over, since
+ * they may not have published so yet. @zone: hash of the data centre's name.
  */
-void node_cold_returned(struct node *n, uint32_t zone)
+void node_cold_evacuation_over(struct node *node, uint32_t zone)
 {
-	uint32_t slots = directory_target_count(n->directory);
+	uint32_t slots = directory_target_count(node->directory);
 
 	for (uint32_t i = 0; i < slots; i++) {
-		struct target *t = directory_target_at(n->directory, i);
+		struct target *target = directory_target_at(node->directory, i);
 
-		if (t->advertised.zone == zone)
-			t->recovered_ns = n->now_ns;
+		if (target->advertised.zone == zone)
+			target->recovered_ns = node->now_ns;
 	}
-	node_cold_tick(n);
+	node_cold_tick(node);
 }
--- a/test/process/deployments_test.sh
+++ b/test/process/deployments_test.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
 # scripts/deployments: the same seed gives the same deployment, figures stay
-# within their bounds, the offered work per slot is between 0.5 and 1.5 times that
-# of the site, other lines are unchanged, and wrong arguments are refused.
+# within their bounds, the offered work per slot is between 0.5 and 1.5 times
+# that of the site, other lines are unchanged, and wrong arguments are refused.
 set -eu
 cd "$(dirname "$0")/../.."
 dir=$(mktemp -d)
--- a/test/process/outer_names_test.sh
+++ b/test/process/outer_names_test.sh
@@ -41,7 +41,7 @@
 		esac | sort -u
 }
 
-# expect_listed_metrics IP:PORT PROGRAM: the page has the listed names, no others.
+# expect_listed_metrics IP:PORT PROGRAM: the page has just the listed names.
 expect_listed_metrics() {
 	get_page "$1" /metrics >"$dir/page" || fail "$1 has no page"
 	metric_names <"$dir/page" >"$dir/page.names"
--- a/test/process/pages.sh
+++ b/test/process/pages.sh
@@ -16,7 +16,7 @@
 		sed -E 's/_(bucket|sum|count)$//' | sort -u
 }
 
-# wait_for_lines FILE COUNT TEXT: waits up to 60 s until COUNT lines contain TEXT.
+# wait_for_lines FILE COUNT TEXT: waits up to 60 s for COUNT lines with TEXT.
 wait_for_lines() {
 	local i=0
 	while [ "$(grep -c "$3" "$1" 2>/dev/null)" -lt "$2" ]; do
--- a/test/process/run.sh
+++ b/test/process/run.sh
@@ -1,6 +1,6 @@
-# Sourced by the tests in this folder: runs scripts/demo with a fault, on its own
-# addresses, and checks the ids of requests that callers and targets logged. No
-# times are checked; figures that differ between runs are only printed.
+# Sourced by the tests in this folder: runs scripts/demo with a fault, on its
+# own addresses, and checks the ids of requests that callers and targets logged.
+# No times are checked; figures that differ between runs are only printed.
 set -u
 cd "$(dirname "$0")/../.." || exit 2
 B=${B:-build/opt}
@@ -13,8 +13,8 @@
 	exit 1
 }
 
-# Locks one of NETS and sets NET. The processes of the run inherit the lock, so a
-# process that outlives its run keeps other runs from using its addresses.
+# Locks one of NETS and sets NET. The processes of the run inherit the lock, so
+# a process that outlives its run keeps other runs from using its addresses.
 lock_net() {
 	for NET in $NETS; do
 		lock="${TMPDIR:-/tmp}/cactusbeam-net-$NET.lock"
--- a/test/process/two_builds_test.sh
+++ b/test/process/two_builds_test.sh
@@ -1,9 +1,9 @@
 #!/bin/bash
 # Guards against builds that don't understand each other: during an upgrade
-# processes of two builds exchange messages and read the same files, and a field,
-# an option or a byte order that only one build knows would cut flows. OTHER_BIN
-# is the bin directory of the other build; without it the build is tested
-# against itself.
+# processes of two builds exchange messages and read the same files, and a
+# field, an option or a byte order that only one build knows would cut flows.
+# OTHER_BIN is the bin directory of the other build; without it the build is
+# tested against itself.
 set -eu
 cd "$(dirname "$0")/../.."
 B=${B:-build/opt}
@@ -19,7 +19,7 @@
 	exit 1
 }
 
-# expect_same NAME ARGS...: both builds print the same and have the same exit code.
+# expect_same NAME ARGS...: both builds have the same output and exit code.
 expect_same() {
 	name=$1
 	shift
@@ -37,7 +37,7 @@
 # list_options PROGRAM: long options in the output of --help.
 list_options() { "$1" --help 2>&1 | grep -oE -e '--[a-z][a-z-]*' | sort -u; }
 
-# Both builds read the settings and publications of the examples in the same way.
+# Both builds read the settings and publications of the examples alike.
 check_files() {
 	for p in cb-entry cb-packet cb-watch; do
 		expect_same $p --check --settings examples/settings/$p.toml
@@ -129,7 +129,7 @@
 		unset OTHER_BIN
 		. test/process/run.sh
 		work=
-		# Requests lost with a killed process are counted apart, as "lost".
+		# Requests lost with a killed process count as "lost".
 		run_demo "$1"
 		expect_zero doubled misrouted false_not_run
 	) || fail "cb-entry of two builds as peers, $1"
@@ -146,7 +146,7 @@
 check_decisions
 make_mixed_build
 (
-	# The addresses are fixed, so only one test that uses them runs at a time.
+	# The addresses are fixed: only one test that uses them at a time.
 	exec 9>>"${TMPDIR:-/tmp}/cactusbeam-cb-packet.lock"
 	flock 9
 	check_packet_peers
