--- a/cmd/cb-entry/actions.c
+++ b/cmd/cb-entry/actions.c
@@ -5,72 +5,72 @@
 
 #define LOG_LINES_PER_S 50
 
-static void forward_to_caller(struct daemon *d, const struct action *a)
+static void forward_to_caller(struct daemon *d, const struct action *action)
 {
 	uint8_t buf[SEND_MAX_BYTES];
-	int32_t n = coap_wire_rewrite(a, buf, sizeof(buf));
+	int32_t n = coap_wire_rewrite(action, buf, sizeof(buf));
 
 	if (n < 0)
 		d->dropped[DROP_ENCODE]++;
 	else
-		callers_send(d, &a->key, buf, (uint32_t)n);
+		callers_send(d, &action->key, buf, (uint32_t)n);
 }
 
-static void answer_caller(struct daemon *d, const struct action *a)
+static void answer_caller(struct daemon *d, const struct action *action)
 {
 	uint8_t buf[SEND_MAX_BYTES];
-	int32_t n = coap_wire_answer(a, buf, sizeof(buf));
+	int32_t n = coap_wire_answer(action, buf, sizeof(buf));
 
 	if (n < 0)
 		d->dropped[DROP_ENCODE]++;
 	else
-		callers_send(d, &a->key, buf, (uint32_t)n);
+		callers_send(d, &action->key, buf, (uint32_t)n);
 }
 
-static void send_empty_to_caller(struct daemon *d, const struct action *a)
+static void send_empty_to_caller(struct daemon *d, const struct action *action)
 {
 	uint8_t buf[SEND_MAX_BYTES];
-	int32_t n = coap_wire_empty(a->type, a->id, buf, sizeof(buf));
+	int32_t n = coap_wire_empty(action->type, action->id, buf, sizeof(buf));
 
-	callers_send(d, &a->key, buf, (uint32_t)n);
+	callers_send(d, &action->key, buf, (uint32_t)n);
 }
 
-static void forward_to_target(struct daemon *d, const struct action *a)
+static void forward_to_target(struct daemon *d, const struct action *action)
 {
 	uint8_t buf[SEND_MAX_BYTES];
-	int32_t n = coap_wire_rewrite(a, buf, sizeof(buf));
+	int32_t n = coap_wire_rewrite(action, buf, sizeof(buf));
 
 	if (n < 0)
 		d->dropped[DROP_ENCODE]++;
 	else
-		targets_send(d, a->target, buf, (uint32_t)n);
+		targets_send(d, action->target, buf, (uint32_t)n);
 }
 
-static void send_empty_to_target(struct daemon *d, const struct action *a)
+static void send_empty_to_target(struct daemon *d, const struct action *action)
 {
 	uint8_t buf[SEND_MAX_BYTES];
-	int32_t n = coap_wire_empty(a->type, a->id, buf, sizeof(buf));
+	int32_t n = coap_wire_empty(action->type, action->id, buf, sizeof(buf));
 
-	targets_send(d, a->target, buf, (uint32_t)n);
+	targets_send(d, action->target, buf, (uint32_t)n);
 }
 
-static void cancel_target(struct daemon *d, const struct action *a)
+static void cancel_target(struct daemon *d, const struct action *action)
 {
 	uint8_t buf[SEND_MAX_BYTES];
-	int32_t n = coap_wire_cancel(a, buf, sizeof(buf));
+	int32_t n = coap_wire_cancel(action, buf, sizeof(buf));
 
 	if (n < 0)
 		d->dropped[DROP_ENCODE]++;
 	else
-		targets_send(d, a->target, buf, (uint32_t)n);
+		targets_send(d, action->target, buf, (uint32_t)n);
 }
 
-static void send_to_peer(struct daemon *d, const struct action *a)
+static void send_to_peer(struct daemon *d, const struct action *action)
 {
-	peers_send(d, a->vm, &a->peer);
+	peers_send(d, action->vm, &action->peer);
 }
 
-static void log_flow(struct daemon *d, const struct action *a)
+static void log_flow(struct daemon *d, const struct action *action)
 {
 	char target[32];
 	char caller[32];
@@ -85,13 +85,15 @@
 		return;
 	}
 	d->log_lines_left--;
-	log_line(LOG_INFO, "flow", addr_text(a->target, target, sizeof(target)),
-		 "%s caller=%s vip=%s", a->log_text,
-		 addr_text(a->key.caller, caller, sizeof(caller)),
-		 addr_text(a->key.vip, vip, sizeof(vip)));
+	log_line(LOG_INFO, "flow",
+		 addr_text(action->target, target, sizeof(target)),
+		 "%s caller=%s vip=%s", action->log_text,
+		 addr_text(action->key.caller, caller, sizeof(caller)),
+		 addr_text(action->key.vip, vip, sizeof(vip)));
 }
 
-static void (*const executors[])(struct daemon *d, const struct action *a) = {
+static void (*const executors[])(struct daemon *d,
+				 const struct action *action) = {
 	[ACT_TO_CALLER] = forward_to_caller,
 	[ACT_TO_TARGET] = forward_to_target,
 	[ACT_ANSWER_CALLER] = answer_caller,
@@ -110,9 +112,9 @@
 void actions_execute(struct daemon *d)
 {
 	for (uint32_t i = 0; i < d->actions.n; i++) {
-		const struct action *a = &d->actions.list[i];
+		const struct action *action = &d->actions.list[i];
 
-		executors[a->kind](d, a);
+		executors[action->kind](d, action);
 	}
 	d->actions.n = 0;
 }
--- a/cmd/cb-entry/daemon.c
+++ b/cmd/cb-entry/daemon.c
@@ -95,7 +95,8 @@
 }
 
 /*
- * Time since the tick was due, or since the loop began to wait if that is later.
+ * Time since the tick was due, or since the loop began to wait if that is
+ * later.
  */
 static uint64_t lateness_ns(const struct daemon *d, uint64_t now_ns)
 {
--- a/cmd/cb-entry/daemon.h
+++ b/cmd/cb-entry/daemon.h
@@ -166,7 +166,7 @@
 
 /* peers.c: socket for other entries. */
 int peers_open(struct daemon *d);
-void peers_send(struct daemon *d, uint64_t vm, const struct peer_msg *m);
+void peers_send(struct daemon *d, uint64_t vm, const struct peer_msg *msg);
 
 /* intake.c: configuration from cb-watch. */
 int intake_open(struct daemon *d);
--- a/cmd/cb-entry/main.c
+++ b/cmd/cb-entry/main.c
@@ -35,15 +35,15 @@
 {
 	/* Too large for the stack: it contains the receive buffer. */
 	struct daemon *d = calloc(1, sizeof(*d));
-	struct mistakes m = { 0 };
+	struct mistakes mistakes = { 0 };
 	int code = DAEMON_USAGE;
 	int err;
 
 	if (!d)
 		return DAEMON_FAULT;
-	err = entry_settings_read(path, &d->settings, &m);
-	mistakes_print(&m, stderr);
-	mistakes_free(&m);
+	err = entry_settings_read(path, &d->settings, &mistakes);
+	mistakes_print(&mistakes, stderr);
+	mistakes_free(&mistakes);
 	if (!err && check)
 		code = DAEMON_OK;
 	else if (!err && log_open("cb-entry", &d->settings.log) == 0)
--- a/cmd/cb-entry/operators.c
+++ b/cmd/cb-entry/operators.c
@@ -91,7 +91,7 @@
 
 static int write_status(struct daemon *d, const char *query, GString *body)
 {
-	struct entry_explanation v =
+	struct entry_explanation explanation =
 		entry_explain(d->entry, &(struct flow_key){ 0, 0 });
 
 	(void)query;
@@ -100,7 +100,7 @@
 	g_string_append_printf(body, "data_centre %s\n",
 			       d->settings.data_centre);
 	put_u64(body, "incarnation", d->incarnation);
-	put_u64(body, "view", v.view);
+	put_u64(body, "view", explanation.view);
 	put_members(d, body);
 	put_accounts(d, body);
 	put_gauges(d, body);
@@ -125,33 +125,33 @@
 }
 
 static const char *owner_reason(const struct daemon *d,
-				const struct entry_explanation *v)
+				const struct entry_explanation *explanation)
 {
-	if (v->pair.owner == ADDR_NONE)
+	if (explanation->pair.owner == ADDR_NONE)
 		return "no entry is known yet: wait for the list of VMs";
-	if (v->pair.owner == d->settings.peer)
+	if (explanation->pair.owner == d->settings.peer)
 		return "this VM owns the flow's bucket and decides";
 	return "the owner of the flow's bucket decides: ask it";
 }
 
-static const char *target_reason(const struct entry_explanation *v)
+static const char *target_reason(const struct entry_explanation *explanation)
 {
-	if (v->feeds)
+	if (explanation->feeds)
 		return "feeds of the flow stay at the target that holds them";
-	if (v->pinned != ADDR_NONE)
+	if (explanation->pinned != ADDR_NONE)
 		return "flow is pinned, by a transfer in blocks";
 	return "chosen for each request, by load";
 }
 
-/* Whether @text, ACCOUNT/SERVICE or only SERVICE, is the name of @s. */
-static bool is_named(const char *text, const struct account_conf *a,
-		     const struct service_conf *s)
+/* Whether @text, ACCOUNT/SERVICE or only SERVICE, is the name of @service. */
+static bool is_named(const char *text, const struct account_conf *account,
+		     const struct service_conf *service)
 {
-	size_t n = strlen(a->name);
+	size_t n = strlen(account->name);
 
-	if (!strncmp(text, a->name, n) && text[n] == '/')
-		return !strcmp(text + n + 1, s->name);
-	return !strcmp(text, s->name);
+	if (!strncmp(text, account->name, n) && text[n] == '/')
+		return !strcmp(text + n + 1, service->name);
+	return !strcmp(text, service->name);
 }
 
 /* Return: number of services named @text; *@vip is the VIP of the last one. */
@@ -198,7 +198,7 @@
 static int write_explanation(struct daemon *d, const char *query, GString *body)
 {
 	struct flow_key key;
-	struct entry_explanation v;
+	struct entry_explanation explanation;
 	int status;
 
 	if (!query_addr(query, "caller", &key.caller)) {
@@ -208,24 +208,27 @@
 	status = query_vip(d, query, &key.vip, body);
 	if (status != HTTP_OK)
 		return status;
-	v = entry_explain(d->entry, &key);
-	if (!v.service) {
+	explanation = entry_explain(d->entry, &key);
+	if (!explanation.service) {
 		put_addr(body, "no service at vip", key.vip);
 		return HTTP_NOT_FOUND;
 	}
 	g_string_append_printf(body, "account %s\nservice %s\n",
-			       v.account ? v.account->name : "-",
-			       v.service->name);
-	put_u64(body, "generation", v.account ? v.account->generation : 0);
-	put_u64(body, "view", v.view);
-	put_u64(body, "bucket", v.bucket);
-	put_addr(body, "owner", v.pair.owner);
-	put_addr(body, "second", v.pair.second);
-	put_addr(body, "pinned", v.pinned);
-	put_u64(body, "feeds", v.feeds);
-	put_addr(body, "feed_target", v.feed_target);
+			       explanation.account ? explanation.account->name
+						   : "-",
+			       explanation.service->name);
+	put_u64(body, "generation",
+		explanation.account ? explanation.account->generation : 0);
+	put_u64(body, "view", explanation.view);
+	put_u64(body, "bucket", explanation.bucket);
+	put_addr(body, "owner", explanation.pair.owner);
+	put_addr(body, "second", explanation.pair.second);
+	put_addr(body, "pinned", explanation.pinned);
+	put_u64(body, "feeds", explanation.feeds);
+	put_addr(body, "feed_target", explanation.feed_target);
 	g_string_append_printf(body, "why_owner %s\nwhy_target %s\n",
-			       owner_reason(d, &v), target_reason(&v));
+			       owner_reason(d, &explanation),
+			       target_reason(&explanation));
 	return HTTP_OK;
 }
 
@@ -246,20 +249,20 @@
 	[ROW_PIN] = "pin",
 };
 
-static void put_row(GString *to, const struct flow_row *r, uint64_t now_ns)
+static void put_row(GString *to, const struct flow_row *row, uint64_t now_ns)
 {
-	uint64_t since_ns = r->since_ns ? r->since_ns : now_ns;
+	uint64_t since_ns = row->since_ns ? row->since_ns : now_ns;
 	char caller[ADDR_TEXT_BYTES];
 	char vip[ADDR_TEXT_BYTES];
 	char target[ADDR_TEXT_BYTES] = "-";
 
-	if (r->target != ADDR_NONE)
-		addr_text(r->target, target, sizeof(target));
+	if (row->target != ADDR_NONE)
+		addr_text(row->target, target, sizeof(target));
 	g_string_append_printf(
 		to, "%s caller=%s vip=%s target=%s state=%s age_ms=%llu\n",
-		row_names[r->kind],
-		addr_text(r->key.caller, caller, sizeof(caller)),
-		addr_text(r->key.vip, vip, sizeof(vip)), target, r->state,
+		row_names[row->kind],
+		addr_text(row->key.caller, caller, sizeof(caller)),
+		addr_text(row->key.vip, vip, sizeof(vip)), target, row->state,
 		(unsigned long long)((now_ns - since_ns) / NS_PER_MS));
 }
 
@@ -281,7 +284,7 @@
 	return HTTP_OK;
 }
 
-static void put_target(GString *to, const struct target_stats *t)
+static void put_target(GString *to, const struct target_stats *stats)
 {
 	char text[ADDR_TEXT_BYTES];
 
@@ -289,9 +292,10 @@
 		to,
 		"target %s inflight=%u feeds=%u slots=%u extra=%u "
 		"connections=%u ejected=%d trust=%u error=%u latency_us=%llu\n",
-		addr_text(t->addr, text, sizeof(text)), t->inflight, t->feeds,
-		t->own, t->extra, t->connections, t->ejected, t->trust_milli,
-		t->error_milli, (unsigned long long)t->latency_ns / 1000);
+		addr_text(stats->addr, text, sizeof(text)), stats->inflight,
+		stats->feeds, stats->own, stats->extra, stats->connections,
+		stats->ejected, stats->trust_milli, stats->error_milli,
+		(unsigned long long)stats->latency_ns / 1000);
 }
 
 static int write_targets(struct daemon *d, const char *query, GString *body)
--- a/cmd/cb-entry/peers.c
+++ b/cmd/cb-entry/peers.c
@@ -14,20 +14,20 @@
 	return DROP_PEER_FORMAT;
 }
 
-static void handle_message(struct daemon *d, const struct peer_msg *m)
+static void handle_message(struct daemon *d, const struct peer_msg *msg)
 {
 	const struct message *forwarded = NULL;
 	uint64_t now_ns = daemon_run_due_tick(d);
 	struct message inner;
 
-	if (m->kind == PEER_FORWARD) {
-		if (coap_wire_read(m->data, m->size_bytes, &inner)) {
+	if (msg->kind == PEER_FORWARD) {
+		if (coap_wire_read(msg->data, msg->size_bytes, &inner)) {
 			d->dropped[DROP_PEER_INNER]++;
 			return;
 		}
 		forwarded = &inner;
 	}
-	entry_peer(d->entry, m, forwarded, now_ns, &d->actions);
+	entry_peer(d->entry, msg, forwarded, now_ns, &d->actions);
 	actions_execute(d);
 }
 
@@ -35,21 +35,21 @@
 			const struct sockaddr *from, unsigned int flags)
 {
 	struct daemon *d = socket->loop->data;
-	struct peer_msg m;
+	struct peer_msg msg;
 	int err;
 
 	(void)flags;
 	if (n <= 0 || !from)
 		return;
 	err = wire_decode((const uint8_t *)buf->base, (uint32_t)n,
-			  d->settings.key, &m);
+			  d->settings.key, &msg);
 	if (err) {
 		d->dropped[drop_reason(err)]++;
 		return;
 	}
-	d->peer_received.messages[m.kind]++;
-	d->peer_received.bytes[m.kind] += (uint64_t)n;
-	handle_message(d, &m);
+	d->peer_received.messages[msg.kind]++;
+	d->peer_received.bytes[msg.kind] += (uint64_t)n;
+	handle_message(d, &msg);
 }
 
 /**
@@ -75,14 +75,14 @@
  * peers_send() - send a message to another entry
  * @d: daemon
  * @vm: address of the receiver
- * @m: message
+ * @msg: message
  *
  * A message that can't be encoded or sent is counted and dropped.
  */
-void peers_send(struct daemon *d, uint64_t vm, const struct peer_msg *m)
+void peers_send(struct daemon *d, uint64_t vm, const struct peer_msg *msg)
 {
 	uint8_t buf[SEND_MAX_BYTES];
-	int32_t n = wire_encode(m, d->settings.key, buf, sizeof(buf));
+	int32_t n = wire_encode(msg, d->settings.key, buf, sizeof(buf));
 
 	if (n < 0) {
 		d->dropped[DROP_ENCODE]++;
@@ -92,6 +92,6 @@
 		d->dropped[DROP_SEND_PEER]++;
 		return;
 	}
-	d->peer_sent.messages[m->kind]++;
-	d->peer_sent.bytes[m->kind] += (uint64_t)n;
+	d->peer_sent.messages[msg->kind]++;
+	d->peer_sent.bytes[msg->kind] += (uint64_t)n;
 }
--- a/cmd/cb-entry/polls.c
+++ b/cmd/cb-entry/polls.c
@@ -75,29 +75,29 @@
 	return max_u32(1, max_u32(by_entry, by_target));
 }
 
-static void send_poll(struct daemon *d, struct load_polls *p)
+static void send_poll(struct daemon *d, struct load_polls *polls)
 {
 	uint8_t buf[POLL_MAX_BYTES];
-	int32_t n = coap_wire_load_poll(p->id++, buf, sizeof(buf));
+	int32_t n = coap_wire_load_poll(polls->id++, buf, sizeof(buf));
 
-	if (p->next >= p->n)
-		p->next = 0;
-	if (n > 0 &&
-	    !datagram_send(&p->socket, p->targets[p->next], buf, (uint32_t)n))
+	if (polls->next >= polls->n)
+		polls->next = 0;
+	if (n > 0 && !datagram_send(&polls->socket, polls->targets[polls->next],
+				    buf, (uint32_t)n))
 		d->dropped[DROP_SEND_TARGET]++;
-	p->next++;
+	polls->next++;
 }
 
 static void on_step(uv_timer_t *timer)
 {
 	struct daemon *d = timer->loop->data;
-	struct load_polls *p = d->load_polls;
+	struct load_polls *polls = d->load_polls;
 
-	if (!p->n)
+	if (!polls->n)
 		return;
-	p->due_millipolls += p->n * POLL_STEP_MS / poll_period_s(d);
-	for (; p->due_millipolls >= MILLI; p->due_millipolls -= MILLI)
-		send_poll(d, p);
+	polls->due_millipolls += polls->n * POLL_STEP_MS / poll_period_s(d);
+	for (; polls->due_millipolls >= MILLI; polls->due_millipolls -= MILLI)
+		send_poll(d, polls);
 }
 
 /**
--- a/cmd/cb-packet/clients.c
+++ b/cmd/cb-packet/clients.c
@@ -75,57 +75,58 @@
 }
 
 /*
- * @g's data isn't copied: it has to stay valid until the next
+ * @datagram's data isn't copied: it has to stay valid until the next
  * clients_flush().
  */
-static void batch_add(struct packet_daemon *d, const struct datagram *g)
+static void batch_add(struct packet_daemon *d, const struct datagram *datagram)
 {
 	uint32_t i = next_batch_slot(d);
 
-	d->batch.to[i] = g->destination;
-	memcpy(d->batch.head[i], g->head, g->head_bytes);
-	d->batch.head_bytes[i] = g->head_bytes;
-	d->batch.data[i] = g->data;
-	d->batch.data_bytes[i] = g->data_bytes;
+	d->batch.to[i] = datagram->destination;
+	memcpy(d->batch.head[i], datagram->head, datagram->head_bytes);
+	d->batch.head_bytes[i] = datagram->head_bytes;
+	d->batch.data[i] = datagram->data;
+	d->batch.data_bytes[i] = datagram->data_bytes;
 }
 
-static void enqueue(struct packet_daemon *d, enum pacer_class c,
-		    const struct datagram *g)
+static void enqueue(struct packet_daemon *d, enum pacer_class class,
+		    const struct datagram *datagram)
 {
-	int err = pacer_enqueue(d->node->pacer, c, g);
+	int err = pacer_enqueue(d->node->pacer, class, datagram);
 
 	d->counters.datagrams_paced += !err;
 	d->counters.datagrams_repeated += err == -EALREADY;
 	d->counters.datagrams_crowded += err && err != -EALREADY;
 }
 
-static void send_or_enqueue(struct packet_daemon *d, enum pacer_class c,
-			    const struct datagram *g)
+static void send_or_enqueue(struct packet_daemon *d, enum pacer_class class,
+			    const struct datagram *datagram)
 {
-	uint32_t n_bytes = g->head_bytes + g->data_bytes;
+	uint32_t n_bytes = datagram->head_bytes + datagram->data_bytes;
 
-	if (pacer_try_send(d->node->pacer, c, n_bytes, d->now_ns))
-		batch_add(d, g);
+	if (pacer_try_send(d->node->pacer, class, n_bytes, d->now_ns))
+		batch_add(d, datagram);
 	else
-		enqueue(d, c, g);
+		enqueue(d, class, datagram);
 }
 
 /* @copy_id is the same for all transmissions of the packet; 0 for none. */
-static void forward_to_target(struct packet_daemon *d, const struct target *t,
-			      enum pacer_class c, uint64_t copy_id,
+static void forward_to_target(struct packet_daemon *d,
+			      const struct target *target,
+			      enum pacer_class class, uint64_t copy_id,
 			      const uint8_t *data, uint32_t size_bytes)
 {
 	uint8_t head[ENCAPSULATION_MAX_BYTES];
-	struct datagram g = {
-		.destination = t->advertised.addr,
+	struct datagram datagram = {
+		.destination = target->advertised.addr,
 		.copy_id = copy_id,
 		.head = head,
-		.head_bytes = d->platform->write_encapsulation(t, head),
+		.head_bytes = d->platform->write_encapsulation(target, head),
 		.data = data,
 		.data_bytes = size_bytes,
 	};
 
-	send_or_enqueue(d, c, &g);
+	send_or_enqueue(d, class, &datagram);
 }
 
 static void on_pace(uv_timer_t *timer)
@@ -153,16 +154,16 @@
  */
 void clients_send_paced(struct packet_daemon *d)
 {
-	struct datagram g;
+	struct datagram datagram;
 
 	clients_flush(d);
-	while (pacer_dequeue(d->node->pacer, d->now_ns, &g)) {
+	while (pacer_dequeue(d->node->pacer, d->now_ns, &datagram)) {
 		uint32_t i = next_batch_slot(d);
 
-		d->batch.to[i] = g.destination;
+		d->batch.to[i] = datagram.destination;
 		d->batch.head_bytes[i] = 0;
-		d->batch.data[i] = g.head;
-		d->batch.data_bytes[i] = g.head_bytes;
+		d->batch.data[i] = datagram.head;
+		d->batch.data_bytes[i] = datagram.head_bytes;
 	}
 	clients_flush(d); /* before the pacer reuses a slot */
 	arm_pace_timer(d);
@@ -178,7 +179,7 @@
 			uint32_t ack)
 {
 	uint8_t head[RESET_MAX_BYTES];
-	struct datagram g = {
+	struct datagram datagram = {
 		.destination = ADDR(ADDR_IP(flow->caller),
 				    ADDR_PORT(d->settings.listen)),
 		.head = head,
@@ -186,64 +187,65 @@
 	};
 
 	d->counters.resets++;
-	send_or_enqueue(d, PACER_CONTROL, &g);
+	send_or_enqueue(d, PACER_CONTROL, &datagram);
 }
 
 /**
  * clients_send_queued() - forward a queued packet to the target of its flow
  * @ctx: struct packet_daemon
- * @f: flow, with its target
+ * @flow: flow, with its target
  * @bytes: packet, valid during the call only
  * @n_bytes: size of @bytes
  */
-void clients_send_queued(void *ctx, const struct flow_state *f,
+void clients_send_queued(void *ctx, const struct flow_state *flow,
 			 const uint8_t *bytes, uint32_t n_bytes)
 {
 	struct packet_daemon *d = ctx;
-	struct packet k;
+	struct packet packet;
 
-	if (d->platform->read_packet(bytes, n_bytes, &k))
+	if (d->platform->read_packet(bytes, n_bytes, &packet))
 		return;
-	forward_to_target(d, f->target, pacer_classify(&k, f->kind),
-			  pacer_copy_id(&k), bytes, n_bytes);
+	forward_to_target(d, flow->target, pacer_classify(&packet, flow->kind),
+			  pacer_copy_id(&packet), bytes, n_bytes);
 	clients_flush(d); /* @bytes become invalid */
 }
 
 /**
  * clients_resend() - send the packet that is kept of a flow to its target
  * @d: process
- * @f: flow, with its current target
+ * @flow: flow, with its current target
  */
-void clients_resend(struct packet_daemon *d, const struct flow_state *f)
+void clients_resend(struct packet_daemon *d, const struct flow_state *flow)
 {
 	uint8_t copy[RESEND_MAX_BYTES];
 
-	memcpy(copy, f->resend_packet, f->resend_bytes);
-	d->platform->write_cookie(copy, f->target->cookie);
-	forward_to_target(d, f->target, PACER_CONTROL, 0, copy,
-			  f->resend_bytes);
+	memcpy(copy, flow->resend_packet, flow->resend_bytes);
+	d->platform->write_cookie(copy, flow->target->cookie);
+	forward_to_target(d, flow->target, PACER_CONTROL, 0, copy,
+			  flow->resend_bytes);
 	clients_flush(d); /* @copy goes out of scope */
 }
 
 static void handle_packet(struct packet_daemon *d, uint8_t *data,
 			  uint32_t size_bytes, uint64_t now_ns)
 {
-	struct packet k;
-	struct path_verdict v;
+	struct packet packet;
+	struct path_verdict verdict;
 
-	if (d->platform->read_packet(data, size_bytes, &k)) {
+	if (d->platform->read_packet(data, size_bytes, &packet)) {
 		d->counters.datagrams_malformed++;
 		return;
 	}
-	node_packet(d->node, &k, now_ns, &v);
-	decision_log_packet(d, &k, &v);
-	if (v.action == PATH_RESET) {
-		clients_send_reset(d, &k.flow, v.ack);
-	} else if (v.action == PATH_FORWARD) {
-		if (k.flags & PACKET_SYN)
-			d->platform->write_cookie(data, v.target->cookie);
-		forward_to_target(d, v.target, pacer_classify(&k, v.kind),
-				  pacer_copy_id(&k), data, size_bytes);
+	node_packet(d->node, &packet, now_ns, &verdict);
+	decision_log_packet(d, &packet, &verdict);
+	if (verdict.action == PATH_RESET) {
+		clients_send_reset(d, &packet.flow, verdict.ack);
+	} else if (verdict.action == PATH_FORWARD) {
+		if (packet.flags & PACKET_SYN)
+			d->platform->write_cookie(data, verdict.target->cookie);
+		forward_to_target(d, verdict.target,
+				  pacer_classify(&packet, verdict.kind),
+				  pacer_copy_id(&packet), data, size_bytes);
 	}
 }
 
--- a/cmd/cb-packet/daemon.c
+++ b/cmd/cb-packet/daemon.c
@@ -71,16 +71,16 @@
 	return now_ns;
 }
 
-static uint32_t seed_addrs(const struct packet_settings *s,
+static uint32_t seed_addrs(const struct packet_settings *settings,
 			   uint64_t out[PACKET_SEEDS_MAX])
 {
 	uint32_t n = 0;
 
 	/* A seed is the address of a VM; all peers listen on the same port. */
 	for (uint32_t i = 0; i < PACKET_SEEDS_MAX; i++)
-		if (s->seeds[i])
-			out[n++] =
-				ADDR(ADDR_IP(s->seeds[i]), ADDR_PORT(s->peer));
+		if (settings->seeds[i])
+			out[n++] = ADDR(ADDR_IP(settings->seeds[i]),
+					ADDR_PORT(settings->peer));
 	return n;
 }
 
@@ -98,14 +98,14 @@
 static void reload(struct packet_daemon *d)
 {
 	struct packet_settings next;
-	struct mistakes m = { 0 };
+	struct mistakes mistakes = { 0 };
 	uint64_t addrs[PACKET_SEEDS_MAX];
 
 	d->settings_mtime_ns = read_settings_mtime_ns(d);
-	if (packet_settings_read(d->settings_path, &next, &m)) {
+	if (packet_settings_read(d->settings_path, &next, &mistakes)) {
 		log_line(LOG_ERROR, "reload", d->settings_path,
 			 "invalid file, the settings in force stay");
-		mistakes_print(&m, stderr);
+		mistakes_print(&mistakes, stderr);
 	} else {
 		peer_set_set_seeds(d->node->peers, addrs,
 				   seed_addrs(&next, addrs));
@@ -114,7 +114,7 @@
 		log_line(LOG_INFO, "reload", d->settings_path,
 			 "seeds, log and decisions_per_s taken");
 	}
-	mistakes_free(&m);
+	mistakes_free(&mistakes);
 }
 
 static void on_reload(uv_signal_t *signal, int number)
@@ -164,16 +164,17 @@
 	node_stop(d->node, daemon_begin_event(d));
 }
 
-static void resend_packet(void *ctx, const struct flow_state *f, uint8_t reason)
+static void resend_packet(void *ctx, const struct flow_state *flow,
+			  uint8_t reason)
 {
-	decision_log_resend(ctx, f, reason);
-	clients_resend(ctx, f);
+	decision_log_resend(ctx, flow, reason);
+	clients_resend(ctx, flow);
 }
 
-static void reset_flow(void *ctx, const struct flow_state *f)
+static void reset_flow(void *ctx, const struct flow_state *flow)
 {
-	decision_log_reset(ctx, f);
-	clients_send_reset(ctx, &f->key, f->ack);
+	decision_log_reset(ctx, flow);
+	clients_send_reset(ctx, &flow->key, flow->ack);
 }
 
 static void write_log(void *ctx, enum node_log_level level, const char *step,
--- a/cmd/cb-packet/daemon.h
+++ b/cmd/cb-packet/daemon.h
@@ -82,7 +82,7 @@
  * @tcp: connection; its handle's data is the probe
  * @connect: connection request
  * @daemon: process
- * @target: process of the target that is probed
+ * @incarnation: process of the target that is probed
  * @start_ns: when the connection was started
  * @deadline_ns: when probes_tick() acts on it next
  * @reported_silent: the first timeout has passed and was reported
@@ -93,7 +93,7 @@
 	uv_tcp_t tcp;
 	uv_connect_t connect;
 	struct packet_daemon *daemon;
-	struct incarnation target;
+	struct incarnation incarnation;
 	uint64_t start_ns;
 	uint64_t deadline_ns;
 	bool reported_silent;
@@ -189,15 +189,15 @@
 void clients_send_paced(struct packet_daemon *d);
 void clients_send_reset(struct packet_daemon *d, const struct flow_key *flow,
 			uint32_t ack);
-void clients_send_queued(void *ctx, const struct flow_state *f,
+void clients_send_queued(void *ctx, const struct flow_state *flow,
 			 const uint8_t *bytes, uint32_t n_bytes);
-void clients_resend(struct packet_daemon *d, const struct flow_state *f);
+void clients_resend(struct packet_daemon *d, const struct flow_state *flow);
 
 /* peers.c: heartbeats. */
 int peers_open(struct packet_daemon *d);
 void peers_close(struct packet_daemon *d);
 void peers_send(void *ctx, const uint64_t *to, uint32_t n,
-		const struct hello *h);
+		const struct hello *hello);
 
 /* sync.c: documents of the platform and of peers. */
 int sync_open(struct packet_daemon *d);
@@ -208,7 +208,7 @@
 void sync_fetch(void *ctx, uint64_t peer, struct position after);
 
 /* probes.c: connections that test whether a target is running. */
-void probes_start(void *ctx, const struct target *t);
+void probes_start(void *ctx, const struct target *target);
 void probes_tick(struct packet_daemon *d, uint64_t now_ns);
 void probes_close(struct packet_daemon *d);
 
@@ -217,11 +217,12 @@
 void operators_close(struct packet_daemon *d);
 
 /* decision_log.c: log lines about flows and targets. */
-void decision_log_packet(struct packet_daemon *d, const struct packet *k,
-			 const struct path_verdict *v);
-void decision_log_health(void *ctx, const struct target *t, uint8_t before);
-void decision_log_reset(struct packet_daemon *d, const struct flow_state *f);
-void decision_log_resend(struct packet_daemon *d, const struct flow_state *f,
+void decision_log_packet(struct packet_daemon *d, const struct packet *packet,
+			 const struct path_verdict *verdict);
+void decision_log_health(void *ctx, const struct target *target,
+			 uint8_t before);
+void decision_log_reset(struct packet_daemon *d, const struct flow_state *flow);
+void decision_log_resend(struct packet_daemon *d, const struct flow_state *flow,
 			 uint8_t reason);
 
 #endif
--- a/cmd/cb-packet/decision_log.c
+++ b/cmd/cb-packet/decision_log.c
@@ -31,7 +31,7 @@
 
 static void log_decision(struct packet_daemon *d, const char *step,
 			 const struct flow_key *flow, const char *reason,
-			 const struct target *t)
+			 const struct target *target)
 {
 	const struct route_table *table =
 		directory_route_table(d->node->directory);
@@ -42,9 +42,10 @@
 		 "vip %s %s target %llx at %s health %s configuration %llu "
 		 "revision %llu contact %llu ms ago",
 		 addr_text(flow->vip, vip, sizeof(vip)), reason,
-		 t ? (unsigned long long)t->advertised.id : 0ULL,
-		 t ? addr_text(t->advertised.addr, to, sizeof(to)) : "none",
-		 t ? health_names[t->health] : "none",
+		 target ? (unsigned long long)target->advertised.id : 0ULL,
+		 target ? addr_text(target->advertised.addr, to, sizeof(to))
+			: "none",
+		 target ? health_names[target->health] : "none",
 		 table ? (unsigned long long)table->version : 0ULL,
 		 (unsigned long long)documents_synced(d->node->documents)
 			 .revision,
@@ -54,71 +55,73 @@
 /**
  * decision_log_packet() - log the verdict on a packet
  * @d: process
- * @k: packet
- * @v: verdict
+ * @packet: packet
+ * @verdict: verdict
  *
  * Packets of established flows (PATH_pinned) are counted but not logged.
  */
-void decision_log_packet(struct packet_daemon *d, const struct packet *k,
-			 const struct path_verdict *v)
+void decision_log_packet(struct packet_daemon *d, const struct packet *packet,
+			 const struct path_verdict *verdict)
 {
 	static const char *const steps[] = { "flow.drop", "flow.open",
 					     "flow.reset", "flow.wait" };
 
-	if (v->reason == PATH_pinned || !take_log_token(d))
+	if (verdict->reason == PATH_pinned || !take_log_token(d))
 		return;
-	log_decision(d, steps[v->action], &k->flow,
-		     path_reason_names[v->reason], v->target);
+	log_decision(d, steps[verdict->action], &packet->flow,
+		     path_reason_names[verdict->reason], verdict->target);
 }
 
 /**
  * decision_log_health() - log a change of a target's health
  * @ctx: struct packet_daemon
- * @t: target, with its new health
+ * @target: target, with its new health
  * @before: its previous health, enum target_health
  */
-void decision_log_health(void *ctx, const struct target *t, uint8_t before)
+void decision_log_health(void *ctx, const struct target *target, uint8_t before)
 {
 	struct packet_daemon *d = ctx;
 	uint64_t now_ns = uv_hrtime();
 	char addr[32];
 
-	if (t->health <= HEALTH_SUSPECTED && before <= HEALTH_SUSPECTED &&
+	if (target->health <= HEALTH_SUSPECTED && before <= HEALTH_SUSPECTED &&
 	    !take_log_token(d))
 		return;
 	log_line(LOG_INFO, "target.health",
-		 addr_text(t->advertised.addr, addr, sizeof(addr)),
+		 addr_text(target->advertised.addr, addr, sizeof(addr)),
 		 "target %llx %s, was %s, last sign of life %lld ms ago, "
 		 "%u flows",
-		 (unsigned long long)t->advertised.id, health_names[t->health],
-		 health_names[before],
-		 t->last_alive_ns
-			 ? (long long)((now_ns - t->last_alive_ns) / NS_PER_MS)
+		 (unsigned long long)target->advertised.id,
+		 health_names[target->health], health_names[before],
+		 target->last_alive_ns
+			 ? (long long)((now_ns - target->last_alive_ns) /
+				       NS_PER_MS)
 			 : -1LL,
-		 t->flows);
+		 target->flows);
 }
 
 /**
  * decision_log_reset() - log the reset of a flow whose target is gone
  * @d: process
- * @f: flow
+ * @flow: flow
  */
-void decision_log_reset(struct packet_daemon *d, const struct flow_state *f)
+void decision_log_reset(struct packet_daemon *d, const struct flow_state *flow)
 {
 	if (take_log_token(d))
-		log_decision(d, "flow.reset", &f->key, "swept", f->target);
+		log_decision(d, "flow.reset", &flow->key, "swept",
+			     flow->target);
 }
 
 /**
  * decision_log_resend() - log that the packet kept of a flow is sent again
  * @d: process
- * @f: flow, with the target that gets the packet
+ * @flow: flow, with the target that gets the packet
  * @reason: why, enum path_reason
  */
-void decision_log_resend(struct packet_daemon *d, const struct flow_state *f,
+void decision_log_resend(struct packet_daemon *d, const struct flow_state *flow,
 			 uint8_t reason)
 {
 	if (take_log_token(d))
-		log_decision(d, "flow.again", &f->key,
-			     path_reason_names[reason], f->target);
+		log_decision(d, "flow.again", &flow->key,
+			     path_reason_names[reason], flow->target);
 }
--- a/cmd/cb-packet/main.c
+++ b/cmd/cb-packet/main.c
@@ -11,13 +11,13 @@
 #define VERSION "0.1.0"
 
 /* Distinguishes this process from earlier ones at its address; not a time. */
-static uint64_t make_boot_number(const struct packet_settings *s)
+static uint64_t make_boot_number(const struct packet_settings *settings)
 {
-	struct timespec t = { 0 };
+	struct timespec now = { 0 };
 
-	clock_gettime(CLOCK_BOOTTIME, &t);
-	return hash_u64((uint64_t)t.tv_nsec ^ (uint64_t)t.tv_sec << 32,
-			s->peer) >>
+	clock_gettime(CLOCK_BOOTTIME, &now);
+	return hash_u64((uint64_t)now.tv_nsec ^ (uint64_t)now.tv_sec << 32,
+			settings->peer) >>
 		       1 |
 	       1;
 }
@@ -46,16 +46,16 @@
 {
 	/* Too large for the stack: it contains the receive buffers. */
 	struct packet_daemon *d = calloc(1, sizeof(*d));
-	struct mistakes m = { 0 };
+	struct mistakes mistakes = { 0 };
 	int code = DAEMON_USAGE;
 	int err;
 
 	if (!d)
 		return DAEMON_FAULT;
 	d->settings_path = path;
-	err = packet_settings_read(path, &d->settings, &m);
-	mistakes_print(&m, stderr);
-	mistakes_free(&m);
+	err = packet_settings_read(path, &d->settings, &mistakes);
+	mistakes_print(&mistakes, stderr);
+	mistakes_free(&mistakes);
 	if (!err && check)
 		code = DAEMON_OK;
 	else if (!err && log_open("cb-packet", &d->settings.log) == 0)
--- a/cmd/cb-packet/operators.c
+++ b/cmd/cb-packet/operators.c
@@ -51,15 +51,15 @@
 	};
 
 	for (uint8_t kind = 0; kind < ROUTE_KINDS; kind++) {
-		const struct path_latencies *t =
+		const struct path_latencies *latencies =
 			path_latencies(d->node->path, kind);
 
 		histogram_text(out, "cb_packet_open_microseconds", labels[kind],
-			       &t->open_us);
+			       &latencies->open_us);
 		histogram_text(out, "cb_packet_wait_microseconds", labels[kind],
-			       &t->wait_us);
+			       &latencies->wait_us);
 		histogram_text(out, "cb_packet_answer_microseconds",
-			       labels[kind], &t->answer_us);
+			       labels[kind], &latencies->answer_us);
 	}
 }
 
@@ -99,12 +99,13 @@
 	}
 }
 
-static void write_target(const struct packet_daemon *d, const struct target *t,
-			 GString *out)
+static void write_target(const struct packet_daemon *d,
+			 const struct target *target, GString *out)
 {
 	uint64_t now_ns = uv_hrtime();
-	uint64_t cold_ns =
-		t->cold_until_ns > now_ns ? t->cold_until_ns - now_ns : 0;
+	uint64_t cold_ns = target->cold_until_ns > now_ns
+				   ? target->cold_until_ns - now_ns
+				   : 0;
 	char addr[32];
 
 	g_string_append_printf(
@@ -112,14 +113,15 @@
 		"target %llx addr %s service %s stage %u health %u flows %u "
 		"feeds %u busy %u running %u short %.2f peers_feeds %.0f "
 		"peers_running %.2f peers_short %.2f cold_ms %llu seat %u\n",
-		(unsigned long long)t->advertised.id,
-		addr_text(t->advertised.addr, addr, sizeof(addr)),
+		(unsigned long long)target->advertised.id,
+		addr_text(target->advertised.addr, addr, sizeof(addr)),
 		directory_service_name(d->node->directory,
-				       t->advertised.service),
-		t->stage, t->health, t->flows, t->feeds, t->busy, t->running,
-		t->short_mean, t->peers_feeds, t->peers_running, t->peers_short,
+				       target->advertised.service),
+		target->stage, target->health, target->flows, target->feeds,
+		target->busy, target->running, target->short_mean,
+		target->peers_feeds, target->peers_running, target->peers_short,
 		(unsigned long long)(cold_ns / NS_PER_MS),
-		cold_ns && t->has_cold_permit);
+		cold_ns && target->has_cold_permit);
 }
 
 /* Limits of the requests to each service. */
@@ -127,24 +129,26 @@
 {
 	for (uint32_t i = 0; i < directory_service_count(d->node->directory);
 	     i++) {
-		struct path_limits l = path_limits(d->node->path, i);
+		struct path_limits limits = path_limits(d->node->path, i);
 
 		g_string_append_printf(
 			out,
 			"service %s work_us %llu running %u window %.1f "
 			"refused_percent %.1f\n",
 			directory_service_name(d->node->directory, i),
-			(unsigned long long)(l.work_ns / NS_PER_US), l.running,
-			l.window, l.refused_percent);
+			(unsigned long long)(limits.work_ns / NS_PER_US),
+			limits.running, limits.window, limits.refused_percent);
 	}
 }
 
 static void write_evacuations(const struct packet_daemon *d, GString *out)
 {
-	const struct evacuations *e = directory_evacuations(d->node->directory);
+	const struct evacuations *evacuations =
+		directory_evacuations(d->node->directory);
 
-	for (uint32_t i = 0; i < e->n; i++)
-		g_string_append_printf(out, "evacuated %s\n", e->all[i].name);
+	for (uint32_t i = 0; i < evacuations->n; i++)
+		g_string_append_printf(out, "evacuated %s\n",
+				       evacuations->all[i].name);
 }
 
 static void write_status(struct packet_daemon *d, GString *out)
@@ -160,13 +164,14 @@
 		(unsigned long long)synced.epoch,
 		(unsigned long long)synced.revision);
 	for (uint32_t i = 0; i < peer_set_count(d->node->peers); i++) {
-		const struct peer_vm *p = peer_set_at(d->node->peers, i);
+		const struct peer_vm *peer = peer_set_at(d->node->peers, i);
 
 		g_string_append_printf(
 			out, "peer %s epoch %llu newest %llu leaving %u\n",
-			addr_text(p->addr, addr, sizeof(addr)),
-			(unsigned long long)p->newest.epoch,
-			(unsigned long long)p->newest.revision, p->leaving);
+			addr_text(peer->addr, addr, sizeof(addr)),
+			(unsigned long long)peer->newest.epoch,
+			(unsigned long long)peer->newest.revision,
+			peer->leaving);
 	}
 	write_evacuations(d, out);
 	write_limits(d, out);
@@ -186,17 +191,17 @@
 			     out);
 }
 
-static void write_route(const struct packet_daemon *d, const struct route *r,
-			GString *out)
+static void write_route(const struct packet_daemon *d,
+			const struct route *route, GString *out)
 {
-	g_string_append_printf(out, "route kind %u timeout_ms %u", r->kind,
-			       r->timeout_ms);
-	for (uint32_t i = 0; i < r->n_shares; i++)
+	g_string_append_printf(out, "route kind %u timeout_ms %u", route->kind,
+			       route->timeout_ms);
+	for (uint32_t i = 0; i < route->n_shares; i++)
 		g_string_append_printf(
 			out, " service %s weight %u",
 			directory_service_name(d->node->directory,
-					       r->shares[i].service),
-			r->shares[i].weight);
+					       route->shares[i].service),
+			route->shares[i].weight);
 	g_string_append_c(out, '\n');
 }
 
@@ -207,8 +212,8 @@
 	static const char *const stages[] = { "opening", "open", "closed" };
 	char caller[32] = "", vip[32] = "";
 	struct flow_key key;
-	const struct route *r;
-	const struct flow_state *f;
+	const struct route *route;
+	const struct flow_state *flow;
 
 	if (!http_query(query, "caller", caller, sizeof(caller)) ||
 	    !http_query(query, "vip", vip, sizeof(vip)) ||
@@ -216,22 +221,23 @@
 		g_string_append(out, "expected caller=IP:PORT&vip=IP:PORT\n");
 		return HTTP_BAD_REQUEST;
 	}
-	r = route_table_find(directory_route_table(d->node->directory),
-			     key.vip);
-	if (r)
-		write_route(d, r, out);
+	route = route_table_find(directory_route_table(d->node->directory),
+				 key.vip);
+	if (route)
+		write_route(d, route, out);
 	else
 		g_string_append(out, "no route: opening packets are reset\n");
-	f = path_find_flow(d->node->path, &key);
-	if (!f) {
+	flow = path_find_flow(d->node->path, &key);
+	if (!flow) {
 		g_string_append(out, "flow not seen here of late\n");
 		return HTTP_OK;
 	}
 	g_string_append_printf(
 		out, "flow %s busy %u waits %u seen_ms_ago %llu\n",
-		stages[f->stage], f->busy, f->waiting != 0,
-		(unsigned long long)((uv_hrtime() - f->seen_ns) / NS_PER_MS));
-	write_target(d, f->target, out);
+		stages[flow->stage], flow->busy, flow->waiting != 0,
+		(unsigned long long)((uv_hrtime() - flow->seen_ns) /
+				     NS_PER_MS));
+	write_target(d, flow->target, out);
 	return HTTP_OK;
 }
 
@@ -251,20 +257,22 @@
 	struct relay_base base = { query_u64(query, "key"),
 				   { query_u64(query, "since_epoch"),
 				     query_u64(query, "since") } };
-	const struct documents *s = d->node->documents;
-	struct relay_cache *c = &d->relay;
+	const struct documents *documents = d->node->documents;
+	struct relay_cache *cache = &d->relay;
 
 	if (after.revision || base.key_hash) {
-		relay_encode(s, after, &base, &c->delta, out);
+		relay_encode(documents, after, &base, &cache->delta, out);
 		return;
 	}
-	if (!c->body || c->change_count != documents_change_count(s)) {
-		if (!c->body)
-			c->body = g_string_new(NULL);
-		relay_encode(s, after, &base, &c->delta, c->body);
-		c->change_count = documents_change_count(s);
+	if (!cache->body ||
+	    cache->change_count != documents_change_count(documents)) {
+		if (!cache->body)
+			cache->body = g_string_new(NULL);
+		relay_encode(documents, after, &base, &cache->delta,
+			     cache->body);
+		cache->change_count = documents_change_count(documents);
 	}
-	g_string_append_len(out, c->body->str, (gssize)c->body->len);
+	g_string_append_len(out, cache->body->str, (gssize)cache->body->len);
 }
 
 static int handle_request(void *ctx, struct http_request *req,
--- a/cmd/cb-packet/peers.c
+++ b/cmd/cb-packet/peers.c
@@ -28,14 +28,14 @@
  * @ctx: struct packet_daemon
  * @to: addresses of the peers
  * @n: number of addresses
- * @h: heartbeat
+ * @hello: heartbeat
  */
 void peers_send(void *ctx, const uint64_t *to, uint32_t n,
-		const struct hello *h)
+		const struct hello *hello)
 {
 	struct packet_daemon *d = ctx;
 	uint8_t data[HELLO_MAX_BYTES];
-	uint32_t size_bytes = hello_encode(h, data);
+	uint32_t size_bytes = hello_encode(hello, data);
 
 	for (uint32_t i = 0; size_bytes && i < n; i++)
 		send_to(d, to[i], data, size_bytes);
@@ -60,18 +60,18 @@
 		     const struct sockaddr *from, unsigned int flags)
 {
 	struct packet_daemon *d = udp->data;
-	struct hello h;
+	struct hello hello;
 
 	if (n <= 0 || !from || flags & UV_UDP_PARTIAL)
 		return;
 	/* A heartbeat is accepted from the VM that it describes only. */
-	if (hello_decode((uint8_t *)buf->base, (uint32_t)n, &h) ||
-	    h.from != sender_addr(from)) {
+	if (hello_decode((uint8_t *)buf->base, (uint32_t)n, &hello) ||
+	    hello.from != sender_addr(from)) {
 		d->counters.hellos_malformed++;
 		return;
 	}
 	d->counters.hellos_received++;
-	node_receive_hello(d->node, &h, daemon_begin_event(d));
+	node_receive_hello(d->node, &hello, daemon_begin_event(d));
 	clients_send_paced(d);
 }
 
--- a/cmd/cb-packet/probes.c
+++ b/cmd/cb-packet/probes.c
@@ -24,12 +24,12 @@
 }
 
 static void report_outcome(struct packet_daemon *d,
-			   const struct incarnation *target,
+			   const struct incarnation *incarnation,
 			   enum probe_outcome outcome, uint64_t start_ns)
 {
 	d->counters.probes_refused += outcome == PROBE_REFUSED;
 	d->counters.probes_silent += outcome == PROBE_SILENT;
-	node_probe_ended(d->node, target, outcome, start_ns,
+	node_probe_ended(d->node, incarnation, outcome, start_ns,
 			 daemon_begin_event(d));
 	clients_send_paced(d);
 }
@@ -37,13 +37,13 @@
 static void finish_probe(struct probe *p, enum probe_outcome outcome)
 {
 	struct packet_daemon *d = p->daemon;
-	struct incarnation target = p->target;
+	struct incarnation incarnation = p->incarnation;
 	uint64_t start_ns = p->start_ns;
 
 	if (p->closing)
 		return;
 	release_probe(d, p);
-	report_outcome(d, &target, outcome, start_ns);
+	report_outcome(d, &incarnation, outcome, start_ns);
 }
 
 /*
@@ -52,13 +52,13 @@
  */
 static void handle_timeout(struct packet_daemon *d, struct probe *p)
 {
-	struct incarnation target = p->target;
+	struct incarnation incarnation = p->incarnation;
 
 	if (!p->reported_silent) {
 		p->reported_silent = true;
 		p->deadline_ns =
 			p->start_ns + d->settings.policy.probe_wait_max_ns;
-		report_outcome(d, &target, PROBE_SILENT, p->start_ns);
+		report_outcome(d, &incarnation, PROBE_SILENT, p->start_ns);
 	} else {
 		release_probe(d, p);
 	}
@@ -97,33 +97,33 @@
 /**
  * probes_start() - start a connection to a target
  * @ctx: struct packet_daemon
- * @t: target
+ * @target: target
  *
  * The outcome goes to node_probe_ended(). It is PROBE_INCONCLUSIVE when no slot
  * is free.
  */
-void probes_start(void *ctx, const struct target *t)
+void probes_start(void *ctx, const struct target *target)
 {
 	struct packet_daemon *d = ctx;
 	uint32_t slot = make_free_slot(d);
 	struct probe *p = slot < PROBES_MAX ? calloc(1, sizeof(*p)) : NULL;
 	struct sockaddr_in to = {
 		.sin_family = AF_INET,
-		.sin_port = htons(ADDR_PORT(t->advertised.addr)),
-		.sin_addr.s_addr = htonl(ADDR_IP(t->advertised.addr)),
+		.sin_port = htons(ADDR_PORT(target->advertised.addr)),
+		.sin_addr.s_addr = htonl(ADDR_IP(target->advertised.addr)),
 	};
-	struct incarnation target = target_incarnation(t);
+	struct incarnation incarnation = target_incarnation(target);
 	int err;
 
 	if (!p) {
-		node_probe_ended(d->node, &target, PROBE_INCONCLUSIVE,
+		node_probe_ended(d->node, &incarnation, PROBE_INCONCLUSIVE,
 				 d->now_ns, d->now_ns);
 		return;
 	}
 	d->counters.probes++;
 	d->probes[slot] = p;
 	p->daemon = d;
-	p->target = target;
+	p->incarnation = incarnation;
 	p->start_ns = uv_hrtime();
 	p->deadline_ns =
 		p->start_ns + path_probe_timeout_ns(d->node->path, p->start_ns);
--- a/cmd/cb-packet/sync.c
+++ b/cmd/cb-packet/sync.c
@@ -22,45 +22,47 @@
 #define HTTP_GONE 410
 
 static enum source_outcome read_platform_answer(struct packet_daemon *d,
-						const struct http_reply *r,
+						const struct http_reply *reply,
 						uint64_t now_ns,
 						struct answer_head *head)
 {
-	bool list = d->node->step == SOURCE_LIST;
-	struct document_sink to = { d->node, list ? node_take_listed
-						  : node_take_changed };
+	bool is_list = d->node->step == SOURCE_LIST;
+	struct document_sink to = { d->node, is_list ? node_take_listed
+						     : node_take_changed };
 	uint64_t epoch;
 	int err;
 
-	if (!r->err && r->status == HTTP_GONE)
+	if (!reply->err && reply->status == HTTP_GONE)
 		return SOURCE_GONE;
-	if (r->err == -EBUSY)
+	if (reply->err == -EBUSY)
 		return SOURCE_DEFERRED;
-	if (r->err || r->status != HTTP_OK)
+	if (reply->err || reply->status != HTTP_OK)
 		return SOURCE_FAILED;
-	if (d->platform->read_epoch(r->header, &epoch))
+	if (d->platform->read_epoch(reply->header, &epoch))
 		return SOURCE_FAILED;
 	if (!node_answer_begin(d->node, epoch, now_ns))
 		return SOURCE_GONE;
-	err = list ? d->platform->read_list(r->body, r->size_bytes, to, head)
-		   : d->platform->read_changes(r->body, r->size_bytes, to,
-					       head);
+	err = is_list ? d->platform->read_list(reply->body, reply->size_bytes,
+					       to, head)
+		      : d->platform->read_changes(reply->body,
+						  reply->size_bytes, to, head);
 	return err ? SOURCE_FAILED : SOURCE_OK;
 }
 
-static void on_platform_reply(void *ctx, const struct http_reply *r)
+static void on_platform_reply(void *ctx, const struct http_reply *reply)
 {
 	struct packet_daemon *d = ctx;
 	uint64_t now_ns = daemon_begin_event(d);
 	struct answer_head head = { 0 };
 	enum source_outcome outcome;
 
-	outcome = read_platform_answer(d, r, now_ns, &head);
-	head.transfer_ns = r->came_ns;
+	outcome = read_platform_answer(d, reply, now_ns, &head);
+	head.transfer_ns = reply->came_ns;
 	if (outcome == SOURCE_FAILED && !d->node->source.failures)
 		log_line(LOG_WARNING, "platform", NULL,
 			 "call failed: %s, status %d",
-			 r->err ? uv_strerror(r->err) : "answered", r->status);
+			 reply->err ? uv_strerror(reply->err) : "answered",
+			 reply->status);
 	node_answer_end(d->node, outcome, &head, now_ns);
 }
 
@@ -145,32 +147,32 @@
 }
 
 static int read_peer_documents(struct packet_daemon *d,
-			       const struct http_reply *r,
+			       const struct http_reply *reply,
 			       struct relay_head *head)
 {
 	struct relay_port port = { d, begin_relay, find_base_value };
 
-	if (r->err)
-		return r->err;
-	if (r->status != HTTP_OK)
+	if (reply->err)
+		return reply->err;
+	if (reply->status != HTTP_OK)
 		return -EPROTO;
-	return relay_decode((const uint8_t *)r->body, (uint32_t)r->size_bytes,
-			    port, head);
+	return relay_decode((const uint8_t *)reply->body,
+			    (uint32_t)reply->size_bytes, port, head);
 }
 
-static void on_peer_reply(void *ctx, const struct http_reply *r)
+static void on_peer_reply(void *ctx, const struct http_reply *reply)
 {
 	struct packet_daemon *d = ctx;
 	uint64_t now_ns = daemon_begin_event(d);
 	struct relay_head head = { 0 };
 	char addr[32];
-	int err = read_peer_documents(d, r, &head);
+	int err = read_peer_documents(d, reply, &head);
 
 	if (err)
 		log_line(LOG_WARNING, "fetch",
 			 addr_text(d->fetch_peer, addr, sizeof(addr)),
 			 "fetch failed: %s, status %d", strerror(-err),
-			 r->status);
+			 reply->status);
 	node_fetch_end(d->node, err ? NULL : &head, now_ns);
 }
 
--- a/cmd/cb-watch/documents.c
+++ b/cmd/cb-watch/documents.c
@@ -26,11 +26,12 @@
 
 static const char *find_template(void *ctx, const char *name)
 {
-	struct rendering *r = ctx;
+	struct rendering *rendering = ctx;
 
-	if (!strcmp(name, r->watch->template_name))
-		return r->watch->template_text;
-	g_strlcpy(r->missing_template, name, sizeof(r->missing_template));
+	if (!strcmp(name, rendering->watch->template_name))
+		return rendering->watch->template_text;
+	g_strlcpy(rendering->missing_template, name,
+		  sizeof(rendering->missing_template));
 	return NULL;
 }
 
@@ -41,19 +42,20 @@
 }
 
 static void record_mistakes(struct watch *w, const char *key,
-			    const struct mistakes *m)
+			    const struct mistakes *mistakes)
 {
 	GString *reason = g_string_new(NULL);
 
-	for (uint32_t i = 0; i < m->n; i++) {
-		const struct mistake *one = &m->list[i];
+	for (uint32_t i = 0; i < mistakes->n; i++) {
+		const struct mistake *mistake = &mistakes->list[i];
 
-		if (one->warning)
+		if (mistake->warning)
 			continue;
 		g_string_append_printf(reason, "%s%s:%u: %s: %s, expected %s",
-				       reason->len ? "; " : "", one->document,
-				       one->line, one->key, one->problem,
-				       one->expected);
+				       reason->len ? "; " : "",
+				       mistake->document, mistake->line,
+				       mistake->key, mistake->problem,
+				       mistake->expected);
 	}
 	record_refusal(w, key, reason->str);
 	g_string_free(reason, TRUE);
@@ -81,9 +83,9 @@
 
 static int publish_content(struct watch *w, const char *key,
 			   uint64_t generation, uint64_t revision,
-			   const struct content *c)
+			   const struct content *content)
 {
-	int err = spread_publish(w->spread, key, generation, revision, c,
+	int err = spread_publish(w->spread, key, generation, revision, content,
 				 uv_hrtime());
 
 	if (err && err != -EALREADY)
@@ -115,15 +117,15 @@
 static int publish_roster(struct watch *w, const char *key, const char *text,
 			  uint32_t size_bytes, uint64_t revision)
 {
-	struct content *c;
-	int err = roster_encode(text, size_bytes, &c);
+	struct content *content;
+	int err = roster_encode(text, size_bytes, &content);
 
 	if (err) {
 		record_refusal(w, key, "expected lines of ADDRESS STATE");
 		return err;
 	}
-	err = publish_content(w, key, revision, revision, c);
-	content_free(c);
+	err = publish_content(w, key, revision, revision, content);
+	content_free(content);
 	return err;
 }
 
@@ -131,24 +133,24 @@
 			const struct content *content)
 {
 	const char *name = key + strlen(ACCOUNT_PREFIX);
-	struct account_conf *a = NULL;
+	struct account_conf *account = NULL;
 
-	if (content && account_decode(name, 1, content, &a))
+	if (content && account_decode(name, 1, content, &account))
 		return;
-	vips_put(w->vips, name, a);
-	account_free(a);
+	vips_put(w->vips, name, account);
+	account_free(account);
 }
 
 static int publish_account(struct watch *w, const char *key, uint64_t revision,
-			   struct account_conf *a)
+			   struct account_conf *account)
 {
-	struct content *c;
-	int err = account_encode(a, &c);
+	struct content *content;
+	int err = account_encode(account, &content);
 
 	if (err)
 		return err;
-	err = publish_content(w, key, a->generation, revision, c);
-	content_free(c);
+	err = publish_content(w, key, account->generation, revision, content);
+	content_free(content);
 	/* Undo what documents_check_content() stored: it is not in force. */
 	if (err)
 		update_vips(w, key, spread_content(w->spread, key));
@@ -163,10 +165,11 @@
  */
 static bool check_vip_conflicts(struct watch *w, const char *key,
 				const char *text, struct template_source source,
-				struct mistakes *m)
+				struct mistakes *mistakes)
 {
-	vips_check(w->vips, key + strlen(ACCOUNT_PREFIX), text, source, m);
-	if (!m->n_errors)
+	vips_check(w->vips, key + strlen(ACCOUNT_PREFIX), text, source,
+		   mistakes);
+	if (!mistakes->n_errors)
 		return true;
 	w->has_vip_conflict = true;
 	return false;
@@ -176,24 +179,24 @@
 			      const char *text, uint64_t revision,
 			      char template[NAME_MAX_BYTES])
 {
-	struct rendering r = { .watch = w };
-	struct template_source source = { &r, find_template };
+	struct rendering rendering = { .watch = w };
+	struct template_source source = { &rendering, find_template };
 	struct mistakes mistakes = { 0 };
-	struct account_conf *a;
+	struct account_conf *account;
 	int err = -EINVAL;
 
-	a = publication_render(key + strlen(ACCOUNT_PREFIX), text, source,
-			       w->settings.data_centre, &mistakes);
-	if (r.missing_template[0] && template) {
-		g_strlcpy(template, r.missing_template, NAME_MAX_BYTES);
+	account = publication_render(key + strlen(ACCOUNT_PREFIX), text, source,
+				     w->settings.data_centre, &mistakes);
+	if (rendering.missing_template[0] && template) {
+		g_strlcpy(template, rendering.missing_template, NAME_MAX_BYTES);
 		err = -ENOENT;
-	} else if (!a ||
+	} else if (!account ||
 		   !check_vip_conflicts(w, key, text, source, &mistakes)) {
 		record_mistakes(w, key, &mistakes);
 	} else {
-		err = publish_account(w, key, revision, a);
+		err = publish_account(w, key, revision, account);
 	}
-	account_free(a);
+	account_free(account);
 	mistakes_free(&mistakes);
 	return err;
 }
@@ -307,7 +310,7 @@
 			    const struct content *content)
 {
 	struct watch *w = ctx;
-	struct account_conf *a;
+	struct account_conf *account;
 	int32_t n;
 	int err;
 
@@ -317,11 +320,12 @@
 	}
 	if (strncmp(key, ACCOUNT_PREFIX, strlen(ACCOUNT_PREFIX)))
 		return -EINVAL;
-	err = account_decode(key + strlen(ACCOUNT_PREFIX), 1, content, &a);
+	err = account_decode(key + strlen(ACCOUNT_PREFIX), 1, content,
+			     &account);
 	/* Stored before it is in force, which waits until this VM serves. */
 	if (!err)
-		vips_put(w->vips, a->name, a);
-	account_free(a);
+		vips_put(w->vips, account->name, account);
+	account_free(account);
 	return err;
 }
 
--- a/cmd/cb-watch/operators.c
+++ b/cmd/cb-watch/operators.c
@@ -52,9 +52,10 @@
 }
 
 /* Until this VM serves, its documents are not in force at its cb-entry. */
-static const char *state_name(const struct watch *w, const struct version *v)
+static const char *state_name(const struct watch *w,
+			      const struct version *version)
 {
-	if (version_is_withdrawn(v))
+	if (version_is_withdrawn(version))
 		return "withdrawn";
 	return spread_is_serving(w->spread) ? "live" : "held";
 }
--- a/cmd/cb-watch/watch.c
+++ b/cmd/cb-watch/watch.c
@@ -66,11 +66,11 @@
 	uv_stop(w->loop);
 }
 
-static void on_platform_answer(void *ctx, const struct reader_answer *a)
+static void on_platform_answer(void *ctx, const struct reader_answer *answer)
 {
 	struct watch *w = ctx;
 
-	reader_handle_answer(w->reader, a, uv_hrtime());
+	reader_handle_answer(w->reader, answer, uv_hrtime());
 	arm_timer(w);
 }
 
