--- a/cmd/cb-packet/probes.c
+++ b/cmd/cb-packet/probes.c
@@ -82,8 +82,8 @@
 }
 
 /*
- * Ends probes that have been reported silent until a slot is free. Return:
- * PROBES_MAX when there is none.
+ * Ends probes that have been reported silent until a slot is free: nothing waits
+ * for their outcome. Return: free slot, PROBES_MAX when there is none.
  */
 static uint32_t make_free_slot(struct packet_daemon *d)
 {
--- a/cmd/cb-watch/documents.c
+++ b/cmd/cb-watch/documents.c
@@ -330,7 +330,7 @@
 }
 
 /**
- * documents_put_in_force() - apply a version that came in force
+ * documents_put_in_force() - apply a version that came into force
  * @w: process
  * @key: key
  * @content: its content; NULL when it was withdrawn
