--- a/adapters/histogram_text.c
+++ b/adapters/histogram_text.c
@@ -25,7 +25,7 @@
 	for (uint32_t i = 0; h->count && i < HISTOGRAM_BUCKETS - 1; i++) {
 		below += h->bucket[i];
 		g_snprintf(bound, sizeof(bound), "%" G_GUINT64_FORMAT,
-			   histogram_bound(i));
+			   histogram_upper_bound(i));
 		if (h->bucket[i])
 			bucket(to, name, labels, bound, below);
 	}
--- a/bench/bench-balance/policy_simple.c
+++ b/bench/bench-balance/policy_simple.c
@@ -20,7 +20,7 @@
 	struct simple *p = calloc(1, sizeof(*p));
 
 	p->w = w;
-	p->rng.s = 7;
+	p->rng.state = 7;
 	p->n_targets_max = s->n_targets;
 	p->turn = calloc(s->n_entries, sizeof(*p->turn));
 	p->inflight = calloc((size_t)s->n_entries * s->n_targets,
--- a/bench/bench-balance/world.c
+++ b/bench/bench-balance/world.c
@@ -338,7 +338,7 @@
 	struct rng phase = { SEED + 1 };
 
 	w->now_ns = NS_PER_MS;
-	w->rng.s = SEED;
+	w->rng.state = SEED;
 	w->free_job = NONE;
 	w->n_targets = s->n_targets - (s->join_ns != 0);
 	w->ctx = w->policy->open(w);
--- a/bench/bench-flow/main.c
+++ b/bench/bench-flow/main.c
@@ -47,7 +47,7 @@
 	struct flow_table *t = flow_table_new(flows, IDLE_NS);
 	struct flow_key *in = calloc(flows, sizeof(*in));
 	struct flow_key *out = calloc(flows, sizeof(*out));
-	struct rng rng = { .s = 20261202 };
+	struct rng rng = { .state = 20261202 };
 	uint32_t i, hits, misses;
 	double hit_ns, miss_ns;
 
--- a/bench/slopes-entry/change.c
+++ b/bench/slopes-entry/change.c
@@ -61,7 +61,7 @@
 static double peers_us(uint32_t targets)
 {
 	struct config c = pump_config(1, 10, targets);
-	struct rng rng = { .s = 1 };
+	struct rng rng = { .state = 1 };
 	struct balancer *b = balance_new(1024, rng);
 	uint64_t start_ns;
 
@@ -132,7 +132,7 @@
 {
 	struct config c = pump_config(1, 1, DEAL_TARGETS);
 	struct service_conf *s = &c.accounts[0].services[0];
-	struct rng rng = { .s = 1 };
+	struct rng rng = { .state = 1 };
 	struct balancer *b;
 	uint64_t own = 0;
 
--- a/bench/slopes-member/main.c
+++ b/bench/slopes-member/main.c
@@ -151,7 +151,7 @@
 static void processor(uint32_t n)
 {
 	struct peer_out out = { .send = discard };
-	struct rng rng = { .s = SEED };
+	struct rng rng = { .state = SEED };
 	struct fleet *f = fleet_up(n);
 	struct peer_msg msg = { .kind = PEER_PING, .incarnation = 1 };
 	uint64_t start_ns, round_ns, ping_ns, now_ns = f->now_ns;
--- a/cmd/cb-watch/watch.c
+++ b/cmd/cb-watch/watch.c
@@ -109,7 +109,7 @@
 
 	g_strlcpy(conf.roster_key, w->vms_key, sizeof(conf.roster_key));
 	w->spread = spread_new(&conf, port, rng, now_ns);
-	rng.s = rng_next(&rng) | 1;
+	rng.state = rng_next(&rng) | 1;
 	w->reader = reader_new(w->settings.data_centre, documents_port(w), rng,
 			       now_ns);
 	w->vms = calloc(VMS_MAX, sizeof(*w->vms));
--- a/core/balance/balance.c
+++ b/core/balance/balance.c
@@ -41,7 +41,7 @@
 	if (!b)
 		return;
 	tables_clear(&b->t);
-	deadline_heap_clear(&b->deadlines);
+	deadline_heap_destroy(&b->deadlines);
 	free(b->items);
 	free(b);
 }
@@ -196,8 +196,8 @@
 
 static void doom_expired(struct balancer *b, uint64_t now_ns)
 {
-	while (deadline_heap_first_ns(&b->deadlines) <= now_ns)
-		admit_doom(b, b->deadlines.handle[0], REFUSE_DEADLINE);
+	while (deadline_heap_earliest_ns(&b->deadlines) <= now_ns)
+		admit_doom(b, b->deadlines.handles[0], REFUSE_DEADLINE);
 }
 
 static bool next_doomed(struct balancer *b, uint64_t now_ns, uint32_t *handle,
@@ -334,7 +334,7 @@
  */
 uint64_t balance_next_ns(const struct balancer *b)
 {
-	uint64_t first_ns = deadline_heap_first_ns(&b->deadlines);
+	uint64_t first_ns = deadline_heap_earliest_ns(&b->deadlines);
 
 	if (b->doomed.n)
 		return 0;
--- a/core/base/deadline_heap.c
+++ b/core/base/deadline_heap.c
@@ -5,126 +5,127 @@
 #include <string.h>
 
 /**
- * deadline_heap_init() - take the room for @max handles
- * @h: heap
- * @max: handles are below this
+ * deadline_heap_init() - allocate an empty heap
+ * @h: heap, overwritten
+ * @handles_max: handles are numbers below this; all memory is allocated here
  *
- * Return: 0, or -ENOMEM.
+ * Return: 0, or -ENOMEM with nothing to free.
  */
-int deadline_heap_init(struct deadline_heap *h, uint32_t max)
+int deadline_heap_init(struct deadline_heap *h, uint32_t handles_max)
 {
 	memset(h, 0, sizeof(*h));
-	h->max = max;
-	h->handle = calloc(max, sizeof(*h->handle));
-	h->place = malloc(max * sizeof(*h->place));
-	h->deadline_ns = calloc(max, sizeof(*h->deadline_ns));
-	if (!h->handle || !h->place || !h->deadline_ns) {
-		deadline_heap_clear(h);
+	h->handles_max = handles_max;
+	h->handles = calloc(handles_max, sizeof(*h->handles));
+	h->position = malloc(handles_max * sizeof(*h->position));
+	h->deadline_ns = calloc(handles_max, sizeof(*h->deadline_ns));
+	if (!h->handles || !h->position || !h->deadline_ns) {
+		deadline_heap_destroy(h);
 		return -ENOMEM;
 	}
-	memset(h->place, 0xff, max * sizeof(*h->place));
+	memset(h->position, 0xff, handles_max * sizeof(*h->position));
 	return 0;
 }
 
 /**
- * deadline_heap_clear() - give the room back
- * @h: heap
+ * deadline_heap_destroy() - free the memory of a heap
+ * @h: heap; all zero afterwards
  */
-void deadline_heap_clear(struct deadline_heap *h)
+void deadline_heap_destroy(struct deadline_heap *h)
 {
-	free(h->handle);
-	free(h->place);
+	free(h->handles);
+	free(h->position);
 	free(h->deadline_ns);
 	memset(h, 0, sizeof(*h));
 }
 
-static void put(struct deadline_heap *h, uint32_t at, uint32_t handle)
+static void set_position(struct deadline_heap *h, uint32_t pos, uint32_t handle)
 {
-	h->handle[at] = handle;
-	h->place[handle] = at;
+	h->handles[pos] = handle;
+	h->position[handle] = pos;
 }
 
-static uint64_t key(const struct deadline_heap *h, uint32_t at)
+static uint64_t deadline_at(const struct deadline_heap *h, uint32_t pos)
 {
-	return h->deadline_ns[h->handle[at]];
+	return h->deadline_ns[h->handles[pos]];
 }
 
-static void sift_up(struct deadline_heap *h, uint32_t at)
+static void sift_up(struct deadline_heap *h, uint32_t pos)
 {
-	uint32_t handle = h->handle[at];
+	uint32_t handle = h->handles[pos];
 
-	while (at > 0) {
-		uint32_t parent = (at - 1) / 2;
+	while (pos > 0) {
+		uint32_t parent = (pos - 1) / 2;
 
-		if (key(h, parent) <= h->deadline_ns[handle])
+		if (deadline_at(h, parent) <= h->deadline_ns[handle])
 			break;
-		put(h, at, h->handle[parent]);
-		at = parent;
+		set_position(h, pos, h->handles[parent]);
+		pos = parent;
 	}
-	put(h, at, handle);
+	set_position(h, pos, handle);
 }
 
-static void sift_down(struct deadline_heap *h, uint32_t at)
+static void sift_down(struct deadline_heap *h, uint32_t pos)
 {
-	uint32_t handle = h->handle[at];
+	uint32_t handle = h->handles[pos];
 
 	for (;;) {
-		uint32_t child = 2 * at + 1;
+		uint32_t child = 2 * pos + 1;
 
-		if (child >= h->n)
+		if (child >= h->count)
 			break;
-		if (child + 1 < h->n && key(h, child + 1) < key(h, child))
+		if (child + 1 < h->count &&
+		    deadline_at(h, child + 1) < deadline_at(h, child))
 			child++;
-		if (h->deadline_ns[handle] <= key(h, child))
+		if (h->deadline_ns[handle] <= deadline_at(h, child))
 			break;
-		put(h, at, h->handle[child]);
-		at = child;
+		set_position(h, pos, h->handles[child]);
+		pos = child;
 	}
-	put(h, at, handle);
+	set_position(h, pos, handle);
 }
 
 /**
- * deadline_heap_add() - add a handle that is not in the heap
+ * deadline_heap_add() - add a handle
  * @h: heap
- * @handle: below the heap's maximum
+ * @handle: below @handles_max, not in the heap
  * @deadline_ns: its deadline
  */
 void deadline_heap_add(struct deadline_heap *h, uint32_t handle,
 		       uint64_t deadline_ns)
 {
 	h->deadline_ns[handle] = deadline_ns;
-	put(h, h->n, handle);
-	h->n++;
-	sift_up(h, h->n - 1);
+	set_position(h, h->count, handle);
+	h->count++;
+	sift_up(h, h->count - 1);
 }
 
 /**
- * deadline_heap_remove() - take a handle out; nothing when it is not there
+ * deadline_heap_remove() - remove a handle
  * @h: heap
- * @handle: below the heap's maximum
+ * @handle: below @handles_max; ignored when it is not in the heap
  */
 void deadline_heap_remove(struct deadline_heap *h, uint32_t handle)
 {
-	uint32_t at = h->place[handle];
+	uint32_t pos = h->position[handle];
 
-	if (at == UINT32_MAX)
+	if (pos == UINT32_MAX)
 		return;
-	h->place[handle] = UINT32_MAX;
-	h->n--;
-	if (at == h->n)
+	h->position[handle] = UINT32_MAX;
+	h->count--;
+	if (pos == h->count)
 		return;
-	put(h, at, h->handle[h->n]);
-	sift_up(h, at);
-	sift_down(h, h->place[h->handle[at]]);
+	set_position(h, pos, h->handles[h->count]);
+	sift_up(h, pos);
+	sift_down(h, h->position[h->handles[pos]]);
 }
 
 /**
- * deadline_heap_first_ns() - earliest deadline
+ * deadline_heap_earliest_ns() - earliest deadline in the heap
  * @h: heap
  *
- * Return: the deadline, UINT64_MAX when the heap is empty.
+ * Return: the deadline, or UINT64_MAX when the heap is empty.
  */
-uint64_t deadline_heap_first_ns(const struct deadline_heap *h)
+uint64_t deadline_heap_earliest_ns(const struct deadline_heap *h)
 {
-	return h->n ? key(h, 0) : UINT64_MAX;
+	return h->count ? deadline_at(h, 0) : UINT64_MAX;
 }
--- a/core/base/deadline_heap.h
+++ b/core/base/deadline_heap.h
@@ -1,4 +1,4 @@
-/* Binary heap of handles by deadline; all room is taken at the start. */
+/* Binary min-heap of handles by deadline, allocated once. */
 #ifndef CB_DEADLINE_HEAP_H
 #define CB_DEADLINE_HEAP_H
 
@@ -6,25 +6,26 @@
 
 /**
  * struct deadline_heap - handles, the earliest deadline first
- * @n: handles held
- * @max: handles are below this
- * @handle: heap order
- * @place: by handle, its place in @handle, or UINT32_MAX
- * @deadline_ns: by handle
+ * @count: handles in the heap
+ * @handles_max: handles are numbers below this
+ * @handles: the heap; the first @count are valid
+ * @position: by handle: its index in @handles, UINT32_MAX when it is not in
+ *	the heap
+ * @deadline_ns: by handle: its deadline, valid while it is in the heap
  */
 struct deadline_heap {
-	uint32_t n;
-	uint32_t max;
-	uint32_t *handle;
-	uint32_t *place;
+	uint32_t count;
+	uint32_t handles_max;
+	uint32_t *handles;
+	uint32_t *position;
 	uint64_t *deadline_ns;
 };
 
-int deadline_heap_init(struct deadline_heap *h, uint32_t max);
-void deadline_heap_clear(struct deadline_heap *h);
+int deadline_heap_init(struct deadline_heap *h, uint32_t handles_max);
+void deadline_heap_destroy(struct deadline_heap *h);
 void deadline_heap_add(struct deadline_heap *h, uint32_t handle,
 		       uint64_t deadline_ns);
 void deadline_heap_remove(struct deadline_heap *h, uint32_t handle);
-uint64_t deadline_heap_first_ns(const struct deadline_heap *h);
+uint64_t deadline_heap_earliest_ns(const struct deadline_heap *h);
 
 #endif
--- a/core/base/hash.c
+++ b/core/base/hash.c
@@ -3,27 +3,27 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Part of the protocol between entries: all have to place flows alike. */
+/* Part of the protocol between entries: all must map a flow to the same bucket. */
 #define FLOW_HASH_SEED 0x63626c62ULL
 
 /**
- * rng_next() - next number of a seeded source (xorshift64*)
- * @r: state
+ * rng_next() - next number of a generator (xorshift64*)
+ * @r: generator, advanced by one step
  *
  * Return: 64 pseudo-random bits.
  */
 uint64_t rng_next(struct rng *r)
 {
-	r->s ^= r->s >> 12;
-	r->s ^= r->s << 25;
-	r->s ^= r->s >> 27;
-	return r->s * 0x2545f4914f6cdd1dULL;
+	r->state ^= r->state >> 12;
+	r->state ^= r->state << 25;
+	r->state ^= r->state >> 27;
+	return r->state * 0x2545f4914f6cdd1dULL;
 }
 
 /**
- * hash_u64() - mix one word under a seed
- * @x: word
- * @seed: seed, often another word
+ * hash_u64() - hash of a 64-bit value
+ * @x: value
+ * @seed: seed, often a second value to be hashed with @x
  *
  * Return: 64-bit hash.
  */
@@ -33,8 +33,8 @@
 }
 
 /**
- * hash_text() - hash of a name, the same on every entry
- * @text: text
+ * hash_text() - hash of a string, the same on every entry
+ * @text: string
  *
  * Return: 64-bit hash.
  */
@@ -44,10 +44,10 @@
 }
 
 /**
- * flow_hash() - place of a flow, the same on every entry
+ * flow_hash() - hash of a flow's key, the same on every entry
  * @key: caller and VIP
  *
- * Return: 64-bit hash; the low bits choose the bucket.
+ * Return: 64-bit hash; the low bits select the bucket.
  */
 uint64_t flow_hash(const struct flow_key *key)
 {
--- a/core/base/histogram.c
+++ b/core/base/histogram.c
@@ -2,37 +2,41 @@
 
 #include <math.h>
 
-#define STEPS 4 /* buckets a power of two */
-#define STEPS_LOG2 2 /* its logarithm */
+/* Buckets per power of two. */
+#define BUCKETS_PER_OCTAVE 4
+#define BUCKETS_PER_OCTAVE_LOG2 2
 
 static uint32_t bucket_of(uint64_t value)
 {
 	uint32_t power;
 	uint32_t i;
 
-	if (value < STEPS)
+	if (value < BUCKETS_PER_OCTAVE)
 		return value;
 	power = 63 - __builtin_clzll(value);
-	i = (power - 1) * STEPS + (value >> (power - STEPS_LOG2)) % STEPS;
+	i = (power - 1) * BUCKETS_PER_OCTAVE +
+	    (value >> (power - BUCKETS_PER_OCTAVE_LOG2)) % BUCKETS_PER_OCTAVE;
 	return i < HISTOGRAM_BUCKETS ? i : HISTOGRAM_BUCKETS - 1;
 }
 
 /**
- * histogram_bound() - largest value that a bucket counts
- * @bucket: number below HISTOGRAM_BUCKETS
+ * histogram_upper_bound() - largest value that a bucket counts
+ * @bucket: index, below HISTOGRAM_BUCKETS
  *
  * Return: the value, in the samples' unit; UINT64_MAX for the last bucket,
- * which takes all larger values too.
+ * which counts all larger values too.
  */
-uint64_t histogram_bound(uint32_t bucket)
+uint64_t histogram_upper_bound(uint32_t bucket)
 {
-	uint64_t step = bucket % STEPS;
+	uint64_t step = bucket % BUCKETS_PER_OCTAVE;
 
-	if (bucket < STEPS)
+	if (bucket < BUCKETS_PER_OCTAVE)
 		return bucket;
 	if (bucket >= HISTOGRAM_BUCKETS - 1)
 		return UINT64_MAX;
-	return ((STEPS + step + 1) << (bucket / STEPS - 1)) - 1;
+	return ((BUCKETS_PER_OCTAVE + step + 1)
+		<< (bucket / BUCKETS_PER_OCTAVE - 1)) -
+	       1;
 }
 
 /**
@@ -49,8 +53,8 @@
 
 /**
  * histogram_merge() - add the samples of another histogram
- * @to: histogram that grows
- * @from: histogram that is read
+ * @to: histogram to add to
+ * @from: histogram to add; unchanged
  */
 void histogram_merge(struct histogram *to, const struct histogram *from)
 {
@@ -61,12 +65,12 @@
 }
 
 /**
- * histogram_quantile() - value that a share of the samples doesn't exceed
+ * histogram_quantile() - quantile of the samples
  * @h: histogram
- * @q: share, 0 to 1
+ * @q: fraction of the samples that don't exceed the quantile, 0 to 1
  *
- * Return: bound of the bucket that holds it, at most a quarter too large;
- * 0 without samples.
+ * Return: upper bound of the bucket that contains the quantile, at most 25 %
+ * too large; 0 without samples.
  */
 uint64_t histogram_quantile(const struct histogram *h, double q)
 {
@@ -78,7 +82,7 @@
 	for (uint32_t i = 0; i < HISTOGRAM_BUCKETS; i++) {
 		seen += h->bucket[i];
 		if (seen > 0 && seen >= rank)
-			return histogram_bound(i);
+			return histogram_upper_bound(i);
 	}
 	return UINT64_MAX;
 }
--- a/core/base/histogram.h
+++ b/core/base/histogram.h
@@ -1,4 +1,4 @@
-/* Histograms with power-of-two buckets, for waits and sizes. */
+/* Histograms with logarithmic buckets, for durations and sizes. */
 #ifndef CB_HISTOGRAM_H
 #define CB_HISTOGRAM_H
 
@@ -7,10 +7,10 @@
 #define HISTOGRAM_BUCKETS 160
 
 /**
- * struct histogram - counts by size, four buckets a power of two
- * @count: samples
- * @sum: their sum
- * @bucket: samples by bucket
+ * struct histogram - samples counted by value, four buckets per power of two
+ * @count: number of samples
+ * @sum: sum of the samples, in their unit
+ * @bucket: number of samples in each bucket
  */
 struct histogram {
 	uint64_t count;
@@ -21,6 +21,6 @@
 void histogram_add(struct histogram *h, uint64_t value);
 void histogram_merge(struct histogram *to, const struct histogram *from);
 uint64_t histogram_quantile(const struct histogram *h, double q);
-uint64_t histogram_bound(uint32_t bucket);
+uint64_t histogram_upper_bound(uint32_t bucket);
 
 #endif
--- a/core/base/index.c
+++ b/core/base/index.c
@@ -26,10 +26,10 @@
 }
 
 /**
- * index_new() - make an empty map
- * @entries_max: most entries it will hold
+ * index_new() - allocate an empty table
+ * @entries_max: most keys that it can contain
  *
- * Return: map, or NULL without memory.
+ * Return: table, to be freed with index_free(), or NULL when out of memory.
  */
 struct index *index_new(uint32_t entries_max)
 {
@@ -63,14 +63,14 @@
 	ix->used = 0;
 }
 
-static uint32_t home(const struct index *ix, uint64_t key)
+static uint32_t home_cell(const struct index *ix, uint64_t key)
 {
 	return (uint32_t)(key >> 32 ^ key) & ix->mask;
 }
 
-static uint32_t find(const struct index *ix, uint64_t key)
+static uint32_t find_cell(const struct index *ix, uint64_t key)
 {
-	uint32_t i = home(ix, key);
+	uint32_t i = home_cell(ix, key);
 
 	while (ix->cells[i].slot != INDEX_NONE && ix->cells[i].key != key)
 		i = (i + 1) & ix->mask;
@@ -79,15 +79,15 @@
 
 /**
  * index_put() - set the slot of a key, replacing an earlier one
- * @ix: map
+ * @ix: table
  * @key: hash
- * @slot: slot number
+ * @slot: slot number, not INDEX_NONE
  *
- * Return: 0, or -ENOSPC when the map is full.
+ * Return: 0, or -ENOSPC when the table is full.
  */
 int index_put(struct index *ix, uint64_t key, uint32_t slot)
 {
-	uint32_t i = find(ix, key);
+	uint32_t i = find_cell(ix, key);
 
 	if (ix->cells[i].slot == INDEX_NONE) {
 		if (ix->used >= ix->used_max)
@@ -100,31 +100,34 @@
 }
 
 /**
- * index_get() - slot of a key
- * @ix: map
+ * index_get() - look a key up
+ * @ix: table
  * @key: hash
  *
- * Return: slot, or INDEX_NONE. Two keys may share a hash: the caller compares
- * the whole key with what the slot holds.
+ * Return: slot number, or INDEX_NONE. Two objects may have the same hash: the
+ * caller compares the full key of the object in the slot.
  */
 uint32_t index_get(const struct index *ix, uint64_t key)
 {
-	return ix->cells[find(ix, key)].slot;
+	return ix->cells[find_cell(ix, key)].slot;
 }
 
-/* Close the gap at @gap, so that later probes need no marker of a deletion. */
+/*
+ * Backward-shift deletion: moves later cells of the probe sequence into the
+ * empty cell at @gap, so that no tombstones are needed.
+ */
 static void close_gap(struct index *ix, uint32_t gap)
 {
 	uint32_t i = gap;
 
 	for (;;) {
-		uint32_t h;
+		uint32_t home;
 
 		i = (i + 1) & ix->mask;
 		if (ix->cells[i].slot == INDEX_NONE)
 			break;
-		h = home(ix, ix->cells[i].key);
-		if (((i - h) & ix->mask) < ((i - gap) & ix->mask))
+		home = home_cell(ix, ix->cells[i].key);
+		if (((i - home) & ix->mask) < ((i - gap) & ix->mask))
 			continue;
 		ix->cells[gap] = ix->cells[i];
 		gap = i;
@@ -133,14 +136,15 @@
 }
 
 /**
- * index_del() - forget a key, if it still leads to this slot
- * @ix: map
+ * index_del() - delete a key if it maps to the given slot
+ * @ix: table
  * @key: hash
- * @slot: slot that it has to lead to; another owner's entry stays
+ * @slot: slot number; when the key maps to another slot, since two objects
+ *	have the same hash, it is kept
  */
 void index_del(struct index *ix, uint64_t key, uint32_t slot)
 {
-	uint32_t i = find(ix, key);
+	uint32_t i = find_cell(ix, key);
 
 	if (ix->cells[i].slot == INDEX_NONE || ix->cells[i].slot != slot)
 		return;
--- a/core/base/index.h
+++ b/core/base/index.h
@@ -1,4 +1,4 @@
-/* Fixed-size map from a 64-bit hash to a slot number. */
+/* Hash table from a 64-bit hash to a slot number; its size is fixed. */
 #ifndef CB_INDEX_H
 #define CB_INDEX_H
 
--- a/core/base/timers.c
+++ b/core/base/timers.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define NOT_SET UINT32_MAX
+#define NOT_IN_HEAP UINT32_MAX
 
 struct node {
 	uint64_t deadline_ns;
@@ -12,15 +12,15 @@
 
 struct timers {
 	struct node *heap;
-	uint32_t *place;
+	uint32_t *position;
 	uint32_t n;
 };
 
 /**
- * timers_new() - make a heap without deadlines
- * @ids_max: ids go from 0 to @ids_max - 1
+ * timers_new() - allocate timers, all without a deadline
+ * @ids_max: timer ids are below this
  *
- * Return: heap, or NULL without memory.
+ * Return: timers, to be freed with timers_free(), or NULL when out of memory.
  */
 struct timers *timers_new(uint32_t ids_max)
 {
@@ -29,12 +29,12 @@
 	if (!t)
 		return NULL;
 	t->heap = malloc((size_t)ids_max * sizeof(*t->heap));
-	t->place = malloc((size_t)ids_max * sizeof(*t->place));
-	if (!t->heap || !t->place) {
+	t->position = malloc((size_t)ids_max * sizeof(*t->position));
+	if (!t->heap || !t->position) {
 		timers_free(t);
 		return NULL;
 	}
-	memset(t->place, 0xff, (size_t)ids_max * sizeof(*t->place));
+	memset(t->position, 0xff, (size_t)ids_max * sizeof(*t->position));
 	return t;
 }
 
@@ -43,30 +43,30 @@
 	if (!t)
 		return;
 	free(t->heap);
-	free(t->place);
+	free(t->position);
 	free(t);
 }
 
-static void put(struct timers *t, uint32_t i, struct node node)
+static void set_node(struct timers *t, uint32_t i, struct node node)
 {
 	t->heap[i] = node;
-	t->place[node.id] = i;
+	t->position[node.id] = i;
 }
 
-static void up(struct timers *t, uint32_t i, struct node node)
+static void sift_up(struct timers *t, uint32_t i, struct node node)
 {
 	while (i > 0) {
 		uint32_t parent = (i - 1) / 2;
 
 		if (t->heap[parent].deadline_ns <= node.deadline_ns)
 			break;
-		put(t, i, t->heap[parent]);
+		set_node(t, i, t->heap[parent]);
 		i = parent;
 	}
-	put(t, i, node);
+	set_node(t, i, node);
 }
 
-static void down(struct timers *t, uint32_t i, struct node node)
+static void sift_down(struct timers *t, uint32_t i, struct node node)
 {
 	for (;;) {
 		uint32_t child = 2 * i + 1;
@@ -78,39 +78,39 @@
 			child++;
 		if (t->heap[child].deadline_ns >= node.deadline_ns)
 			break;
-		put(t, i, t->heap[child]);
+		set_node(t, i, t->heap[child]);
 		i = child;
 	}
-	put(t, i, node);
+	set_node(t, i, node);
 }
 
 /**
- * timers_clear() - drop the deadline of an id, if it has one
- * @t: heap
- * @id: id
+ * timers_clear() - remove the deadline of a timer
+ * @t: timers
+ * @id: timer; ignored when it has no deadline
  */
 void timers_clear(struct timers *t, uint32_t id)
 {
-	uint32_t i = t->place[id];
+	uint32_t i = t->position[id];
 	struct node last;
 
-	if (i == NOT_SET)
+	if (i == NOT_IN_HEAP)
 		return;
-	t->place[id] = NOT_SET;
+	t->position[id] = NOT_IN_HEAP;
 	last = t->heap[--t->n];
 	if (last.id == id)
 		return;
 	if (i > 0 && t->heap[(i - 1) / 2].deadline_ns > last.deadline_ns)
-		up(t, i, last);
+		sift_up(t, i, last);
 	else
-		down(t, i, last);
+		sift_down(t, i, last);
 }
 
 /**
- * timers_set() - give an id a deadline, replacing an earlier one
- * @t: heap
- * @id: id
- * @deadline_ns: deadline; DEADLINE_NEVER clears it
+ * timers_set() - set the deadline of a timer, replacing an earlier one
+ * @t: timers
+ * @id: timer
+ * @deadline_ns: deadline; DEADLINE_NEVER removes it
  */
 void timers_set(struct timers *t, uint32_t id, uint64_t deadline_ns)
 {
@@ -119,14 +119,14 @@
 	timers_clear(t, id);
 	if (deadline_ns == DEADLINE_NEVER)
 		return;
-	up(t, t->n++, node);
+	sift_up(t, t->n++, node);
 }
 
 /**
- * timers_next_ns() - earliest deadline
- * @t: heap
+ * timers_next_ns() - earliest deadline of all timers
+ * @t: timers
  *
- * Return: deadline, or DEADLINE_NEVER.
+ * Return: the deadline, or DEADLINE_NEVER when no timer has one.
  */
 uint64_t timers_next_ns(const struct timers *t)
 {
@@ -134,12 +134,12 @@
 }
 
 /**
- * timers_pop() - take one id whose deadline has come
- * @t: heap
- * @now_ns: time
- * @id: filled
+ * timers_pop() - remove the earliest deadline if it has passed
+ * @t: timers
+ * @now_ns: current time
+ * @id: set to the timer whose deadline was removed
  *
- * Return: false when none has come.
+ * Return: false, with @id unchanged, when no deadline has passed.
  */
 bool timers_pop(struct timers *t, uint64_t now_ns, uint32_t *id)
 {
--- a/core/base/timers.h
+++ b/core/base/timers.h
@@ -1,4 +1,4 @@
-/* Deadlines by number, in a heap; allocated once. */
+/* One deadline per timer id, in a binary min-heap that is allocated once. */
 #ifndef CB_TIMERS_H
 #define CB_TIMERS_H
 
--- a/core/base/types.h
+++ b/core/base/types.h
@@ -1,4 +1,4 @@
-/* Scalars and limits that every module shares. */
+/* Scalar types, limits and hashes that all modules use. */
 #ifndef CB_TYPES_H
 #define CB_TYPES_H
 
@@ -7,8 +7,9 @@
 #include <stdint.h>
 
 /*
- * An IPv4 endpoint is one uint64_t, ip << 16 | port, in host order. It names
- * a caller, a VIP, a target or a VM (the VM's peer address); 0 is "none".
+ * An IPv4 endpoint is a uint64_t, ip << 16 | port, in host byte order. It
+ * identifies a caller, a VIP, a target or a VM (by its peer address); 0 means
+ * "none".
  */
 #define ADDR_NONE 0ULL
 #define ADDR(ip, port) ((uint64_t)(uint32_t)(ip) << 16 | (uint16_t)(port))
@@ -25,8 +26,8 @@
 
 /**
  * struct flow_key - identity of a flow, the same on every entry
- * @caller: caller's endpoint
- * @vip: address of the service that the caller sends to
+ * @caller: endpoint of the caller
+ * @vip: endpoint of the service that the caller sends to
  */
 struct flow_key {
 	uint64_t caller;
@@ -34,11 +35,11 @@
 };
 
 /**
- * struct rng - state of a seeded random source, passed in so that a run repeats
- * @s: xorshift state, never 0
+ * struct rng - pseudo-random generator; callers seed it, so that runs repeat
+ * @state: xorshift64* state, never 0
  */
 struct rng {
-	uint64_t s;
+	uint64_t state;
 };
 
 uint64_t rng_next(struct rng *r);
--- a/core/packet/node.c
+++ b/core/packet/node.c
@@ -232,7 +232,7 @@
 	if (!n->directory || !n->documents || !n->peers)
 		return -ENOMEM;
 	path.zone = peers.zone;
-	rng.s = rng_next(&rng) | 1;
+	rng.state = rng_next(&rng) | 1;
 	n->path = path_new(&path, n->directory, port, rng);
 	n->pacer = pacer_new(n->policy, conf->link_bytes_per_s);
 	return n->path && n->pacer ? 0 : -ENOMEM;
--- a/core/request/entry.c
+++ b/core/request/entry.c
@@ -102,7 +102,7 @@
 	 * Entries may be started with the same seed; their random numbers must
 	 * differ.
 	 */
-	entry->rng.s = hash_u64(conf->seed, conf->member.self) | 1;
+	entry->rng.state = hash_u64(conf->seed, conf->member.self) | 1;
 	entry->peer_budget_refilled_ns = now_ns;
 	entry->peer_budget_bytes = conf->peer_bytes_per_s;
 	if (modules_init(entry) < 0) {
--- a/sim/sim-fabric/fabric.c
+++ b/sim/sim-fabric/fabric.c
@@ -112,8 +112,8 @@
 	f->term.data = f;
 	uv_signal_start(&f->term, on_term, SIGTERM);
 	f->held = held_new(HELD_MAX);
-	f->spray.s = hash_u64(f->opt.seed, 1) | 1;
-	f->faults.rng.s = hash_u64(f->opt.seed, 2) | 1;
+	f->spray.state = hash_u64(f->opt.seed, 1) | 1;
+	f->faults.rng.state = hash_u64(f->opt.seed, 2) | 1;
 	entries_set(&f->entries, f->opt.entries, f->opt.n_entries);
 	f->control.ctx = f;
 	f->control.commands = fabric_commands;
--- a/sim/sim-packets/world.c
+++ b/sim/sim-packets/world.c
@@ -257,8 +257,8 @@
 	w->conf = *conf;
 	if (!w->conf.driver.start)
 		w->conf.driver = entries_emulated();
-	w->rng.s = hash_u64(conf->seed, 1) | 1;
-	w->ask_rng.s = hash_u64(conf->seed, 2) | 1;
+	w->rng.state = hash_u64(conf->seed, 1) | 1;
+	w->ask_rng.state = hash_u64(conf->seed, 2) | 1;
 	w->now_ns = 1000 * NS_PER_S;
 	w->epoch = 1;
 	make_classes(w);
--- a/sim/sim-target/target.c
+++ b/sim/sim-target/target.c
@@ -97,7 +97,7 @@
 	t->observers = observers_new();
 	t->report.lag_ns = t->opt.load_lag_ns;
 	t->report.lie = t->opt.load_lie;
-	t->behaviour.rng.s = hash_u64(t->opt.addr, t->opt.seed) | 1;
+	t->behaviour.rng.state = hash_u64(t->opt.addr, t->opt.seed) | 1;
 	behaviour_reset(&t->behaviour);
 	rc = open_runs(t);
 	if (rc)
--- a/test/fleet.c
+++ b/test/fleet.c
@@ -96,7 +96,7 @@
 	uint32_t i;
 
 	f->now_ns = 1000 * NS_PER_S;
-	f->rng.s = seed * 2 + 1;
+	f->rng.state = seed * 2 + 1;
 	f->n = n;
 	f->incarnation = 1000;
 	f->conf = (struct member_conf){ .probe_period_ns = 200 * NS_PER_MS,
@@ -126,7 +126,7 @@
 {
 	struct node *o = &f->node[i];
 	struct peer_out out = { .ctx = o, .send = send };
-	struct rng rng = { .s = rng_next(&f->rng) | 1 };
+	struct rng rng = { .state = rng_next(&f->rng) | 1 };
 
 	f->incarnation += 1000;
 	f->conf.self = o->vm;
--- a/test/flow_test.c
+++ b/test/flow_test.c
@@ -112,7 +112,7 @@
 {
 	struct flow_table *t = flow_table_new(MODEL_FLOWS, IDLE_NS);
 	uint64_t model[2 * MODEL_FLOWS] = { 0 };
-	struct rng rng = { .s = 20261202 };
+	struct rng rng = { .state = 20261202 };
 	uint32_t step, i, count = 0;
 	struct flow_key key;
 
@@ -146,7 +146,7 @@
 static void iteration_misses_no_flow_that_stays(void **state)
 {
 	struct flow_table *t = flow_table_new(400, IDLE_NS);
-	struct rng rng = { .s = 7 };
+	struct rng rng = { .state = 7 };
 	bool seen[200];
 	uint32_t round, i, cursor;
 	struct flow_key key;
--- a/test/histogram_test.c
+++ b/test/histogram_test.c
@@ -1,11 +1,11 @@
-/* Histograms: every value falls in a bucket whose bound is close above it. */
+/* Histograms: the upper bound of a sample's bucket is at most 25 % too large. */
 #include "histogram.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
 #include <cmocka.h>
 
-static void bounds_are_close(void **state)
+static void bound_is_at_most_a_quarter_above_sample(void **state)
 {
 	(void)state;
 	for (uint64_t v = 0; v < 1ULL << 40; v = v * 9 / 8 + 1) {
@@ -19,15 +19,17 @@
 	}
 }
 
-static void bounds_grow(void **state)
+static void upper_bounds_increase(void **state)
 {
 	(void)state;
 	for (uint32_t i = 1; i < HISTOGRAM_BUCKETS; i++)
-		assert_true(histogram_bound(i) > histogram_bound(i - 1));
-	assert_int_equal(histogram_bound(HISTOGRAM_BUCKETS - 1), UINT64_MAX);
+		assert_true(histogram_upper_bound(i) >
+			    histogram_upper_bound(i - 1));
+	assert_int_equal(histogram_upper_bound(HISTOGRAM_BUCKETS - 1),
+			 UINT64_MAX);
 }
 
-static void quantiles_after_merge(void **state)
+static void quantiles_count_merged_samples(void **state)
 {
 	struct histogram a = { 0 };
 	struct histogram b = { 0 };
@@ -50,9 +52,9 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(bounds_are_close),
-		cmocka_unit_test(bounds_grow),
-		cmocka_unit_test(quantiles_after_merge),
+		cmocka_unit_test(bound_is_at_most_a_quarter_above_sample),
+		cmocka_unit_test(upper_bounds_increase),
+		cmocka_unit_test(quantiles_count_merged_samples),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/index_prop.cc
+++ b/test/index_prop.cc
@@ -1,4 +1,4 @@
-/* The map and the deadline heap against the standard library's. */
+/* struct index and struct timers, compared with std::map models. */
 #include <rapidcheck.h>
 
 #include <map>
@@ -12,8 +12,8 @@
 
 using namespace rc;
 
-/* Keys from a small range, so that probes collide and gaps are closed. */
-static void index_is_a_map()
+/* Few distinct keys, so that probes collide and deletions shift cells. */
+static void index_agrees_with_map()
 {
 	const uint32_t max = 32;
 	struct index *ix = index_new(max);
@@ -25,16 +25,16 @@
 		uint64_t key = (uint64_t)(op.second % 48) * 64;
 
 		if (op.first == 0) {
-			bool room = model.size() < max || model.count(key);
+			bool fits = model.size() < max || model.count(key);
 
-			RC_ASSERT((index_put(ix, key, op.second) == 0) == room);
-			if (room)
+			RC_ASSERT((index_put(ix, key, op.second) == 0) == fits);
+			if (fits)
 				model[key] = op.second;
 		} else if (op.first == 1 && model.count(key)) {
 			index_del(ix, key, model[key]);
 			model.erase(key);
 		} else {
-			/* Another owner's entry stays. */
+			/* A key that maps to another slot is kept. */
 			index_del(ix, key, 9999);
 		}
 	}
@@ -46,7 +46,7 @@
 	index_free(ix);
 }
 
-static void timers_pop_in_order()
+static void timers_pop_in_order_of_deadline()
 {
 	const uint32_t max = 24;
 	struct timers *t = timers_new(max);
@@ -80,8 +80,9 @@
 
 int main()
 {
-	bool ok = check("index is a map", index_is_a_map);
+	bool ok = check("index agrees with std::map", index_agrees_with_map);
 
-	ok &= check("timers pop in order", timers_pop_in_order);
+	ok &= check("timers pop in order of deadline",
+		    timers_pop_in_order_of_deadline);
 	return ok ? 0 : 1;
 }
--- a/test/spread_net.c
+++ b/test/spread_net.c
@@ -488,7 +488,7 @@
 	struct rng rng = { rng_next(&net->rng) | 1 };
 
 	vm->spread = spread_new(&conf, port, rng, net->now_ns);
-	rng.s = rng_next(&net->rng) | 1;
+	rng.state = rng_next(&net->rng) | 1;
 	vm->reader = reader_new("dc", read, rng, net->now_ns);
 	vm->paused = false;
 	vm->roster_known = false;
@@ -656,7 +656,7 @@
 	struct net *net = calloc(1, sizeof(*net));
 
 	net->now_ns = 1000 * NET_S;
-	net->rng.s = seed | 1;
+	net->rng.state = seed | 1;
 	net->n = n;
 	net->readers = readers;
 	net->vms = calloc(n, sizeof(*net->vms));
--- a/test/testbed_net.c
+++ b/test/testbed_net.c
@@ -209,7 +209,7 @@
 
 	f->plan = *plan;
 	f->system = plan->system ? plan->system : &testbed_product;
-	f->rng.s = hash_u64(plan->seed, 1) | 1;
+	f->rng.state = hash_u64(plan->seed, 1) | 1;
 	f->now_ns = NS_PER_S;
 	f->heap = g_ptr_array_new();
 	f->out = g_new0(struct actions, 1);
