--- a/bench/bench-balance/changes.c
+++ b/bench/bench-balance/changes.c
@@ -66,14 +66,14 @@
 	uint64_t peers_ns;
 
 	make(&s, n_accounts, n_targets);
-	balance_config(b, &s.c, 0);
+	balance_set_config(b, &s.c, 0);
 	config_ns = wall_ns();
 	for (uint32_t i = 0; i < ROUNDS; i++)
-		balance_config(b, &s.c, i);
+		balance_set_config(b, &s.c, i);
 	config_ns = wall_ns() - config_ns;
 	peers_ns = wall_ns();
 	for (uint32_t i = 0; i < ROUNDS; i++)
-		balance_peers(b, N_ENTRIES - i % 2, 100);
+		balance_set_entries(b, N_ENTRIES - i % 2, 100);
 	peers_ns = wall_ns() - peers_ns;
 	printf("change accounts %u targets %u config_ms %.3f entries_ms %.3f\n",
 	       n_accounts, n_accounts * n_targets,
--- a/bench/bench-balance/feeds.c
+++ b/bench/bench-balance/feeds.c
@@ -44,23 +44,23 @@
 	a.n_services = 1;
 	for (uint32_t i = 0; i < f->n_entries; i++) {
 		f->b[i] = balance_new(64, (struct rng){ i + 1 });
-		balance_config(f->b[i], &c, 0);
-		balance_peers(f->b[i], f->n_entries, i);
+		balance_set_config(f->b[i], &c, 0);
+		balance_set_entries(f->b[i], f->n_entries, i);
 	}
 }
 
 static bool open_feed(struct fleet *f, uint32_t entry, uint64_t now_ns)
 {
 	struct work w = { .vip = VIP, .feed = true };
-	struct ruling r;
+	struct decision r;
 
 	w.deadline_ns = now_ns + NS_PER_S;
 	r = balance_submit(f->b[entry], &w, now_ns);
-	if (r.verdict != VERDICT_GO)
+	if (r.verdict != VERDICT_ADMITTED)
 		return false;
-	balance_done(f->b[entry], VIP, r.target, OUTCOME_OK, GAP_NS,
-		     now_ns + GAP_NS);
-	balance_feed(f->b[entry], VIP, r.target, 1);
+	balance_record_end(f->b[entry], VIP, r.target, OUTCOME_OK, GAP_NS,
+			   now_ns + GAP_NS);
+	balance_change_feeds(f->b[entry], VIP, r.target, 1);
 	f->feeds[TARGET_INDEX(r.target)]++;
 	return true;
 }
--- a/bench/bench-balance/policy_ours.c
+++ b/bench/bench-balance/policy_ours.c
@@ -32,7 +32,7 @@
 {
 	o->service.n_targets = world_targets(o->w);
 	for (uint32_t i = 0; i < o->n_entries; i++)
-		balance_config(o->b[i], &o->config, world_now_ns(o->w));
+		balance_set_config(o->b[i], &o->config, world_now_ns(o->w));
 }
 
 static void *ours_open(struct world *w)
@@ -69,7 +69,7 @@
 		struct handles *h = &o->handles[i];
 
 		o->b[i] = balance_new(work_max, (struct rng){ i + 1 });
-		balance_peers(o->b[i], s->n_entries, i);
+		balance_set_entries(o->b[i], s->n_entries, i);
 		h->job = calloc(work_max, sizeof(*h->job));
 		h->free = calloc(work_max, sizeof(*h->free));
 		for (h->n_free = 0; h->n_free < work_max; h->n_free++)
@@ -102,9 +102,9 @@
 	h->free[h->n_free++] = j->handle;
 }
 
-static void rule(struct ours *o, uint32_t job, const struct ruling *r)
+static void rule(struct ours *o, uint32_t job, const struct decision *r)
 {
-	if (r->verdict == VERDICT_GO) {
+	if (r->verdict == VERDICT_ADMITTED) {
 		world_send(o->w, job, TARGET_INDEX(r->target));
 	} else if (r->verdict == VERDICT_REFUSED) {
 		release(o, job);
@@ -114,7 +114,7 @@
 
 static void poll(struct ours *o, uint32_t entry)
 {
-	struct ruling r;
+	struct decision r;
 	uint32_t handle;
 
 	while (balance_next(o->b[entry], world_now_ns(o->w), &handle, &r))
@@ -129,7 +129,7 @@
 			  .class = CLASS_REPORT,
 			  .hash = j->caller,
 			  .deadline_ns = j->deadline_ns };
-	struct ruling r;
+	struct decision r;
 
 	if (j->avoid != NONE)
 		w.avoid = TARGET(j->avoid);
@@ -159,11 +159,11 @@
 	uint64_t now_ns = world_now_ns(o->w);
 	struct balancer *b = o->b[j->entry];
 
-	balance_done(b, VIP, TARGET(j->target), outcome, now_ns - j->sent_ns,
-		     now_ns);
+	balance_record_end(b, VIP, TARGET(j->target), outcome,
+			   now_ns - j->sent_ns, now_ns);
 	if (outcome != OUTCOME_SHED) {
 		release(o, job);
-	} else if (balance_may_retry(b, VIP, now_ns)) {
+	} else if (balance_take_retry(b, VIP, now_ns)) {
 		j->avoid = j->target;
 		j->shed = false;
 		submit(o, job);
@@ -179,7 +179,7 @@
 {
 	struct ours *o = ctx;
 
-	balance_report(o->b[entry], TARGET(target), r, world_now_ns(o->w));
+	balance_record_load(o->b[entry], TARGET(target), r, world_now_ns(o->w));
 }
 
 /* An entry asks only the targets that it may use. */
@@ -189,7 +189,8 @@
 	struct target_stats t;
 	uint32_t cursor = target;
 
-	return balance_targets(o->b[entry], &cursor, &t) && t.own + t.extra;
+	return balance_next_target_stats(o->b[entry], &cursor, &t) &&
+	       t.own + t.extra;
 }
 
 static void ours_tick(void *ctx, uint32_t entry)
--- a/bench/slopes-entry/change.c
+++ b/bench/slopes-entry/change.c
@@ -65,10 +65,10 @@
 	struct balancer *b = balance_new(1024, rng);
 	uint64_t start_ns;
 
-	balance_config(b, &c, NS_PER_S);
+	balance_set_config(b, &c, NS_PER_S);
 	start_ns = clock_ns();
 	for (uint32_t i = 0; i < TICKS; i++)
-		balance_peers(b, 457 + i % 2, 7);
+		balance_set_entries(b, 457 + i % 2, 7);
 	start_ns = clock_ns() - start_ns;
 	balance_free(b);
 	config_free(&c);
@@ -139,13 +139,13 @@
 	for (uint32_t i = 0; i < s->n_targets; i++)
 		s->targets[i].slots = DEAL_SLOTS;
 	b = balance_new(DEAL_TARGETS, rng);
-	balance_config(b, &c, NS_PER_S);
+	balance_set_config(b, &c, NS_PER_S);
 	for (uint32_t rank = 0; rank < entries; rank++) {
 		struct target_stats t;
 		uint32_t cursor = 0;
 
-		balance_peers(b, entries, rank);
-		while (balance_targets(b, &cursor, &t))
+		balance_set_entries(b, entries, rank);
+		while (balance_next_target_stats(b, &cursor, &t))
 			own += t.own;
 	}
 	report("requests_dealt_of_30_slots", entries, (double)own, "requests");
--- a/cmd/cb-entry/intake.c
+++ b/cmd/cb-entry/intake.c
@@ -94,7 +94,7 @@
  */
 static bool is_older(const struct config *c, const struct account_conf *a)
 {
-	const struct account_conf *now = config_account(c, a->name);
+	const struct account_conf *now = config_find_account(c, a->name);
 
 	return now && a->generation < now->generation;
 }
@@ -126,7 +126,7 @@
 
 static void drop_account(struct config *c, const char *name)
 {
-	const struct account_conf *found = config_account(c, name);
+	const struct account_conf *found = config_find_account(c, name);
 	uint32_t at;
 
 	if (!found)
--- a/cmd/cb-entry/metrics_accounts.c
+++ b/cmd/cb-entry/metrics_accounts.c
@@ -163,7 +163,7 @@
 	uint32_t next = *cursor;
 	uint8_t class;
 
-	if (!balance_stats(b, &next, &account, &class, &stats) ||
+	if (!balance_next_class_stats(b, &next, &account, &class, &stats) ||
 	    strcmp(account, r->account))
 		return NULL;
 	*cursor = next;
--- a/cmd/cb-entry/operator.c
+++ b/cmd/cb-entry/operator.c
@@ -297,7 +297,7 @@
 	struct target_stats t;
 	uint32_t cursor = 0;
 
-	while (limit-- && balance_targets(b, &cursor, &t))
+	while (limit-- && balance_next_target_stats(b, &cursor, &t))
 		put_target(body, &t);
 	return STATUS_OK;
 }
--- a/core/balance/admit.c
+++ b/core/balance/admit.c
@@ -1,22 +1,24 @@
-/* Queues: what may wait, for how long, and who is refused early. */
+/* Queues of work: admission to a queue, order, early refusal, retry times. */
 #include "balance_state.h"
 
 #include <string.h>
 
-#define GAP_SAMPLES 8
+#define INTERVAL_SAMPLES 8
 #define RETRY_AFTER_MAX_S 120
 /*
- * Work is let in when its estimated wait is below 1/WAIT_DEN of the time it
- * has left; it is thrown out when the estimate is SLACK_NUM/SLACK_DEN of it.
+ * Work is queued when its estimated wait is at most 1/ADMIT_WAIT_DEN of the
+ * time left: the time to its deadline less the mean duration of a request.
+ * Queued work is refused when its estimated wait exceeds
+ * LATE_WAIT_NUM/LATE_WAIT_DEN of the time to its deadline.
  */
-#define WAIT_DEN 4
-#define SLACK_NUM 5
-#define SLACK_DEN 4
-/* Share of the waiting room that any account may fill. */
-#define ROOM_OPEN_DEN 2
+#define ADMIT_WAIT_DEN 4
+#define LATE_WAIT_NUM 5
+#define LATE_WAIT_DEN 4
+/* 1/OPEN_CAPACITY_DEN of the queue capacity may be used by any account. */
+#define OPEN_CAPACITY_DEN 2
 
 /**
- * queue_init() - make a queue empty
+ * queue_init() - initialize an empty queue
  * @q: queue
  */
 void queue_init(struct queue *q)
@@ -25,17 +27,17 @@
 }
 
 /**
- * queue_add() - add an item at the end
+ * queue_add() - append an item to a queue
  * @b: balancer
  * @q: queue
- * @handle: item
+ * @handle: handle of the item, which is in no queue
  */
 void queue_add(struct balancer *b, struct queue *q, uint32_t handle)
 {
-	struct item *it = &b->items[handle];
+	struct item *item = &b->items[handle];
 
-	it->next = INDEX_NONE;
-	it->prev = q->tail;
+	item->next = INDEX_NONE;
+	item->prev = q->tail;
 	if (q->tail == INDEX_NONE)
 		q->head = handle;
 	else
@@ -45,170 +47,178 @@
 }
 
 /**
- * queue_take() - take an item out
+ * queue_remove() - remove an item from its queue
  * @b: balancer
- * @q: queue that holds it
- * @handle: item
+ * @q: queue that contains the item
+ * @handle: handle of the item
  */
-void queue_take(struct balancer *b, struct queue *q, uint32_t handle)
+void queue_remove(struct balancer *b, struct queue *q, uint32_t handle)
 {
-	struct item *it = &b->items[handle];
+	struct item *item = &b->items[handle];
 
-	if (it->prev == INDEX_NONE)
-		q->head = it->next;
+	if (item->prev == INDEX_NONE)
+		q->head = item->next;
 	else
-		b->items[it->prev].next = it->next;
-	if (it->next == INDEX_NONE)
-		q->tail = it->prev;
+		b->items[item->prev].next = item->next;
+	if (item->next == INDEX_NONE)
+		q->tail = item->prev;
 	else
-		b->items[it->next].prev = it->prev;
+		b->items[item->next].prev = item->prev;
 	q->n--;
 }
 
-static struct queue *queue_of(struct balancer *b, const struct item *it)
+static struct queue *item_queue(struct balancer *b, const struct item *item)
 {
-	if (it->place != INDEX_NONE)
-		return &b->t.places[it->place].pinned;
-	return &b->t.services[it->service].queue;
+	if (item->backend != INDEX_NONE)
+		return &b->tables.backends[item->backend].pinned;
+	return &b->tables.services[item->service].queue;
 }
 
 /*
- * Time between two starts from the queue. When nothing started for longer, the
- * mean is out of date, and work would wait behind a queue that stands still.
+ * Estimated time between two starts from the queues. When the last start is
+ * longer ago than the average, that time is used instead: with the outdated
+ * average, work would be queued behind a queue from which nothing starts.
  */
-static uint64_t gap_now_ns(const struct service *s, uint64_t now_ns)
+static uint64_t current_interval_ns(const struct service *s, uint64_t now_ns)
 {
 	uint64_t idle_ns;
 
-	if (!s->n_waiting)
-		return s->gap_ns;
-	idle_ns = now_ns - s->started_ns;
-	return idle_ns > s->gap_ns ? idle_ns : s->gap_ns;
+	if (!s->n_queued)
+		return s->start_interval_ns;
+	idle_ns = now_ns - s->last_start_ns;
+	return idle_ns > s->start_interval_ns ? idle_ns : s->start_interval_ns;
 }
 
-static bool starts_late(uint64_t wait_ns, uint64_t deadline_ns, uint64_t now_ns)
+static bool exceeds_deadline(uint64_t wait_ns, uint64_t deadline_ns,
+			     uint64_t now_ns)
 {
 	return now_ns >= deadline_ns || wait_ns > deadline_ns - now_ns;
 }
 
-/* Half of the room is open to all, the rest is shared out by weight. */
-static bool over_share(const struct balancer *b, const struct account *a)
+/* Half of the capacity is open to all, the rest is divided by weight. */
+static bool exceeds_share(const struct balancer *b, const struct account *a)
 {
 	uint64_t share;
 
-	if (b->n_waiting < b->work_max / ROOM_OPEN_DEN)
+	if (b->n_queued < b->work_max / OPEN_CAPACITY_DEN)
 		return false;
-	share = (uint64_t)(b->work_max - b->work_max / ROOM_OPEN_DEN) *
-		a->weight / b->t.weights;
-	return a->n_waiting > share;
+	share = (uint64_t)(b->work_max - b->work_max / OPEN_CAPACITY_DEN) *
+		a->weight / b->tables.weight_sum;
+	return a->n_queued > share;
 }
 
 /**
- * admit_wait() - let a piece of work wait, or refuse it at once
+ * admit_enqueue() - queue work, or refuse it at once
  * @b: balancer
- * @service: index
- * @place: place it is pinned to, or INDEX_NONE
- * @w: work
- * @now_ns: time
+ * @service: index of the service
+ * @backend: index of the backend that the work is pinned to, or INDEX_NONE
+ * @work: work, copied when it is queued
+ * @now_ns: current time
  *
- * Return: REFUSE_NONE when it waits, else the reason.
+ * Return: REFUSE_NONE when it was queued, else the reason.
  */
-uint8_t admit_wait(struct balancer *b, uint32_t service, uint32_t place,
-		   const struct work *w, uint64_t now_ns)
+uint8_t admit_enqueue(struct balancer *b, uint32_t service, uint32_t backend,
+		      const struct work *work, uint64_t now_ns)
 {
-	struct service *s = &b->t.services[service];
-	struct account *a = &b->t.accounts[s->account];
-	struct item *it = &b->items[w->handle];
+	struct service *s = &b->tables.services[service];
+	struct account *a = &b->tables.accounts[s->account];
+	struct item *item = &b->items[work->handle];
 	uint64_t wait_ns;
 
-	if (s->n_waiting >= s->queue_max)
+	if (s->n_queued >= s->queue_max)
 		return REFUSE_QUEUE;
-	if (over_share(b, a))
+	if (exceeds_share(b, a))
 		return REFUSE_SHARE;
-	wait_ns = gap_now_ns(s, now_ns) * (s->n_waiting + 1);
-	if (starts_late(wait_ns * WAIT_DEN + s->took_ns, w->deadline_ns,
-			now_ns))
+	wait_ns = current_interval_ns(s, now_ns) * (s->n_queued + 1);
+	if (exceeds_deadline(wait_ns * ADMIT_WAIT_DEN + s->mean_duration_ns,
+			     work->deadline_ns, now_ns))
 		return REFUSE_DEADLINE;
-	if (!s->n_waiting)
-		s->started_ns = now_ns;
-	it->work = *w;
-	it->queued_ns = now_ns;
-	it->service = service;
-	it->place = place;
-	it->state = ITEM_WAITING;
-	queue_add(b, queue_of(b, it), w->handle);
-	deadline_heap_add(&b->deadlines, w->handle, w->deadline_ns);
-	s->n_waiting++;
-	a->n_waiting++;
-	b->n_waiting++;
+	if (!s->n_queued)
+		s->last_start_ns = now_ns;
+	item->work = *work;
+	item->queued_ns = now_ns;
+	item->service = service;
+	item->backend = backend;
+	item->state = ITEM_QUEUED;
+	queue_add(b, item_queue(b, item), work->handle);
+	deadline_heap_add(&b->deadlines, work->handle, work->deadline_ns);
+	s->n_queued++;
+	a->n_queued++;
+	b->n_queued++;
 	return REFUSE_NONE;
 }
 
 /**
- * admit_leave() - take a waiting item out of its queue
+ * admit_dequeue() - remove a queued item from its queue and the counts
  * @b: balancer
- * @handle: item
+ * @handle: handle of the item, in state ITEM_QUEUED
  */
-void admit_leave(struct balancer *b, uint32_t handle)
+void admit_dequeue(struct balancer *b, uint32_t handle)
 {
-	struct item *it = &b->items[handle];
-	struct service *s = &b->t.services[it->service];
+	struct item *item = &b->items[handle];
+	struct service *s = &b->tables.services[item->service];
 
-	queue_take(b, queue_of(b, it), handle);
+	queue_remove(b, item_queue(b, item), handle);
 	deadline_heap_remove(&b->deadlines, handle);
-	s->n_waiting--;
-	b->t.accounts[s->account].n_waiting--;
-	b->n_waiting--;
-	it->state = ITEM_FREE;
+	s->n_queued--;
+	b->tables.accounts[s->account].n_queued--;
+	b->n_queued--;
+	item->state = ITEM_FREE;
 }
 
 /**
- * admit_doom() - have a waiting item refused at the next balance_next()
+ * admit_refuse_queued() - refuse a queued item; balance_next() returns it
  * @b: balancer
- * @handle: item
+ * @handle: handle of the item, in state ITEM_QUEUED
  * @reason: enum refusal
  */
-void admit_doom(struct balancer *b, uint32_t handle, uint8_t reason)
+void admit_refuse_queued(struct balancer *b, uint32_t handle, uint8_t reason)
 {
-	admit_leave(b, handle);
-	b->items[handle].state = ITEM_DOOMED;
+	admit_dequeue(b, handle);
+	b->items[handle].state = ITEM_REFUSED;
 	b->items[handle].reason = reason;
-	queue_add(b, &b->doomed, handle);
+	queue_add(b, &b->refused, handle);
 }
 
-/* Refused callers come back; those whose time has come are no longer owed. */
-static void pay_debt(struct service *s, uint64_t now_ns)
+/*
+ * Reduce the number of refused callers that are expected to retry: by one per
+ * average interval between two starts from the queues.
+ */
+static void expire_returning(struct service *s, uint64_t now_ns)
 {
-	uint64_t gap_ns = s->gap_ns ? s->gap_ns : NS_PER_MS;
-	uint64_t paid_milli = (now_ns - s->debt_ns) * 1000 / gap_ns;
+	uint64_t interval_ns =
+		s->start_interval_ns ? s->start_interval_ns : NS_PER_MS;
+	uint64_t expired_milli =
+		(now_ns - s->returning_updated_ns) * 1000 / interval_ns;
 
-	s->debt_ns = now_ns;
-	s->debt_milli -=
-		paid_milli < s->debt_milli ? paid_milli : s->debt_milli;
+	s->returning_updated_ns = now_ns;
+	s->returning_milli -= expired_milli < s->returning_milli
+				      ? expired_milli
+				      : s->returning_milli;
 }
 
 /**
- * admit_retry_after_s() - when a refused caller should come back
+ * admit_retry_after_s() - time after which a refused caller should retry
  * @b: balancer
- * @s: service
- * @now_ns: time
+ * @s: service; the caller is counted as expected to retry
+ * @now_ns: current time
  *
- * Refusing a thousand callers with one Max-Age only moves their peak. Each
- * refusal is owed a start later, and the window over which they are spread is
- * twice the time that the backlog and all that is owed take to run.
+ * With one Max-Age for all refused callers, their load spike would only come
+ * later. The retry times are random, within twice the time that it takes to run
+ * the queue and the retries of all refused callers that are expected.
  *
- * Return: seconds, at least 1.
+ * Return: seconds, 1 to RETRY_AFTER_MAX_S.
  */
 uint32_t admit_retry_after_s(struct balancer *b, struct service *s,
 			     uint64_t now_ns)
 {
-	uint64_t owed;
+	uint64_t expected;
 	uint64_t window_s;
 
-	pay_debt(s, now_ns);
-	s->debt_milli += 1000;
-	owed = s->n_waiting + s->debt_milli / 1000;
-	window_s = 2 * owed * gap_now_ns(s, now_ns) / NS_PER_S;
+	expire_returning(s, now_ns);
+	s->returning_milli += 1000;
+	expected = s->n_queued + s->returning_milli / 1000;
+	window_s = 2 * expected * current_interval_ns(s, now_ns) / NS_PER_S;
 	if (window_s < 1)
 		window_s = 1;
 	if (window_s > RETRY_AFTER_MAX_S)
@@ -217,37 +227,40 @@
 }
 
 /**
- * admit_started() - an item of the service's queue goes to a target
- * @b: balancer
- * @s: service
- * @now_ns: time
+ * admit_record_start() - record that a queued item is sent to a target
+ * @b: balancer; not used
+ * @s: service of the item
+ * @now_ns: current time
  */
-void admit_started(struct balancer *b, struct service *s, uint64_t now_ns)
+void admit_record_start(struct balancer *b, struct service *s, uint64_t now_ns)
 {
-	uint64_t gap_ns = now_ns - s->started_ns;
+	uint64_t interval_ns = now_ns - s->last_start_ns;
 
 	(void)b;
-	s->started_ns = now_ns;
-	if (!s->gap_ns)
-		s->gap_ns = gap_ns;
+	s->last_start_ns = now_ns;
+	if (!s->start_interval_ns)
+		s->start_interval_ns = interval_ns;
 	else
-		s->gap_ns =
-			((GAP_SAMPLES - 1) * s->gap_ns + gap_ns) / GAP_SAMPLES;
+		s->start_interval_ns =
+			((INTERVAL_SAMPLES - 1) * s->start_interval_ns +
+			 interval_ns) /
+			INTERVAL_SAMPLES;
 }
 
-static void sweep_service(struct balancer *b, struct service *s,
-			  uint64_t now_ns)
+static void refuse_late_of_service(struct balancer *b, struct service *s,
+				   uint64_t now_ns)
 {
-	uint64_t gap_ns = gap_now_ns(s, now_ns);
+	uint64_t interval_ns = current_interval_ns(s, now_ns);
 	uint32_t handle = s->queue.head;
 	uint64_t ahead = 0;
 
 	while (handle != INDEX_NONE) {
 		uint32_t next = b->items[handle].next;
 
-		if (starts_late(gap_ns * (ahead + 1) / SLACK_NUM * SLACK_DEN,
-				b->items[handle].work.deadline_ns, now_ns))
-			admit_doom(b, handle, REFUSE_DEADLINE);
+		if (exceeds_deadline(interval_ns * (ahead + 1) / LATE_WAIT_NUM *
+					     LATE_WAIT_DEN,
+				     b->items[handle].work.deadline_ns, now_ns))
+			admit_refuse_queued(b, handle, REFUSE_DEADLINE);
 		else
 			ahead++;
 		handle = next;
@@ -255,16 +268,17 @@
 }
 
 /**
- * admit_sweep() - refuse what waits and can no longer start in time
+ * admit_refuse_late() - refuse queued work that won't start in time
  * @b: balancer
- * @now_ns: time
+ * @now_ns: current time
  *
- * Targets that drain or stall make a queue too long for deadlines that it could
- * meet before. Its callers get their answer now, while another try is of use.
+ * When targets drain or stall, queued work can't meet its deadlines any more.
+ * Its callers are refused now, while they still have time to retry.
  */
-void admit_sweep(struct balancer *b, uint64_t now_ns)
+void admit_refuse_late(struct balancer *b, uint64_t now_ns)
 {
-	for (uint32_t i = 0; i < b->t.n_services; i++)
-		if (b->t.services[i].queue.n)
-			sweep_service(b, &b->t.services[i], now_ns);
+	for (uint32_t i = 0; i < b->tables.n_services; i++)
+		if (b->tables.services[i].queue.n)
+			refuse_late_of_service(b, &b->tables.services[i],
+					       now_ns);
 }
--- a/core/balance/balance.c
+++ b/core/balance/balance.c
@@ -3,14 +3,15 @@
 #include <errno.h>
 #include <stdlib.h>
 
-#define EJECT_ROUND_NS (500 * NS_PER_MS)
+#define EJECT_ROUND_INTERVAL_NS (500 * NS_PER_MS)
 
 /**
- * balance_new() - make a balancer that has no configuration yet
- * @work_max: handles of work are below this
- * @rng: random source
+ * balance_new() - allocate a balancer without a configuration
+ * @work_max: handles of work are numbers below this
+ * @rng: seeded pseudo-random generator, copied
  *
- * Return: the balancer, NULL without memory.
+ * Return: balancer, to be freed with balance_free(), or NULL when out of
+ * memory.
  */
 struct balancer *balance_new(uint32_t work_max, struct rng rng)
 {
@@ -24,51 +25,54 @@
 		free(b);
 		return NULL;
 	}
-	queue_init(&b->doomed);
+	queue_init(&b->refused);
 	b->work_max = work_max;
-	b->ready = INDEX_NONE;
+	b->recheck_head = INDEX_NONE;
 	b->n_entries = 1;
 	b->rng = rng;
 	return b;
 }
 
 /**
- * balance_free() - free it, with all that waits
+ * balance_free() - free a balancer and all queued work
  * @b: balancer, or NULL
  */
 void balance_free(struct balancer *b)
 {
 	if (!b)
 		return;
-	tables_clear(&b->t);
+	tables_clear(&b->tables);
 	deadline_heap_destroy(&b->deadlines);
 	free(b->items);
 	free(b);
 }
 
 /**
- * balance_config() - put a configuration in force
+ * balance_set_config() - put a configuration in force
  * @b: balancer
- * @c: configuration, read only during the call
- * @now_ns: time
+ * @config: configuration; not used after the call
+ * @now_ns: current time
  *
- * Waiting work stays in its queues. Work of a service, or pinned to a target,
- * that is gone comes out of balance_next() as refused.
+ * Queued work remains queued. balance_next() returns it as refused when its
+ * service, or the target it is pinned to, was removed.
  *
- * Return: 0, or -ENOMEM with the old configuration in force.
+ * Return: 0, or -ENOMEM; then the previous configuration remains in force.
  */
-int balance_config(struct balancer *b, const struct config *c, uint64_t now_ns)
+int balance_set_config(struct balancer *b, const struct config *config,
+		       uint64_t now_ns)
 {
-	return tables_build(b, c, now_ns);
+	return tables_build(b, config, now_ns);
 }
 
 /**
- * balance_peers() - tell the entries among which targets are shared
+ * balance_set_entries() - set the entries that share the targets
  * @b: balancer
- * @n_entries: entries of the data centre, this one included
- * @self_rank: this entry's place among them in an order that all agree on
+ * @n_entries: entries of the data centre, including this one; 0 counts as 1
+ * @self_rank: rank of this entry among them, in an order that all entries
+ *	share
  */
-void balance_peers(struct balancer *b, uint32_t n_entries, uint32_t self_rank)
+void balance_set_entries(struct balancer *b, uint32_t n_entries,
+			 uint32_t self_rank)
 {
 	uint32_t n = n_entries ? n_entries : 1;
 
@@ -76,65 +80,68 @@
 		return;
 	b->n_entries = n;
 	b->rank = self_rank % n;
-	shares_deal(b);
+	shares_allocate(b);
 }
 
-static struct ruling refuse(struct balancer *b, uint32_t service, uint8_t class,
-			    uint8_t reason, uint64_t now_ns)
+static struct decision refuse(struct balancer *b, uint32_t service,
+			      uint8_t class, uint8_t reason, uint64_t now_ns)
 {
-	struct ruling r = { .verdict = VERDICT_REFUSED, .reason = reason };
+	struct decision decision = { .verdict = VERDICT_REFUSED,
+				     .reason = reason };
 	struct service *s;
 
 	if (service == INDEX_NONE) {
-		r.retry_after_s = 1;
-		return r;
+		decision.retry_after_s = 1;
+		return decision;
 	}
-	s = &b->t.services[service];
-	stats_of(b, s, class)->refused[reason]++;
-	r.retry_after_s = admit_retry_after_s(b, s, now_ns);
-	return r;
+	s = &b->tables.services[service];
+	class_stats_of(b, s, class)->refused[reason]++;
+	decision.retry_after_s = admit_retry_after_s(b, s, now_ns);
+	return decision;
 }
 
-static struct ruling go(struct balancer *b, uint32_t place, uint8_t class,
-			uint64_t now_ns)
+static struct decision admit(struct balancer *b, uint32_t backend,
+			     uint8_t class, uint64_t now_ns)
 {
-	struct place *p = &b->t.places[place];
-	struct ruling r = { .verdict = VERDICT_GO };
-
-	pick_count(b, place, now_ns);
-	fair_charge(b, p);
-	stats_of(b, &b->t.services[p->service], class)->admitted++;
-	r.target = b->t.targets[p->target].addr;
-	return r;
+	struct backend *be = &b->tables.backends[backend];
+	struct decision decision = { .verdict = VERDICT_ADMITTED };
+
+	select_record(b, backend, now_ns);
+	fair_queue_charge(b, be);
+	class_stats_of(b, &b->tables.services[be->service], class)->admitted++;
+	decision.target = b->tables.targets[be->target].addr;
+	return decision;
 }
 
-/* Find room for the work now; REFUSE_QUEUE says that it has to wait. */
-static uint8_t find_room(struct balancer *b, struct service *s,
-			 const struct work *w, uint64_t now_ns, uint32_t *place)
+/* Find a backend that accepts the work now; REFUSE_QUEUE: queue the work. */
+static uint8_t find_backend(struct balancer *b, struct service *s,
+			    const struct work *work, uint64_t now_ns,
+			    uint32_t *backend)
 {
-	if (w->pinned != ADDR_NONE) {
-		struct place *p;
+	if (work->pinned != ADDR_NONE) {
+		struct backend *be;
 
-		*place = tables_place(&b->t, s, w->pinned);
-		if (*place == INDEX_NONE)
+		*backend = tables_find_backend(&b->tables, s, work->pinned);
+		if (*backend == INDEX_NONE)
 			return REFUSE_NO_TARGET;
-		p = &b->t.places[*place];
-		if (p->pinned.n ||
-		    !pick_pinned_room(s, &b->t.targets[p->target], w, now_ns))
+		be = &b->tables.backends[*backend];
+		if (be->pinned.n ||
+		    !select_allows_pinned(s, &b->tables.targets[be->target],
+					  work, now_ns))
 			return REFUSE_QUEUE;
 		return REFUSE_NONE;
 	}
-	*place = INDEX_NONE;
+	*backend = INDEX_NONE;
 	if (!s->n_candidates)
 		return REFUSE_NO_TARGET;
 	if (s->queue.n)
 		return REFUSE_QUEUE;
-	switch (pick_place(b, s, w, now_ns, place)) {
-	case PICK_FOUND:
+	switch (select_backend(b, s, work, now_ns, backend)) {
+	case SELECTION_FOUND:
 		return REFUSE_NONE;
-	case PICK_CONNECTIONS:
+	case SELECTION_CONNECTIONS:
 		return REFUSE_CONNECTIONS;
-	case PICK_NONE:
+	case SELECTION_NONE:
 		return REFUSE_NO_TARGET;
 	default:
 		return REFUSE_QUEUE;
@@ -142,204 +149,209 @@
 }
 
 /**
- * balance_submit() - a request or a feed wants a target
+ * balance_submit() - admit, queue or refuse a request or feed
  * @b: balancer
- * @w: what it wants; copied when it has to wait
- * @now_ns: time
+ * @work: request or feed; copied when it is queued
+ * @now_ns: current time
  *
- * Return: VERDICT_GO with the target, VERDICT_QUEUED when balance_next() will
- * tell, or VERDICT_REFUSED with the reason and when to come back.
+ * Return: VERDICT_ADMITTED with the target; VERDICT_QUEUED when balance_next()
+ * returns the decision later; VERDICT_REFUSED with the reason and the time
+ * after which the caller should retry.
  */
-struct ruling balance_submit(struct balancer *b, const struct work *w,
-			     uint64_t now_ns)
+struct decision balance_submit(struct balancer *b, const struct work *work,
+			       uint64_t now_ns)
 {
-	uint32_t service = tables_service(&b->t, w->vip);
-	uint32_t place;
+	uint32_t service = tables_find_service(&b->tables, work->vip);
+	uint32_t backend;
 	uint8_t reason;
 
 	if (service == INDEX_NONE)
-		return refuse(b, service, w->class, REFUSE_NO_TARGET, now_ns);
-	if (w->handle >= b->work_max)
-		return refuse(b, service, w->class, REFUSE_MEMORY, now_ns);
-	if (now_ns >= w->deadline_ns)
-		return refuse(b, service, w->class, REFUSE_DEADLINE, now_ns);
-	reason = find_room(b, &b->t.services[service], w, now_ns, &place);
+		return refuse(b, service, work->class, REFUSE_NO_TARGET,
+			      now_ns);
+	if (work->handle >= b->work_max)
+		return refuse(b, service, work->class, REFUSE_MEMORY, now_ns);
+	if (now_ns >= work->deadline_ns)
+		return refuse(b, service, work->class, REFUSE_DEADLINE, now_ns);
+	reason = find_backend(b, &b->tables.services[service], work, now_ns,
+			      &backend);
 	if (reason == REFUSE_NONE) {
-		histogram_add(&stats_of(b, &b->t.services[service], w->class)
+		histogram_add(&class_stats_of(b, &b->tables.services[service],
+					      work->class)
 				       ->wait_us,
 			      0);
-		return go(b, place, w->class, now_ns);
+		return admit(b, backend, work->class, now_ns);
 	}
 	if (reason == REFUSE_QUEUE)
-		reason = admit_wait(b, service, place, w, now_ns);
+		reason = admit_enqueue(b, service, backend, work, now_ns);
 	if (reason != REFUSE_NONE)
-		return refuse(b, service, w->class, reason, now_ns);
-	stats_of(b, &b->t.services[service], w->class)->queued++;
-	return (struct ruling){ .verdict = VERDICT_QUEUED };
+		return refuse(b, service, work->class, reason, now_ns);
+	class_stats_of(b, &b->tables.services[service], work->class)->queued++;
+	return (struct decision){ .verdict = VERDICT_QUEUED };
 }
 
-static void round_due(struct balancer *b, uint64_t now_ns)
+static void run_due_round(struct balancer *b, uint64_t now_ns)
 {
-	if (now_ns < b->round_deadline_ns)
+	if (now_ns < b->next_round_ns)
 		return;
-	b->round_deadline_ns = now_ns + ROUND_NS;
-	if (now_ns >= b->eject_deadline_ns) {
-		b->eject_deadline_ns = now_ns + EJECT_ROUND_NS;
-		eject_round(b, now_ns);
+	b->next_round_ns = now_ns + ROUND_INTERVAL_NS;
+	if (now_ns >= b->next_eject_ns) {
+		b->next_eject_ns = now_ns + EJECT_ROUND_INTERVAL_NS;
+		eject_slow_targets(b, now_ns);
 	}
-	if (!b->n_waiting)
+	if (!b->n_queued)
 		return;
-	admit_sweep(b, now_ns);
-	for (uint32_t i = 0; i < b->t.n_targets; i++)
-		fair_ready(b, i);
+	admit_refuse_late(b, now_ns);
+	for (uint32_t i = 0; i < b->tables.n_targets; i++)
+		fair_queue_recheck(b, i);
 }
 
-static void doom_expired(struct balancer *b, uint64_t now_ns)
+static void refuse_expired(struct balancer *b, uint64_t now_ns)
 {
 	while (deadline_heap_earliest_ns(&b->deadlines) <= now_ns)
-		admit_doom(b, b->deadlines.handles[0], REFUSE_DEADLINE);
+		admit_refuse_queued(b, b->deadlines.handles[0],
+				    REFUSE_DEADLINE);
 }
 
-static bool next_doomed(struct balancer *b, uint64_t now_ns, uint32_t *handle,
-			struct ruling *r)
+static bool next_refused(struct balancer *b, uint64_t now_ns, uint32_t *handle,
+			 struct decision *decision)
 {
-	struct item *it;
+	struct item *item;
 
-	if (b->doomed.head == INDEX_NONE)
+	if (b->refused.head == INDEX_NONE)
 		return false;
-	*handle = b->doomed.head;
-	it = &b->items[*handle];
-	queue_take(b, &b->doomed, *handle);
-	it->state = ITEM_FREE;
-	*r = refuse(b, it->service, it->work.class, it->reason, now_ns);
+	*handle = b->refused.head;
+	item = &b->items[*handle];
+	queue_remove(b, &b->refused, *handle);
+	item->state = ITEM_FREE;
+	*decision = refuse(b, item->service, item->work.class, item->reason,
+			   now_ns);
 	return true;
 }
 
-static void start_waiting(struct balancer *b, uint32_t handle, uint32_t place,
-			  uint64_t now_ns, struct ruling *r)
+static void start_queued(struct balancer *b, uint32_t handle, uint32_t backend,
+			 uint64_t now_ns, struct decision *decision)
 {
-	struct item *it = &b->items[handle];
-	struct service *s = &b->t.services[it->service];
-
-	admit_leave(b, handle);
-	admit_started(b, s, now_ns);
-	histogram_add(&stats_of(b, s, it->work.class)->wait_us,
-		      (now_ns - it->queued_ns) / 1000);
-	*r = go(b, place, it->work.class, now_ns);
+	struct item *item = &b->items[handle];
+	struct service *s = &b->tables.services[item->service];
+
+	admit_dequeue(b, handle);
+	admit_record_start(b, s, now_ns);
+	histogram_add(&class_stats_of(b, s, item->work.class)->wait_us,
+		      (now_ns - item->queued_ns) / 1000);
+	*decision = admit(b, backend, item->work.class, now_ns);
 }
 
 /**
- * balance_next() - what has become of waiting work; call it after each event
- *	and when balance_next_ns() is due, until it returns false
+ * balance_next() - return the decision about one queued item
  * @b: balancer
- * @now_ns: time
- * @handle: the work
- * @r: VERDICT_GO or VERDICT_REFUSED
+ * @now_ns: current time
+ * @handle: set to the handle of the work
+ * @decision: set to the decision, VERDICT_ADMITTED or VERDICT_REFUSED
  *
- * When it returns false, nothing waits past its deadline and no queue stands
- * before a free slot that it may use.
+ * To be called after each other call that changes the balancer, and at
+ * balance_next_ns(), until it returns false. Then no queued work is past its
+ * deadline, and none could use a free slot.
  *
- * Return: true when @handle and @r were set.
+ * Return: true when @handle and @decision were set.
  */
 bool balance_next(struct balancer *b, uint64_t now_ns, uint32_t *handle,
-		  struct ruling *r)
+		  struct decision *decision)
 {
-	doom_expired(b, now_ns);
-	round_due(b, now_ns);
-	if (next_doomed(b, now_ns, handle, r))
+	refuse_expired(b, now_ns);
+	run_due_round(b, now_ns);
+	if (next_refused(b, now_ns, handle, decision))
 		return true;
-	while (b->ready != INDEX_NONE) {
-		struct target *t = &b->t.targets[b->ready];
-		uint32_t place;
+	while (b->recheck_head != INDEX_NONE) {
+		struct target *t = &b->tables.targets[b->recheck_head];
+		uint32_t backend;
 
-		*handle = fair_next(b, t, now_ns, &place);
+		*handle = fair_queue_next(b, t, now_ns, &backend);
 		if (*handle != INDEX_NONE) {
-			start_waiting(b, *handle, place, now_ns, r);
+			start_queued(b, *handle, backend, now_ns, decision);
 			return true;
 		}
-		t->ready = false;
-		b->ready = t->ready_next;
+		t->needs_recheck = false;
+		b->recheck_head = t->recheck_next;
 	}
 	return false;
 }
 
 /**
- * balance_cancel() - the caller gave up on work that waits
+ * balance_cancel() - remove queued work that its caller cancelled
  * @b: balancer
- * @handle: the work; nothing happens when it does not wait
+ * @handle: handle of the work; ignored when it is not queued
  */
 void balance_cancel(struct balancer *b, uint32_t handle)
 {
-	struct item *it;
+	struct item *item;
 
 	if (handle >= b->work_max)
 		return;
-	it = &b->items[handle];
-	if (it->state == ITEM_WAITING)
-		admit_leave(b, handle);
-	else if (it->state == ITEM_DOOMED)
-		queue_take(b, &b->doomed, handle);
-	it->state = ITEM_FREE;
+	item = &b->items[handle];
+	if (item->state == ITEM_QUEUED)
+		admit_dequeue(b, handle);
+	else if (item->state == ITEM_REFUSED)
+		queue_remove(b, &b->refused, handle);
+	item->state = ITEM_FREE;
 }
 
 /**
- * balance_feed() - a feed opened or closed, or was taken over
+ * balance_change_feeds() - count a feed that opened, closed or moved here
  * @b: balancer
- * @vip: service
- * @target: its target
+ * @vip: address of the service; not used
+ * @target: address of the target
  * @change: +1 or -1
  */
-void balance_feed(struct balancer *b, uint64_t vip, uint64_t target,
-		  int32_t change)
+void balance_change_feeds(struct balancer *b, uint64_t vip, uint64_t target,
+			  int32_t change)
 {
-	uint32_t index = tables_target(&b->t, target);
+	uint32_t index = tables_find_target(&b->tables, target);
 	struct target *t;
 
 	(void)vip;
 	if (index == INDEX_NONE)
 		return;
-	t = &b->t.targets[index];
+	t = &b->tables.targets[index];
 	if (change < 0 && t->feeds < (uint32_t)-change)
 		t->feeds = 0;
 	else
 		t->feeds += (uint32_t)change;
-	fair_ready(b, index);
+	fair_queue_recheck(b, index);
 }
 
 /**
- * balance_report() - a target told its load
+ * balance_record_load() - record a load report of a target
  * @b: balancer
- * @target: the target
- * @report: what it told
- * @now_ns: time
+ * @target: address of the target; ignored when it is not known
+ * @report: report
+ * @now_ns: current time
  */
-void balance_report(struct balancer *b, uint64_t target,
-		    const struct load_report *report, uint64_t now_ns)
+void balance_record_load(struct balancer *b, uint64_t target,
+			 const struct load_report *report, uint64_t now_ns)
 {
-	uint32_t index = tables_target(&b->t, target);
+	uint32_t index = tables_find_target(&b->tables, target);
 	struct target *t;
 
 	if (index == INDEX_NONE)
 		return;
-	t = &b->t.targets[index];
-	view_report(&t->view, report, t->inflight, now_ns);
-	fair_ready(b, index);
+	t = &b->tables.targets[index];
+	load_view_record_report(&t->load_view, report, t->inflight, now_ns);
+	fair_queue_recheck(b, index);
 }
 
 /**
- * balance_next_ns() - when balance_next() has to be called at the latest
+ * balance_next_ns() - time at which balance_next() must be called at the latest
  * @b: balancer
  *
- * Return: time, UINT64_MAX while nothing waits.
+ * Return: the time, 0 for at once, or UINT64_MAX when nothing is queued.
  */
 uint64_t balance_next_ns(const struct balancer *b)
 {
 	uint64_t first_ns = deadline_heap_earliest_ns(&b->deadlines);
 
-	if (b->doomed.n)
+	if (b->refused.n)
 		return 0;
-	if (!b->n_waiting)
+	if (!b->n_queued)
 		return UINT64_MAX;
-	return first_ns < b->round_deadline_ns ? first_ns
-					       : b->round_deadline_ns;
+	return first_ns < b->next_round_ns ? first_ns : b->next_round_ns;
 }
--- a/core/balance/balance.h
+++ b/core/balance/balance.h
@@ -1,5 +1,6 @@
 /*
- * Choice of target, limits, queues, refusals and retries at one entry.
+ * Load balancing at one entry: target selection, limits, queues, refusals and
+ * the retry budget.
  */
 #ifndef CB_BALANCE_H
 #define CB_BALANCE_H
@@ -9,15 +10,15 @@
 
 /**
  * enum refusal - why a request was not run
- * @REFUSE_NONE: it was not refused
- * @REFUSE_QUEUE: queue full
- * @REFUSE_SHARE: its client account is over its share
- * @REFUSE_DEADLINE: can't be started before its deadline
- * @REFUSE_NO_TARGET: no target in this data centre takes work
- * @REFUSE_CONNECTIONS: every target holds its most feeds
- * @REFUSE_MEMORY: no room for the request
+ * @REFUSE_NONE: not refused
+ * @REFUSE_QUEUE: the service's queue is full
+ * @REFUSE_SHARE: its client account exceeds its share of the entry's queues
+ * @REFUSE_DEADLINE: it can't be started before its deadline
+ * @REFUSE_NO_TARGET: no target in this data centre accepts work
+ * @REFUSE_CONNECTIONS: every target has its maximum of open feeds
+ * @REFUSE_MEMORY: the entry's request table is full
  * @REFUSE_SHED: targets shed it and the retry budget is spent
- * @REFUSE_TRANSFER: block of a transfer that another entry began and lost
+ * @REFUSE_TRANSFER: block of a transfer whose state was lost with another entry
  */
 enum refusal {
 	REFUSE_NONE,
@@ -32,15 +33,21 @@
 	REFUSE_COUNT
 };
 
-enum verdict { VERDICT_GO, VERDICT_QUEUED, VERDICT_REFUSED };
+/**
+ * enum verdict - decision about a request
+ * @VERDICT_ADMITTED: to be sent to a target now
+ * @VERDICT_QUEUED: queued; balance_next() returns the final decision
+ * @VERDICT_REFUSED: not run; the caller may retry later
+ */
+enum verdict { VERDICT_ADMITTED, VERDICT_QUEUED, VERDICT_REFUSED };
 
 /**
  * enum outcome - how a request at a target ended
  * @OUTCOME_OK: answered
- * @OUTCOME_SHED: target refused it, it was not run
- * @OUTCOME_ERROR: target failed it
- * @OUTCOME_TIMEOUT: no answer in time
- * @OUTCOME_CANCELLED: caller gave up
+ * @OUTCOME_SHED: refused by the overloaded target and not run
+ * @OUTCOME_ERROR: answered with an error
+ * @OUTCOME_TIMEOUT: no answer before the timeout
+ * @OUTCOME_CANCELLED: cancelled by the caller
  */
 enum outcome {
 	OUTCOME_OK,
@@ -52,15 +59,16 @@
 };
 
 /**
- * struct work - a request or feed that wants a target
- * @handle: caller's own number for it, given back by balance_next()
- * @vip: service
+ * struct work - a request, or the opening of a feed, that needs a target
+ * @handle: number below @work_max of balance_new(), chosen by the user of the
+ *	balancer and returned by balance_next()
+ * @vip: address of the service
  * @class: enum service_class
- * @feed: a feed: takes a connection, and no slot once it is open
- * @pinned: target it has to go to, or ADDR_NONE
- * @avoid: target not to choose (a retry), or ADDR_NONE
- * @hash: flow's hash, for placement that repeats
- * @deadline_ns: latest start that is still of use
+ * @feed: opens a feed, which uses a connection and no slot once it is open
+ * @pinned: the only target that may run it, or ADDR_NONE
+ * @avoid: target that a retry should not go to again, or ADDR_NONE
+ * @hash: flow_hash() of the request's flow; not read by the balancer
+ * @deadline_ns: latest time at which it may be started
  */
 struct work {
 	uint32_t handle;
@@ -74,13 +82,14 @@
 };
 
 /**
- * struct ruling - what becomes of a piece of work
+ * struct decision - decision about a request
  * @verdict: enum verdict
- * @target: where to, when it may go
- * @reason: enum refusal
- * @retry_after_s: when to come back, spread over callers
+ * @reason: enum refusal, when it is refused
+ * @target: address of the target, when it is admitted
+ * @retry_after_s: when it is refused: time after which the caller should
+ *	retry, random so that callers don't retry at the same time
  */
-struct ruling {
+struct decision {
 	uint8_t verdict;
 	uint8_t reason;
 	uint64_t target;
@@ -88,9 +97,9 @@
 };
 
 /**
- * struct load_report - what a target says of itself; may lag or mislead
+ * struct load_report - load that a target reports; may be old or wrong
  * @running: requests in its slots
- * @waiting: requests it queues
+ * @waiting: requests in its queue
  * @connections: open feeds
  */
 struct load_report {
@@ -100,14 +109,18 @@
 };
 
 /**
- * struct class_stats - counters of one class of one client account
+ * struct class_stats - request counters of one class of one client account
+ *
+ * Outcomes and retries are counted for the class of the service, the other
+ * events for the class of the request.
+ *
  * @admitted: sent to a target
- * @queued: had to wait first
- * @refused: by enum refusal
- * @outcome: ends by enum outcome
- * @retries: granted by the budget
- * @retries_denied: asked for when it was empty
- * @wait_us: time in the queue of those admitted, microseconds
+ * @queued: queued before they were admitted or refused
+ * @refused: refused, by enum refusal
+ * @outcome: ended at a target, by enum outcome
+ * @retries: retries granted by the retry budget
+ * @retries_denied: retries denied because the budget was spent
+ * @wait_us: time in the queue of admitted requests, in microseconds
  */
 struct class_stats {
 	uint64_t admitted;
@@ -120,17 +133,17 @@
 };
 
 /**
- * struct target_stats - what the balancer holds of one target
- * @addr: target
- * @inflight: requests of this entry there
- * @feeds: open feeds of this entry there
- * @own: requests of this entry's own share
- * @extra: further ones, while the target is seen to be idle
- * @connections: feeds of this entry's share
- * @ejected: gets no new work but trials
- * @trust_milli: how far its reports are believed, in 1/1000
- * @latency_ns: mean time of answered requests
- * @error_milli: share of failures, in 1/1000
+ * struct target_stats - state of one target, for operators
+ * @addr: address
+ * @inflight: requests of this entry at the target
+ * @feeds: open feeds of this entry at the target
+ * @own: requests that this entry's share allows
+ * @extra: further requests allowed while the target has an idle slot
+ * @connections: open feeds that this entry's share allows
+ * @ejected: gets no new work except trial requests
+ * @trust_milli: trust in its load reports, 0 to 1000
+ * @latency_ns: moving average of the latency of its requests
+ * @error_milli: moving average of the failed share, 0 to 1000
  */
 struct target_stats {
 	uint64_t addr;
@@ -149,25 +162,28 @@
 
 struct balancer *balance_new(uint32_t work_max, struct rng rng);
 void balance_free(struct balancer *b);
-int balance_config(struct balancer *b, const struct config *c, uint64_t now_ns);
-void balance_peers(struct balancer *b, uint32_t n_entries, uint32_t self_rank);
-struct ruling balance_submit(struct balancer *b, const struct work *w,
-			     uint64_t now_ns);
+int balance_set_config(struct balancer *b, const struct config *config,
+		       uint64_t now_ns);
+void balance_set_entries(struct balancer *b, uint32_t n_entries,
+			 uint32_t self_rank);
+struct decision balance_submit(struct balancer *b, const struct work *work,
+			       uint64_t now_ns);
 bool balance_next(struct balancer *b, uint64_t now_ns, uint32_t *handle,
-		  struct ruling *r);
+		  struct decision *decision);
 void balance_cancel(struct balancer *b, uint32_t handle);
-void balance_done(struct balancer *b, uint64_t vip, uint64_t target,
-		  enum outcome outcome, uint64_t took_ns, uint64_t now_ns);
-bool balance_may_retry(struct balancer *b, uint64_t vip, uint64_t now_ns);
-void balance_feed(struct balancer *b, uint64_t vip, uint64_t target,
-		  int32_t change);
-void balance_report(struct balancer *b, uint64_t target,
-		    const struct load_report *report, uint64_t now_ns);
+void balance_record_end(struct balancer *b, uint64_t vip, uint64_t target,
+			enum outcome outcome, uint64_t duration_ns,
+			uint64_t now_ns);
+bool balance_take_retry(struct balancer *b, uint64_t vip, uint64_t now_ns);
+void balance_change_feeds(struct balancer *b, uint64_t vip, uint64_t target,
+			  int32_t change);
+void balance_record_load(struct balancer *b, uint64_t target,
+			 const struct load_report *report, uint64_t now_ns);
 uint64_t balance_next_ns(const struct balancer *b);
-bool balance_stats(const struct balancer *b, uint32_t *cursor,
-		   const char **account, uint8_t *class,
-		   const struct class_stats **stats);
-bool balance_targets(const struct balancer *b, uint32_t *cursor,
-		     struct target_stats *out);
+bool balance_next_class_stats(const struct balancer *b, uint32_t *cursor,
+			      const char **account, uint8_t *class,
+			      const struct class_stats **stats);
+bool balance_next_target_stats(const struct balancer *b, uint32_t *cursor,
+			       struct target_stats *out);
 
 #endif
--- a/core/balance/balance_state.h
+++ b/core/balance/balance_state.h
@@ -1,30 +1,36 @@
-/* Tables of the balancer, shared by the modules behind balance.h only. */
+/* State of the balancer, private to the modules that implement balance.h. */
 #ifndef CB_BALANCE_STATE_H
 #define CB_BALANCE_STATE_H
 
 #include "balance.h"
 #include "budget.h"
 #include "deadline_heap.h"
-#include "deal.h"
 #include "eject.h"
 #include "histogram.h"
-#include "loadview.h"
+#include "load_view.h"
+#include "target_share.h"
 
 #define INDEX_NONE UINT32_MAX
 
-/* Rounds of estimates and queues come this often. */
-#define ROUND_NS (20 * NS_PER_MS)
+/* Interval of the periodic checks of targets and queues. */
+#define ROUND_INTERVAL_NS (20 * NS_PER_MS)
 
-/* Slow start of a target that appears in a configuration. */
+/* Duration of slow start for a target that a configuration adds. */
 #define SLOW_START_NS (10 * NS_PER_S)
 
-enum item_state { ITEM_FREE, ITEM_WAITING, ITEM_DOOMED };
+/**
+ * enum item_state - state of a handle
+ * @ITEM_FREE: not queued
+ * @ITEM_QUEUED: in the queue of its service or, when pinned, of its backend
+ * @ITEM_REFUSED: refused, balance_next() has not returned it yet
+ */
+enum item_state { ITEM_FREE, ITEM_QUEUED, ITEM_REFUSED };
 
 /**
- * struct queue - items linked through their handles
- * @head: first handle
- * @tail: last handle
- * @n: how many
+ * struct queue - doubly linked list of items, linked by their handles
+ * @head: first handle, INDEX_NONE when empty
+ * @tail: last handle, INDEX_NONE when empty
+ * @n: number of items
  */
 struct queue {
 	uint32_t head;
@@ -33,15 +39,16 @@
 };
 
 /**
- * struct item - a piece of work that waits
- * @work: what it wants
- * @queued_ns: since when
- * @next: neighbour in its queue
- * @prev: neighbour in its queue
- * @service: index
- * @place: place it is pinned to, or INDEX_NONE
+ * struct item - queued work
+ * @work: the request or feed
+ * @queued_ns: time at which it was queued
+ * @next: next handle in its queue, or INDEX_NONE
+ * @prev: previous handle in its queue, or INDEX_NONE
+ * @service: index of its service; INDEX_NONE when it is refused and its service
+ *	or pinned target was removed
+ * @backend: index of the backend that it is pinned to, or INDEX_NONE
  * @state: enum item_state
- * @reason: enum refusal of a doomed one
+ * @reason: enum refusal, when @state is ITEM_REFUSED
  */
 struct item {
 	struct work work;
@@ -49,243 +56,273 @@
 	uint32_t next;
 	uint32_t prev;
 	uint32_t service;
-	uint32_t place;
+	uint32_t backend;
 	uint8_t state;
 	uint8_t reason;
 };
 
 /**
- * struct account - a client account's part in contention
+ * struct account - balancing state of a client account
  * @name: name
- * @weight: share
- * @n_waiting: items in its queues
- * @budget: its retries
- * @stats: by class
+ * @weight: share relative to other accounts, at least 1
+ * @n_queued: items in the queues of its services
+ * @budget: retry budget
+ * @stats: counters by enum service_class
  */
 struct account {
 	char name[NAME_MAX_BYTES];
 	uint16_t weight;
-	uint32_t n_waiting;
+	uint32_t n_queued;
 	struct retry_budget budget;
 	struct class_stats stats[CLASS_COUNT];
 };
 
 /**
- * struct service - a service's queue and what is known of its speed
- * @vip: its address, the key
- * @account: index
- * @class: enum service_class of plain requests
- * @queue_max: items that may wait
- * @first_place: its places are contiguous, sorted by target
- * @n_places: how many
- * @first_candidate: index into the candidates
- * @n_candidates: places that new work of this entry may go to
- * @n_up: places that are not draining
- * @n_ejected: candidates ejected
- * @n_own: candidates with a share of their own that are not ejected
- * @turn: latest turn given, where a new target starts
- * @others_milli: others' work at a target on the average, in 1/1000
- * @queue: work that may go to any target
- * @n_waiting: that and the pinned work
- * @gap_ns: mean time between two starts from the queue while it had work
- * @started_ns: last start from the queue, or when it began to wait
- * @took_ns: mean time of a request at a target
- * @debt_milli: refused callers told to come back and not yet due, in 1/1000
- * @debt_ns: when @debt_milli was brought up to date
+ * struct service - queue, backends and moving averages of a service
+ * @vip: address, key of the table
+ * @account: index of its account
+ * @class: enum service_class of requests that open no feed
+ * @queue_max: maximum of @n_queued
+ * @first_backend: index of its first backend; its backends are contiguous and
+ *	sorted by target
+ * @n_backends: number of its backends
+ * @first_candidate: index of its first candidate in the table of candidates
+ * @n_candidates: number of its candidates: backends to which this entry may
+ *	send new work
+ * @n_up: backends that are not draining
+ * @n_ejected: candidates whose target is ejected
+ * @n_own: candidates where this entry has own requests and the target is not
+ *	ejected
+ * @pass: pass of the last selected backend; a new backend starts with it
+ * @others_milli: moving average over its targets of other entries' requests at
+ *	a target, in 1/1000
+ * @queue: queued work that is not pinned
+ * @n_queued: items in @queue and in the queues of pinned work of its backends
+ * @start_interval_ns: moving average of the time between two starts from its
+ *	queues while they were not empty, 0 before the first
+ * @last_start_ns: time of the last start from its queues, or when they became
+ *	non-empty
+ * @mean_duration_ns: moving average of the duration of a successful request at
+ *	a target, 0 before the first
+ * @returning_milli: refused callers that are expected to retry later, in 1/1000
+ * @returning_updated_ns: time at which @returning_milli was last reduced
  */
 struct service {
 	uint64_t vip;
 	uint32_t account;
 	uint8_t class;
 	uint32_t queue_max;
-	uint32_t first_place;
-	uint32_t n_places;
+	uint32_t first_backend;
+	uint32_t n_backends;
 	uint32_t first_candidate;
 	uint32_t n_candidates;
 	uint32_t n_up;
 	uint32_t n_ejected;
 	uint32_t n_own;
-	uint64_t turn;
+	uint64_t pass;
 	uint32_t others_milli;
 	struct queue queue;
-	uint32_t n_waiting;
-	uint64_t gap_ns;
-	uint64_t started_ns;
-	uint64_t took_ns;
-	uint64_t debt_milli;
-	uint64_t debt_ns;
+	uint32_t n_queued;
+	uint64_t start_interval_ns;
+	uint64_t last_start_ns;
+	uint64_t mean_duration_ns;
+	uint64_t returning_milli;
+	uint64_t returning_updated_ns;
 };
 
 /**
- * struct place - one target of one service
- * @service: index
- * @target: index
+ * struct backend - one target of one service
+ * @service: index of the service
+ * @target: index of the target
  * @state: enum target_state
- * @weight: share within the service
- * @candidate: new work may go there
- * @turn: grows by 1/weight with each choice; the smallest is due
- * @served: slot time given through this place over the account's weight
- * @pinned: work that has to go there
+ * @weight: share relative to other backends of the service, at least 1
+ * @candidate: this entry may send new work to it
+ * @pass: stride scheduling: increases by a stride of STRIDE_SCALE / @weight
+ *	with each request; the backend with the smallest pass is next
+ * @finish_tag: start-time fair queueing: virtual time at which the slot time
+ *	of the service's requests at the target ends
+ * @pinned: queue of work that only this target may run
  */
-struct place {
+struct backend {
 	uint32_t service;
 	uint32_t target;
 	uint8_t state;
 	uint16_t weight;
 	bool candidate;
-	uint64_t turn;
-	uint64_t served;
+	uint64_t pass;
+	uint64_t finish_tag;
 	struct queue pinned;
 };
 
 /**
- * struct target - a target, whichever services list it
- * @addr: the key
- * @listed: in force; one that is not is kept while it has work
- * @slots: smallest that a service states
- * @connections: smallest that a service states
- * @dealt: its slots were dealt in this round of dealing
- * @share: what this entry may use
- * @limit_milli: own requests allowed after sheds, in 1/1000
- * @hold_steps: doublings of the pause after sheds in a row
- * @hold_deadline_ns: no new work before
- * @extra_steps: doublings of the time without extra requests
- * @extra_deadline_ns: no extra requests before, since one was shed
- * @warm_deadline_ns: end of slow start
- * @inflight: requests of this entry there
- * @feeds: open feeds of this entry there
- * @view: others' work
+ * struct target - a target, shared by all services that list it
+ * @addr: address, key of the table
+ * @listed: a service in force lists it; others are kept while they have work
+ * @slots: smallest number that a service configures, at least 1
+ * @connections: smallest number that a service configures
+ * @is_allocated: @share was computed in the current run of shares_allocate()
+ * @share: part of the target that this entry may use
+ * @aimd_limit_milli: limit of own requests, in 1/1000: decreased by a factor on
+ *	a shed, increased additively on success
+ * @pause_steps: consecutive sheds; each doubles the next pause
+ * @pause_end_ns: no new work before this time, after a shed
+ * @extra_pause_steps: doublings of the pause for extra requests
+ * @extra_pause_end_ns: no extra requests before this time, after one was shed
+ * @slow_start_end_ns: end of slow start
+ * @inflight: requests of this entry at the target
+ * @feeds: open feeds of this entry at the target
+ * @load_view: estimated load, including other entries' requests
  * @health: failures and latency
- * @served: slot time at which the last item of contention started
- * @first_link: its places, through the balancer's links
- * @n_links: how many
- * @ready: on the list of targets whose queues have to be looked at
- * @ready_next: next on it
+ * @virtual_time: start-time fair queueing: highest start tag of a request that
+ *	was sent to the target
+ * @first_link: index of its first element in the table of links
+ * @n_links: number of its backends
+ * @needs_recheck: in the list of targets whose queues balance_next() checks
+ * @recheck_next: index of the next target in that list, or INDEX_NONE
  */
 struct target {
 	uint64_t addr;
 	bool listed;
 	uint16_t slots;
 	uint32_t connections;
-	bool dealt;
-	struct deal share;
-	uint32_t limit_milli;
-	uint8_t hold_steps;
-	uint64_t hold_deadline_ns;
-	uint8_t extra_steps;
-	uint64_t extra_deadline_ns;
-	uint64_t warm_deadline_ns;
+	bool is_allocated;
+	struct target_share share;
+	uint32_t aimd_limit_milli;
+	uint8_t pause_steps;
+	uint64_t pause_end_ns;
+	uint8_t extra_pause_steps;
+	uint64_t extra_pause_end_ns;
+	uint64_t slow_start_end_ns;
 	uint32_t inflight;
 	uint32_t feeds;
-	struct load_view view;
+	struct load_view load_view;
 	struct health health;
-	uint64_t served;
+	uint64_t virtual_time;
 	uint32_t first_link;
 	uint32_t n_links;
-	bool ready;
-	uint32_t ready_next;
+	bool needs_recheck;
+	uint32_t recheck_next;
 };
 
 /**
- * struct tables - everything that a change of configuration builds anew
+ * struct tables - tables that each change of the configuration rebuilds
  * @accounts: sorted by name
  * @services: sorted by VIP
- * @places: by service, sorted by target address
+ * @backends: grouped by service, sorted by target address within each
  * @targets: sorted by address
- * @links: places by target
- * @candidates: places by service
- * @scratch: room for one service's latencies
- * @weights: sum of the accounts' weights
+ * @links: indexes of the backends, grouped by target
+ * @candidates: indexes of the candidate backends, grouped by service
+ * @latencies_ns: buffer for computing the median of one service
+ * @weight_sum: sum of the accounts' weights
+ * @n_accounts: number of accounts
+ * @n_services: number of services
+ * @n_backends: number of backends, and of links
+ * @n_targets: number of targets
  */
 struct tables {
 	struct account *accounts;
 	struct service *services;
-	struct place *places;
+	struct backend *backends;
 	struct target *targets;
 	uint32_t *links;
 	uint32_t *candidates;
-	uint64_t *scratch;
-	uint64_t weights;
+	uint64_t *latencies_ns;
+	uint64_t weight_sum;
 	uint32_t n_accounts;
 	uint32_t n_services;
-	uint32_t n_places;
+	uint32_t n_backends;
 	uint32_t n_targets;
 };
 
 /**
- * struct balancer - an entry's decisions about work
- * @t: tables
- * @work_max: handles are below this
- * @items: by handle
- * @deadlines: of the waiting items
- * @doomed: items to be refused at the next balance_next()
- * @ready: first target whose queues have to be looked at
- * @n_waiting: items in all queues
- * @n_entries: entries of the data centre
- * @rank: this entry's place among them
- * @round_deadline_ns: next round
- * @eject_deadline_ns: next comparison of the targets
- * @rng: random source
+ * struct balancer - load balancing state of one entry
+ * @tables: accounts, services, backends and targets
+ * @work_max: handles are numbers below this
+ * @items: indexed by handle
+ * @deadlines: deadlines of the queued items, by handle
+ * @refused: items that balance_next() returns as refused
+ * @recheck_head: index of the first target whose queues balance_next() checks,
+ *	or INDEX_NONE
+ * @n_queued: items in all queues
+ * @n_entries: entries of the data centre, at least 1
+ * @rank: rank of this entry among them, below @n_entries
+ * @next_round_ns: time of the next periodic check
+ * @next_eject_ns: time of the next comparison of latencies
+ * @rng: pseudo-random generator
  */
 struct balancer {
-	struct tables t;
+	struct tables tables;
 	uint32_t work_max;
 	struct item *items;
 	struct deadline_heap deadlines;
-	struct queue doomed;
-	uint32_t ready;
-	uint32_t n_waiting;
+	struct queue refused;
+	uint32_t recheck_head;
+	uint32_t n_queued;
 	uint32_t n_entries;
 	uint32_t rank;
-	uint64_t round_deadline_ns;
-	uint64_t eject_deadline_ns;
+	uint64_t next_round_ns;
+	uint64_t next_eject_ns;
 	struct rng rng;
 };
 
 /* tables.c */
-int tables_build(struct balancer *b, const struct config *c, uint64_t now_ns);
+int tables_build(struct balancer *b, const struct config *config,
+		 uint64_t now_ns);
 void tables_clear(struct tables *t);
 
 /* shares.c */
-void shares_deal(struct balancer *b);
+void shares_allocate(struct balancer *b);
 
 /* lookup.c */
-uint32_t tables_service(const struct tables *t, uint64_t vip);
-uint32_t tables_target(const struct tables *t, uint64_t addr);
-uint32_t tables_place(const struct tables *t, const struct service *s,
-		      uint64_t addr);
+uint32_t tables_find_service(const struct tables *t, uint64_t vip);
+uint32_t tables_find_target(const struct tables *t, uint64_t addr);
+uint32_t tables_find_backend(const struct tables *t, const struct service *s,
+			     uint64_t addr);
 
-/* pick.c */
-enum pick { PICK_FOUND, PICK_FULL, PICK_CONNECTIONS, PICK_NONE };
-enum pick pick_place(struct balancer *b, struct service *s,
-		     const struct work *w, uint64_t now_ns, uint32_t *place);
-bool pick_pinned_room(const struct service *s, const struct target *t,
-		      const struct work *w, uint64_t now_ns);
-bool pick_allowed(struct balancer *b, const struct place *p,
-		  const struct work *w, uint64_t now_ns);
-void pick_count(struct balancer *b, uint32_t place, uint64_t now_ns);
+/* select.c */
+/**
+ * enum selection - result of select_backend()
+ * @SELECTION_FOUND: a backend was selected
+ * @SELECTION_FULL: no backend accepts the work now
+ * @SELECTION_CONNECTIONS: no target may open another feed
+ * @SELECTION_NONE: no target accepts new work
+ */
+enum selection {
+	SELECTION_FOUND,
+	SELECTION_FULL,
+	SELECTION_CONNECTIONS,
+	SELECTION_NONE
+};
+enum selection select_backend(struct balancer *b, struct service *s,
+			      const struct work *work, uint64_t now_ns,
+			      uint32_t *backend);
+bool select_allows_pinned(const struct service *s, const struct target *t,
+			  const struct work *work, uint64_t now_ns);
+bool select_allows(struct balancer *b, const struct backend *be,
+		   const struct work *work, uint64_t now_ns);
+void select_record(struct balancer *b, uint32_t backend, uint64_t now_ns);
 
 /* admit.c */
 void queue_init(struct queue *q);
 void queue_add(struct balancer *b, struct queue *q, uint32_t handle);
-void queue_take(struct balancer *b, struct queue *q, uint32_t handle);
-uint8_t admit_wait(struct balancer *b, uint32_t service, uint32_t place,
-		   const struct work *w, uint64_t now_ns);
-void admit_leave(struct balancer *b, uint32_t handle);
-void admit_doom(struct balancer *b, uint32_t handle, uint8_t reason);
+void queue_remove(struct balancer *b, struct queue *q, uint32_t handle);
+uint8_t admit_enqueue(struct balancer *b, uint32_t service, uint32_t backend,
+		      const struct work *work, uint64_t now_ns);
+void admit_dequeue(struct balancer *b, uint32_t handle);
+void admit_refuse_queued(struct balancer *b, uint32_t handle, uint8_t reason);
 uint32_t admit_retry_after_s(struct balancer *b, struct service *s,
 			     uint64_t now_ns);
-void admit_started(struct balancer *b, struct service *s, uint64_t now_ns);
-void admit_sweep(struct balancer *b, uint64_t now_ns);
+void admit_record_start(struct balancer *b, struct service *s, uint64_t now_ns);
+void admit_refuse_late(struct balancer *b, uint64_t now_ns);
 
 /* balance_stats.c */
-struct class_stats *stats_of(struct balancer *b, const struct service *s,
-			     uint8_t class);
+struct class_stats *class_stats_of(struct balancer *b, const struct service *s,
+				   uint8_t class);
 
-/* fair.c */
-uint32_t fair_next(struct balancer *b, struct target *t, uint64_t now_ns,
-		   uint32_t *place);
-void fair_charge(struct balancer *b, struct place *p);
-void fair_ready(struct balancer *b, uint32_t target);
+/* fair_queue.c */
+uint32_t fair_queue_next(struct balancer *b, struct target *t, uint64_t now_ns,
+			 uint32_t *backend);
+void fair_queue_charge(struct balancer *b, struct backend *be);
+void fair_queue_recheck(struct balancer *b, uint32_t target);
 
 #endif
--- a/core/balance/balance_stats.c
+++ b/core/balance/balance_stats.c
@@ -1,54 +1,54 @@
-/* Counters of the balancer, for operators. */
+/* Counters and target states of the balancer, for operators. */
 #include "balance_state.h"
 
-/* stats_of() - counters of a service's account for one class. */
-struct class_stats *stats_of(struct balancer *b, const struct service *s,
-			     uint8_t class)
+struct class_stats *class_stats_of(struct balancer *b, const struct service *s,
+				   uint8_t class)
 {
-	return &b->t.accounts[s->account].stats[class % CLASS_COUNT];
+	return &b->tables.accounts[s->account].stats[class % CLASS_COUNT];
 }
 
 /**
- * balance_stats() - walk over the counters of each account and class
+ * balance_next_class_stats() - iterate over counters by account and class
  * @b: balancer
- * @cursor: 0 at first, moved on by each call
- * @account: name, good until the next balance_config()
- * @class: enum service_class
- * @stats: counters, good until the next balance_config()
+ * @cursor: position of the iteration; 0 at first, advanced by each call
+ * @account: set to the account's name, valid until the next
+ *	balance_set_config()
+ * @class: set to the enum service_class
+ * @stats: set to the counters, valid until the next balance_set_config()
  *
- * Return: false at the end.
+ * Return: false, with nothing set, at the end.
  */
-bool balance_stats(const struct balancer *b, uint32_t *cursor,
-		   const char **account, uint8_t *class,
-		   const struct class_stats **stats)
+bool balance_next_class_stats(const struct balancer *b, uint32_t *cursor,
+			      const char **account, uint8_t *class,
+			      const struct class_stats **stats)
 {
 	uint32_t index = *cursor / CLASS_COUNT;
 
-	if (index >= b->t.n_accounts)
+	if (index >= b->tables.n_accounts)
 		return false;
 	*class = *cursor % CLASS_COUNT;
-	*account = b->t.accounts[index].name;
-	*stats = &b->t.accounts[index].stats[*class];
+	*account = b->tables.accounts[index].name;
+	*stats = &b->tables.accounts[index].stats[*class];
 	(*cursor)++;
 	return true;
 }
 
 /**
- * balance_targets() - walk over what is held of each target
+ * balance_next_target_stats() - iterate over the state of the targets
  * @b: balancer
- * @cursor: 0 at first, moved on by each call
- * @out: the target
+ * @cursor: position of the iteration; 0 at first, advanced by each call
+ * @out: set to the state of a target
  *
- * Return: false at the end.
+ * Return: false, with @out unchanged, at the end.
  */
-bool balance_targets(const struct balancer *b, uint32_t *cursor,
-		     struct target_stats *out)
+bool balance_next_target_stats(const struct balancer *b, uint32_t *cursor,
+			       struct target_stats *out)
 {
 	const struct target *t;
 
-	if (*cursor >= b->t.n_targets)
+	if (*cursor >= b->tables.n_targets)
 		return false;
-	t = &b->t.targets[(*cursor)++];
+	t = &b->tables.targets[(*cursor)++];
 	*out = (struct target_stats){
 		.addr = t->addr,
 		.inflight = t->inflight,
@@ -57,7 +57,7 @@
 		.extra = t->share.extra,
 		.connections = t->share.connections,
 		.ejected = t->health.ejected,
-		.trust_milli = t->view.trust,
+		.trust_milli = t->load_view.trust_milli,
 		.latency_ns = t->health.latency_ns,
 		.error_milli = t->health.error_milli,
 	};
--- a/core/balance/budget.c
+++ b/core/balance/budget.c
@@ -1,7 +1,7 @@
 #include "budget.h"
 
 /**
- * budget_init() - start with a few retries
+ * budget_init() - set a budget to BUDGET_START_RETRIES
  * @b: budget
  */
 void budget_init(struct retry_budget *b)
@@ -10,10 +10,10 @@
 }
 
 /**
- * budget_success() - a request of the account succeeded
- * @b: budget
+ * budget_record_success() - add a token for a successful request
+ * @b: budget of the request's account
  */
-void budget_success(struct retry_budget *b)
+void budget_record_success(struct retry_budget *b)
 {
 	if (b->tokens < BUDGET_MAX_RETRIES * BUDGET_SUCCESSES)
 		b->tokens++;
@@ -23,11 +23,11 @@
  * budget_take() - spend one retry
  * @b: budget
  *
- * When every target sheds, retries multiply the load that made them shed.
- * The budget bounds them to a share of what still succeeds, so that load falls
- * while nothing does.
+ * When all targets shed, retries add to the overload that makes them shed. The
+ * budget limits retries to a share of the requests that succeed, so that the
+ * load decreases while none does.
  *
- * Return: true when the budget had one.
+ * Return: true when the budget contained one.
  */
 bool budget_take(struct retry_budget *b)
 {
--- a/core/balance/config.c
+++ b/core/balance/config.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-static bool service_copy(const struct service_conf *from,
+static bool copy_service(const struct service_conf *from,
 			 struct service_conf *to)
 {
 	*to = *from;
@@ -20,8 +20,8 @@
 }
 
 /**
- * account_copy() - deep copy
- * @a: account
+ * account_copy() - make a deep copy of an account
+ * @a: account; unchanged
  *
  * Return: the copy, to be freed with account_free(), or NULL when out of
  * memory.
@@ -41,7 +41,7 @@
 	while (copy->n_services < a->n_services) {
 		uint32_t i = copy->n_services++;
 
-		if (!service_copy(&a->services[i], &copy->services[i]))
+		if (!copy_service(&a->services[i], &copy->services[i]))
 			goto fail;
 	}
 	return copy;
@@ -51,8 +51,8 @@
 }
 
 /**
- * account_clear() - free what an account holds, not the struct itself
- * @a: account; empty afterwards
+ * account_clear() - free the services of an account, not the struct itself
+ * @a: account; all zero afterwards
  */
 void account_clear(struct account_conf *a)
 {
@@ -63,7 +63,7 @@
 }
 
 /**
- * account_free() - free an account
+ * account_free() - free an account and its services
  * @a: account, or NULL
  */
 void account_free(struct account_conf *a)
@@ -74,16 +74,16 @@
 	free(a);
 }
 
-/* First account that doesn't sort before @name. */
-static uint32_t place(const struct config *c, const char *name)
+/* Index of the first account whose name doesn't sort before @name. */
+static uint32_t find_position(const struct config *config, const char *name)
 {
 	uint32_t low = 0;
-	uint32_t high = c->n_accounts;
+	uint32_t high = config->n_accounts;
 
 	while (low < high) {
 		uint32_t mid = low + (high - low) / 2;
 
-		if (strcmp(c->accounts[mid].name, name) < 0)
+		if (strcmp(config->accounts[mid].name, name) < 0)
 			low = mid + 1;
 		else
 			high = mid;
@@ -91,74 +91,79 @@
 	return low;
 }
 
-static bool is_at(const struct config *c, uint32_t i, const char *name)
+static bool has_account_at(const struct config *config, uint32_t i,
+			   const char *name)
 {
-	return i < c->n_accounts && !strcmp(c->accounts[i].name, name);
+	return i < config->n_accounts &&
+	       !strcmp(config->accounts[i].name, name);
 }
 
 /**
- * config_account() - find an account
- * @c: configuration
- * @name: account's name
+ * config_find_account() - find an account by name
+ * @config: configuration
+ * @name: name of the account
  *
- * Return: the account, good until the next config_put(), or NULL.
+ * Return: the account, valid until the next config_put(), or NULL.
  */
-const struct account_conf *config_account(const struct config *c,
-					  const char *name)
+const struct account_conf *config_find_account(const struct config *config,
+					       const char *name)
 {
-	uint32_t i = place(c, name);
+	uint32_t i = find_position(config, name);
 
-	return is_at(c, i, name) ? &c->accounts[i] : NULL;
+	return has_account_at(config, i, name) ? &config->accounts[i] : NULL;
 }
 
-static int insert(struct config *c, uint32_t i, const struct account_conf *a)
+static int insert(struct config *config, uint32_t i,
+		  const struct account_conf *a)
 {
 	struct account_conf *grown;
 
-	if (c->n_accounts >= ACCOUNTS_MAX)
+	if (config->n_accounts >= ACCOUNTS_MAX)
 		return -ENOSPC;
-	grown = realloc(c->accounts, (c->n_accounts + 1) * sizeof(*grown));
+	grown = realloc(config->accounts,
+			(config->n_accounts + 1) * sizeof(*grown));
 	if (!grown)
 		return -ENOMEM;
-	memmove(&grown[i + 1], &grown[i], (c->n_accounts - i) * sizeof(*grown));
+	memmove(&grown[i + 1], &grown[i],
+		(config->n_accounts - i) * sizeof(*grown));
 	grown[i] = *a;
-	c->accounts = grown;
-	c->n_accounts++;
+	config->accounts = grown;
+	config->n_accounts++;
 	return 0;
 }
 
 /**
- * config_put() - put an account in, in place of one of the same name
- * @c: configuration; stays sorted by name
- * @take: account; the configuration owns it from now on
+ * config_put() - add an account, or replace the one of the same name
+ * @config: configuration; remains sorted by name
+ * @account: account; on success @config owns it
  *
- * Return: 0; -ENOSPC past ACCOUNTS_MAX, -ENOMEM, and then @take is still the
- * caller's and @c unchanged.
+ * Return: 0; -ENOSPC when there are ACCOUNTS_MAX accounts, or -ENOMEM. On error
+ * the caller still owns @account, and @config is unchanged.
  */
-int config_put(struct config *c, struct account_conf *take)
+int config_put(struct config *config, struct account_conf *account)
 {
-	uint32_t i = place(c, take->name);
+	uint32_t i = find_position(config, account->name);
 	int err = 0;
 
-	if (is_at(c, i, take->name)) {
-		account_clear(&c->accounts[i]);
-		c->accounts[i] = *take;
+	if (has_account_at(config, i, account->name)) {
+		account_clear(&config->accounts[i]);
+		config->accounts[i] = *account;
 	} else {
-		err = insert(c, i, take);
+		err = insert(config, i, account);
 	}
 	if (!err)
-		free(take);
+		free(account);
 	return err;
 }
 
 /**
  * config_free() - free all accounts
- * @c: configuration; empty afterwards
+ * @config: configuration; empty afterwards
  */
-void config_free(struct config *c)
+void config_free(struct config *config)
 {
-	for (uint32_t i = 0; i < c->n_accounts; i++)
-		account_clear(&c->accounts[i]);
-	free(c->accounts);
-	*c = (struct config){ 0 };
+	for (uint32_t i = 0; i < config->n_accounts; i++)
+		account_clear(&config->accounts[i]);
+	free(config->accounts);
+	*config = (struct config){ 0 };
 }
--- a/core/balance/config.h
+++ b/core/balance/config.h
@@ -1,6 +1,6 @@
 /*
- * What operators publish, as the decisions read it: one struct account a
- * client account, only the targets of this data centre.
+ * Published configuration as an entry uses it: one struct account_conf per
+ * client account, with the targets of this data centre only.
  */
 #ifndef CB_CONFIG_H
 #define CB_CONFIG_H
@@ -14,22 +14,28 @@
 enum service_protocol { SERVICE_COAP, SERVICE_UDP };
 
 /**
- * enum service_class - what the deployments weigh differently
- * @CLASS_FEED: long flows that a caller watches
+ * enum service_class - kinds of requests with different service goals
+ * @CLASS_FEED: long-lived flows that a caller observes
  * @CLASS_REPORT: short requests with an answer (gust reports, valve commands)
  * @CLASS_UPLOAD: bulk transfers
  */
 enum service_class { CLASS_FEED, CLASS_REPORT, CLASS_UPLOAD, CLASS_COUNT };
 
+/**
+ * enum target_state - state that operators give a target
+ * @TARGET_UP: accepts new work
+ * @TARGET_DRAINING: keeps its flows, gets no new work
+ */
 enum target_state { TARGET_UP, TARGET_DRAINING };
 
 /**
  * struct target_conf - one target of a service in this data centre
  * @addr: endpoint
- * @state: up or draining; draining targets keep flows, get no new work
- * @weight: relative share, 1 to 1000
- * @slots: requests it runs at once
- * @connections: open feeds it holds at once
+ * @state: enum target_state
+ * @weight: share of the service's work relative to its other targets, 1 to
+ *	1000
+ * @slots: requests that it runs concurrently
+ * @connections: maximum of concurrently open feeds
  */
 struct target_conf {
 	uint64_t addr;
@@ -42,15 +48,15 @@
 /**
  * struct service_conf - one service of a client account
  * @name: name, unique in the account
- * @vip: address callers send to, unique in the fleet
+ * @vip: address that callers send to, unique among all accounts
  * @protocol: enum service_protocol
- * @class: enum service_class of its plain requests
- * @post_idempotent: operator's word that POST may run twice
- * @target_dedups: operator's word that targets drop a repeated message ID
- * @request_timeout_ns: longest time a request may take, from arrival
- * @queue_max: requests that may wait at one entry
- * @targets: targets in this data centre
- * @n_targets: how many
+ * @class: enum service_class of requests that open no feed
+ * @post_idempotent: the operator states that running a POST twice is safe
+ * @target_dedups: the operator states that targets drop a repeated message ID
+ * @request_timeout_ns: maximum duration of a request, from its arrival
+ * @queue_max: requests that may be queued at one entry
+ * @targets: targets in this data centre; owned, NULL when there are none
+ * @n_targets: number of @targets
  */
 struct service_conf {
 	char name[NAME_MAX_BYTES];
@@ -67,11 +73,12 @@
 
 /**
  * struct account_conf - one client account as published
- * @name: account's name
- * @generation: grows with every publication, never falls
- * @weight: share of contended targets and queues, 1 to 1000
- * @services: services
- * @n_services: how many
+ * @name: name of the account
+ * @generation: increases with every publication
+ * @weight: share of contended targets and queues relative to other accounts,
+ *	1 to 1000
+ * @services: services; owned
+ * @n_services: number of @services
  */
 struct account_conf {
 	char name[NAME_MAX_BYTES];
@@ -83,8 +90,8 @@
 
 /**
  * struct config - all client accounts in force at this entry
- * @accounts: sorted by name
- * @n_accounts: how many
+ * @accounts: sorted by name; owned
+ * @n_accounts: number of @accounts
  */
 struct config {
 	struct account_conf *accounts;
@@ -94,9 +101,9 @@
 struct account_conf *account_copy(const struct account_conf *a);
 void account_clear(struct account_conf *a);
 void account_free(struct account_conf *a);
-const struct account_conf *config_account(const struct config *c,
-					  const char *name);
-int config_put(struct config *c, struct account_conf *take);
-void config_free(struct config *c);
+const struct account_conf *config_find_account(const struct config *config,
+					       const char *name);
+int config_put(struct config *config, struct account_conf *account);
+void config_free(struct config *config);
 
 #endif
--- a/core/balance/eject.c
+++ b/core/balance/eject.c
@@ -4,107 +4,115 @@
 
 #include <stdlib.h>
 
-/* Ends before a target is judged. */
+/* Requests before the averages of a target are used. */
 #define SAMPLES_MIN 8
 #define ERROR_MILLI_MAX 500
 #define TIMEOUTS_MAX 3
-/* Crawling: this many times the peers' median, and this much above it. */
-#define CRAWL_FACTOR 3
-#define CRAWL_MIN_NS (20 * NS_PER_MS)
-/* Above this many targets the median hardly changes with one of them. */
-#define SELF_MATTERS_MAX 8
-#define EJECT_NS (3 * NS_PER_S)
-#define EJECT_STEPS_MAX 5
+/* A slow target exceeds the others' median by this factor and this time. */
+#define SLOW_FACTOR 3
+#define SLOW_MIN_NS (20 * NS_PER_MS)
+/*
+ * With more candidates than this, one median of all of them is used for each:
+ * leaving out the target itself would hardly change it.
+ */
+#define SHARED_MEDIAN_TARGETS_MIN 8
+#define EJECT_BASE_NS (3 * NS_PER_S)
+#define EJECT_BACKOFF_STEPS_MAX 5
 
 /**
- * health_ended() - count the end of a request
- * @h: health
- * @outcome: how it ended
- * @took_ns: time from its start at the target
+ * health_record_end() - record the end of a request
+ * @h: health of its target
+ * @outcome: how the request ended
+ * @duration_ns: time since it was sent to the target
  *
- * A shed says nothing of health. Of a cancelled request it is only known that
- * it took longer than that.
+ * A shed request is not counted: it is a sign of load, not of failure. The
+ * duration of a cancelled request is a lower bound of its latency, so it is
+ * counted only when it is not below the average.
  */
-void health_ended(struct health *h, enum outcome outcome, uint64_t took_ns)
+void health_record_end(struct health *h, enum outcome outcome,
+		       uint64_t duration_ns)
 {
 	bool failed = outcome == OUTCOME_ERROR || outcome == OUTCOME_TIMEOUT;
 
 	if (outcome == OUTCOME_SHED)
 		return;
-	if (outcome == OUTCOME_CANCELLED && took_ns < h->latency_ns)
+	if (outcome == OUTCOME_CANCELLED && duration_ns < h->latency_ns)
 		return;
 	h->samples++;
-	h->timeouts = outcome == OUTCOME_TIMEOUT ? h->timeouts + 1 : 0;
+	h->consecutive_timeouts =
+		outcome == OUTCOME_TIMEOUT ? h->consecutive_timeouts + 1 : 0;
 	if (outcome != OUTCOME_ERROR && !h->latency_ns)
-		h->latency_ns = took_ns;
+		h->latency_ns = duration_ns;
 	else if (outcome != OUTCOME_ERROR)
-		h->latency_ns = (7 * h->latency_ns + took_ns) / 8;
+		h->latency_ns = (7 * h->latency_ns + duration_ns) / 8;
 	h->error_milli = (7 * h->error_milli + (failed ? 1000 : 0)) / 8;
 }
 
 /**
- * health_failing() - do too many requests fail
- * @h: health
+ * health_is_failing() - test whether too many requests fail
+ * @h: health of the target
  *
- * Return: true when they do.
+ * Return: true after TIMEOUTS_MAX consecutive timeouts, or when the failed
+ * share exceeds ERROR_MILLI_MAX.
  */
-bool health_failing(const struct health *h)
+bool health_is_failing(const struct health *h)
 {
-	if (h->timeouts >= TIMEOUTS_MAX)
+	if (h->consecutive_timeouts >= TIMEOUTS_MAX)
 		return true;
 	return h->samples >= SAMPLES_MIN && h->error_milli > ERROR_MILLI_MAX;
 }
 
 /**
- * health_crawling() - is it far slower than its peers
- * @h: health
- * @peers_ns: their median latency, 0 when not known
+ * health_is_slow() - test whether a target is much slower than the others
+ * @h: health of the target
+ * @peers_ns: median latency of the service's other targets, 0 when not known
  *
  * Return: true when it is.
  */
-bool health_crawling(const struct health *h, uint64_t peers_ns)
+bool health_is_slow(const struct health *h, uint64_t peers_ns)
 {
 	if (!peers_ns || h->samples < SAMPLES_MIN)
 		return false;
-	return h->latency_ns > CRAWL_FACTOR * peers_ns &&
-	       h->latency_ns > peers_ns + CRAWL_MIN_NS;
+	return h->latency_ns > SLOW_FACTOR * peers_ns &&
+	       h->latency_ns > peers_ns + SLOW_MIN_NS;
 }
 
 /**
- * health_trial_due() - may an ejected target get a request on trial
- * @h: health
- * @now_ns: time
+ * health_trial_is_due() - test whether a trial request may be sent
+ * @h: health of the target
+ * @now_ns: current time
  *
- * Return: true when none is under way and the time has come.
+ * Return: true for an ejected target without a pending trial request, when the
+ * time of the next one has come.
  */
-bool health_trial_due(const struct health *h, uint64_t now_ns)
+bool health_trial_is_due(const struct health *h, uint64_t now_ns)
 {
-	return h->ejected && !h->trial && now_ns >= h->trial_deadline_ns;
+	return h->ejected && !h->trial_pending && now_ns >= h->next_trial_ns;
 }
 
 /**
- * health_eject() - eject, for longer each time
- * @h: health
- * @now_ns: time
+ * health_eject() - eject a target, each time for twice as long up to a limit
+ * @h: health of the target
+ * @now_ns: current time
  */
 void health_eject(struct health *h, uint64_t now_ns)
 {
 	h->ejected = true;
-	h->trial = false;
-	h->trial_deadline_ns = now_ns + (EJECT_NS << h->steps);
-	if (h->steps < EJECT_STEPS_MAX)
-		h->steps++;
+	h->trial_pending = false;
+	h->next_trial_ns = now_ns + (EJECT_BASE_NS << h->backoff_steps);
+	if (h->backoff_steps < EJECT_BACKOFF_STEPS_MAX)
+		h->backoff_steps++;
 }
 
 /**
- * health_readmit() - forget what led to the ejection, but not how often
- * @h: health
+ * health_readmit() - end an ejection and reset all but the backoff
+ * @h: health of the target
  */
 void health_readmit(struct health *h)
 {
-	uint8_t steps = h->steps;
+	uint8_t backoff_steps = h->backoff_steps;
 
-	*h = (struct health){ .steps = steps };
+	*h = (struct health){ .backoff_steps = backoff_steps };
 }
 
 static int compare_ns(const void *a, const void *b)
@@ -115,51 +123,55 @@
 	return (*x > *y) - (*x < *y);
 }
 
-static struct target *candidate(struct balancer *b, const struct service *s,
-				uint32_t i)
+static struct target *candidate_target(struct balancer *b,
+				       const struct service *s, uint32_t i)
 {
-	uint32_t place = b->t.candidates[s->first_candidate + i];
+	uint32_t backend = b->tables.candidates[s->first_candidate + i];
 
-	return &b->t.targets[b->t.places[place].target];
+	return &b->tables.targets[b->tables.backends[backend].target];
 }
 
-/* Median latency of the service's candidates but @self (or NULL), 0 when not known. */
-static uint64_t peers_median_ns(struct balancer *b, const struct service *s,
-				const struct target *self)
+/*
+ * Median latency of the service's candidates, 0 when not known. Left out are
+ * @self (may be NULL), ejected targets and those with too few samples.
+ */
+static uint64_t median_latency_ns(struct balancer *b, const struct service *s,
+				  const struct target *self)
 {
 	uint32_t n = 0;
 
 	for (uint32_t i = 0; i < s->n_candidates; i++) {
-		const struct target *t = candidate(b, s, i);
+		const struct target *t = candidate_target(b, s, i);
 
 		if (t == self || t->health.ejected ||
 		    t->health.samples < SAMPLES_MIN)
 			continue;
-		b->t.scratch[n++] = t->health.latency_ns;
+		b->tables.latencies_ns[n++] = t->health.latency_ns;
 	}
 	if (!n)
 		return 0;
-	qsort(b->t.scratch, n, sizeof(*b->t.scratch), compare_ns);
-	return b->t.scratch[n / 2];
+	qsort(b->tables.latencies_ns, n, sizeof(*b->tables.latencies_ns),
+	      compare_ns);
+	return b->tables.latencies_ns[n / 2];
 }
 
-static uint32_t ejections_max(const struct service *s)
+static uint32_t max_ejections(const struct service *s)
 {
-	uint32_t share = s->n_up / EJECT_SHARE;
+	uint32_t share = s->n_up / EJECT_SHARE_DEN;
 	uint32_t spare = s->n_candidates ? s->n_candidates - 1 : 0;
 
 	return share < spare ? share : spare;
 }
 
-/* A target shared by services may go only if each of them can spare it. */
+/* A target is ejected only if each service that lists it is below its limit. */
 static bool may_eject(const struct balancer *b, const struct target *t)
 {
 	for (uint32_t i = 0; i < t->n_links; i++) {
-		const struct place *p =
-			&b->t.places[b->t.links[t->first_link + i]];
-		const struct service *s = &b->t.services[p->service];
+		const struct backend *be =
+			&b->tables.backends[b->tables.links[t->first_link + i]];
+		const struct service *s = &b->tables.services[be->service];
 
-		if (p->candidate && s->n_ejected >= ejections_max(s))
+		if (be->candidate && s->n_ejected >= max_ejections(s))
 			return false;
 	}
 	return true;
@@ -170,7 +182,7 @@
 	s->n_ejected = 0;
 	s->n_own = 0;
 	for (uint32_t i = 0; i < s->n_candidates; i++) {
-		const struct target *t = candidate(b, s, i);
+		const struct target *t = candidate_target(b, s, i);
 
 		s->n_ejected += t->health.ejected;
 		s->n_own += t->share.own && !t->health.ejected;
@@ -180,24 +192,24 @@
 static void readmit(struct balancer *b, struct target *t)
 {
 	health_readmit(&t->health);
-	fair_ready(b, (uint32_t)(t - b->t.targets));
+	fair_queue_recheck(b, (uint32_t)(t - b->tables.targets));
 }
 
 /**
- * eject_recount() - count the ejected anew; more than the share of a service
- *	are taken back, so that it is never left without targets
+ * eject_enforce_limits() - recount the ejected targets, and readmit those above
+ *	the limit of a service, so that no service is left without targets
  * @b: balancer
  */
-void eject_recount(struct balancer *b)
+void eject_enforce_limits(struct balancer *b)
 {
-	for (uint32_t i = 0; i < b->t.n_services; i++) {
-		struct service *s = &b->t.services[i];
+	for (uint32_t i = 0; i < b->tables.n_services; i++) {
+		struct service *s = &b->tables.services[i];
 
 		recount_service(b, s);
 		for (uint32_t j = 0; j < s->n_candidates; j++) {
-			struct target *t = candidate(b, s, j);
+			struct target *t = candidate_target(b, s, j);
 
-			if (s->n_ejected <= ejections_max(s))
+			if (s->n_ejected <= max_ejections(s))
 				break;
 			if (!t->health.ejected)
 				continue;
@@ -205,88 +217,93 @@
 			s->n_ejected--;
 		}
 	}
-	for (uint32_t i = 0; i < b->t.n_services; i++)
-		recount_service(b, &b->t.services[i]);
+	for (uint32_t i = 0; i < b->tables.n_services; i++)
+		recount_service(b, &b->tables.services[i]);
 }
 
-static void recount_linked(struct balancer *b, const struct target *t)
+static void recount_services_of(struct balancer *b, const struct target *t)
 {
 	for (uint32_t i = 0; i < t->n_links; i++) {
-		uint32_t place = b->t.links[t->first_link + i];
+		uint32_t backend = b->tables.links[t->first_link + i];
+		uint32_t service = b->tables.backends[backend].service;
 
-		recount_service(b, &b->t.services[b->t.places[place].service]);
+		recount_service(b, &b->tables.services[service]);
 	}
 }
 
 static void eject(struct balancer *b, struct target *t, uint64_t now_ns)
 {
 	health_eject(&t->health, now_ns);
-	recount_linked(b, t);
+	recount_services_of(b, t);
 }
 
-/* The first end after a trial began decides on an ejected target. */
-static void trial_ended(struct balancer *b, struct target *t,
-			enum outcome outcome, uint64_t took_ns, uint64_t now_ns)
+/* The first request to end during a trial decides about the ejected target. */
+static void record_trial_end(struct balancer *b, struct target *t,
+			     enum outcome outcome, uint64_t duration_ns,
+			     uint64_t now_ns)
 {
 	uint64_t peers_ns = 0;
 
 	if (t->n_links) {
-		uint32_t place = b->t.links[t->first_link];
+		uint32_t backend = b->tables.links[t->first_link];
+		uint32_t service = b->tables.backends[backend].service;
 
-		peers_ns = peers_median_ns(
-			b, &b->t.services[b->t.places[place].service], t);
+		peers_ns =
+			median_latency_ns(b, &b->tables.services[service], t);
 	}
 	if (outcome == OUTCOME_CANCELLED || outcome == OUTCOME_SHED) {
-		t->health.trial = false;
+		t->health.trial_pending = false;
 		return;
 	}
 	if (outcome != OUTCOME_OK ||
-	    (peers_ns && took_ns > CRAWL_FACTOR * peers_ns + CRAWL_MIN_NS)) {
+	    (peers_ns && duration_ns > SLOW_FACTOR * peers_ns + SLOW_MIN_NS)) {
 		health_eject(&t->health, now_ns);
 		return;
 	}
 	readmit(b, t);
-	recount_linked(b, t);
+	recount_services_of(b, t);
 }
 
 /**
- * eject_ended() - judge a target by the end of a request
+ * eject_record_end() - record the end of a request, and eject or readmit its
+ *	target accordingly
  * @b: balancer
  * @t: target
- * @outcome: how it ended
- * @took_ns: time from its start at the target
- * @now_ns: time
+ * @outcome: how the request ended
+ * @duration_ns: time since it was sent to the target
+ * @now_ns: current time
  */
-void eject_ended(struct balancer *b, struct target *t, enum outcome outcome,
-		 uint64_t took_ns, uint64_t now_ns)
+void eject_record_end(struct balancer *b, struct target *t,
+		      enum outcome outcome, uint64_t duration_ns,
+		      uint64_t now_ns)
 {
 	if (t->health.ejected) {
-		if (t->health.trial)
-			trial_ended(b, t, outcome, took_ns, now_ns);
+		if (t->health.trial_pending)
+			record_trial_end(b, t, outcome, duration_ns, now_ns);
 		return;
 	}
-	health_ended(&t->health, outcome, took_ns);
-	if (health_failing(&t->health) && may_eject(b, t))
+	health_record_end(&t->health, outcome, duration_ns);
+	if (health_is_failing(&t->health) && may_eject(b, t))
 		eject(b, t, now_ns);
 }
 
-static void round_service(struct balancer *b, struct service *s,
-			  uint64_t now_ns)
+static void eject_slow_of_service(struct balancer *b, struct service *s,
+				  uint64_t now_ns)
 {
 	uint64_t median_ns = 0;
 
-	if (s->n_candidates > SELF_MATTERS_MAX)
-		median_ns = peers_median_ns(b, s, NULL);
+	if (s->n_candidates > SHARED_MEDIAN_TARGETS_MIN)
+		median_ns = median_latency_ns(b, s, NULL);
 	for (uint32_t i = 0; i < s->n_candidates; i++) {
-		struct target *t = candidate(b, s, i);
+		struct target *t = candidate_target(b, s, i);
 		uint64_t peers_ns = median_ns;
 
-		if (t->health.ejected || now_ns < t->warm_deadline_ns ||
+		if (t->health.ejected || now_ns < t->slow_start_end_ns ||
 		    t->health.samples < SAMPLES_MIN)
 			continue;
 		if (!peers_ns)
-			peers_ns = peers_median_ns(b, s, t);
-		if (!health_crawling(&t->health, peers_ns))
+			peers_ns = median_latency_ns(b, s, t);
+		if (!health_is_slow(&t->health, peers_ns))
 			continue;
 		if (may_eject(b, t))
 			eject(b, t, now_ns);
@@ -294,12 +311,13 @@
 }
 
 /**
- * eject_round() - compare the targets of each service
+ * eject_slow_targets() - compare the latencies of each service's targets and
+ *	eject the slow ones
  * @b: balancer
- * @now_ns: time
+ * @now_ns: current time
  */
-void eject_round(struct balancer *b, uint64_t now_ns)
+void eject_slow_targets(struct balancer *b, uint64_t now_ns)
 {
-	for (uint32_t i = 0; i < b->t.n_services; i++)
-		round_service(b, &b->t.services[i], now_ns);
+	for (uint32_t i = 0; i < b->tables.n_services; i++)
+		eject_slow_of_service(b, &b->tables.services[i], now_ns);
 }
--- a/core/balance/eject.h
+++ b/core/balance/eject.h
@@ -1,46 +1,52 @@
-/* Ejection of targets that fail or crawl though their health is green. */
+/*
+ * Ejection of targets whose requests fail or are slow, even when the targets
+ * report themselves healthy.
+ */
 #ifndef CB_EJECT_H
 #define CB_EJECT_H
 
 #include "balance.h"
 
-/* Of a service's targets, at most one in this many is ejected. */
-#define EJECT_SHARE 3
+/* At most 1/EJECT_SHARE_DEN of a service's targets are ejected. */
+#define EJECT_SHARE_DEN 3
 
 /**
- * struct health - how this entry's requests at a target end
- * @latency_ns: mean time of answered requests
- * @error_milli: share of failures, in 1/1000
- * @samples: ends counted since the last ejection
- * @timeouts: timeouts in a row
- * @steps: ejections in a row, each doubles the next one's length
- * @ejected: gets no new work
- * @trial: a request on trial is at the target
- * @trial_deadline_ns: earliest next trial
+ * struct health - results of this entry's requests at a target
+ * @latency_ns: moving average of the latency
+ * @error_milli: moving average of the failed share, 0 to 1000
+ * @samples: requests counted since the target was last readmitted
+ * @consecutive_timeouts: timeouts since the last other end
+ * @backoff_steps: ejections so far, at most EJECT_BACKOFF_STEPS_MAX; each
+ *	doubles the duration of the next
+ * @ejected: gets no new work except trial requests
+ * @trial_pending: a trial request is at the target
+ * @next_trial_ns: earliest time of the next trial request
  */
 struct health {
 	uint64_t latency_ns;
 	uint32_t error_milli;
 	uint32_t samples;
-	uint8_t timeouts;
-	uint8_t steps;
+	uint8_t consecutive_timeouts;
+	uint8_t backoff_steps;
 	bool ejected;
-	bool trial;
-	uint64_t trial_deadline_ns;
+	bool trial_pending;
+	uint64_t next_trial_ns;
 };
 
-void health_ended(struct health *h, enum outcome outcome, uint64_t took_ns);
-bool health_failing(const struct health *h);
-bool health_crawling(const struct health *h, uint64_t peers_ns);
-bool health_trial_due(const struct health *h, uint64_t now_ns);
+void health_record_end(struct health *h, enum outcome outcome,
+		       uint64_t duration_ns);
+bool health_is_failing(const struct health *h);
+bool health_is_slow(const struct health *h, uint64_t peers_ns);
+bool health_trial_is_due(const struct health *h, uint64_t now_ns);
 void health_eject(struct health *h, uint64_t now_ns);
 void health_readmit(struct health *h);
 
 struct balancer;
 struct target;
-void eject_ended(struct balancer *b, struct target *t, enum outcome outcome,
-		 uint64_t took_ns, uint64_t now_ns);
-void eject_round(struct balancer *b, uint64_t now_ns);
-void eject_recount(struct balancer *b);
+void eject_record_end(struct balancer *b, struct target *t,
+		      enum outcome outcome, uint64_t duration_ns,
+		      uint64_t now_ns);
+void eject_slow_targets(struct balancer *b, uint64_t now_ns);
+void eject_enforce_limits(struct balancer *b);
 
 #endif
--- a/core/balance/lookup.c
+++ b/core/balance/lookup.c
@@ -1,14 +1,14 @@
-/* Searches of the balancer's sorted tables. */
+/* Binary searches in the balancer's sorted tables. */
 #include "balance_state.h"
 
 #include <stddef.h>
 #include <string.h>
 
 /**
- * struct column - keys of a sorted table
- * @rows: table; not read when it has no rows
+ * struct column - key column of a sorted table
+ * @rows: first row; not read when the table is empty
  * @row_bytes: size of a row
- * @offset: of the key in a row
+ * @offset: offset of the key in a row, in bytes
  */
 struct column {
 	const void *rows;
@@ -25,7 +25,7 @@
 	return key;
 }
 
-/* First row of @n whose key is not below @key. */
+/* Index of the first of @n rows whose key is not below @key. */
 static uint32_t lower_bound(struct column c, uint32_t n, uint64_t key)
 {
 	uint32_t low = 0;
@@ -43,13 +43,13 @@
 }
 
 /**
- * tables_service() - find a service
+ * tables_find_service() - find a service by its address
  * @t: tables
- * @vip: its address
+ * @vip: address
  *
- * Return: index, or INDEX_NONE.
+ * Return: index of the service, or INDEX_NONE.
  */
-uint32_t tables_service(const struct tables *t, uint64_t vip)
+uint32_t tables_find_service(const struct tables *t, uint64_t vip)
 {
 	struct column vips = { t->services, sizeof(*t->services),
 			       offsetof(struct service, vip) };
@@ -59,13 +59,13 @@
 }
 
 /**
- * tables_target() - find a target
+ * tables_find_target() - find a target by its address
  * @t: tables
- * @addr: its address
+ * @addr: address
  *
- * Return: index, or INDEX_NONE.
+ * Return: index of the target, or INDEX_NONE.
  */
-uint32_t tables_target(const struct tables *t, uint64_t addr)
+uint32_t tables_find_target(const struct tables *t, uint64_t addr)
 {
 	struct column addrs = { t->targets, sizeof(*t->targets),
 				offsetof(struct target, addr) };
@@ -75,30 +75,30 @@
 }
 
 /**
- * tables_place() - find a target of a service
+ * tables_find_backend() - find the backend of a service by its target
  * @t: tables
  * @s: service
- * @addr: target's address
+ * @addr: address of the target
  *
- * Return: index of the place, or INDEX_NONE.
+ * Return: index of the backend, or INDEX_NONE.
  */
-uint32_t tables_place(const struct tables *t, const struct service *s,
-		      uint64_t addr)
+uint32_t tables_find_backend(const struct tables *t, const struct service *s,
+			     uint64_t addr)
 {
-	uint32_t target = tables_target(t, addr);
-	uint32_t low = s->first_place;
-	uint32_t end = s->first_place + s->n_places;
+	uint32_t target = tables_find_target(t, addr);
+	uint32_t low = s->first_backend;
+	uint32_t end = s->first_backend + s->n_backends;
 	uint32_t high = end;
 
 	while (low < high) {
 		uint32_t mid = low + (high - low) / 2;
 
-		if (t->places[mid].target < target)
+		if (t->backends[mid].target < target)
 			low = mid + 1;
 		else
 			high = mid;
 	}
-	if (low < end && t->places[low].target == target)
+	if (low < end && t->backends[low].target == target)
 		return low;
 	return INDEX_NONE;
 }
--- a/core/balance/shares.c
+++ b/core/balance/shares.c
@@ -1,64 +1,66 @@
-/* This entry's shares of the targets, and where its new work may go. */
+/* This entry's shares of the targets, and the candidates for its new work. */
 #include "balance_state.h"
 
-#define DEAL_SEED 0x6465616cULL
+/* Seed for the rank of the entry that gets a service's first slot. */
+#define SHARE_SEED 0x6465616cULL
 
-static uint32_t count_up(struct balancer *b, struct service *s)
+static uint32_t count_up_slots(struct balancer *b, struct service *s)
 {
 	uint32_t slots = 0;
 
 	s->n_up = 0;
-	for (uint32_t i = 0; i < s->n_places; i++) {
-		const struct place *p = &b->t.places[s->first_place + i];
+	for (uint32_t i = 0; i < s->n_backends; i++) {
+		const struct backend *be =
+			&b->tables.backends[s->first_backend + i];
 
-		if (p->state != TARGET_UP)
+		if (be->state != TARGET_UP)
 			continue;
 		s->n_up++;
-		slots += b->t.targets[p->target].slots;
+		slots += b->tables.targets[be->target].slots;
 	}
 	return slots;
 }
 
-static void deal_service(struct balancer *b, struct service *s)
+static void allocate_service(struct balancer *b, struct service *s)
 {
-	uint64_t offset = hash_u64(s->vip, DEAL_SEED) % b->n_entries;
-
-	struct deal_order o = { .n_entries = b->n_entries, .rank = b->rank };
-
+	uint64_t offset = hash_u64(s->vip, SHARE_SEED) % b->n_entries;
+	struct share_params params = { .n_entries = b->n_entries,
+				       .rank = b->rank };
 	uint32_t nth = 0;
 
-	o.n_slots = count_up(b, s);
-	o.n_targets = s->n_up;
-	for (uint32_t i = 0; i < s->n_places; i++) {
-		struct place *p = &b->t.places[s->first_place + i];
-		struct target *t = &b->t.targets[p->target];
+	params.n_slots = count_up_slots(b, s);
+	params.n_targets = s->n_up;
+	for (uint32_t i = 0; i < s->n_backends; i++) {
+		struct backend *be = &b->tables.backends[s->first_backend + i];
+		struct target *t = &b->tables.targets[be->target];
 
-		if (p->state != TARGET_UP)
+		if (be->state != TARGET_UP)
 			continue;
 		nth++;
-		if (t->dealt)
+		if (t->is_allocated)
 			continue;
-		t->dealt = true;
-		t->share = deal_target(&o, t->slots, t->connections, offset,
-				       nth - 1);
+		t->is_allocated = true;
+		t->share = target_share_compute(
+			&params, t->slots, t->connections, offset, nth - 1);
 		offset += t->slots;
 	}
 }
 
 /*
- * A target that several services list is dealt by the first of them. Another
- * one that lists only some of its targets may leave an entry without a share;
- * that entry takes one request at one target, by rank.
+ * A target that several services list is allocated by the first of them.
+ * Another service that lists only some of the targets may leave this entry
+ * without a share; then the entry may have one request at one target, selected
+ * by rank.
  */
-static void deal_floor(struct balancer *b, struct service *s)
+static void allocate_minimum(struct balancer *b, struct service *s)
 {
 	uint32_t nth = s->n_up ? b->rank % s->n_up : 0;
 
-	for (uint32_t i = 0; i < s->n_places; i++) {
-		struct place *p = &b->t.places[s->first_place + i];
-		struct target *t = &b->t.targets[p->target];
+	for (uint32_t i = 0; i < s->n_backends; i++) {
+		struct backend *be = &b->tables.backends[s->first_backend + i];
+		struct target *t = &b->tables.targets[be->target];
 
-		if (p->state != TARGET_UP || nth--)
+		if (be->state != TARGET_UP || nth--)
 			continue;
 		t->share.own = 1;
 		if (!t->share.connections && t->connections)
@@ -70,60 +72,63 @@
 static void list_candidates(struct balancer *b, struct service *s)
 {
 	s->n_candidates = 0;
-	for (uint32_t i = 0; i < s->n_places; i++) {
-		uint32_t index = s->first_place + i;
-		struct place *p = &b->t.places[index];
-		struct target *t = &b->t.targets[p->target];
-
-		p->candidate = p->state == TARGET_UP &&
-			       t->share.own + t->share.extra > 0;
-		if (!p->candidate)
+	for (uint32_t i = 0; i < s->n_backends; i++) {
+		uint32_t index = s->first_backend + i;
+		struct backend *be = &b->tables.backends[index];
+		struct target *t = &b->tables.targets[be->target];
+
+		be->candidate = be->state == TARGET_UP &&
+				t->share.own + t->share.extra > 0;
+		if (!be->candidate)
 			continue;
-		b->t.candidates[s->first_candidate + s->n_candidates] = index;
+		b->tables.candidates[s->first_candidate + s->n_candidates] =
+			index;
 		s->n_candidates++;
 	}
 }
 
-static bool has_own(const struct balancer *b, const struct service *s)
+static bool has_own_share(const struct balancer *b, const struct service *s)
 {
-	for (uint32_t i = 0; i < s->n_places; i++) {
-		const struct place *p = &b->t.places[s->first_place + i];
+	for (uint32_t i = 0; i < s->n_backends; i++) {
+		const struct backend *be =
+			&b->tables.backends[s->first_backend + i];
 
-		if (p->state == TARGET_UP && b->t.targets[p->target].share.own)
+		if (be->state == TARGET_UP &&
+		    b->tables.targets[be->target].share.own)
 			return true;
 	}
 	return false;
 }
 
-/* With no target left that takes work, waiting is of no use to the caller. */
-static void doom_stranded(struct balancer *b, struct service *s)
+/* Without a target that accepts work, queued work would only time out. */
+static void refuse_stranded(struct balancer *b, struct service *s)
 {
 	while (!s->n_candidates && s->queue.n)
-		admit_doom(b, s->queue.head, REFUSE_NO_TARGET);
+		admit_refuse_queued(b, s->queue.head, REFUSE_NO_TARGET);
 }
 
 /**
- * shares_deal() - share out the targets anew
- * @b: balancer
+ * shares_allocate() - recompute the shares and candidates of this entry
+ * @b: balancer; queued work of services without a candidate is refused
  */
-void shares_deal(struct balancer *b)
+void shares_allocate(struct balancer *b)
 {
-	for (uint32_t i = 0; i < b->t.n_targets; i++) {
-		struct target *t = &b->t.targets[i];
+	for (uint32_t i = 0; i < b->tables.n_targets; i++) {
+		struct target *t = &b->tables.targets[i];
 
-		t->dealt = false;
-		t->share = (struct deal){ 0 };
+		t->is_allocated = false;
+		t->share = (struct target_share){ 0 };
 	}
-	for (uint32_t i = 0; i < b->t.n_services; i++)
-		deal_service(b, &b->t.services[i]);
-	for (uint32_t i = 0; i < b->t.n_services; i++)
-		if (!has_own(b, &b->t.services[i]))
-			deal_floor(b, &b->t.services[i]);
-	for (uint32_t i = 0; i < b->t.n_services; i++)
-		list_candidates(b, &b->t.services[i]);
-	for (uint32_t i = 0; i < b->t.n_services; i++)
-		doom_stranded(b, &b->t.services[i]);
-	for (uint32_t i = 0; i < b->t.n_targets; i++)
-		fair_ready(b, i);
-	eject_recount(b);
+	for (uint32_t i = 0; i < b->tables.n_services; i++)
+		allocate_service(b, &b->tables.services[i]);
+	for (uint32_t i = 0; i < b->tables.n_services; i++)
+		if (!has_own_share(b, &b->tables.services[i]))
+			allocate_minimum(b, &b->tables.services[i]);
+	for (uint32_t i = 0; i < b->tables.n_services; i++)
+		list_candidates(b, &b->tables.services[i]);
+	for (uint32_t i = 0; i < b->tables.n_services; i++)
+		refuse_stranded(b, &b->tables.services[i]);
+	for (uint32_t i = 0; i < b->tables.n_targets; i++)
+		fair_queue_recheck(b, i);
+	eject_enforce_limits(b);
 }
--- a/core/balance/tables.c
+++ b/core/balance/tables.c
@@ -1,12 +1,15 @@
-/* The balancer's tables, built anew from each configuration. */
+/* Construction of the balancer's tables from a configuration. */
 #include "balance_state.h"
 
 #include <errno.h>
 #include <stdlib.h>
 #include <string.h>
 
-/* One service on its way into the tables. */
-struct listing {
+/*
+ * A service of the new configuration, to be sorted: its address, the index of
+ * its account and its configuration.
+ */
+struct service_ref {
 	uint64_t vip;
 	uint32_t account;
 	const struct service_conf *conf;
@@ -18,14 +21,15 @@
 }
 
 /*
- * Of two accounts with one VIP the first by name keeps it, as in entry.c. By
- * VIP alone their order would be qsort()'s, and the balancer could queue and
- * count an account's work as the other's, or send it to the other's targets.
+ * When two accounts have the same VIP, it belongs to the first by name, as in
+ * entry.c. Sorted by VIP alone, their order would depend on qsort(), and the
+ * balancer could queue and count one account's work as the other's, or send it
+ * to the other's targets.
  */
-static int compare_listing(const void *a, const void *b)
+static int compare_service_ref(const void *a, const void *b)
 {
-	const struct listing *x = a;
-	const struct listing *y = b;
+	const struct service_ref *x = a;
+	const struct service_ref *y = b;
 
 	if (x->vip != y->vip)
 		return compare_u64(x->vip, y->vip);
@@ -50,53 +54,53 @@
 
 /**
  * tables_clear() - free the tables
- * @t: tables
+ * @t: tables; all zero afterwards
  */
 void tables_clear(struct tables *t)
 {
 	free(t->accounts);
 	free(t->services);
-	free(t->places);
+	free(t->backends);
 	free(t->targets);
 	free(t->links);
 	free(t->candidates);
-	free(t->scratch);
+	free(t->latencies_ns);
 	memset(t, 0, sizeof(*t));
 }
 
-static void *table(uint32_t n, size_t size_bytes)
+static void *alloc_table(uint32_t n, size_t size_bytes)
 {
 	return calloc(n ? n : 1, size_bytes);
 }
 
-static int allocate(struct tables *t, uint32_t n_kept)
+static int alloc_tables(struct tables *t, uint32_t n_kept)
 {
-	t->accounts = table(t->n_accounts, sizeof(*t->accounts));
-	t->services = table(t->n_services, sizeof(*t->services));
-	t->places = table(t->n_places, sizeof(*t->places));
-	t->targets = table(t->n_places + n_kept, sizeof(*t->targets));
-	t->links = table(t->n_places, sizeof(*t->links));
-	t->candidates = table(t->n_places, sizeof(*t->candidates));
-	t->scratch = table(t->n_places, sizeof(*t->scratch));
-	if (!t->accounts || !t->services || !t->places || !t->targets ||
-	    !t->links || !t->candidates || !t->scratch)
+	t->accounts = alloc_table(t->n_accounts, sizeof(*t->accounts));
+	t->services = alloc_table(t->n_services, sizeof(*t->services));
+	t->backends = alloc_table(t->n_backends, sizeof(*t->backends));
+	t->targets = alloc_table(t->n_backends + n_kept, sizeof(*t->targets));
+	t->links = alloc_table(t->n_backends, sizeof(*t->links));
+	t->candidates = alloc_table(t->n_backends, sizeof(*t->candidates));
+	t->latencies_ns = alloc_table(t->n_backends, sizeof(*t->latencies_ns));
+	if (!t->accounts || !t->services || !t->backends || !t->targets ||
+	    !t->links || !t->candidates || !t->latencies_ns)
 		return -ENOMEM;
 	return 0;
 }
 
-static void count(struct tables *t, const struct config *c)
+static void count_rows(struct tables *t, const struct config *config)
 {
-	t->n_accounts = c->n_accounts;
-	for (uint32_t i = 0; i < c->n_accounts; i++) {
-		const struct account_conf *a = &c->accounts[i];
+	t->n_accounts = config->n_accounts;
+	for (uint32_t i = 0; i < config->n_accounts; i++) {
+		const struct account_conf *a = &config->accounts[i];
 
 		t->n_services += a->n_services;
 		for (uint32_t j = 0; j < a->n_services; j++)
-			t->n_places += a->services[j].n_targets;
+			t->n_backends += a->services[j].n_targets;
 	}
 }
 
-/* Both configurations are sorted by name. */
+/* Binary search; the accounts are sorted by name. */
 static const struct account *find_account(const struct tables *t,
 					  const char *name)
 {
@@ -118,34 +122,36 @@
 }
 
 static void fill_accounts(struct tables *t, const struct tables *old,
-			  const struct config *c)
+			  const struct config *config)
 {
-	for (uint32_t i = 0; i < c->n_accounts; i++) {
+	for (uint32_t i = 0; i < config->n_accounts; i++) {
 		struct account *a = &t->accounts[i];
-		const struct account *before;
+		const struct account *old_account;
 
-		before = find_account(old, c->accounts[i].name);
-		if (before)
-			*a = *before;
+		old_account = find_account(old, config->accounts[i].name);
+		if (old_account)
+			*a = *old_account;
 		else
 			budget_init(&a->budget);
-		memcpy(a->name, c->accounts[i].name, NAME_MAX_BYTES);
-		a->weight = c->accounts[i].weight ? c->accounts[i].weight : 1;
-		a->n_waiting = 0;
-		t->weights += a->weight;
+		memcpy(a->name, config->accounts[i].name, NAME_MAX_BYTES);
+		a->weight = config->accounts[i].weight
+				    ? config->accounts[i].weight
+				    : 1;
+		a->n_queued = 0;
+		t->weight_sum += a->weight;
 	}
 }
 
-static int list_services(struct listing **out, const struct config *c,
-			 uint32_t n)
+static int collect_services(struct service_ref **out,
+			    const struct config *config, uint32_t n)
 {
-	struct listing *l = table(n, sizeof(*l));
+	struct service_ref *l = alloc_table(n, sizeof(*l));
 	uint32_t k = 0;
 
 	if (!l)
 		return -ENOMEM;
-	for (uint32_t i = 0; i < c->n_accounts; i++) {
-		const struct account_conf *a = &c->accounts[i];
+	for (uint32_t i = 0; i < config->n_accounts; i++) {
+		const struct account_conf *a = &config->accounts[i];
 
 		for (uint32_t j = 0; j < a->n_services; j++) {
 			l[k].vip = a->services[j].vip;
@@ -154,31 +160,31 @@
 			k++;
 		}
 	}
-	qsort(l, n, sizeof(*l), compare_listing);
+	qsort(l, n, sizeof(*l), compare_service_ref);
 	*out = l;
 	return 0;
 }
 
 static void fill_service(struct tables *t, const struct tables *old,
-			 uint32_t index, const struct listing *l)
+			 uint32_t index, const struct service_ref *l)
 {
 	struct service *s = &t->services[index];
-	uint32_t before = tables_service(old, l->vip);
+	uint32_t old_index = tables_find_service(old, l->vip);
 
-	if (before != INDEX_NONE)
-		*s = old->services[before];
+	if (old_index != INDEX_NONE)
+		*s = old->services[old_index];
 	s->vip = l->vip;
 	s->account = l->account;
 	s->class = l->conf->class;
 	s->queue_max = l->conf->queue_max;
-	s->n_places = l->conf->n_targets;
-	s->n_waiting = 0;
+	s->n_backends = l->conf->n_targets;
+	s->n_queued = 0;
 	queue_init(&s->queue);
 }
 
-/* Every listed address once, and those that still have work of ours. */
+/* Each listed address once, and targets at which this entry still has work. */
 static void fill_targets(struct tables *t, const struct tables *old,
-			 const struct listing *l)
+			 const struct service_ref *l)
 {
 	uint32_t n = 0;
 	uint32_t unique = 0;
@@ -196,64 +202,69 @@
 	t->n_targets = unique;
 }
 
-static void carry_targets(struct tables *t, const struct tables *old,
-			  uint64_t now_ns)
+static void retain_targets(struct tables *t, const struct tables *old,
+			   uint64_t now_ns)
 {
 	for (uint32_t i = 0; i < t->n_targets; i++) {
-		struct target *x = &t->targets[i];
-		uint32_t before = tables_target(old, x->addr);
+		struct target *target = &t->targets[i];
+		uint32_t old_index = tables_find_target(old, target->addr);
 
-		if (before != INDEX_NONE) {
-			*x = old->targets[before];
+		if (old_index != INDEX_NONE) {
+			*target = old->targets[old_index];
 		} else {
-			view_init(&x->view);
-			x->limit_milli = UINT32_MAX;
-			/* After a restart every target is new, and warm. */
+			load_view_init(&target->load_view);
+			target->aimd_limit_milli = UINT32_MAX;
+			/*
+			 * After a restart of the entry all targets are new to
+			 * it but not just started: no slow start.
+			 */
 			if (old->n_targets)
-				x->warm_deadline_ns = now_ns + SLOW_START_NS;
+				target->slow_start_end_ns =
+					now_ns + SLOW_START_NS;
 		}
-		x->listed = false;
-		x->slots = UINT16_MAX;
-		x->connections = UINT32_MAX;
-		x->n_links = 0;
-		x->ready = false;
+		target->listed = false;
+		target->slots = UINT16_MAX;
+		target->connections = UINT32_MAX;
+		target->n_links = 0;
+		target->needs_recheck = false;
 	}
 }
 
-static void fill_place(struct tables *t, const struct tables *old,
-		       uint32_t service, uint32_t index,
-		       const struct target_conf *conf)
+static void fill_backend(struct tables *t, const struct tables *old,
+			 uint32_t service, uint32_t index,
+			 const struct target_conf *conf)
 {
 	struct service *s = &t->services[service];
-	struct place *p = &t->places[index];
-	uint32_t old_service = tables_service(old, s->vip);
-	uint32_t before = INDEX_NONE;
-	struct target *x;
+	struct backend *be = &t->backends[index];
+	uint32_t old_service = tables_find_service(old, s->vip);
+	uint32_t old_index = INDEX_NONE;
+	struct target *target;
 
 	if (old_service != INDEX_NONE)
-		before = tables_place(old, &old->services[old_service],
-				      conf->addr);
-	p->turn = s->turn;
-	if (before != INDEX_NONE)
-		*p = old->places[before];
-	p->service = service;
-	p->target = tables_target(t, conf->addr);
-	p->state = conf->state;
-	p->weight = conf->weight ? conf->weight : 1;
-	queue_init(&p->pinned);
-	x = &t->targets[p->target];
-	x->listed = true;
-	x->n_links++;
-	if (conf->slots < x->slots)
-		x->slots = conf->slots ? conf->slots : 1;
-	if (conf->connections < x->connections)
-		x->connections = conf->connections;
+		old_index = tables_find_backend(
+			old, &old->services[old_service], conf->addr);
+	be->pass = s->pass;
+	if (old_index != INDEX_NONE)
+		*be = old->backends[old_index];
+	be->service = service;
+	be->target = tables_find_target(t, conf->addr);
+	be->state = conf->state;
+	be->weight = conf->weight ? conf->weight : 1;
+	queue_init(&be->pinned);
+	target = &t->targets[be->target];
+	target->listed = true;
+	target->n_links++;
+	if (conf->slots < target->slots)
+		target->slots = conf->slots ? conf->slots : 1;
+	if (conf->connections < target->connections)
+		target->connections = conf->connections;
 }
 
-static int fill_places(struct tables *t, const struct tables *old,
-		       const struct listing *l)
+static int fill_backends(struct tables *t, const struct tables *old,
+			 const struct service_ref *l)
 {
-	const struct target_conf **order = table(t->n_places, sizeof(*order));
+	const struct target_conf **order =
+		alloc_table(t->n_backends, sizeof(*order));
 	uint32_t k = 0;
 
 	if (!order)
@@ -265,10 +276,10 @@
 			order[j] = &conf->targets[j];
 		qsort(order, conf->n_targets, sizeof(*order),
 		      compare_target_conf);
-		t->services[i].first_place = k;
+		t->services[i].first_backend = k;
 		t->services[i].first_candidate = k;
 		for (uint32_t j = 0; j < conf->n_targets; j++)
-			fill_place(t, old, i, k++, order[j]);
+			fill_backend(t, old, i, k++, order[j]);
 	}
 	free(order);
 	return 0;
@@ -283,40 +294,41 @@
 		first += t->targets[i].n_links;
 		t->targets[i].n_links = 0;
 	}
-	for (uint32_t i = 0; i < t->n_places; i++) {
-		struct target *x = &t->targets[t->places[i].target];
+	for (uint32_t i = 0; i < t->n_backends; i++) {
+		struct target *target = &t->targets[t->backends[i].target];
 
-		t->links[x->first_link + x->n_links++] = i;
+		t->links[target->first_link + target->n_links++] = i;
 	}
 }
 
-/* Put a waiting item into the new queues, or doom it. */
+/* Move a queued item to its queue in the new tables, or refuse it. */
 static void requeue(struct balancer *b, struct tables *t, uint32_t handle)
 {
-	struct item *it = &b->items[handle];
-	uint32_t service = tables_service(t, it->work.vip);
-	uint32_t place = INDEX_NONE;
+	struct item *item = &b->items[handle];
+	uint32_t service = tables_find_service(t, item->work.vip);
+	uint32_t backend = INDEX_NONE;
 	struct queue *q;
 
-	if (service != INDEX_NONE && it->place != INDEX_NONE)
-		place = tables_place(t, &t->services[service], it->work.pinned);
+	if (service != INDEX_NONE && item->backend != INDEX_NONE)
+		backend = tables_find_backend(t, &t->services[service],
+					      item->work.pinned);
 	if (service == INDEX_NONE ||
-	    (it->place != INDEX_NONE && place == INDEX_NONE)) {
+	    (item->backend != INDEX_NONE && backend == INDEX_NONE)) {
 		deadline_heap_remove(&b->deadlines, handle);
-		b->n_waiting--;
-		it->state = ITEM_DOOMED;
-		it->reason = REFUSE_NO_TARGET;
-		it->service = INDEX_NONE;
-		queue_add(b, &b->doomed, handle);
+		b->n_queued--;
+		item->state = ITEM_REFUSED;
+		item->reason = REFUSE_NO_TARGET;
+		item->service = INDEX_NONE;
+		queue_add(b, &b->refused, handle);
 		return;
 	}
-	it->service = service;
-	it->place = place;
-	q = place == INDEX_NONE ? &t->services[service].queue
-				: &t->places[place].pinned;
+	item->service = service;
+	item->backend = backend;
+	q = backend == INDEX_NONE ? &t->services[service].queue
+				  : &t->backends[backend].pinned;
 	queue_add(b, q, handle);
-	t->services[service].n_waiting++;
-	t->accounts[t->services[service].account].n_waiting++;
+	t->services[service].n_queued++;
+	t->accounts[t->services[service].account].n_queued++;
 }
 
 static void requeue_all(struct balancer *b, struct tables *t, struct queue *q)
@@ -331,52 +343,57 @@
 	}
 }
 
-static void replace(struct balancer *b, struct tables *t)
+static void install_tables(struct balancer *b, struct tables *t)
 {
-	for (uint32_t i = 0; i < b->t.n_services; i++)
-		requeue_all(b, t, &b->t.services[i].queue);
-	for (uint32_t i = 0; i < b->t.n_places; i++)
-		requeue_all(b, t, &b->t.places[i].pinned);
-	for (uint32_t h = b->doomed.head; h != INDEX_NONE; h = b->items[h].next)
-		b->items[h].service = tables_service(t, b->items[h].work.vip);
-	tables_clear(&b->t);
-	b->t = *t;
-	b->ready = INDEX_NONE;
+	for (uint32_t i = 0; i < b->tables.n_services; i++)
+		requeue_all(b, t, &b->tables.services[i].queue);
+	for (uint32_t i = 0; i < b->tables.n_backends; i++)
+		requeue_all(b, t, &b->tables.backends[i].pinned);
+	for (uint32_t h = b->refused.head; h != INDEX_NONE;
+	     h = b->items[h].next)
+		b->items[h].service =
+			tables_find_service(t, b->items[h].work.vip);
+	tables_clear(&b->tables);
+	b->tables = *t;
+	b->recheck_head = INDEX_NONE;
 }
 
 /**
- * tables_build() - put a configuration in force; what is known of services,
- *	targets and accounts that stay is kept, and so is the waiting work
+ * tables_build() - build the tables from a configuration and put it in force
  * @b: balancer
- * @c: configuration
- * @now_ns: time
+ * @config: configuration; not used after the call
+ * @now_ns: current time
+ *
+ * Accounts, services and targets that are in the old configuration as well keep
+ * their state, and queued work remains queued.
  *
- * Return: 0, or -ENOMEM with the old configuration in force.
+ * Return: 0, or -ENOMEM; then the old configuration remains in force.
  */
-int tables_build(struct balancer *b, const struct config *c, uint64_t now_ns)
+int tables_build(struct balancer *b, const struct config *config,
+		 uint64_t now_ns)
 {
 	struct tables t = { 0 };
-	struct listing *l = NULL;
+	struct service_ref *l = NULL;
 	int err;
 
-	count(&t, c);
-	err = allocate(&t, b->t.n_targets);
+	count_rows(&t, config);
+	err = alloc_tables(&t, b->tables.n_targets);
 	if (!err)
-		err = list_services(&l, c, t.n_services);
+		err = collect_services(&l, config, t.n_services);
 	if (err)
 		goto fail;
-	fill_accounts(&t, &b->t, c);
+	fill_accounts(&t, &b->tables, config);
 	for (uint32_t i = 0; i < t.n_services; i++)
-		fill_service(&t, &b->t, i, &l[i]);
-	fill_targets(&t, &b->t, l);
-	carry_targets(&t, &b->t, now_ns);
-	err = fill_places(&t, &b->t, l);
+		fill_service(&t, &b->tables, i, &l[i]);
+	fill_targets(&t, &b->tables, l);
+	retain_targets(&t, &b->tables, now_ns);
+	err = fill_backends(&t, &b->tables, l);
 	if (err)
 		goto fail;
 	fill_links(&t);
 	free(l);
-	replace(b, &t);
-	shares_deal(b);
+	install_tables(b, &t);
+	shares_allocate(b);
 	return 0;
 fail:
 	free(l);
--- a/core/base/hash.c
+++ b/core/base/hash.c
@@ -3,7 +3,7 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Part of the protocol between entries: all must map a flow to the same bucket. */
+/* Part of the protocol: all entries must map a flow to the same bucket. */
 #define FLOW_HASH_SEED 0x63626c62ULL
 
 /**
--- a/core/request/answer.c
+++ b/core/request/answer.c
@@ -123,8 +123,8 @@
 		    const struct message *msg)
 {
 	if (msg->has_load)
-		balance_report(entry->balancer, target, &msg->load,
-			       entry->now_ns);
+		balance_record_load(entry->balancer, target, &msg->load,
+				    entry->now_ns);
 	switch (msg->kind) {
 	case MESSAGE_ANSWER:
 		handle_answer(entry, target, msg);
--- a/core/request/entry.c
+++ b/core/request/entry.c
@@ -205,7 +205,7 @@
 	if (entry->services && entry->service_list)
 		list_services(entry, config);
 	account_stats_config(entry->stats, config);
-	balance_config(entry->balancer, config, now_ns);
+	balance_set_config(entry->balancer, config, now_ns);
 	moves_check_config(entry);
 	requests_start_ready(entry);
 }
--- a/core/request/entry_membership.c
+++ b/core/request/entry_membership.c
@@ -43,7 +43,7 @@
 
 	for (uint32_t i = 0; i < n; i++)
 		rank += vms[i] < entry->conf.member.self;
-	balance_peers(entry->balancer, n ? n : 1, rank);
+	balance_set_entries(entry->balancer, n ? n : 1, rank);
 }
 
 /*
--- a/core/request/entry_query.c
+++ b/core/request/entry_query.c
@@ -32,7 +32,7 @@
 void entry_load_report(struct entry *entry, uint64_t target,
 		       const struct load_report *report, uint64_t now_ns)
 {
-	balance_report(entry->balancer, target, report, now_ns);
+	balance_record_load(entry->balancer, target, report, now_ns);
 }
 
 static const struct account_conf *account_of(const struct entry *entry,
--- a/core/request/feed.c
+++ b/core/request/feed.c
@@ -176,7 +176,8 @@
 	if (feed->counted == on)
 		return;
 	feed->counted = on;
-	balance_feed(entry->balancer, feed->key.vip, feed->target, on ? 1 : -1);
+	balance_change_feeds(entry->balancer, feed->key.vip, feed->target,
+			     on ? 1 : -1);
 }
 
 /**
--- a/core/request/request.c
+++ b/core/request/request.c
@@ -173,8 +173,8 @@
 	if (!req->counted)
 		return;
 	req->counted = false;
-	balance_done(entry->balancer, req->key.vip, req->target, outcome,
-		     entry->now_ns - req->sent_ns, entry->now_ns);
+	balance_record_end(entry->balancer, req->key.vip, req->target, outcome,
+			   entry->now_ns - req->sent_ns, entry->now_ns);
 }
 
 static bool owned_for_cover_time(const struct entry *entry,
--- a/core/request/send.c
+++ b/core/request/send.c
@@ -23,7 +23,7 @@
 			  .avoid = req->avoid_target,
 			  .hash = flow_hash(&req->key),
 			  .deadline_ns = req->deadline_ns };
-	struct ruling ruling;
+	struct decision decision;
 
 	if (!s) {
 		request_refuse(entry, req, REFUSE_NO_TARGET, RETRY_AFTER_S);
@@ -35,27 +35,28 @@
 	}
 	w.class = request_class(req->flags, s->class);
 	w.pinned = transfer_target(entry, req);
-	ruling = balance_submit(entry->balancer, &w, entry->now_ns);
+	decision = balance_submit(entry->balancer, &w, entry->now_ns);
 	/*
 	 * A transfer continues at the target that has its earlier blocks, even
 	 * if operators have withdrawn that target since.
 	 */
-	if (ruling.reason == REFUSE_NO_TARGET && w.pinned != ADDR_NONE) {
+	if (decision.reason == REFUSE_NO_TARGET && w.pinned != ADDR_NONE) {
 		request_send(entry, req, w.pinned);
 		return;
 	}
-	if (ruling.verdict == VERDICT_REFUSED) {
-		request_refuse(entry, req, ruling.reason, ruling.retry_after_s);
+	if (decision.verdict == VERDICT_REFUSED) {
+		request_refuse(entry, req, decision.reason,
+			       decision.retry_after_s);
 		return;
 	}
-	if (ruling.verdict == VERDICT_QUEUED) {
+	if (decision.verdict == VERDICT_QUEUED) {
 		req->state = REQ_QUEUED;
 		timers_set(entry->timers, w.handle,
 			   req->deadline_ns + NS_PER_S);
 		return;
 	}
 	req->counted = true;
-	request_send(entry, req, ruling.target);
+	request_send(entry, req, decision.target);
 }
 
 static bool may_retransmit(const struct entry *entry, const struct request *req)
@@ -150,7 +151,7 @@
 	    req->deadline_ns <= entry->now_ns ||
 	    !transfer_may_change_target(req))
 		return false;
-	return balance_may_retry(entry->balancer, req->key.vip, entry->now_ns);
+	return balance_take_retry(entry->balancer, req->key.vip, entry->now_ns);
 }
 
 /*
@@ -362,13 +363,13 @@
 }
 
 static void start_queued(struct entry *entry, struct request *req,
-			 const struct ruling *ruling)
+			 const struct decision *decision)
 {
 	req->counted = true;
-	req->target = ruling->target;
+	req->target = decision->target;
 	req->sent_ns = entry->now_ns;
 	if (request_is_idempotent(entry, req) || claim_lease_holds(entry)) {
-		request_send(entry, req, ruling->target);
+		request_send(entry, req, decision->target);
 		return;
 	}
 	/*
@@ -389,19 +390,19 @@
  */
 void requests_start_ready(struct entry *entry)
 {
-	struct ruling ruling;
+	struct decision decision;
 	uint32_t slot;
 
 	while (emit_has_capacity(entry) &&
-	       balance_next(entry->balancer, entry->now_ns, &slot, &ruling)) {
+	       balance_next(entry->balancer, entry->now_ns, &slot, &decision)) {
 		struct request *req = &entry->requests[slot];
 
 		if (req->state != REQ_QUEUED)
 			continue;
-		if (ruling.verdict == VERDICT_GO)
-			start_queued(entry, req, &ruling);
+		if (decision.verdict == VERDICT_ADMITTED)
+			start_queued(entry, req, &decision);
 		else
-			request_refuse(entry, req, ruling.reason,
-				       ruling.retry_after_s);
+			request_refuse(entry, req, decision.reason,
+				       decision.retry_after_s);
 	}
 }
--- a/test/balance_fault_test.c
+++ b/test/balance_fault_test.c
@@ -11,10 +11,10 @@
 static uint32_t one_request(struct fixture *f, uint64_t slow_target,
 			    uint64_t slow_ms, enum outcome slow_outcome)
 {
-	struct ruling r = fixture_submit(f, 0, 5000);
+	struct decision r = fixture_submit(f, 0, 5000);
 	bool slow = r.target == slow_target;
 
-	assert_int_equal(r.verdict, VERDICT_GO);
+	assert_int_equal(r.verdict, VERDICT_ADMITTED);
 	fixture_done(f, r.target, slow ? slow_outcome : OUTCOME_OK,
 		     slow ? slow_ms : 20);
 	fixture_drain(f);
@@ -41,7 +41,7 @@
 static void shedding_target_is_left_alone(void **state)
 {
 	struct fixture f;
-	struct ruling first;
+	struct decision first;
 	struct work retry;
 
 	(void)state;
@@ -50,7 +50,7 @@
 	fixture_done(&f, first.target, OUTCOME_SHED, 1);
 	retry = fixture_work(&f, 0, 5000);
 	retry.avoid = first.target;
-	assert_true(balance_may_retry(f.b, FIXTURE_VIP, f.now_ns));
+	assert_true(balance_take_retry(f.b, FIXTURE_VIP, f.now_ns));
 	assert_int_not_equal(balance_submit(f.b, &retry, f.now_ns).target,
 			     first.target);
 	for (uint32_t i = 1; i < 4; i++)
@@ -111,9 +111,9 @@
 	(void)state;
 	fixture_open(&f, 6, 2, 100);
 	for (uint32_t i = 0; i < ROUNDS; i++) {
-		struct ruling r = fixture_submit(&f, 0, 5000);
+		struct decision r = fixture_submit(&f, 0, 5000);
 
-		assert_int_equal(r.verdict, VERDICT_GO);
+		assert_int_equal(r.verdict, VERDICT_ADMITTED);
 		fixture_done(&f, r.target, OUTCOME_ERROR, 20);
 		assert_true(fixture_ejected(&f) <= 2);
 	}
@@ -130,7 +130,7 @@
 		r.running += fixture_target(i) == own;
 		if (!i)
 			r.running = 0;
-		balance_report(f->b, fixture_target(i), &r, f->now_ns);
+		balance_record_load(f->b, fixture_target(i), &r, f->now_ns);
 	}
 }
 
@@ -147,9 +147,9 @@
 
 	(void)state;
 	fixture_open(&f, 4, 2, 100);
-	balance_peers(f.b, 2, 0);
+	balance_set_entries(f.b, 2, 0);
 	for (uint32_t i = 0; i < 80; i++) {
-		struct ruling r = fixture_submit(&f, 0, 5000);
+		struct decision r = fixture_submit(&f, 0, 5000);
 
 		n += r.target == fixture_target(0);
 		f.now_ns += 50 * NS_PER_MS;
@@ -197,7 +197,7 @@
 {
 	struct fixture f;
 	struct work pinned;
-	struct ruling r;
+	struct decision r;
 	uint32_t handle;
 
 	(void)state;
@@ -212,7 +212,7 @@
 	pinned = fixture_work(&f, 3, 5000);
 	pinned.pinned = fixture_target(0);
 	assert_int_equal(balance_submit(f.b, &pinned, f.now_ns).verdict,
-			 VERDICT_GO);
+			 VERDICT_ADMITTED);
 	fixture_done(&f, fixture_target(1), OUTCOME_OK, 20);
 	assert_true(balance_next(f.b, f.now_ns, &handle, &r));
 	assert_int_equal(handle, 2);
@@ -241,11 +241,11 @@
 		struct fixture f;
 
 		fixture_open(&f, 15, 2, 100);
-		balance_peers(f.b, 8, rank);
+		balance_set_entries(f.b, 8, rank);
 		for (uint32_t i = 0; i < 100; i++) {
-			struct ruling r = fixture_submit(&f, i, 5000);
+			struct decision r = fixture_submit(&f, i, 5000);
 
-			if (r.verdict == VERDICT_GO)
+			if (r.verdict == VERDICT_ADMITTED)
 				sum[fixture_index(r.target)]++;
 		}
 		fixture_close(&f);
@@ -269,12 +269,12 @@
 
 	(void)state;
 	fixture_open(&f, 15, 2, 100);
-	balance_peers(f.b, 8, 3);
+	balance_set_entries(f.b, 8, 3);
 	for (uint32_t i = 0; i < 15; i++)
-		balance_report(f.b, fixture_target(i), i % 2 ? &idle : &full,
-			       f.now_ns);
+		balance_record_load(f.b, fixture_target(i),
+				    i % 2 ? &idle : &full, f.now_ns);
 	for (uint32_t i = 0; i < 20; i++)
-		go += fixture_submit(&f, i, 5000).verdict == VERDICT_GO;
+		go += fixture_submit(&f, i, 5000).verdict == VERDICT_ADMITTED;
 	assert_in_range(go, 5, 7);
 	fixture_close(&f);
 }
@@ -292,10 +292,10 @@
 
 	(void)state;
 	fixture_open(&f, 1, 2, 100);
-	balance_peers(f.b, 2, 0);
-	assert_int_equal(fixture_submit(&f, 0, 5000).verdict, VERDICT_GO);
+	balance_set_entries(f.b, 2, 0);
+	assert_int_equal(fixture_submit(&f, 0, 5000).verdict, VERDICT_ADMITTED);
 	for (uint32_t i = 0; i < 50; i++) {
-		if (fixture_submit(&f, 1, 5000).verdict == VERDICT_GO) {
+		if (fixture_submit(&f, 1, 5000).verdict == VERDICT_ADMITTED) {
 			fixture_done(&f, fixture_target(0), OUTCOME_SHED, 1);
 			sheds++;
 		}
@@ -330,7 +330,7 @@
 				 VERDICT_QUEUED);
 	}
 	for (uint32_t i = 0; i < 24; i++) {
-		struct ruling r;
+		struct decision r;
 		uint32_t handle;
 
 		fixture_done(&f, fixture_target(0), OUTCOME_OK, 20);
@@ -364,7 +364,7 @@
 		fixture_submit(&f, 10 + i, 5000);
 	}
 	for (uint32_t i = 0; i < 200; i++) {
-		struct ruling r = fixture_submit(&f, 100, 5000);
+		struct decision r = fixture_submit(&f, 100, 5000);
 
 		assert_int_equal(r.verdict, VERDICT_REFUSED);
 		seen[r.retry_after_s]++;
--- a/test/balance_fixture.c
+++ b/test/balance_fixture.c
@@ -67,7 +67,7 @@
 
 void fixture_config(struct fixture *f)
 {
-	balance_config(f->b, &f->config, f->now_ns);
+	balance_set_config(f->b, &f->config, f->now_ns);
 }
 
 void fixture_close(struct fixture *f)
@@ -87,8 +87,8 @@
 	};
 }
 
-struct ruling fixture_submit(struct fixture *f, uint32_t handle,
-			     uint64_t timeout_ms)
+struct decision fixture_submit(struct fixture *f, uint32_t handle,
+			       uint64_t timeout_ms)
 {
 	struct work w = fixture_work(f, handle, timeout_ms);
 
@@ -99,13 +99,13 @@
 		  uint64_t took_ms)
 {
 	f->now_ns += took_ms * NS_PER_MS;
-	balance_done(f->b, FIXTURE_VIP, target, outcome, took_ms * NS_PER_MS,
-		     f->now_ns);
+	balance_record_end(f->b, FIXTURE_VIP, target, outcome,
+			   took_ms * NS_PER_MS, f->now_ns);
 }
 
 void fixture_drain(struct fixture *f)
 {
-	struct ruling r;
+	struct decision r;
 	uint32_t handle;
 
 	while (balance_next(f->b, f->now_ns, &handle, &r))
@@ -117,7 +117,7 @@
 	struct target_stats t = { 0 };
 	uint32_t cursor = 0;
 
-	while (balance_targets(f->b, &cursor, &t))
+	while (balance_next_target_stats(f->b, &cursor, &t))
 		if (t.addr == fixture_target(target))
 			return t;
 	return t;
@@ -129,7 +129,7 @@
 	uint32_t cursor = 0;
 	uint32_t n = 0;
 
-	while (balance_targets(f->b, &cursor, &t))
+	while (balance_next_target_stats(f->b, &cursor, &t))
 		n += t.ejected;
 	return n;
 }
--- a/test/balance_fixture.h
+++ b/test/balance_fixture.h
@@ -36,8 +36,8 @@
 uint32_t fixture_index(uint64_t target);
 struct work fixture_work(struct fixture *f, uint32_t handle,
 			 uint64_t timeout_ms);
-struct ruling fixture_submit(struct fixture *f, uint32_t handle,
-			     uint64_t timeout_ms);
+struct decision fixture_submit(struct fixture *f, uint32_t handle,
+			       uint64_t timeout_ms);
 void fixture_done(struct fixture *f, uint64_t target, enum outcome outcome,
 		  uint64_t took_ms);
 void fixture_drain(struct fixture *f);
--- a/test/balance_prop.cc
+++ b/test/balance_prop.cc
@@ -3,7 +3,7 @@
 extern "C" {
 #include "balance.h"
 #include "budget.h"
-#include "deal.h"
+#include "target_share.h"
 }
 #undef class
 
@@ -91,8 +91,8 @@
 	{
 		for (uint32_t i = 0; i < n; i++) {
 			entries.push_back(balance_new(WORK_MAX, { i + 1 }));
-			balance_config(entries[i], &c.c, now_ns);
-			balance_peers(entries[i], n, i);
+			balance_set_config(entries[i], &c.c, now_ns);
+			balance_set_entries(entries[i], n, i);
 		}
 	}
 
@@ -126,7 +126,7 @@
 
 	void drain(uint32_t entry)
 	{
-		ruling r;
+		decision r;
 		uint32_t handle;
 
 		while (balance_next(entries[entry], now_ns, &handle, &r)) {
@@ -134,7 +134,7 @@
 
 			RC_ASSERT(it != waiting.end());
 			RC_ASSERT(r.verdict != VERDICT_QUEUED);
-			if (r.verdict == VERDICT_GO)
+			if (r.verdict == VERDICT_ADMITTED)
 				go(entry, it->second, r.target);
 			else
 				RC_ASSERT(r.retry_after_s >= 1u);
@@ -145,11 +145,11 @@
 				RC_ASSERT(w.deadline_ns > now_ns);
 	}
 
-	ruling submit(uint32_t entry, uint64_t to, bool feed,
-		      uint64_t timeout_ms, uint64_t pinned = ADDR_NONE)
+	decision submit(uint32_t entry, uint64_t to, bool feed,
+			uint64_t timeout_ms, uint64_t pinned = ADDR_NONE)
 	{
 		work w{};
-		ruling r{};
+		decision r{};
 
 		r.verdict = VERDICT_REFUSED;
 		if (!free_handle(entry, &w.handle))
@@ -160,7 +160,7 @@
 		w.pinned = pinned;
 		w.deadline_ns = now_ns + timeout_ms * NS_PER_MS;
 		r = balance_submit(entries[entry], &w, now_ns);
-		if (r.verdict == VERDICT_GO)
+		if (r.verdict == VERDICT_ADMITTED)
 			go(entry, w, r.target);
 		if (r.verdict == VERDICT_QUEUED)
 			waiting[{ entry, w.handle }] = w;
@@ -174,10 +174,11 @@
 
 		running.erase(running.begin() + i);
 		inflight[target_index(r.target)]--;
-		balance_done(entries[r.entry], r.vip, r.target, how, took_ns,
-			     now_ns);
+		balance_record_end(entries[r.entry], r.vip, r.target, how,
+				   took_ns, now_ns);
 		if (r.feed && how == OUTCOME_OK) {
-			balance_feed(entries[r.entry], r.vip, r.target, 1);
+			balance_change_feeds(entries[r.entry], r.vip, r.target,
+					     1);
 			feeds[target_index(r.target)]++;
 		}
 		drain(r.entry);
@@ -185,8 +186,8 @@
 
 	void report(uint32_t entry, uint32_t target, load_report said)
 	{
-		balance_report(entries[entry], target_addr(target), &said,
-			       now_ns);
+		balance_record_load(entries[entry], target_addr(target), &said,
+				    now_ns);
 		drain(entry);
 	}
 
@@ -208,7 +209,7 @@
 
 		t.state = t.state == TARGET_UP ? TARGET_DRAINING : TARGET_UP;
 		for (uint32_t i = 0; i < entries.size(); i++) {
-			balance_config(entries[i], &c.c, now_ns);
+			balance_set_config(entries[i], &c.c, now_ns);
 			drain(i);
 		}
 	}
@@ -236,22 +237,22 @@
 // Requests that targets may be sent, by the promise in docs/design/balance.md.
 uint32_t promise(uint32_t n_entries, uint32_t n_targets, uint32_t slots)
 {
-	deal_order o = { n_entries, 0, n_targets, n_targets * slots };
+	share_params o = { n_entries, 0, n_targets, n_targets * slots };
 	uint32_t own = slots;
 
 	if (o.n_slots < n_entries)
 		own = (n_entries + n_targets - 1) / n_targets;
-	return own + deal_extra_total(&o, slots);
+	return own + target_share_extra_total(&o, slots);
 }
 
 void shares_add_up()
 {
 	uint32_t slots = any(1, 40);
-	deal_order o = { any(1, 500), 0, any(1, 50), 0 };
+	share_params o = { any(1, 500), 0, any(1, 50), 0 };
 	uint32_t nth = any(0, o.n_targets - 1);
 	uint32_t connections = any(0, 3000);
 	uint64_t offset = any(0, 100000);
-	deal sum{};
+	target_share sum{};
 	uint32_t least = UINT32_MAX;
 	uint32_t most = 0;
 	uint32_t own = slots;
@@ -261,7 +262,8 @@
 		own = o.n_entries / o.n_targets +
 		      (nth < o.n_entries % o.n_targets);
 	for (o.rank = 0; o.rank < o.n_entries; o.rank++) {
-		deal d = deal_target(&o, slots, connections, offset, nth);
+		target_share d = target_share_compute(&o, slots, connections,
+						      offset, nth);
 
 		sum.own += d.own;
 		sum.extra += d.extra;
@@ -270,7 +272,7 @@
 		most = std::max(most, d.own);
 	}
 	RC_ASSERT(sum.own == own);
-	RC_ASSERT(sum.extra == deal_extra_total(&o, slots));
+	RC_ASSERT(sum.extra == target_share_extra_total(&o, slots));
 	RC_ASSERT(sum.connections == connections);
 	RC_ASSERT(most - least <= 1u);
 }
@@ -330,7 +332,7 @@
 	for (uint32_t i = 0; i < 400; i++) {
 		if (any(0, 1)) {
 			retries +=
-				balance_may_retry(f.entries[0], VIP, f.now_ns);
+				balance_take_retry(f.entries[0], VIP, f.now_ns);
 		} else {
 			f.submit(0, VIP, false, 400);
 			good++;
--- a/test/balance_test.c
+++ b/test/balance_test.c
@@ -13,9 +13,9 @@
 	(void)state;
 	fixture_open(&f, 4, 2, 100);
 	for (uint32_t i = 0; i < 8; i++) {
-		struct ruling r = fixture_submit(&f, i, 5000);
+		struct decision r = fixture_submit(&f, i, 5000);
 
-		assert_int_equal(r.verdict, VERDICT_GO);
+		assert_int_equal(r.verdict, VERDICT_ADMITTED);
 		seen[fixture_index(r.target)]++;
 	}
 	for (uint32_t i = 0; i < 4; i++)
@@ -35,19 +35,19 @@
 	f.services[0].targets[0].weight = 300;
 	fixture_config(&f);
 	for (uint32_t i = 0; i < 80; i++) {
-		struct ruling r = fixture_submit(&f, 0, 5000);
+		struct decision r = fixture_submit(&f, 0, 5000);
 
 		requests += r.target == fixture_target(0);
 		fixture_done(&f, r.target, OUTCOME_OK, 20);
 	}
 	for (uint32_t i = 0; i < 80; i++) {
 		struct work w = fixture_work(&f, 0, 5000);
-		struct ruling r;
+		struct decision r;
 
 		w.feed = true;
 		r = balance_submit(f.b, &w, f.now_ns);
 		fixture_done(&f, r.target, OUTCOME_OK, 20);
-		balance_feed(f.b, FIXTURE_VIP, r.target, 1);
+		balance_change_feeds(f.b, FIXTURE_VIP, r.target, 1);
 		feeds += r.target == fixture_target(0);
 	}
 	assert_in_range(requests, 58, 62);
@@ -58,7 +58,7 @@
 static void queue_runs_when_a_slot_frees(void **state)
 {
 	struct fixture f;
-	struct ruling r;
+	struct decision r;
 	uint32_t handle;
 
 	(void)state;
@@ -69,7 +69,7 @@
 	fixture_done(&f, fixture_target(0), OUTCOME_OK, 50);
 	assert_true(balance_next(f.b, f.now_ns, &handle, &r));
 	assert_int_equal(handle, 1);
-	assert_int_equal(r.verdict, VERDICT_GO);
+	assert_int_equal(r.verdict, VERDICT_ADMITTED);
 	assert_false(balance_next(f.b, f.now_ns, &handle, &r));
 	fixture_close(&f);
 }
@@ -83,7 +83,7 @@
 static void expired_work_comes_out(void **state)
 {
 	struct fixture f;
-	struct ruling r;
+	struct decision r;
 	uint32_t handle;
 
 	(void)state;
@@ -139,7 +139,7 @@
 	(void)state;
 	fixture_open(&f, 3, 2, 100);
 	for (uint32_t i = 0; i < 90; i++) {
-		struct ruling r = fixture_submit(&f, 0, 5000);
+		struct decision r = fixture_submit(&f, 0, 5000);
 		struct work block = fixture_work(&f, 0, 5000);
 
 		seen[fixture_index(r.target)]++;
--- a/test/config_test.c
+++ b/test/config_test.c
@@ -41,10 +41,10 @@
 	assert_string_equal(c.accounts[0].name, "a");
 	assert_string_equal(c.accounts[1].name, "c");
 	assert_string_equal(c.accounts[3].name, "z");
-	assert_int_equal(config_account(&c, "c")->generation, 5);
-	assert_int_equal(config_account(&c, "m")->generation, 6);
-	assert_null(config_account(&c, "b"));
-	assert_null(config_account(&c, "zz"));
+	assert_int_equal(config_find_account(&c, "c")->generation, 5);
+	assert_int_equal(config_find_account(&c, "m")->generation, 6);
+	assert_null(config_find_account(&c, "b"));
+	assert_null(config_find_account(&c, "zz"));
 	config_free(&c);
 	assert_int_equal(c.n_accounts, 0);
 }
@@ -87,7 +87,7 @@
 	assert_int_equal(c.n_accounts, ACCOUNTS_MAX);
 	account_free(a);
 	assert_int_equal(config_put(&c, account("n00000", 2)), 0);
-	assert_int_equal(config_account(&c, "n00000")->generation, 2);
+	assert_int_equal(config_find_account(&c, "n00000")->generation, 2);
 	config_free(&c);
 }
 
