--- a/core/balance/balance_state.h
+++ b/core/balance/balance_state.h
@@ -45,7 +45,7 @@
  * @next: next handle in its queue, or INDEX_NONE
  * @prev: previous handle in its queue, or INDEX_NONE
  * @service: index of its service; INDEX_NONE when it is refused and its service
- *	or pinned target was removed
+ *	was removed
  * @backend: index of the backend that it is pinned to, or INDEX_NONE
  * @state: enum item_state
  * @reason: enum refusal, when @state is ITEM_REFUSED
@@ -163,10 +163,12 @@
  * @is_allocated: @share was computed in the current run of shares_allocate()
  * @share: part of the target that this entry may use
  * @aimd_limit_milli: limit of own requests, in 1/1000: decreased by a factor on
- *	a shed, increased additively on success
- * @pause_steps: consecutive sheds; each doubles the next pause
+ *	a shed, increased additively on success; UINT32_MAX before the first
+ *	shed
+ * @pause_steps: doublings of the pause after a shed; 0 after a success
  * @pause_end_ns: no new work before this time, after a shed
- * @extra_pause_steps: doublings of the pause for extra requests
+ * @extra_pause_steps: doublings of the pause for extra requests; 0 after the
+ *	success of one
  * @extra_pause_end_ns: no extra requests before this time, after one was shed
  * @slow_start_end_ns: end of slow start
  * @inflight: requests of this entry at the target
--- a/test/balance_fixture.c
+++ b/test/balance_fixture.c
@@ -10,12 +10,12 @@
 	return FIXTURE_VIP + ((uint64_t)account << 16);
 }
 
-uint64_t fixture_target(uint32_t i)
+uint64_t fixture_target_addr(uint32_t i)
 {
 	return ADDR(0x7f020001 + i, 5683);
 }
 
-uint32_t fixture_index(uint64_t target)
+uint32_t fixture_target_index(uint64_t target)
 {
 	return ADDR_IP(target) - 0x7f020001;
 }
@@ -38,7 +38,7 @@
 	s->n_targets = n_targets;
 	for (uint32_t j = 0; j < n_targets; j++)
 		s->targets[j] = (struct target_conf){
-			.addr = fixture_target(j),
+			.addr = fixture_target_addr(j),
 			.state = TARGET_UP,
 			.weight = 100,
 			.slots = slots,
@@ -46,33 +46,33 @@
 		};
 }
 
-void fixture_open(struct fixture *f, uint32_t n_targets, uint16_t slots,
+void fixture_init(struct fixture *f, uint32_t n_targets, uint16_t slots,
 		  uint32_t queue_max)
 {
 	memset(f, 0, sizeof(*f));
 	f->now_ns = NS_PER_S;
 	f->config.accounts = f->accounts;
-	f->b = balance_new(WORK_MAX, (struct rng){ 20261202 });
+	f->balancer = balance_new(WORK_MAX, (struct rng){ 20261202 });
 	add_account(f, 100, n_targets, slots, queue_max);
-	fixture_config(f);
+	fixture_apply_config(f);
 }
 
-void fixture_account(struct fixture *f, uint16_t weight)
+void fixture_add_account(struct fixture *f, uint16_t weight)
 {
 	const struct service_conf *s = &f->services[0];
 
 	add_account(f, weight, s->n_targets, s->targets[0].slots, s->queue_max);
-	fixture_config(f);
+	fixture_apply_config(f);
 }
 
-void fixture_config(struct fixture *f)
+void fixture_apply_config(struct fixture *f)
 {
-	balance_set_config(f->b, &f->config, f->now_ns);
+	balance_set_config(f->balancer, &f->config, f->now_ns);
 }
 
-void fixture_close(struct fixture *f)
+void fixture_free(struct fixture *f)
 {
-	balance_free(f->b);
+	balance_free(f->balancer);
 }
 
 struct work fixture_work(struct fixture *f, uint32_t handle,
@@ -92,14 +92,14 @@
 {
 	struct work w = fixture_work(f, handle, timeout_ms);
 
-	return balance_submit(f->b, &w, f->now_ns);
+	return balance_submit(f->balancer, &w, f->now_ns);
 }
 
-void fixture_done(struct fixture *f, uint64_t target, enum outcome outcome,
-		  uint64_t took_ms)
+void fixture_end_request(struct fixture *f, uint64_t target,
+			 enum outcome outcome, uint64_t took_ms)
 {
 	f->now_ns += took_ms * NS_PER_MS;
-	balance_record_end(f->b, FIXTURE_VIP, target, outcome,
+	balance_record_end(f->balancer, FIXTURE_VIP, target, outcome,
 			   took_ms * NS_PER_MS, f->now_ns);
 }
 
@@ -108,28 +108,28 @@
 	struct decision r;
 	uint32_t handle;
 
-	while (balance_next(f->b, f->now_ns, &handle, &r))
+	while (balance_next(f->balancer, f->now_ns, &handle, &r))
 		;
 }
 
-struct target_stats fixture_stats(struct fixture *f, uint32_t target)
+struct target_stats fixture_target_stats(struct fixture *f, uint32_t target)
 {
 	struct target_stats t = { 0 };
 	uint32_t cursor = 0;
 
-	while (balance_next_target_stats(f->b, &cursor, &t))
-		if (t.addr == fixture_target(target))
+	while (balance_next_target_stats(f->balancer, &cursor, &t))
+		if (t.addr == fixture_target_addr(target))
 			return t;
 	return t;
 }
 
-uint32_t fixture_ejected(struct fixture *f)
+uint32_t fixture_ejected_count(struct fixture *f)
 {
 	struct target_stats t;
 	uint32_t cursor = 0;
 	uint32_t n = 0;
 
-	while (balance_next_target_stats(f->b, &cursor, &t))
+	while (balance_next_target_stats(f->balancer, &cursor, &t))
 		n += t.ejected;
 	return n;
 }
--- a/test/balance_fixture.h
+++ b/test/balance_fixture.h
@@ -1,4 +1,4 @@
-/* One balancer with one service, for tests. */
+/* A balancer with a configuration and a fake clock, for tests. */
 #ifndef CB_BALANCE_FIXTURE_H
 #define CB_BALANCE_FIXTURE_H
 
@@ -10,15 +10,16 @@
 
 /**
  * struct fixture - balancer, configuration and clock
- * @b: balancer
- * @now_ns: fake clock
- * @config: in force
- * @accounts: one service each
- * @services: of the accounts; all list the same targets
- * @targets: by service
+ * @balancer: balancer under test
+ * @now_ns: current time of the fake clock
+ * @config: configuration, in force after fixture_apply_config()
+ * @accounts: accounts of @config, with one service each
+ * @services: services by account; they list the same targets unless a test
+ *	changes them
+ * @targets: targets by service
  */
 struct fixture {
-	struct balancer *b;
+	struct balancer *balancer;
 	uint64_t now_ns;
 	struct config config;
 	struct account_conf accounts[FIXTURE_SERVICES_MAX];
@@ -26,22 +27,22 @@
 	struct target_conf targets[FIXTURE_SERVICES_MAX][FIXTURE_TARGETS_MAX];
 };
 
-void fixture_open(struct fixture *f, uint32_t n_targets, uint16_t slots,
+void fixture_init(struct fixture *f, uint32_t n_targets, uint16_t slots,
 		  uint32_t queue_max);
-void fixture_account(struct fixture *f, uint16_t weight);
-void fixture_config(struct fixture *f);
-void fixture_close(struct fixture *f);
+void fixture_add_account(struct fixture *f, uint16_t weight);
+void fixture_apply_config(struct fixture *f);
+void fixture_free(struct fixture *f);
 uint64_t fixture_vip(uint32_t account);
-uint64_t fixture_target(uint32_t i);
-uint32_t fixture_index(uint64_t target);
+uint64_t fixture_target_addr(uint32_t i);
+uint32_t fixture_target_index(uint64_t target);
 struct work fixture_work(struct fixture *f, uint32_t handle,
 			 uint64_t timeout_ms);
 struct decision fixture_submit(struct fixture *f, uint32_t handle,
 			       uint64_t timeout_ms);
-void fixture_done(struct fixture *f, uint64_t target, enum outcome outcome,
-		  uint64_t took_ms);
+void fixture_end_request(struct fixture *f, uint64_t target,
+			 enum outcome outcome, uint64_t took_ms);
 void fixture_drain(struct fixture *f);
-struct target_stats fixture_stats(struct fixture *f, uint32_t target);
-uint32_t fixture_ejected(struct fixture *f);
+struct target_stats fixture_target_stats(struct fixture *f, uint32_t target);
+uint32_t fixture_ejected_count(struct fixture *f);
 
 #endif
--- a/test/balance_prop.cc
+++ b/test/balance_prop.cc
@@ -1,4 +1,4 @@
-// Properties of the balancer over random runs.
+// Properties of the balancer in random runs.
 #define class class_ // C's member name is C++'s keyword
 extern "C" {
 #include "balance.h"
@@ -34,12 +34,12 @@
 	return VIP + (uint64_t(account) << 16);
 }
 
-uint32_t any(uint32_t low, uint32_t high)
+uint32_t draw(uint32_t low, uint32_t high)
 {
 	return *rc::gen::inRange<uint32_t>(low, high + 1);
 }
 
-// Accounts of one service each, all on the same targets.
+// Configuration of accounts with one service each, all with the same targets.
 struct Config {
 	std::vector<target_conf> targets;
 	std::vector<service_conf> services;
@@ -77,16 +77,16 @@
 	bool feed;
 };
 
-// Entries that share targets and a clock, and what they have been told.
-struct Fleet {
+// Entries of a data centre with common targets and clock, and their requests.
+struct DataCentre {
 	std::vector<balancer *> entries;
 	std::vector<Running> running;
-	std::map<std::pair<uint32_t, uint32_t>, work> waiting;
+	std::map<std::pair<uint32_t, uint32_t>, work> queued;
 	std::vector<uint32_t> inflight, feeds;
 	uint32_t next_handle = 0;
 	uint64_t now_ns = NS_PER_S;
 
-	Fleet(uint32_t n, const Config &c)
+	DataCentre(uint32_t n, const Config &c)
 	    : inflight(c.targets.size()), feeds(c.targets.size())
 	{
 		for (uint32_t i = 0; i < n; i++) {
@@ -96,18 +96,18 @@
 		}
 	}
 
-	~Fleet()
+	~DataCentre()
 	{
 		for (balancer *b : entries)
 			balance_free(b);
 	}
 
-	// Every handle in use is in exactly one of running and waiting.
-	bool free_handle(uint32_t entry, uint32_t *handle)
+	// Each handle in use is in exactly one of running and queued.
+	bool find_free_handle(uint32_t entry, uint32_t *handle)
 	{
 		for (uint32_t i = 0; i < WORK_MAX; i++) {
 			uint32_t h = next_handle++ % WORK_MAX;
-			bool used = waiting.count({ entry, h });
+			bool used = queued.count({ entry, h });
 
 			for (const Running &r : running)
 				used |= r.entry == entry && r.handle == h;
@@ -118,7 +118,7 @@
 		return false;
 	}
 
-	void go(uint32_t entry, const work &w, uint64_t target)
+	void start(uint32_t entry, const work &w, uint64_t target)
 	{
 		running.push_back({ entry, w.vip, target, w.handle, w.feed });
 		inflight[target_index(target)]++;
@@ -130,17 +130,17 @@
 		uint32_t handle;
 
 		while (balance_next(entries[entry], now_ns, &handle, &r)) {
-			auto it = waiting.find({ entry, handle });
+			auto it = queued.find({ entry, handle });
 
-			RC_ASSERT(it != waiting.end());
+			RC_ASSERT(it != queued.end());
 			RC_ASSERT(r.verdict != VERDICT_QUEUED);
 			if (r.verdict == VERDICT_ADMITTED)
-				go(entry, it->second, r.target);
+				start(entry, it->second, r.target);
 			else
 				RC_ASSERT(r.retry_after_s >= 1u);
-			waiting.erase(it);
+			queued.erase(it);
 		}
-		for (const auto &[key, w] : waiting)
+		for (const auto &[key, w] : queued)
 			if (key.first == entry)
 				RC_ASSERT(w.deadline_ns > now_ns);
 	}
@@ -152,7 +152,7 @@
 		decision r{};
 
 		r.verdict = VERDICT_REFUSED;
-		if (!free_handle(entry, &w.handle))
+		if (!find_free_handle(entry, &w.handle))
 			return r;
 		w.vip = to;
 		w.class_ = CLASS_REPORT;
@@ -161,22 +161,22 @@
 		w.deadline_ns = now_ns + timeout_ms * NS_PER_MS;
 		r = balance_submit(entries[entry], &w, now_ns);
 		if (r.verdict == VERDICT_ADMITTED)
-			go(entry, w, r.target);
+			start(entry, w, r.target);
 		if (r.verdict == VERDICT_QUEUED)
-			waiting[{ entry, w.handle }] = w;
+			queued[{ entry, w.handle }] = w;
 		drain(entry);
 		return r;
 	}
 
-	void end(uint32_t i, outcome how, uint64_t took_ns)
+	void end(uint32_t i, outcome result, uint64_t took_ns)
 	{
 		Running r = running[i];
 
 		running.erase(running.begin() + i);
 		inflight[target_index(r.target)]--;
-		balance_record_end(entries[r.entry], r.vip, r.target, how,
+		balance_record_end(entries[r.entry], r.vip, r.target, result,
 				   took_ns, now_ns);
-		if (r.feed && how == OUTCOME_OK) {
+		if (r.feed && result == OUTCOME_OK) {
 			balance_change_feeds(entries[r.entry], r.vip, r.target,
 					     1);
 			feeds[target_index(r.target)]++;
@@ -184,28 +184,28 @@
 		drain(r.entry);
 	}
 
-	void report(uint32_t entry, uint32_t target, load_report said)
+	void report(uint32_t entry, uint32_t target, load_report load)
 	{
-		balance_record_load(entries[entry], target_addr(target), &said,
+		balance_record_load(entries[entry], target_addr(target), &load,
 				    now_ns);
 		drain(entry);
 	}
 
 	void cancel()
 	{
-		if (waiting.empty())
+		if (queued.empty())
 			return;
-		auto it = waiting.begin();
+		auto it = queued.begin();
 
-		std::advance(it, any(0, uint32_t(waiting.size()) - 1));
+		std::advance(it, draw(0, uint32_t(queued.size()) - 1));
 		balance_cancel(entries[it->first.first], it->first.second);
-		waiting.erase(it);
+		queued.erase(it);
 	}
 
-	// One target drains or comes back, at every entry at once.
-	void change(Config &c)
+	// Toggle the draining state of one target, at all entries at once.
+	void toggle_draining(Config &c)
 	{
-		target_conf &t = c.targets[any(0, uint32_t(feeds.size()) - 1)];
+		target_conf &t = c.targets[draw(0, uint32_t(feeds.size()) - 1)];
 
 		t.state = t.state == TARGET_UP ? TARGET_DRAINING : TARGET_UP;
 		for (uint32_t i = 0; i < entries.size(); i++) {
@@ -216,152 +216,152 @@
 
 	void step()
 	{
-		uint32_t entry = any(0, uint32_t(entries.size()) - 1);
-		uint32_t what = any(0, 9);
-
-		now_ns += any(0, 30) * NS_PER_MS;
-		if (what < 5)
-			submit(entry, VIP, what < 2, any(0, 400));
-		else if (what < 8 && !running.empty())
-			end(any(0, uint32_t(running.size()) - 1),
-			    outcome(any(0, OUTCOME_COUNT - 1)),
-			    any(1, 200) * NS_PER_MS);
-		else if (what == 8)
-			report(entry, any(0, uint32_t(feeds.size()) - 1),
-			       { any(0, 4), any(0, 2), any(0, 20) });
+		uint32_t entry = draw(0, uint32_t(entries.size()) - 1);
+		uint32_t action = draw(0, 9);
+
+		now_ns += draw(0, 30) * NS_PER_MS;
+		if (action < 5)
+			submit(entry, VIP, action < 2, draw(0, 400));
+		else if (action < 8 && !running.empty())
+			end(draw(0, uint32_t(running.size()) - 1),
+			    outcome(draw(0, OUTCOME_COUNT - 1)),
+			    draw(1, 200) * NS_PER_MS);
+		else if (action == 8)
+			report(entry, draw(0, uint32_t(feeds.size()) - 1),
+			       { draw(0, 4), draw(0, 2), draw(0, 20) });
 		else
 			drain(entry);
 	}
 };
 
-// Requests that targets may be sent, by the promise in docs/design/balance.md.
-uint32_t promise(uint32_t n_entries, uint32_t n_targets, uint32_t slots)
+// Maximum of requests at a target, as documented in docs/design/balance.md.
+uint32_t inflight_max(uint32_t n_entries, uint32_t n_targets, uint32_t slots)
 {
-	share_params o = { n_entries, 0, n_targets, n_targets * slots };
+	share_params params = { n_entries, 0, n_targets, n_targets * slots };
 	uint32_t own = slots;
 
-	if (o.n_slots < n_entries)
+	if (params.n_slots < n_entries)
 		own = (n_entries + n_targets - 1) / n_targets;
-	return own + target_share_extra_total(&o, slots);
+	return own + target_share_extra_total(&params, slots);
 }
 
-void shares_add_up()
+void shares_add_up_to_limits()
 {
-	uint32_t slots = any(1, 40);
-	share_params o = { any(1, 500), 0, any(1, 50), 0 };
-	uint32_t nth = any(0, o.n_targets - 1);
-	uint32_t connections = any(0, 3000);
-	uint64_t offset = any(0, 100000);
+	uint32_t slots = draw(1, 40);
+	share_params params = { draw(1, 500), 0, draw(1, 50), 0 };
+	uint32_t nth = draw(0, params.n_targets - 1);
+	uint32_t connections = draw(0, 3000);
+	uint64_t offset = draw(0, 100000);
 	target_share sum{};
 	uint32_t least = UINT32_MAX;
 	uint32_t most = 0;
 	uint32_t own = slots;
 
-	o.n_slots = o.n_targets * slots;
-	if (o.n_slots < o.n_entries)
-		own = o.n_entries / o.n_targets +
-		      (nth < o.n_entries % o.n_targets);
-	for (o.rank = 0; o.rank < o.n_entries; o.rank++) {
-		target_share d = target_share_compute(&o, slots, connections,
-						      offset, nth);
-
-		sum.own += d.own;
-		sum.extra += d.extra;
-		sum.connections += d.connections;
-		least = std::min(least, d.own);
-		most = std::max(most, d.own);
+	params.n_slots = params.n_targets * slots;
+	if (params.n_slots < params.n_entries)
+		own = params.n_entries / params.n_targets +
+		      (nth < params.n_entries % params.n_targets);
+	for (params.rank = 0; params.rank < params.n_entries; params.rank++) {
+		target_share share = target_share_compute(
+			&params, slots, connections, offset, nth);
+
+		sum.own += share.own;
+		sum.extra += share.extra;
+		sum.connections += share.connections;
+		least = std::min(least, share.own);
+		most = std::max(most, share.own);
 	}
 	RC_ASSERT(sum.own == own);
-	RC_ASSERT(sum.extra == target_share_extra_total(&o, slots));
+	RC_ASSERT(sum.extra == target_share_extra_total(&params, slots));
 	RC_ASSERT(sum.connections == connections);
 	RC_ASSERT(most - least <= 1u);
 }
 
-void caps_hold()
+void entries_keep_target_limits()
 {
-	uint32_t n_entries = any(1, 9);
-	uint32_t n_targets = any(1, 6);
-	uint32_t slots = any(1, 4);
-	uint32_t connections = any(2, 8);
+	uint32_t n_entries = draw(1, 9);
+	uint32_t n_targets = draw(1, 6);
+	uint32_t slots = draw(1, 4);
+	uint32_t connections = draw(2, 8);
 	Config c(n_targets, uint16_t(slots), connections, { 1 }, 20);
-	Fleet f(n_entries, c);
-	uint32_t most = promise(n_entries, n_targets, slots);
+	DataCentre dc(n_entries, c);
+	uint32_t most = inflight_max(n_entries, n_targets, slots);
 
 	for (uint32_t i = 0; i < 150; i++) {
-		f.step();
+		dc.step();
 		for (uint32_t t = 0; t < n_targets; t++) {
-			RC_ASSERT(f.inflight[t] <= most);
-			RC_ASSERT(f.feeds[t] <= connections);
+			RC_ASSERT(dc.inflight[t] <= most);
+			RC_ASSERT(dc.feeds[t] <= connections);
 		}
 	}
 }
 
-// Asserted in drain(): no ruling without a wait, none after its last.
-void each_request_has_one_ruling()
+// drain() asserts that only queued requests get a decision, and only one each.
+void each_request_gets_one_decision()
 {
-	Config c(any(1, 4), uint16_t(any(1, 3)), 100, { 1 }, any(1, 50));
-	Fleet f(1, c);
+	Config c(draw(1, 4), uint16_t(draw(1, 3)), 100, { 1 }, draw(1, 50));
+	DataCentre dc(1, c);
 
 	for (uint32_t i = 0; i < 300; i++) {
-		uint32_t what = any(0, 9);
-
-		if (what == 0)
-			f.cancel();
-		else if (what == 1)
-			f.change(c);
-		else if (what == 2)
-			f.submit(0, VIP, false, any(0, 400), target_addr(0));
+		uint32_t action = draw(0, 9);
+
+		if (action == 0)
+			dc.cancel();
+		else if (action == 1)
+			dc.toggle_draining(c);
+		else if (action == 2)
+			dc.submit(0, VIP, false, draw(0, 400), target_addr(0));
 		else
-			f.step();
-		for (uint32_t n : f.inflight)
+			dc.step();
+		for (uint32_t n : dc.inflight)
 			RC_ASSERT(n <= c.targets[0].slots);
 	}
-	f.now_ns += 10 * NS_PER_S;
-	f.drain(0);
-	RC_ASSERT(f.waiting.empty());
-	RC_ASSERT(balance_next_ns(f.entries[0]) == UINT64_MAX);
+	dc.now_ns += 10 * NS_PER_S;
+	dc.drain(0);
+	RC_ASSERT(dc.queued.empty());
+	RC_ASSERT(balance_next_ns(dc.entries[0]) == UINT64_MAX);
 }
 
-void retries_stay_in_budget()
+void retries_stay_within_budget()
 {
 	Config c(2, 2, 100, { 1 }, 20);
-	Fleet f(1, c);
+	DataCentre dc(1, c);
 	uint32_t good = 0;
 	uint32_t retries = 0;
 
 	for (uint32_t i = 0; i < 400; i++) {
-		if (any(0, 1)) {
-			retries +=
-				balance_take_retry(f.entries[0], VIP, f.now_ns);
+		if (draw(0, 1)) {
+			retries += balance_take_retry(dc.entries[0], VIP,
+						      dc.now_ns);
 		} else {
-			f.submit(0, VIP, false, 400);
+			dc.submit(0, VIP, false, 400);
 			good++;
-			f.end(0, OUTCOME_OK, NS_PER_MS);
+			dc.end(0, OUTCOME_OK, NS_PER_MS);
 		}
 		RC_ASSERT(retries <=
 			  BUDGET_START_RETRIES + good / BUDGET_SUCCESSES);
 	}
 }
 
-// A light account with work all the time gets its part by weight, or more.
-void light_account_is_served()
+// A light account that always has work gets at least its weighted share.
+void light_account_gets_its_share()
 {
-	uint16_t heavy = uint16_t(any(1, 20));
-	uint16_t light = uint16_t(any(1, 20));
+	uint16_t heavy = uint16_t(draw(1, 20));
+	uint16_t light = uint16_t(draw(1, 20));
 	uint32_t rounds = 200;
 	uint32_t served = 0;
-	Config c(any(1, 3), 1, 100, { heavy, light }, 100);
-	Fleet f(1, c);
+	Config c(draw(1, 3), 1, 100, { heavy, light }, 100);
+	DataCentre dc(1, c);
 
 	for (uint32_t i = 0; i < rounds; i++) {
-		uint64_t before = f.now_ns;
+		uint64_t before = dc.now_ns;
 
 		for (uint32_t j = 0; j < 5; j++)
-			f.submit(0, vip(0), false, 60000);
-		f.submit(0, vip(1), false, 60000);
-		f.now_ns += 10 * NS_PER_MS;
-		served += f.running[0].vip == vip(1);
-		f.end(0, OUTCOME_OK, f.now_ns - before);
+			dc.submit(0, vip(0), false, 60000);
+		dc.submit(0, vip(1), false, 60000);
+		dc.now_ns += 10 * NS_PER_MS;
+		served += dc.running[0].vip == vip(1);
+		dc.end(0, OUTCOME_OK, dc.now_ns - before);
 	}
 	RC_ASSERT(served + 10 >= rounds * light / (heavy + light) * 9 / 10);
 }
@@ -372,11 +372,15 @@
 {
 	bool ok = true;
 
-	ok &= rc::check("shares add up to the caps", shares_add_up);
-	ok &= rc::check("caps hold over entries", caps_hold);
-	ok &= rc::check("each request has one ruling",
-			each_request_has_one_ruling);
-	ok &= rc::check("retries stay in budget", retries_stay_in_budget);
-	ok &= rc::check("a light account is served", light_account_is_served);
+	ok &= rc::check("shares add up to the target's limits",
+			shares_add_up_to_limits);
+	ok &= rc::check("all entries together keep a target's limits",
+			entries_keep_target_limits);
+	ok &= rc::check("each request gets one decision",
+			each_request_gets_one_decision);
+	ok &= rc::check("retries stay within the budget",
+			retries_stay_within_budget);
+	ok &= rc::check("a light account gets its share",
+			light_account_gets_its_share);
 	return ok ? 0 : 1;
 }
--- a/test/config_test.c
+++ b/test/config_test.c
@@ -1,4 +1,4 @@
-/* Container of client accounts: order, replacement, deep copies. */
+/* Configuration of client accounts: order, replacement, deep copies. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <stdint.h>
@@ -29,7 +29,7 @@
 	return a;
 }
 
-static void accounts_stay_sorted_and_are_replaced(void **unused)
+static void accounts_are_sorted_and_replaced_by_name(void **unused)
 {
 	static const char *const names[] = { "m", "c", "z", "a", "c", "m" };
 	struct config c = { 0 };
@@ -49,7 +49,7 @@
 	assert_int_equal(c.n_accounts, 0);
 }
 
-static void a_copy_shares_nothing(void **unused)
+static void account_copy_shares_no_memory(void **unused)
 {
 	struct account_conf *a = account("a", 1);
 	struct account_conf *b = account_copy(a);
@@ -67,11 +67,10 @@
 }
 
 /*
- * Symptom: an entry's memory is freed twice or leaks when the fleet has more
- * accounts than the limit. Events: the limit is reached, one more account is
- * put. Cause: on an error it has to be clear who owns the account.
+ * Guards against freeing an account twice, or leaking it, when there are more
+ * accounts than ACCOUNTS_MAX: after an error the caller still owns the account.
  */
-static void past_the_limit_the_caller_keeps_its_account(void **unused)
+static void account_above_limit_remains_callers(void **unused)
 {
 	struct config c = { 0 };
 	struct account_conf *a;
@@ -94,9 +93,9 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(accounts_stay_sorted_and_are_replaced),
-		cmocka_unit_test(a_copy_shares_nothing),
-		cmocka_unit_test(past_the_limit_the_caller_keeps_its_account),
+		cmocka_unit_test(accounts_are_sorted_and_replaced_by_name),
+		cmocka_unit_test(account_copy_shares_no_memory),
+		cmocka_unit_test(account_above_limit_remains_callers),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/histogram_test.c
+++ b/test/histogram_test.c
@@ -1,4 +1,4 @@
-/* Histograms: the upper bound of a sample's bucket is at most 25 % too large. */
+/* Histograms: bucket bounds, quantiles and merging. */
 #include "histogram.h"
 
 #include <setjmp.h>
