--- a/core/balance/admit.c
+++ b/core/balance/admit.c
@@ -28,50 +28,51 @@
 
 /**
  * queue_add() - append an item to a queue
- * @b: balancer
+ * @balancer: balancer
  * @q: queue
  * @handle: handle of the item, which is in no queue
  */
-void queue_add(struct balancer *b, struct queue *q, uint32_t handle)
+void queue_add(struct balancer *balancer, struct queue *q, uint32_t handle)
 {
-	struct item *item = &b->items[handle];
+	struct item *item = &balancer->items[handle];
 
 	item->next = INDEX_NONE;
 	item->prev = q->tail;
 	if (q->tail == INDEX_NONE)
 		q->head = handle;
 	else
-		b->items[q->tail].next = handle;
+		balancer->items[q->tail].next = handle;
 	q->tail = handle;
 	q->n++;
 }
 
 /**
  * queue_remove() - remove an item from its queue
- * @b: balancer
+ * @balancer: balancer
  * @q: queue that contains the item
  * @handle: handle of the item
  */
-void queue_remove(struct balancer *b, struct queue *q, uint32_t handle)
+void queue_remove(struct balancer *balancer, struct queue *q, uint32_t handle)
 {
-	struct item *item = &b->items[handle];
+	struct item *item = &balancer->items[handle];
 
 	if (item->prev == INDEX_NONE)
 		q->head = item->next;
 	else
-		b->items[item->prev].next = item->next;
+		balancer->items[item->prev].next = item->next;
 	if (item->next == INDEX_NONE)
 		q->tail = item->prev;
 	else
-		b->items[item->next].prev = item->prev;
+		balancer->items[item->next].prev = item->prev;
 	q->n--;
 }
 
-static struct queue *item_queue(struct balancer *b, const struct item *item)
+static struct queue *item_queue(struct balancer *balancer,
+				const struct item *item)
 {
 	if (item->backend != INDEX_NONE)
-		return &b->tables.backends[item->backend].pinned;
-	return &b->tables.services[item->service].queue;
+		return &balancer->tables.backends[item->backend].pinned;
+	return &balancer->tables.services[item->service].queue;
 }
 
 /*
@@ -96,20 +97,22 @@
 }
 
 /* Half of the capacity is open to all, the rest is divided by weight. */
-static bool exceeds_share(const struct balancer *b, const struct account *a)
+static bool exceeds_share(const struct balancer *balancer,
+			  const struct account *a)
 {
 	uint64_t share;
 
-	if (b->n_queued < b->work_max / OPEN_CAPACITY_DEN)
+	if (balancer->n_queued < balancer->work_max / OPEN_CAPACITY_DEN)
 		return false;
-	share = (uint64_t)(b->work_max - b->work_max / OPEN_CAPACITY_DEN) *
-		a->weight / b->tables.weight_sum;
+	share = (uint64_t)(balancer->work_max -
+			   balancer->work_max / OPEN_CAPACITY_DEN) *
+		a->weight / balancer->tables.weight_sum;
 	return a->n_queued > share;
 }
 
 /**
  * admit_enqueue() - queue work, or refuse it at once
- * @b: balancer
+ * @balancer: balancer
  * @service: index of the service
  * @backend: index of the backend that the work is pinned to, or INDEX_NONE
  * @work: work, copied when it is queued
@@ -117,17 +120,18 @@
  *
  * Return: REFUSE_NONE when it was queued, else the reason.
  */
-uint8_t admit_enqueue(struct balancer *b, uint32_t service, uint32_t backend,
-		      const struct work *work, uint64_t now_ns)
+uint8_t admit_enqueue(struct balancer *balancer, uint32_t service,
+		      uint32_t backend, const struct work *work,
+		      uint64_t now_ns)
 {
-	struct service *s = &b->tables.services[service];
-	struct account *a = &b->tables.accounts[s->account];
-	struct item *item = &b->items[work->handle];
+	struct service *s = &balancer->tables.services[service];
+	struct account *a = &balancer->tables.accounts[s->account];
+	struct item *item = &balancer->items[work->handle];
 	uint64_t wait_ns;
 
 	if (s->n_queued >= s->queue_max)
 		return REFUSE_QUEUE;
-	if (exceeds_share(b, a))
+	if (exceeds_share(balancer, a))
 		return REFUSE_SHARE;
 	wait_ns = current_interval_ns(s, now_ns) * (s->n_queued + 1);
 	if (exceeds_deadline(wait_ns * ADMIT_WAIT_DEN + s->mean_duration_ns,
@@ -140,44 +144,46 @@
 	item->service = service;
 	item->backend = backend;
 	item->state = ITEM_QUEUED;
-	queue_add(b, item_queue(b, item), work->handle);
-	deadline_heap_add(&b->deadlines, work->handle, work->deadline_ns);
+	queue_add(balancer, item_queue(balancer, item), work->handle);
+	deadline_heap_add(&balancer->deadlines, work->handle,
+			  work->deadline_ns);
 	s->n_queued++;
 	a->n_queued++;
-	b->n_queued++;
+	balancer->n_queued++;
 	return REFUSE_NONE;
 }
 
 /**
  * admit_dequeue() - remove a queued item from its queue and the counts
- * @b: balancer
+ * @balancer: balancer
  * @handle: handle of the item, in state ITEM_QUEUED
  */
-void admit_dequeue(struct balancer *b, uint32_t handle)
+void admit_dequeue(struct balancer *balancer, uint32_t handle)
 {
-	struct item *item = &b->items[handle];
-	struct service *s = &b->tables.services[item->service];
+	struct item *item = &balancer->items[handle];
+	struct service *s = &balancer->tables.services[item->service];
 
-	queue_remove(b, item_queue(b, item), handle);
-	deadline_heap_remove(&b->deadlines, handle);
+	queue_remove(balancer, item_queue(balancer, item), handle);
+	deadline_heap_remove(&balancer->deadlines, handle);
 	s->n_queued--;
-	b->tables.accounts[s->account].n_queued--;
-	b->n_queued--;
+	balancer->tables.accounts[s->account].n_queued--;
+	balancer->n_queued--;
 	item->state = ITEM_FREE;
 }
 
 /**
  * admit_refuse_queued() - refuse a queued item; balance_next() returns it
- * @b: balancer
+ * @balancer: balancer
  * @handle: handle of the item, in state ITEM_QUEUED
  * @reason: enum refusal
  */
-void admit_refuse_queued(struct balancer *b, uint32_t handle, uint8_t reason)
+void admit_refuse_queued(struct balancer *balancer, uint32_t handle,
+			 uint8_t reason)
 {
-	admit_dequeue(b, handle);
-	b->items[handle].state = ITEM_REFUSED;
-	b->items[handle].reason = reason;
-	queue_add(b, &b->refused, handle);
+	admit_dequeue(balancer, handle);
+	balancer->items[handle].state = ITEM_REFUSED;
+	balancer->items[handle].reason = reason;
+	queue_add(balancer, &balancer->refused, handle);
 }
 
 /*
@@ -199,7 +205,7 @@
 
 /**
  * admit_retry_after_s() - time after which a refused caller should retry
- * @b: balancer
+ * @balancer: balancer
  * @s: service; the caller is counted as expected to retry
  * @now_ns: current time
  *
@@ -209,7 +215,7 @@
  *
  * Return: seconds, 1 to RETRY_AFTER_MAX_S.
  */
-uint32_t admit_retry_after_s(struct balancer *b, struct service *s,
+uint32_t admit_retry_after_s(struct balancer *balancer, struct service *s,
 			     uint64_t now_ns)
 {
 	uint64_t expected;
@@ -223,20 +229,21 @@
 		window_s = 1;
 	if (window_s > RETRY_AFTER_MAX_S)
 		window_s = RETRY_AFTER_MAX_S;
-	return 1 + (uint32_t)(rng_next(&b->rng) % window_s);
+	return 1 + (uint32_t)(rng_next(&balancer->rng) % window_s);
 }
 
 /**
  * admit_record_start() - record that a queued item is sent to a target
- * @b: balancer; not used
+ * @balancer: balancer; not used
  * @s: service of the item
  * @now_ns: current time
  */
-void admit_record_start(struct balancer *b, struct service *s, uint64_t now_ns)
+void admit_record_start(struct balancer *balancer, struct service *s,
+			uint64_t now_ns)
 {
 	uint64_t interval_ns = now_ns - s->last_start_ns;
 
-	(void)b;
+	(void)balancer;
 	s->last_start_ns = now_ns;
 	if (!s->start_interval_ns)
 		s->start_interval_ns = interval_ns;
@@ -247,7 +254,7 @@
 			INTERVAL_SAMPLES;
 }
 
-static void refuse_late_of_service(struct balancer *b, struct service *s,
+static void refuse_late_of_service(struct balancer *balancer, struct service *s,
 				   uint64_t now_ns)
 {
 	uint64_t interval_ns = current_interval_ns(s, now_ns);
@@ -255,12 +262,13 @@
 	uint64_t ahead = 0;
 
 	while (handle != INDEX_NONE) {
-		uint32_t next = b->items[handle].next;
+		uint32_t next = balancer->items[handle].next;
 
 		if (exceeds_deadline(interval_ns * (ahead + 1) / LATE_WAIT_NUM *
 					     LATE_WAIT_DEN,
-				     b->items[handle].work.deadline_ns, now_ns))
-			admit_refuse_queued(b, handle, REFUSE_DEADLINE);
+				     balancer->items[handle].work.deadline_ns,
+				     now_ns))
+			admit_refuse_queued(balancer, handle, REFUSE_DEADLINE);
 		else
 			ahead++;
 		handle = next;
@@ -269,16 +277,17 @@
 
 /**
  * admit_refuse_late() - refuse queued work that won't start in time
- * @b: balancer
+ * @balancer: balancer
  * @now_ns: current time
  *
  * When targets drain or stall, queued work can't meet its deadlines any more.
  * Its callers are refused now, while they still have time to retry.
  */
-void admit_refuse_late(struct balancer *b, uint64_t now_ns)
+void admit_refuse_late(struct balancer *balancer, uint64_t now_ns)
 {
-	for (uint32_t i = 0; i < b->tables.n_services; i++)
-		if (b->tables.services[i].queue.n)
-			refuse_late_of_service(b, &b->tables.services[i],
+	for (uint32_t i = 0; i < balancer->tables.n_services; i++)
+		if (balancer->tables.services[i].queue.n)
+			refuse_late_of_service(balancer,
+					       &balancer->tables.services[i],
 					       now_ns);
 }
--- a/core/balance/balance.h
+++ b/core/balance/balance.h
@@ -161,29 +161,30 @@
 struct balancer;
 
 struct balancer *balance_new(uint32_t work_max, struct rng rng);
-void balance_free(struct balancer *b);
-int balance_set_config(struct balancer *b, const struct config *config,
+void balance_free(struct balancer *balancer);
+int balance_set_config(struct balancer *balancer, const struct config *config,
 		       uint64_t now_ns);
-void balance_set_entries(struct balancer *b, uint32_t n_entries,
+void balance_set_entries(struct balancer *balancer, uint32_t n_entries,
 			 uint32_t self_rank);
-struct decision balance_submit(struct balancer *b, const struct work *work,
-			       uint64_t now_ns);
-bool balance_next(struct balancer *b, uint64_t now_ns, uint32_t *handle,
+struct decision balance_submit(struct balancer *balancer,
+			       const struct work *work, uint64_t now_ns);
+bool balance_next(struct balancer *balancer, uint64_t now_ns, uint32_t *handle,
 		  struct decision *decision);
-void balance_cancel(struct balancer *b, uint32_t handle);
-void balance_record_end(struct balancer *b, uint64_t vip, uint64_t target,
-			enum outcome outcome, uint64_t duration_ns,
+void balance_cancel(struct balancer *balancer, uint32_t handle);
+void balance_record_end(struct balancer *balancer, uint64_t vip,
+			uint64_t target, enum outcome outcome,
+			uint64_t duration_ns, uint64_t now_ns);
+bool balance_take_retry(struct balancer *balancer, uint64_t vip,
 			uint64_t now_ns);
-bool balance_take_retry(struct balancer *b, uint64_t vip, uint64_t now_ns);
-void balance_change_feeds(struct balancer *b, uint64_t vip, uint64_t target,
-			  int32_t change);
-void balance_record_load(struct balancer *b, uint64_t target,
+void balance_change_feeds(struct balancer *balancer, uint64_t vip,
+			  uint64_t target, int32_t change);
+void balance_record_load(struct balancer *balancer, uint64_t target,
 			 const struct load_report *report, uint64_t now_ns);
-uint64_t balance_next_ns(const struct balancer *b);
-bool balance_next_class_stats(const struct balancer *b, uint32_t *cursor,
+uint64_t balance_next_ns(const struct balancer *balancer);
+bool balance_next_class_stats(const struct balancer *balancer, uint32_t *cursor,
 			      const char **account, uint8_t *class,
 			      const struct class_stats **stats);
-bool balance_next_target_stats(const struct balancer *b, uint32_t *cursor,
-			       struct target_stats *out);
+bool balance_next_target_stats(const struct balancer *balancer,
+			       uint32_t *cursor, struct target_stats *out);
 
 #endif
--- a/core/balance/balance_state.h
+++ b/core/balance/balance_state.h
@@ -268,18 +268,18 @@
 };
 
 /* tables.c */
-int tables_build(struct balancer *b, const struct config *config,
+int tables_build(struct balancer *balancer, const struct config *config,
 		 uint64_t now_ns);
-void tables_clear(struct tables *t);
+void tables_clear(struct tables *tables);
 
 /* shares.c */
-void shares_allocate(struct balancer *b);
+void shares_allocate(struct balancer *balancer);
 
 /* lookup.c */
-uint32_t tables_find_service(const struct tables *t, uint64_t vip);
-uint32_t tables_find_target(const struct tables *t, uint64_t addr);
-uint32_t tables_find_backend(const struct tables *t, const struct service *s,
-			     uint64_t addr);
+uint32_t tables_find_service(const struct tables *tables, uint64_t vip);
+uint32_t tables_find_target(const struct tables *tables, uint64_t addr);
+uint32_t tables_find_backend(const struct tables *tables,
+			     const struct service *s, uint64_t addr);
 
 /* select.c */
 /**
@@ -295,36 +295,40 @@
 	SELECTION_CONNECTIONS,
 	SELECTION_NONE
 };
-enum selection select_backend(struct balancer *b, struct service *s,
+enum selection select_backend(struct balancer *balancer, struct service *s,
 			      const struct work *work, uint64_t now_ns,
 			      uint32_t *backend);
 bool select_allows_pinned(const struct service *s, const struct target *t,
 			  const struct work *work, uint64_t now_ns);
-bool select_allows(struct balancer *b, const struct backend *be,
+bool select_allows(struct balancer *balancer, const struct backend *be,
 		   const struct work *work, uint64_t now_ns);
-void select_record(struct balancer *b, uint32_t backend, uint64_t now_ns);
+void select_record(struct balancer *balancer, uint32_t backend,
+		   uint64_t now_ns);
 
 /* admit.c */
 void queue_init(struct queue *q);
-void queue_add(struct balancer *b, struct queue *q, uint32_t handle);
-void queue_remove(struct balancer *b, struct queue *q, uint32_t handle);
-uint8_t admit_enqueue(struct balancer *b, uint32_t service, uint32_t backend,
-		      const struct work *work, uint64_t now_ns);
-void admit_dequeue(struct balancer *b, uint32_t handle);
-void admit_refuse_queued(struct balancer *b, uint32_t handle, uint8_t reason);
-uint32_t admit_retry_after_s(struct balancer *b, struct service *s,
+void queue_add(struct balancer *balancer, struct queue *q, uint32_t handle);
+void queue_remove(struct balancer *balancer, struct queue *q, uint32_t handle);
+uint8_t admit_enqueue(struct balancer *balancer, uint32_t service,
+		      uint32_t backend, const struct work *work,
+		      uint64_t now_ns);
+void admit_dequeue(struct balancer *balancer, uint32_t handle);
+void admit_refuse_queued(struct balancer *balancer, uint32_t handle,
+			 uint8_t reason);
+uint32_t admit_retry_after_s(struct balancer *balancer, struct service *s,
 			     uint64_t now_ns);
-void admit_record_start(struct balancer *b, struct service *s, uint64_t now_ns);
-void admit_refuse_late(struct balancer *b, uint64_t now_ns);
+void admit_record_start(struct balancer *balancer, struct service *s,
+			uint64_t now_ns);
+void admit_refuse_late(struct balancer *balancer, uint64_t now_ns);
 
 /* balance_stats.c */
-struct class_stats *class_stats_of(struct balancer *b, const struct service *s,
-				   uint8_t class);
+struct class_stats *class_stats_of(struct balancer *balancer,
+				   const struct service *s, uint8_t class);
 
 /* fair_queue.c */
-uint32_t fair_queue_next(struct balancer *b, struct target *t, uint64_t now_ns,
-			 uint32_t *backend);
-void fair_queue_charge(struct balancer *b, struct backend *be);
-void fair_queue_recheck(struct balancer *b, uint32_t target);
+uint32_t fair_queue_next(struct balancer *balancer, struct target *t,
+			 uint64_t now_ns, uint32_t *backend);
+void fair_queue_charge(struct balancer *balancer, struct backend *be);
+void fair_queue_recheck(struct balancer *balancer, uint32_t target);
 
 #endif
--- a/core/balance/budget.h
+++ b/core/balance/budget.h
@@ -19,8 +19,8 @@
 	uint32_t tokens;
 };
 
-void budget_init(struct retry_budget *b);
-void budget_record_success(struct retry_budget *b);
-bool budget_take(struct retry_budget *b);
+void budget_init(struct retry_budget *budget);
+void budget_record_success(struct retry_budget *budget);
+bool budget_take(struct retry_budget *budget);
 
 #endif
--- a/core/balance/config.c
+++ b/core/balance/config.c
@@ -21,27 +21,27 @@
 
 /**
  * account_copy() - make a deep copy of an account
- * @a: account; unchanged
+ * @account: account; unchanged
  *
  * Return: the copy, to be freed with account_free(), or NULL when out of
  * memory.
  */
-struct account_conf *account_copy(const struct account_conf *a)
+struct account_conf *account_copy(const struct account_conf *account)
 {
 	struct account_conf *copy = malloc(sizeof(*copy));
 
 	if (!copy)
 		return NULL;
-	*copy = *a;
+	*copy = *account;
 	copy->n_services = 0;
-	copy->services = calloc(a->n_services ? a->n_services : 1,
+	copy->services = calloc(account->n_services ? account->n_services : 1,
 				sizeof(*copy->services));
 	if (!copy->services)
 		goto fail;
-	while (copy->n_services < a->n_services) {
+	while (copy->n_services < account->n_services) {
 		uint32_t i = copy->n_services++;
 
-		if (!copy_service(&a->services[i], &copy->services[i]))
+		if (!copy_service(&account->services[i], &copy->services[i]))
 			goto fail;
 	}
 	return copy;
@@ -52,26 +52,26 @@
 
 /**
  * account_clear() - free the services of an account, not the struct itself
- * @a: account; all zero afterwards
+ * @account: account; all zero afterwards
  */
-void account_clear(struct account_conf *a)
+void account_clear(struct account_conf *account)
 {
-	for (uint32_t i = 0; a->services && i < a->n_services; i++)
-		free(a->services[i].targets);
-	free(a->services);
-	*a = (struct account_conf){ 0 };
+	for (uint32_t i = 0; account->services && i < account->n_services; i++)
+		free(account->services[i].targets);
+	free(account->services);
+	*account = (struct account_conf){ 0 };
 }
 
 /**
  * account_free() - free an account and its services
- * @a: account, or NULL
+ * @account: account, or NULL
  */
-void account_free(struct account_conf *a)
+void account_free(struct account_conf *account)
 {
-	if (!a)
+	if (!account)
 		return;
-	account_clear(a);
-	free(a);
+	account_clear(account);
+	free(account);
 }
 
 /* Index of the first account whose name doesn't sort before @name. */
@@ -114,7 +114,7 @@
 }
 
 static int insert(struct config *config, uint32_t i,
-		  const struct account_conf *a)
+		  const struct account_conf *account)
 {
 	struct account_conf *grown;
 
@@ -126,7 +126,7 @@
 		return -ENOMEM;
 	memmove(&grown[i + 1], &grown[i],
 		(config->n_accounts - i) * sizeof(*grown));
-	grown[i] = *a;
+	grown[i] = *account;
 	config->accounts = grown;
 	config->n_accounts++;
 	return 0;
--- a/core/balance/config.h
+++ b/core/balance/config.h
@@ -98,9 +98,9 @@
 	uint32_t n_accounts;
 };
 
-struct account_conf *account_copy(const struct account_conf *a);
-void account_clear(struct account_conf *a);
-void account_free(struct account_conf *a);
+struct account_conf *account_copy(const struct account_conf *account);
+void account_clear(struct account_conf *account);
+void account_free(struct account_conf *account);
 const struct account_conf *config_find_account(const struct config *config,
 					       const char *name);
 int config_put(struct config *config, struct account_conf *account);
--- a/core/balance/eject.h
+++ b/core/balance/eject.h
@@ -33,20 +33,20 @@
 	uint64_t next_trial_ns;
 };
 
-void health_record_end(struct health *h, enum outcome outcome,
+void health_record_end(struct health *health, enum outcome outcome,
 		       uint64_t duration_ns);
-bool health_is_failing(const struct health *h);
-bool health_is_slow(const struct health *h, uint64_t peers_ns);
-bool health_trial_is_due(const struct health *h, uint64_t now_ns);
-void health_eject(struct health *h, uint64_t now_ns);
-void health_readmit(struct health *h);
+bool health_is_failing(const struct health *health);
+bool health_is_slow(const struct health *health, uint64_t peers_ns);
+bool health_trial_is_due(const struct health *health, uint64_t now_ns);
+void health_eject(struct health *health, uint64_t now_ns);
+void health_readmit(struct health *health);
 
 struct balancer;
 struct target;
-void eject_record_end(struct balancer *b, struct target *t,
+void eject_record_end(struct balancer *balancer, struct target *t,
 		      enum outcome outcome, uint64_t duration_ns,
 		      uint64_t now_ns);
-void eject_slow_targets(struct balancer *b, uint64_t now_ns);
-void eject_enforce_limits(struct balancer *b);
+void eject_slow_targets(struct balancer *balancer, uint64_t now_ns);
+void eject_enforce_limits(struct balancer *balancer);
 
 #endif
--- a/core/balance/lookup.c
+++ b/core/balance/lookup.c
@@ -44,48 +44,52 @@
 
 /**
  * tables_find_service() - find a service by its address
- * @t: tables
+ * @tables: tables
  * @vip: address
  *
  * Return: index of the service, or INDEX_NONE.
  */
-uint32_t tables_find_service(const struct tables *t, uint64_t vip)
+uint32_t tables_find_service(const struct tables *tables, uint64_t vip)
 {
-	struct column vips = { t->services, sizeof(*t->services),
+	struct column vips = { tables->services, sizeof(*tables->services),
 			       offsetof(struct service, vip) };
-	uint32_t i = lower_bound(vips, t->n_services, vip);
+	uint32_t i = lower_bound(vips, tables->n_services, vip);
 
-	return i < t->n_services && t->services[i].vip == vip ? i : INDEX_NONE;
+	return i < tables->n_services && tables->services[i].vip == vip
+		       ? i
+		       : INDEX_NONE;
 }
 
 /**
  * tables_find_target() - find a target by its address
- * @t: tables
+ * @tables: tables
  * @addr: address
  *
  * Return: index of the target, or INDEX_NONE.
  */
-uint32_t tables_find_target(const struct tables *t, uint64_t addr)
+uint32_t tables_find_target(const struct tables *tables, uint64_t addr)
 {
-	struct column addrs = { t->targets, sizeof(*t->targets),
+	struct column addrs = { tables->targets, sizeof(*tables->targets),
 				offsetof(struct target, addr) };
-	uint32_t i = lower_bound(addrs, t->n_targets, addr);
+	uint32_t i = lower_bound(addrs, tables->n_targets, addr);
 
-	return i < t->n_targets && t->targets[i].addr == addr ? i : INDEX_NONE;
+	return i < tables->n_targets && tables->targets[i].addr == addr
+		       ? i
+		       : INDEX_NONE;
 }
 
 /**
  * tables_find_backend() - find the backend of a service by its target
- * @t: tables
+ * @tables: tables
  * @s: service
  * @addr: address of the target
  *
  * Return: index of the backend, or INDEX_NONE.
  */
-uint32_t tables_find_backend(const struct tables *t, const struct service *s,
-			     uint64_t addr)
+uint32_t tables_find_backend(const struct tables *tables,
+			     const struct service *s, uint64_t addr)
 {
-	uint32_t target = tables_find_target(t, addr);
+	uint32_t target = tables_find_target(tables, addr);
 	uint32_t low = s->first_backend;
 	uint32_t end = s->first_backend + s->n_backends;
 	uint32_t high = end;
@@ -93,12 +97,12 @@
 	while (low < high) {
 		uint32_t mid = low + (high - low) / 2;
 
-		if (t->backends[mid].target < target)
+		if (tables->backends[mid].target < target)
 			low = mid + 1;
 		else
 			high = mid;
 	}
-	if (low < end && t->backends[low].target == target)
+	if (low < end && tables->backends[low].target == target)
 		return low;
 	return INDEX_NONE;
 }
--- a/core/balance/request_end.c
+++ b/core/balance/request_end.c
@@ -51,13 +51,13 @@
 		t->aimd_limit_milli += 1000 * 1000 / t->aimd_limit_milli;
 }
 
-static void record_service_end(struct balancer *b, struct service *s,
+static void record_service_end(struct balancer *balancer, struct service *s,
 			       enum outcome outcome, uint64_t duration_ns)
 {
-	class_stats_of(b, s, s->class)->outcome[outcome]++;
+	class_stats_of(balancer, s, s->class)->outcome[outcome]++;
 	if (outcome != OUTCOME_OK)
 		return;
-	budget_record_success(&b->tables.accounts[s->account].budget);
+	budget_record_success(&balancer->tables.accounts[s->account].budget);
 	if (!s->mean_duration_ns)
 		s->mean_duration_ns = duration_ns;
 	else
@@ -69,27 +69,28 @@
 
 /**
  * balance_record_end() - record that an admitted request ended or opened a feed
- * @b: balancer
+ * @balancer: balancer
  * @vip: address of its service
  * @target: address of its target
  * @outcome: how it ended
  * @duration_ns: time since it was sent to the target
  * @now_ns: current time
  */
-void balance_record_end(struct balancer *b, uint64_t vip, uint64_t target,
-			enum outcome outcome, uint64_t duration_ns,
-			uint64_t now_ns)
+void balance_record_end(struct balancer *balancer, uint64_t vip,
+			uint64_t target, enum outcome outcome,
+			uint64_t duration_ns, uint64_t now_ns)
 {
-	uint32_t service = tables_find_service(&b->tables, vip);
-	uint32_t index = tables_find_target(&b->tables, target);
+	uint32_t service = tables_find_service(&balancer->tables, vip);
+	uint32_t index = tables_find_target(&balancer->tables, target);
 	struct target *t;
 
 	if (service != INDEX_NONE)
-		record_service_end(b, &b->tables.services[service], outcome,
+		record_service_end(balancer,
+				   &balancer->tables.services[service], outcome,
 				   duration_ns);
 	if (index == INDEX_NONE)
 		return;
-	t = &b->tables.targets[index];
+	t = &balancer->tables.targets[index];
 	if (t->inflight > t->share.own)
 		record_extra_end(t, outcome, now_ns);
 	if (t->inflight)
@@ -99,30 +100,31 @@
 		record_shed(t, now_ns);
 	else if (outcome == OUTCOME_OK)
 		record_success(t);
-	eject_record_end(b, t, outcome, duration_ns, now_ns);
-	fair_queue_recheck(b, index);
+	eject_record_end(balancer, t, outcome, duration_ns, now_ns);
+	fair_queue_recheck(balancer, index);
 }
 
 /**
  * balance_take_retry() - take one retry from the retry budget of the account
- * @b: balancer
+ * @balancer: balancer
  * @vip: address of the service
  * @now_ns: current time; not used
  *
  * Return: true when the budget contained one; the retry is counted.
  */
-bool balance_take_retry(struct balancer *b, uint64_t vip, uint64_t now_ns)
+bool balance_take_retry(struct balancer *balancer, uint64_t vip,
+			uint64_t now_ns)
 {
-	uint32_t service = tables_find_service(&b->tables, vip);
+	uint32_t service = tables_find_service(&balancer->tables, vip);
 	struct service *s;
 	struct class_stats *stats;
 
 	(void)now_ns;
 	if (service == INDEX_NONE)
 		return false;
-	s = &b->tables.services[service];
-	stats = class_stats_of(b, s, s->class);
-	if (!budget_take(&b->tables.accounts[s->account].budget)) {
+	s = &balancer->tables.services[service];
+	stats = class_stats_of(balancer, s, s->class);
+	if (!budget_take(&balancer->tables.accounts[s->account].budget)) {
 		stats->retries_denied++;
 		return false;
 	}
--- a/core/balance/select.c
+++ b/core/balance/select.c
@@ -141,18 +141,18 @@
 
 /**
  * select_allows() - test whether work that is not pinned may go to a backend
- * @b: balancer
+ * @balancer: balancer
  * @be: backend
  * @work: work
  * @now_ns: current time
  *
  * Return: true when it may be sent now.
  */
-bool select_allows(struct balancer *b, const struct backend *be,
+bool select_allows(struct balancer *balancer, const struct backend *be,
 		   const struct work *work, uint64_t now_ns)
 {
-	const struct service *s = &b->tables.services[be->service];
-	const struct target *t = &b->tables.targets[be->target];
+	const struct service *s = &balancer->tables.services[be->service];
+	const struct target *t = &balancer->tables.targets[be->target];
 
 	if (!be->candidate || is_avoided(s, t, work) ||
 	    !accepts_new_work(t, now_ns))
@@ -216,17 +216,17 @@
 	return a->raw_pass < b->raw_pass;
 }
 
-static bool slow_start_allows(struct balancer *b, const struct target *t,
+static bool slow_start_allows(struct balancer *balancer, const struct target *t,
 			      uint64_t now_ns)
 {
 	if (!in_slow_start(t, now_ns))
 		return true;
-	return rng_next(&b->rng) % 1000 < slow_start_milli(t, now_ns);
+	return rng_next(&balancer->rng) % 1000 < slow_start_milli(t, now_ns);
 }
 
 /**
  * select_backend() - select a backend for work that is not pinned
- * @b: balancer
+ * @balancer: balancer
  * @s: service of the work
  * @work: work
  * @now_ns: current time
@@ -242,7 +242,7 @@
  * SELECTION_CONNECTIONS when no target may open another feed; SELECTION_NONE
  * when there is no candidate.
  */
-enum selection select_backend(struct balancer *b, struct service *s,
+enum selection select_backend(struct balancer *balancer, struct service *s,
 			      const struct work *work, uint64_t now_ns,
 			      uint32_t *backend)
 {
@@ -255,21 +255,22 @@
 	if (!n)
 		return SELECTION_NONE;
 	if (n > CANDIDATES_SCANNED_MAX) {
-		start = (uint32_t)(rng_next(&b->rng) % n);
+		start = (uint32_t)(rng_next(&balancer->rng) % n);
 		n = CANDIDATES_SCANNED_MAX;
 	}
 	for (uint32_t i = 0; i < n; i++) {
 		uint32_t pos = (start + i) % s->n_candidates;
-		uint32_t index = b->tables.candidates[s->first_candidate + pos];
-		struct backend *be = &b->tables.backends[index];
-		struct target *t = &b->tables.targets[be->target];
+		uint32_t index =
+			balancer->tables.candidates[s->first_candidate + pos];
+		struct backend *be = &balancer->tables.backends[index];
+		struct target *t = &balancer->tables.targets[be->target];
 		struct choice c = { .backend = index };
 
 		if (has_feed_capacity(t, work, now_ns))
 			feed_possible = true;
 		if (load_view_is_usable(&t->load_view, now_ns))
 			update_mean_others(s, t, now_ns);
-		if (!select_allows(b, be, work, now_ns))
+		if (!select_allows(balancer, be, work, now_ns))
 			continue;
 		if (t->health.ejected) {
 			*backend = index;
@@ -278,7 +279,7 @@
 		c.load = load_at(s, be, t, work, now_ns);
 		c.pass = effective_pass(s, be);
 		c.raw_pass = be->pass;
-		if (!slow_start_allows(b, t, now_ns)) {
+		if (!slow_start_allows(balancer, t, now_ns)) {
 			if (is_better(&c, &skipped))
 				skipped = c;
 		} else if (is_better(&c, &best)) {
@@ -293,15 +294,15 @@
 
 /**
  * select_record() - record that a request is sent to a backend
- * @b: balancer
+ * @balancer: balancer
  * @backend: index of the backend
  * @now_ns: current time
  */
-void select_record(struct balancer *b, uint32_t backend, uint64_t now_ns)
+void select_record(struct balancer *balancer, uint32_t backend, uint64_t now_ns)
 {
-	struct backend *be = &b->tables.backends[backend];
-	struct service *s = &b->tables.services[be->service];
-	struct target *t = &b->tables.targets[be->target];
+	struct backend *be = &balancer->tables.backends[backend];
+	struct service *s = &balancer->tables.services[be->service];
+	struct target *t = &balancer->tables.targets[be->target];
 
 	be->pass = effective_pass(s, be);
 	s->pass = be->pass;
--- a/core/balance/tables.c
+++ b/core/balance/tables.c
@@ -54,18 +54,18 @@
 
 /**
  * tables_clear() - free the tables
- * @t: tables; all zero afterwards
+ * @tables: tables; all zero afterwards
  */
-void tables_clear(struct tables *t)
+void tables_clear(struct tables *tables)
 {
-	free(t->accounts);
-	free(t->services);
-	free(t->backends);
-	free(t->targets);
-	free(t->links);
-	free(t->candidates);
-	free(t->latencies_ns);
-	memset(t, 0, sizeof(*t));
+	free(tables->accounts);
+	free(tables->services);
+	free(tables->backends);
+	free(tables->targets);
+	free(tables->links);
+	free(tables->candidates);
+	free(tables->latencies_ns);
+	memset(tables, 0, sizeof(*tables));
 }
 
 static void *alloc_table(uint32_t n, size_t size_bytes)
@@ -73,46 +73,53 @@
 	return calloc(n ? n : 1, size_bytes);
 }
 
-static int alloc_tables(struct tables *t, uint32_t n_kept)
+static int alloc_tables(struct tables *tables, uint32_t n_kept)
 {
-	t->accounts = alloc_table(t->n_accounts, sizeof(*t->accounts));
-	t->services = alloc_table(t->n_services, sizeof(*t->services));
-	t->backends = alloc_table(t->n_backends, sizeof(*t->backends));
-	t->targets = alloc_table(t->n_backends + n_kept, sizeof(*t->targets));
-	t->links = alloc_table(t->n_backends, sizeof(*t->links));
-	t->candidates = alloc_table(t->n_backends, sizeof(*t->candidates));
-	t->latencies_ns = alloc_table(t->n_backends, sizeof(*t->latencies_ns));
-	if (!t->accounts || !t->services || !t->backends || !t->targets ||
-	    !t->links || !t->candidates || !t->latencies_ns)
+	tables->accounts =
+		alloc_table(tables->n_accounts, sizeof(*tables->accounts));
+	tables->services =
+		alloc_table(tables->n_services, sizeof(*tables->services));
+	tables->backends =
+		alloc_table(tables->n_backends, sizeof(*tables->backends));
+	tables->targets = alloc_table(tables->n_backends + n_kept,
+				      sizeof(*tables->targets));
+	tables->links = alloc_table(tables->n_backends, sizeof(*tables->links));
+	tables->candidates =
+		alloc_table(tables->n_backends, sizeof(*tables->candidates));
+	tables->latencies_ns =
+		alloc_table(tables->n_backends, sizeof(*tables->latencies_ns));
+	if (!tables->accounts || !tables->services || !tables->backends ||
+	    !tables->targets || !tables->links || !tables->candidates ||
+	    !tables->latencies_ns)
 		return -ENOMEM;
 	return 0;
 }
 
-static void count_rows(struct tables *t, const struct config *config)
+static void count_rows(struct tables *tables, const struct config *config)
 {
-	t->n_accounts = config->n_accounts;
+	tables->n_accounts = config->n_accounts;
 	for (uint32_t i = 0; i < config->n_accounts; i++) {
 		const struct account_conf *a = &config->accounts[i];
 
-		t->n_services += a->n_services;
+		tables->n_services += a->n_services;
 		for (uint32_t j = 0; j < a->n_services; j++)
-			t->n_backends += a->services[j].n_targets;
+			tables->n_backends += a->services[j].n_targets;
 	}
 }
 
 /* Binary search; the accounts are sorted by name. */
-static const struct account *find_account(const struct tables *t,
+static const struct account *find_account(const struct tables *tables,
 					  const char *name)
 {
 	uint32_t low = 0;
-	uint32_t high = t->n_accounts;
+	uint32_t high = tables->n_accounts;
 
 	while (low < high) {
 		uint32_t mid = low + (high - low) / 2;
-		int order = strcmp(t->accounts[mid].name, name);
+		int order = strcmp(tables->accounts[mid].name, name);
 
 		if (!order)
-			return &t->accounts[mid];
+			return &tables->accounts[mid];
 		if (order < 0)
 			low = mid + 1;
 		else
@@ -121,11 +128,11 @@
 	return NULL;
 }
 
-static void fill_accounts(struct tables *t, const struct tables *old,
+static void fill_accounts(struct tables *tables, const struct tables *old,
 			  const struct config *config)
 {
 	for (uint32_t i = 0; i < config->n_accounts; i++) {
-		struct account *a = &t->accounts[i];
+		struct account *a = &tables->accounts[i];
 		const struct account *old_account;
 
 		old_account = find_account(old, config->accounts[i].name);
@@ -138,75 +145,78 @@
 				    ? config->accounts[i].weight
 				    : 1;
 		a->n_queued = 0;
-		t->weight_sum += a->weight;
+		tables->weight_sum += a->weight;
 	}
 }
 
 static int collect_services(struct service_ref **out,
 			    const struct config *config, uint32_t n)
 {
-	struct service_ref *l = alloc_table(n, sizeof(*l));
+	struct service_ref *refs = alloc_table(n, sizeof(*refs));
 	uint32_t k = 0;
 
-	if (!l)
+	if (!refs)
 		return -ENOMEM;
 	for (uint32_t i = 0; i < config->n_accounts; i++) {
 		const struct account_conf *a = &config->accounts[i];
 
 		for (uint32_t j = 0; j < a->n_services; j++) {
-			l[k].vip = a->services[j].vip;
-			l[k].account = i;
-			l[k].conf = &a->services[j];
+			refs[k].vip = a->services[j].vip;
+			refs[k].account = i;
+			refs[k].conf = &a->services[j];
 			k++;
 		}
 	}
-	qsort(l, n, sizeof(*l), compare_service_ref);
-	*out = l;
+	qsort(refs, n, sizeof(*refs), compare_service_ref);
+	*out = refs;
 	return 0;
 }
 
-static void fill_service(struct tables *t, const struct tables *old,
-			 uint32_t index, const struct service_ref *l)
+static void fill_service(struct tables *tables, const struct tables *old,
+			 uint32_t index, const struct service_ref *ref)
 {
-	struct service *s = &t->services[index];
-	uint32_t old_index = tables_find_service(old, l->vip);
+	struct service *s = &tables->services[index];
+	uint32_t old_index = tables_find_service(old, ref->vip);
 
 	if (old_index != INDEX_NONE)
 		*s = old->services[old_index];
-	s->vip = l->vip;
-	s->account = l->account;
-	s->class = l->conf->class;
-	s->queue_max = l->conf->queue_max;
-	s->n_backends = l->conf->n_targets;
+	s->vip = ref->vip;
+	s->account = ref->account;
+	s->class = ref->conf->class;
+	s->queue_max = ref->conf->queue_max;
+	s->n_backends = ref->conf->n_targets;
 	s->n_queued = 0;
 	queue_init(&s->queue);
 }
 
 /* Each listed address once, and targets at which this entry still has work. */
-static void fill_targets(struct tables *t, const struct tables *old,
-			 const struct service_ref *l)
+static void fill_targets(struct tables *tables, const struct tables *old,
+			 const struct service_ref *refs)
 {
 	uint32_t n = 0;
 	uint32_t unique = 0;
 
-	for (uint32_t i = 0; i < t->n_services; i++)
-		for (uint32_t j = 0; j < l[i].conf->n_targets; j++)
-			t->targets[n++].addr = l[i].conf->targets[j].addr;
+	for (uint32_t i = 0; i < tables->n_services; i++)
+		for (uint32_t j = 0; j < refs[i].conf->n_targets; j++)
+			tables->targets[n++].addr =
+				refs[i].conf->targets[j].addr;
 	for (uint32_t i = 0; i < old->n_targets; i++)
 		if (old->targets[i].inflight || old->targets[i].feeds)
-			t->targets[n++].addr = old->targets[i].addr;
-	qsort(t->targets, n, sizeof(*t->targets), compare_target);
+			tables->targets[n++].addr = old->targets[i].addr;
+	qsort(tables->targets, n, sizeof(*tables->targets), compare_target);
 	for (uint32_t i = 0; i < n; i++)
-		if (!i || t->targets[i].addr != t->targets[i - 1].addr)
-			t->targets[unique++].addr = t->targets[i].addr;
-	t->n_targets = unique;
+		if (!i ||
+		    tables->targets[i].addr != tables->targets[i - 1].addr)
+			tables->targets[unique++].addr =
+				tables->targets[i].addr;
+	tables->n_targets = unique;
 }
 
-static void retain_targets(struct tables *t, const struct tables *old,
+static void retain_targets(struct tables *tables, const struct tables *old,
 			   uint64_t now_ns)
 {
-	for (uint32_t i = 0; i < t->n_targets; i++) {
-		struct target *target = &t->targets[i];
+	for (uint32_t i = 0; i < tables->n_targets; i++) {
+		struct target *target = &tables->targets[i];
 		uint32_t old_index = tables_find_target(old, target->addr);
 
 		if (old_index != INDEX_NONE) {
@@ -230,12 +240,12 @@
 	}
 }
 
-static void fill_backend(struct tables *t, const struct tables *old,
+static void fill_backend(struct tables *tables, const struct tables *old,
 			 uint32_t service, uint32_t index,
 			 const struct target_conf *conf)
 {
-	struct service *s = &t->services[service];
-	struct backend *be = &t->backends[index];
+	struct service *s = &tables->services[service];
+	struct backend *be = &tables->backends[index];
 	uint32_t old_service = tables_find_service(old, s->vip);
 	uint32_t old_index = INDEX_NONE;
 	struct target *target;
@@ -247,11 +257,11 @@
 	if (old_index != INDEX_NONE)
 		*be = old->backends[old_index];
 	be->service = service;
-	be->target = tables_find_target(t, conf->addr);
+	be->target = tables_find_target(tables, conf->addr);
 	be->state = conf->state;
 	be->weight = conf->weight ? conf->weight : 1;
 	queue_init(&be->pinned);
-	target = &t->targets[be->target];
+	target = &tables->targets[be->target];
 	target->listed = true;
 	target->n_links++;
 	if (conf->slots < target->slots)
@@ -260,107 +270,112 @@
 		target->connections = conf->connections;
 }
 
-static int fill_backends(struct tables *t, const struct tables *old,
-			 const struct service_ref *l)
+static int fill_backends(struct tables *tables, const struct tables *old,
+			 const struct service_ref *refs)
 {
 	const struct target_conf **order =
-		alloc_table(t->n_backends, sizeof(*order));
+		alloc_table(tables->n_backends, sizeof(*order));
 	uint32_t k = 0;
 
 	if (!order)
 		return -ENOMEM;
-	for (uint32_t i = 0; i < t->n_services; i++) {
-		const struct service_conf *conf = l[i].conf;
+	for (uint32_t i = 0; i < tables->n_services; i++) {
+		const struct service_conf *conf = refs[i].conf;
 
 		for (uint32_t j = 0; j < conf->n_targets; j++)
 			order[j] = &conf->targets[j];
 		qsort(order, conf->n_targets, sizeof(*order),
 		      compare_target_conf);
-		t->services[i].first_backend = k;
-		t->services[i].first_candidate = k;
+		tables->services[i].first_backend = k;
+		tables->services[i].first_candidate = k;
 		for (uint32_t j = 0; j < conf->n_targets; j++)
-			fill_backend(t, old, i, k++, order[j]);
+			fill_backend(tables, old, i, k++, order[j]);
 	}
 	free(order);
 	return 0;
 }
 
-static void fill_links(struct tables *t)
+static void fill_links(struct tables *tables)
 {
 	uint32_t first = 0;
 
-	for (uint32_t i = 0; i < t->n_targets; i++) {
-		t->targets[i].first_link = first;
-		first += t->targets[i].n_links;
-		t->targets[i].n_links = 0;
+	for (uint32_t i = 0; i < tables->n_targets; i++) {
+		tables->targets[i].first_link = first;
+		first += tables->targets[i].n_links;
+		tables->targets[i].n_links = 0;
 	}
-	for (uint32_t i = 0; i < t->n_backends; i++) {
-		struct target *target = &t->targets[t->backends[i].target];
+	for (uint32_t i = 0; i < tables->n_backends; i++) {
+		struct target *target =
+			&tables->targets[tables->backends[i].target];
 
-		t->links[target->first_link + target->n_links++] = i;
+		tables->links[target->first_link + target->n_links++] = i;
 	}
 }
 
 /* Move a queued item to its queue in the new tables, or refuse it. */
-static void requeue(struct balancer *b, struct tables *t, uint32_t handle)
+static void requeue(struct balancer *balancer, struct tables *tables,
+		    uint32_t handle)
 {
-	struct item *item = &b->items[handle];
-	uint32_t service = tables_find_service(t, item->work.vip);
+	struct item *item = &balancer->items[handle];
+	uint32_t service = tables_find_service(tables, item->work.vip);
 	uint32_t backend = INDEX_NONE;
 	struct queue *q;
 
 	if (service != INDEX_NONE && item->backend != INDEX_NONE)
-		backend = tables_find_backend(t, &t->services[service],
-					      item->work.pinned);
+		backend = tables_find_backend(
+			tables, &tables->services[service], item->work.pinned);
 	if (service == INDEX_NONE ||
 	    (item->backend != INDEX_NONE && backend == INDEX_NONE)) {
-		deadline_heap_remove(&b->deadlines, handle);
-		b->n_queued--;
+		deadline_heap_remove(&balancer->deadlines, handle);
+		balancer->n_queued--;
 		item->state = ITEM_REFUSED;
 		item->reason = REFUSE_NO_TARGET;
 		item->service = INDEX_NONE;
-		queue_add(b, &b->refused, handle);
+		queue_add(balancer, &balancer->refused, handle);
 		return;
 	}
 	item->service = service;
 	item->backend = backend;
-	q = backend == INDEX_NONE ? &t->services[service].queue
-				  : &t->backends[backend].pinned;
-	queue_add(b, q, handle);
-	t->services[service].n_queued++;
-	t->accounts[t->services[service].account].n_queued++;
+	q = backend == INDEX_NONE ? &tables->services[service].queue
+				  : &tables->backends[backend].pinned;
+	queue_add(balancer, q, handle);
+	tables->services[service].n_queued++;
+	tables->accounts[tables->services[service].account].n_queued++;
 }
 
-static void requeue_all(struct balancer *b, struct tables *t, struct queue *q)
+static void requeue_all(struct balancer *balancer, struct tables *tables,
+			struct queue *q)
 {
 	uint32_t handle = q->head;
 
 	while (handle != INDEX_NONE) {
-		uint32_t next = b->items[handle].next;
+		uint32_t next = balancer->items[handle].next;
 
-		requeue(b, t, handle);
+		requeue(balancer, tables, handle);
 		handle = next;
 	}
 }
 
-static void install_tables(struct balancer *b, struct tables *t)
+static void install_tables(struct balancer *balancer, struct tables *tables)
 {
-	for (uint32_t i = 0; i < b->tables.n_services; i++)
-		requeue_all(b, t, &b->tables.services[i].queue);
-	for (uint32_t i = 0; i < b->tables.n_backends; i++)
-		requeue_all(b, t, &b->tables.backends[i].pinned);
-	for (uint32_t h = b->refused.head; h != INDEX_NONE;
-	     h = b->items[h].next)
-		b->items[h].service =
-			tables_find_service(t, b->items[h].work.vip);
-	tables_clear(&b->tables);
-	b->tables = *t;
-	b->recheck_head = INDEX_NONE;
+	for (uint32_t i = 0; i < balancer->tables.n_services; i++)
+		requeue_all(balancer, tables,
+			    &balancer->tables.services[i].queue);
+	for (uint32_t i = 0; i < balancer->tables.n_backends; i++)
+		requeue_all(balancer, tables,
+			    &balancer->tables.backends[i].pinned);
+	for (uint32_t handle = balancer->refused.head; handle != INDEX_NONE;
+	     handle = balancer->items[handle].next)
+		balancer->items[handle].service = tables_find_service(
+			tables, balancer->items[handle].work.vip);
+	tables_clear(&balancer->tables);
+	balancer->tables = *tables;
+	balancer->recheck_head = INDEX_NONE;
 }
 
 /**
  * tables_build() - build the tables from a configuration and put it in force
- * @b: balancer
+ * @balancer: balancer
  * @config: configuration; not used after the call
  * @now_ns: current time
  *
@@ -369,34 +384,34 @@
  *
  * Return: 0, or -ENOMEM; then the old configuration remains in force.
  */
-int tables_build(struct balancer *b, const struct config *config,
+int tables_build(struct balancer *balancer, const struct config *config,
 		 uint64_t now_ns)
 {
-	struct tables t = { 0 };
-	struct service_ref *l = NULL;
+	struct tables tables = { 0 };
+	struct service_ref *refs = NULL;
 	int err;
 
-	count_rows(&t, config);
-	err = alloc_tables(&t, b->tables.n_targets);
+	count_rows(&tables, config);
+	err = alloc_tables(&tables, balancer->tables.n_targets);
 	if (!err)
-		err = collect_services(&l, config, t.n_services);
+		err = collect_services(&refs, config, tables.n_services);
 	if (err)
 		goto fail;
-	fill_accounts(&t, &b->tables, config);
-	for (uint32_t i = 0; i < t.n_services; i++)
-		fill_service(&t, &b->tables, i, &l[i]);
-	fill_targets(&t, &b->tables, l);
-	retain_targets(&t, &b->tables, now_ns);
-	err = fill_backends(&t, &b->tables, l);
+	fill_accounts(&tables, &balancer->tables, config);
+	for (uint32_t i = 0; i < tables.n_services; i++)
+		fill_service(&tables, &balancer->tables, i, &refs[i]);
+	fill_targets(&tables, &balancer->tables, refs);
+	retain_targets(&tables, &balancer->tables, now_ns);
+	err = fill_backends(&tables, &balancer->tables, refs);
 	if (err)
 		goto fail;
-	fill_links(&t);
-	free(l);
-	install_tables(b, &t);
-	shares_allocate(b);
+	fill_links(&tables);
+	free(refs);
+	install_tables(balancer, &tables);
+	shares_allocate(balancer);
 	return 0;
 fail:
-	free(l);
-	tables_clear(&t);
+	free(refs);
+	tables_clear(&tables);
 	return err;
 }
--- a/core/base/deadline_heap.h
+++ b/core/base/deadline_heap.h
@@ -21,11 +21,11 @@
 	uint64_t *deadline_ns;
 };
 
-int deadline_heap_init(struct deadline_heap *h, uint32_t handles_max);
-void deadline_heap_destroy(struct deadline_heap *h);
-void deadline_heap_add(struct deadline_heap *h, uint32_t handle,
+int deadline_heap_init(struct deadline_heap *heap, uint32_t handles_max);
+void deadline_heap_destroy(struct deadline_heap *heap);
+void deadline_heap_add(struct deadline_heap *heap, uint32_t handle,
 		       uint64_t deadline_ns);
-void deadline_heap_remove(struct deadline_heap *h, uint32_t handle);
-uint64_t deadline_heap_earliest_ns(const struct deadline_heap *h);
+void deadline_heap_remove(struct deadline_heap *heap, uint32_t handle);
+uint64_t deadline_heap_earliest_ns(const struct deadline_heap *heap);
 
 #endif
--- a/core/base/hash.c
+++ b/core/base/hash.c
@@ -8,28 +8,28 @@
 
 /**
  * rng_next() - next number of a generator (xorshift64*)
- * @r: generator, advanced by one step
+ * @rng: generator, advanced by one step
  *
  * Return: 64 pseudo-random bits.
  */
-uint64_t rng_next(struct rng *r)
+uint64_t rng_next(struct rng *rng)
 {
-	r->state ^= r->state >> 12;
-	r->state ^= r->state << 25;
-	r->state ^= r->state >> 27;
-	return r->state * 0x2545f4914f6cdd1dULL;
+	rng->state ^= rng->state >> 12;
+	rng->state ^= rng->state << 25;
+	rng->state ^= rng->state >> 27;
+	return rng->state * 0x2545f4914f6cdd1dULL;
 }
 
 /**
  * hash_u64() - hash of a 64-bit value
- * @x: value
- * @seed: seed, often a second value to be hashed with @x
+ * @value: value
+ * @seed: seed, often a second value to be hashed with @value
  *
  * Return: 64-bit hash.
  */
-uint64_t hash_u64(uint64_t x, uint64_t seed)
+uint64_t hash_u64(uint64_t value, uint64_t seed)
 {
-	return XXH3_64bits_withSeed(&x, sizeof(x), seed);
+	return XXH3_64bits_withSeed(&value, sizeof(value), seed);
 }
 
 /**
--- a/core/base/histogram.c
+++ b/core/base/histogram.c
@@ -41,14 +41,14 @@
 
 /**
  * histogram_add() - count a sample
- * @h: histogram
+ * @histogram: histogram
  * @value: sample, in any unit
  */
-void histogram_add(struct histogram *h, uint64_t value)
+void histogram_add(struct histogram *histogram, uint64_t value)
 {
-	h->count++;
-	h->sum += value;
-	h->bucket[bucket_of(value)]++;
+	histogram->count++;
+	histogram->sum += value;
+	histogram->bucket[bucket_of(value)]++;
 }
 
 /**
@@ -66,21 +66,21 @@
 
 /**
  * histogram_quantile() - quantile of the samples
- * @h: histogram
- * @q: fraction of the samples that don't exceed the quantile, 0 to 1
+ * @histogram: histogram
+ * @fraction: fraction of the samples that don't exceed the quantile, 0 to 1
  *
  * Return: upper bound of the bucket that contains the quantile, at most 25 %
  * too large; 0 without samples.
  */
-uint64_t histogram_quantile(const struct histogram *h, double q)
+uint64_t histogram_quantile(const struct histogram *histogram, double fraction)
 {
-	uint64_t rank = ceil(q * h->count);
+	uint64_t rank = ceil(fraction * histogram->count);
 	uint64_t seen = 0;
 
-	if (h->count == 0)
+	if (histogram->count == 0)
 		return 0;
 	for (uint32_t i = 0; i < HISTOGRAM_BUCKETS; i++) {
-		seen += h->bucket[i];
+		seen += histogram->bucket[i];
 		if (seen > 0 && seen >= rank)
 			return histogram_upper_bound(i);
 	}
--- a/core/base/histogram.h
+++ b/core/base/histogram.h
@@ -18,9 +18,9 @@
 	uint64_t bucket[HISTOGRAM_BUCKETS];
 };
 
-void histogram_add(struct histogram *h, uint64_t value);
+void histogram_add(struct histogram *histogram, uint64_t value);
 void histogram_merge(struct histogram *to, const struct histogram *from);
-uint64_t histogram_quantile(const struct histogram *h, double q);
+uint64_t histogram_quantile(const struct histogram *histogram, double fraction);
 uint64_t histogram_upper_bound(uint32_t bucket);
 
 #endif
--- a/core/base/timers.c
+++ b/core/base/timers.c
@@ -24,128 +24,130 @@
  */
 struct timers *timers_new(uint32_t ids_max)
 {
-	struct timers *t = calloc(1, sizeof(*t));
+	struct timers *timers = calloc(1, sizeof(*timers));
 
-	if (!t)
+	if (!timers)
 		return NULL;
-	t->heap = malloc((size_t)ids_max * sizeof(*t->heap));
-	t->position = malloc((size_t)ids_max * sizeof(*t->position));
-	if (!t->heap || !t->position) {
-		timers_free(t);
+	timers->heap = malloc((size_t)ids_max * sizeof(*timers->heap));
+	timers->position = malloc((size_t)ids_max * sizeof(*timers->position));
+	if (!timers->heap || !timers->position) {
+		timers_free(timers);
 		return NULL;
 	}
-	memset(t->position, 0xff, (size_t)ids_max * sizeof(*t->position));
-	return t;
+	memset(timers->position, 0xff,
+	       (size_t)ids_max * sizeof(*timers->position));
+	return timers;
 }
 
-void timers_free(struct timers *t)
+void timers_free(struct timers *timers)
 {
-	if (!t)
+	if (!timers)
 		return;
-	free(t->heap);
-	free(t->position);
-	free(t);
+	free(timers->heap);
+	free(timers->position);
+	free(timers);
 }
 
-static void set_node(struct timers *t, uint32_t i, struct node node)
+static void set_node(struct timers *timers, uint32_t i, struct node node)
 {
-	t->heap[i] = node;
-	t->position[node.id] = i;
+	timers->heap[i] = node;
+	timers->position[node.id] = i;
 }
 
-static void sift_up(struct timers *t, uint32_t i, struct node node)
+static void sift_up(struct timers *timers, uint32_t i, struct node node)
 {
 	while (i > 0) {
 		uint32_t parent = (i - 1) / 2;
 
-		if (t->heap[parent].deadline_ns <= node.deadline_ns)
+		if (timers->heap[parent].deadline_ns <= node.deadline_ns)
 			break;
-		set_node(t, i, t->heap[parent]);
+		set_node(timers, i, timers->heap[parent]);
 		i = parent;
 	}
-	set_node(t, i, node);
+	set_node(timers, i, node);
 }
 
-static void sift_down(struct timers *t, uint32_t i, struct node node)
+static void sift_down(struct timers *timers, uint32_t i, struct node node)
 {
 	for (;;) {
 		uint32_t child = 2 * i + 1;
 
-		if (child >= t->n)
+		if (child >= timers->n)
 			break;
-		if (child + 1 < t->n &&
-		    t->heap[child + 1].deadline_ns < t->heap[child].deadline_ns)
+		if (child + 1 < timers->n &&
+		    timers->heap[child + 1].deadline_ns <
+			    timers->heap[child].deadline_ns)
 			child++;
-		if (t->heap[child].deadline_ns >= node.deadline_ns)
+		if (timers->heap[child].deadline_ns >= node.deadline_ns)
 			break;
-		set_node(t, i, t->heap[child]);
+		set_node(timers, i, timers->heap[child]);
 		i = child;
 	}
-	set_node(t, i, node);
+	set_node(timers, i, node);
 }
 
 /**
  * timers_clear() - remove the deadline of a timer
- * @t: timers
+ * @timers: timers
  * @id: timer; ignored when it has no deadline
  */
-void timers_clear(struct timers *t, uint32_t id)
+void timers_clear(struct timers *timers, uint32_t id)
 {
-	uint32_t i = t->position[id];
+	uint32_t i = timers->position[id];
 	struct node last;
 
 	if (i == NOT_IN_HEAP)
 		return;
-	t->position[id] = NOT_IN_HEAP;
-	last = t->heap[--t->n];
+	timers->position[id] = NOT_IN_HEAP;
+	last = timers->heap[--timers->n];
 	if (last.id == id)
 		return;
-	if (i > 0 && t->heap[(i - 1) / 2].deadline_ns > last.deadline_ns)
-		sift_up(t, i, last);
+	if (i > 0 && timers->heap[(i - 1) / 2].deadline_ns > last.deadline_ns)
+		sift_up(timers, i, last);
 	else
-		sift_down(t, i, last);
+		sift_down(timers, i, last);
 }
 
 /**
  * timers_set() - set the deadline of a timer, replacing an earlier one
- * @t: timers
+ * @timers: timers
  * @id: timer
  * @deadline_ns: deadline; DEADLINE_NEVER removes it
  */
-void timers_set(struct timers *t, uint32_t id, uint64_t deadline_ns)
+void timers_set(struct timers *timers, uint32_t id, uint64_t deadline_ns)
 {
 	struct node node = { deadline_ns, id };
 
-	timers_clear(t, id);
+	timers_clear(timers, id);
 	if (deadline_ns == DEADLINE_NEVER)
 		return;
-	sift_up(t, t->n++, node);
+	sift_up(timers, timers->n++, node);
 }
 
 /**
  * timers_next_ns() - earliest deadline of all timers
- * @t: timers
+ * @timers: timers
  *
  * Return: the deadline, or DEADLINE_NEVER when no timer has one.
  */
-uint64_t timers_next_ns(const struct timers *t)
+uint64_t timers_next_ns(const struct timers *timers)
 {
-	return t->n ? t->heap[0].deadline_ns : DEADLINE_NEVER;
+	return timers->n ? timers->heap[0].deadline_ns : DEADLINE_NEVER;
 }
 
 /**
  * timers_pop() - remove the earliest deadline if it has passed
- * @t: timers
+ * @timers: timers
  * @now_ns: current time
  * @id: set to the timer whose deadline was removed
  *
  * Return: false, with @id unchanged, when no deadline has passed.
  */
-bool timers_pop(struct timers *t, uint64_t now_ns, uint32_t *id)
+bool timers_pop(struct timers *timers, uint64_t now_ns, uint32_t *id)
 {
-	if (!t->n || t->heap[0].deadline_ns > now_ns)
+	if (!timers->n || timers->heap[0].deadline_ns > now_ns)
 		return false;
-	*id = t->heap[0].id;
-	timers_clear(t, *id);
+	*id = timers->heap[0].id;
+	timers_clear(timers, *id);
 	return true;
 }
--- a/core/base/timers.h
+++ b/core/base/timers.h
@@ -9,10 +9,10 @@
 struct timers;
 
 struct timers *timers_new(uint32_t ids_max);
-void timers_free(struct timers *t);
-void timers_set(struct timers *t, uint32_t id, uint64_t deadline_ns);
-void timers_clear(struct timers *t, uint32_t id);
-uint64_t timers_next_ns(const struct timers *t);
-bool timers_pop(struct timers *t, uint64_t now_ns, uint32_t *id);
+void timers_free(struct timers *timers);
+void timers_set(struct timers *timers, uint32_t id, uint64_t deadline_ns);
+void timers_clear(struct timers *timers, uint32_t id);
+uint64_t timers_next_ns(const struct timers *timers);
+bool timers_pop(struct timers *timers, uint64_t now_ns, uint32_t *id);
 
 #endif
--- a/core/base/types.h
+++ b/core/base/types.h
@@ -42,8 +42,8 @@
 	uint64_t state;
 };
 
-uint64_t rng_next(struct rng *r);
-uint64_t hash_u64(uint64_t x, uint64_t seed);
+uint64_t rng_next(struct rng *rng);
+uint64_t hash_u64(uint64_t value, uint64_t seed);
 uint64_t hash_text(const char *text);
 uint64_t flow_hash(const struct flow_key *key);
 
