--- a/core/packet/flow/path_wait.c
+++ b/core/packet/flow/path_wait.c
@@ -1,271 +1,303 @@
 /*
- * Requests that wait here, since their targets have enough to do.
+ * Queue of requests whose targets have enough requests.
  *
- * The load that this is for: a fleet wakes at once, or a third of the targets is
- * gone, and for seconds more requests come than are worked off. A target takes
- * them in the order in which they come, so that each is answered late, and soon
- * after its client has given up. Here those that can still be answered in time
- * go first, and the target is given no more than it answers in time.
+ * For seconds more requests can arrive than the targets serve, when many
+ * clients start at once or when a third of the targets is lost. A target serves
+ * requests in the order of their arrival, so that in overload each is answered
+ * late, and at last after its client has given up. The queue forwards requests
+ * first that can still be answered in time, and gives a target no more requests
+ * than it can answer in time.
  */
 #include "path_impl.h"
 
 #define PERCENT 100
 
-/* Requests at a target, of all entries; the peers' are those of a moment ago. */
-static float at_target(const struct target *t)
+/* Requests of all entries at a target; the share of the peers is as old as
+ * their last heartbeats. */
+static float requests_at(const struct target *target)
 {
-	return (float)t->running + t->peers_running;
+	return (float)target->running + target->peers_running;
 }
 
-static int64_t left_ns(const struct flow_seen *f, uint64_t now_ns)
+static int64_t time_left_ns(const struct flow_state *flow, uint64_t now_ns)
 {
-	return (int64_t)(f->aim_by_ns - now_ns);
+	return (int64_t)(flow->objective_deadline_ns - now_ns);
 }
 
 /*
- * One at a time goes to a target whatever the peers told: otherwise an entry
- * that is cut from them would keep its requests for as long as it believes them.
- * Only the window may hold that one back, which goes by what this entry saw.
+ * Whether the request of @flow may be forwarded now. One request at a time may
+ * be, whatever load the peers reported: otherwise an entry that is partitioned
+ * from its peers would keep its requests queued until their reports expire.
+ * Only the window, which depends on this entry's own observations, can delay
+ * that one.
  */
-static bool may_go(const struct path *p, const struct flow_seen *f,
-		   uint64_t now_ns)
+static bool may_forward(const struct path *path, const struct flow_state *flow,
+			uint64_t now_ns)
 {
-	const struct target *t = f->target;
+	const struct target *target = flow->target;
 	struct work_query q = {
-		.kind = f->kind,
-		.slots = t->advertised.slots,
-		.objective_ns = (int64_t)(f->aim_by_ns - f->asked_ns),
-		.remaining_ns = left_ns(f, now_ns),
+		.kind = flow->kind,
+		.slots = target->advertised.slots,
+		.objective_ns = (int64_t)(flow->objective_deadline_ns -
+					  flow->arrived_ns),
+		.remaining_ns = time_left_ns(flow, now_ns),
 	};
 
-	if (p->stopping || t->stage != TARGET_SERVING ||
-	    directory_is_evacuated(p->directory, t))
+	if (path->stopping || target->stage != TARGET_SERVING ||
+	    directory_is_evacuated(path->directory, target))
 		return true;
-	if (!window_is_open(&p->windows[t->advertised.service],
-			    flow_cache_running(p->flows,
-					       t->advertised.service)))
+	if (!window_is_open(&path->windows[target->advertised.service],
+			    flow_cache_running_count(
+				    path->flows, target->advertised.service)))
 		return false;
-	if (!t->running)
+	if (!target->running)
 		return true;
-	return at_target(t) <
-	       work_request_limit(&p->work[t->advertised.service], p->policy,
-				  &q);
+	return requests_at(target) <
+	       work_request_limit(&path->work[target->advertised.service],
+				  path->policy, &q);
 }
 
 /**
- * path_hold() - keep a request's first packet, if its target has enough to do
- * @p: state
- * @f: flow, with a request that has just begun
- * @k: the packet
+ * path_queue_request() - queue a request if its target has enough requests
+ * @path: state
+ * @flow: flow whose request has just begun
+ * @packet: first packet of the request, copied
  *
- * Uploads never wait: the packets that follow the first would reach the target
- * before it.
+ * Uploads are never queued: the packets after the first would reach the target
+ * before it. Neither are requests without a latency objective.
  *
- * Return: whether it waits now; otherwise it is to go to the target.
+ * Return: true when queued; false when the caller has to forward the packet,
+ * also because the queue is full.
  */
-bool path_hold(struct path *p, struct flow_seen *f, const struct packet *k)
+bool path_queue_request(struct path *path, struct flow_state *flow,
+			const struct packet *packet)
 {
-	if (f->kind == ROUTE_UPLOAD || !f->aim_by_ns ||
-	    may_go(p, f, f->asked_ns))
+	if (flow->kind == ROUTE_UPLOAD || !flow->objective_deadline_ns ||
+	    may_forward(path, flow, flow->arrived_ns))
 		return false;
-	return waiting_add(p->waiting, f, k->bytes, k->n_bytes);
+	return wait_queue_add(path->wait_queue, flow, packet->bytes,
+			      packet->n_bytes);
 }
 
 /**
- * path_sent() - a request goes to its target now
- * @p: state
- * @f: its flow
- * @now_ns: time
+ * path_request_sent() - record that a request is forwarded to its target
+ * @path: state
+ * @flow: flow of the request
+ * @now_ns: current time
  */
-void path_sent(struct path *p, struct flow_seen *f, uint64_t now_ns)
+void path_request_sent(struct path *path, struct flow_state *flow,
+		       uint64_t now_ns)
 {
-	f->request_ns = now_ns;
-	f->alone = at_target(f->target) < f->target->advertised.slots;
-	f->due_ns = now_ns + path_request_due_ns(p, f->kind);
-	flow_cache_sent(p->flows, f, true);
+	flow->forwarded_ns = now_ns;
+	flow->found_free_slot =
+		requests_at(flow->target) < flow->target->advertised.slots;
+	flow->answer_due_ns = now_ns + path_answer_timeout_ns(path, flow->kind);
+	flow_cache_set_running(path->flows, flow, true);
 }
 
 /**
- * path_worked() - what the answer to a request shows of its service
- * @p: state
- * @f: its flow; the target had it
- * @small: the answer is far smaller than usual
- * @now_ns: time
+ * path_record_answer() - update the work time and the window of a service from
+ *	an answer
+ * @path: state
+ * @flow: flow of the answered request, which was running
+ * @small: the answer is far smaller than the mean
+ * @now_ns: current time
  *
- * A small answer that came sooner than work could, from a target that has
- * others to work on, says that it has no room. Targets that fail all requests
- * at once are never loaded, and teach nothing about the others' room.
+ * A small answer that came faster than a request can be served, from a target
+ * without a free slot, is a refusal for lack of capacity, and limits the
+ * window. A target that fails all requests at once is never loaded, so its
+ * answers don't change the window of the service.
  */
-void path_worked(struct path *p, struct flow_seen *f, bool small,
-		 uint64_t now_ns)
+void path_record_answer(struct path *path, struct flow_state *flow, bool small,
+			uint64_t now_ns)
 {
-	uint32_t service = f->target->advertised.service;
-	uint32_t running = flow_cache_running(p->flows, service);
-	struct service_work *w = &p->work[service];
-	uint64_t took_ns = now_ns - f->request_ns;
-	uint64_t least_ns = w->by_kind[f->kind].mean_ns *
-			    p->policy->refused_percent / PERCENT;
+	uint32_t service = flow->target->advertised.service;
+	uint32_t running = flow_cache_running_count(path->flows, service);
+	struct service_work *w = &path->work[service];
+	uint64_t elapsed_ns = now_ns - flow->forwarded_ns;
+	uint64_t min_work_ns = w->by_kind[flow->kind].mean_ns *
+			       path->policy->refused_percent / PERCENT;
 
-	if (small && took_ns < least_ns + f->trip_ns) {
-		if (at_target(f->target) >= f->target->advertised.slots) {
-			p->counts[PATH_refused]++;
-			window_record_refusal(&p->windows[service], p->policy,
-					      running, now_ns);
+	if (small && elapsed_ns < min_work_ns + flow->rtt_ns) {
+		if (requests_at(flow->target) >=
+		    flow->target->advertised.slots) {
+			path->counts[PATH_refused]++;
+			window_record_refusal(&path->windows[service],
+					      path->policy, running, now_ns);
 		}
 		return;
 	}
-	window_record_answer(&p->windows[service], running);
-	if (f->alone && f->trip_ns && took_ns > f->trip_ns)
-		work_record(w, f->kind, took_ns - f->trip_ns);
+	window_record_answer(&path->windows[service], running);
+	if (flow->found_free_slot && flow->rtt_ns && elapsed_ns > flow->rtt_ns)
+		work_record(w, flow->kind, elapsed_ns - flow->rtt_ns);
 }
 
-static void send(struct path *p, struct flow_seen *f, uint64_t now_ns)
+static void forward_queued(struct path *path, struct flow_state *flow,
+			   uint64_t now_ns)
 {
 	uint32_t n_bytes;
-	const uint8_t *bytes = waiting_packet(p->waiting, f, &n_bytes);
+	const uint8_t *bytes =
+		wait_queue_packet(path->wait_queue, flow, &n_bytes);
 
-	p->counts[PATH_waited]++;
-	histogram_add(&p->times[f->kind].wait_us,
-		      (now_ns - f->asked_ns) / NS_PER_US);
-	p->port.send(p->port.ctx, f, bytes, n_bytes);
-	waiting_remove(p->waiting, f);
-	flow_cache_touch(p->flows, f, now_ns);
-	path_sent(p, f, now_ns);
+	path->counts[PATH_waited]++;
+	histogram_add(&path->latencies[flow->kind].wait_us,
+		      (now_ns - flow->arrived_ns) / NS_PER_US);
+	path->port.send_queued(path->port.ctx, flow, bytes, n_bytes);
+	wait_queue_remove(path->wait_queue, flow);
+	flow_cache_touch(path->flows, flow, now_ns);
+	path_request_sent(path, flow, now_ns);
 }
 
 /*
- * Those that can be answered in time go first: work on others makes these late
- * too. Of them the last to come: in overload no order serves all, and the first
- * in turn would be answered just before its target latency ends, or just after.
- * Of the late ones the first to come, whose client waits the least longer.
+ * Whether the request of @a is forwarded before the one of @b. Requests that
+ * can be answered in time come first, since serving others would make these
+ * late too; then those of the lower priority number. Of equal ones in time the
+ * last to arrive comes first: in overload no order serves all, and in order of
+ * arrival each request would be answered close to the end of its latency
+ * objective, often just after it. Of equal late ones the first to arrive comes
+ * first, since its client gives up first.
  */
-static bool before(const struct path *p, const struct flow_seen *a,
-		   const struct flow_seen *b, uint64_t now_ns)
+static bool is_before(const struct path *path, const struct flow_state *a,
+		      const struct flow_state *b, uint64_t now_ns)
 {
-	const struct service_work *w = &p->work[a->target->advertised.service];
-	bool a_in_time = work_meets_objective(w, a->kind, left_ns(a, now_ns));
-	bool b_in_time = work_meets_objective(w, b->kind, left_ns(b, now_ns));
+	const struct service_work *w =
+		&path->work[a->target->advertised.service];
+	bool a_in_time =
+		work_meets_objective(w, a->kind, time_left_ns(a, now_ns));
+	bool b_in_time =
+		work_meets_objective(w, b->kind, time_left_ns(b, now_ns));
 
 	if (a_in_time != b_in_time)
 		return a_in_time;
 	if (a->priority != b->priority)
 		return a->priority < b->priority;
-	return a_in_time ? a->asked_ns > b->asked_ns
-			 : a->asked_ns < b->asked_ns;
+	return a_in_time ? a->arrived_ns > b->arrived_ns
+			 : a->arrived_ns < b->arrived_ns;
 }
 
-/* The first to go of those for @t, or of @best. */
-static struct flow_seen *next_of(const struct path *p, const struct target *t,
-				 struct flow_seen *best, uint64_t now_ns)
+/* The request to forward first: the first one queued for @target, if it may be
+ * forwarded, or @best, which may be NULL. */
+static struct flow_state *next_for_target(const struct path *path,
+					  const struct target *target,
+					  struct flow_state *best,
+					  uint64_t now_ns)
 {
-	struct flow_seen *f = waiting_first(p->waiting, t);
-	struct flow_seen *first = f;
+	struct flow_state *flow = wait_queue_first(path->wait_queue, target);
+	struct flow_state *first = flow;
 
-	for (; f; f = waiting_next(p->waiting, f))
-		if (before(p, f, first, now_ns))
-			first = f;
-	if (!first || !may_go(p, first, now_ns))
+	for (; flow; flow = wait_queue_next(path->wait_queue, flow))
+		if (is_before(path, flow, first, now_ns))
+			first = flow;
+	if (!first || !may_forward(path, first, now_ns))
 		return best;
-	return !best || before(p, first, best, now_ns) ? first : best;
+	return !best || is_before(path, first, best, now_ns) ? first : best;
 }
 
-static struct flow_seen *next(const struct path *p, uint32_t service,
-			      uint64_t now_ns)
+static struct flow_state *next_for_service(const struct path *path,
+					   uint32_t service, uint64_t now_ns)
 {
 	struct target *const *targets = NULL;
-	uint32_t n = directory_service_targets(p->directory, service, &targets);
-	struct flow_seen *best = NULL;
+	uint32_t n =
+		directory_service_targets(path->directory, service, &targets);
+	struct flow_state *best = NULL;
 
 	for (uint32_t i = 0; i < n; i++)
 		if (targets[i]->queue_head)
-			best = next_of(p, targets[i], best, now_ns);
+			best = next_for_target(path, targets[i], best, now_ns);
 	return best;
 }
 
 /**
- * path_release() - let requests go to a service whose targets have less to do
- * @p: state
- * @service: number of its name
- * @now_ns: time
+ * path_release_queued() - forward queued requests as far as the load of their
+ *	targets allows
+ * @path: state
+ * @service: number of the service in the directory
+ * @now_ns: current time
  */
-void path_release(struct path *p, uint32_t service, uint64_t now_ns)
+void path_release_queued(struct path *path, uint32_t service, uint64_t now_ns)
 {
-	struct flow_seen *f;
+	struct flow_state *flow;
 
-	while (waiting_count(p->waiting) && (f = next(p, service, now_ns)))
-		send(p, f, now_ns);
+	while (wait_queue_count(path->wait_queue) &&
+	       (flow = next_for_service(path, service, now_ns)))
+		forward_queued(path, flow, now_ns);
 }
 
 /**
- * path_release_all() - the same for all services
- * @p: state
- * @now_ns: time
+ * path_release_all_queued() - call path_release_queued() for all services
+ * @path: state
+ * @now_ns: current time
  */
-void path_release_all(struct path *p, uint64_t now_ns)
+void path_release_all_queued(struct path *path, uint64_t now_ns)
 {
-	for (uint32_t i = 0; i < directory_service_count(p->directory); i++)
-		path_release(p, i, now_ns);
+	for (uint32_t i = 0; i < directory_service_count(path->directory); i++)
+		path_release_queued(path, i, now_ns);
 }
 
 /**
- * path_expire() - drop the requests for a target whose clients have given up
- * @p: state
- * @t: target
- * @now_ns: time
+ * path_expire_queued() - drop queued requests whose clients have given up
+ * @path: state
+ * @target: target whose requests are checked
+ * @now_ns: current time
  */
-void path_expire(struct path *p, const struct target *t, uint64_t now_ns)
+void path_expire_queued(struct path *path, const struct target *target,
+			uint64_t now_ns)
 {
-	struct flow_seen *f = waiting_first(p->waiting, t);
+	struct flow_state *flow = wait_queue_first(path->wait_queue, target);
 
-	while (f) {
-		struct flow_seen *next = waiting_next(p->waiting, f);
+	while (flow) {
+		struct flow_state *next =
+			wait_queue_next(path->wait_queue, flow);
 
-		if (f->expires_ns <= now_ns) {
-			p->counts[PATH_expired]++;
-			flow_cache_busy(p->flows, f, false);
+		if (flow->expires_ns <= now_ns) {
+			path->counts[PATH_expired]++;
+			flow_cache_set_busy(path->flows, flow, false);
 		}
-		f = next;
+		flow = next;
 	}
 }
 
 /**
- * path_loaded() - whether a target has as much to do as it has slots
- * @t: target
+ * path_target_loaded() - check whether a target has as many requests as slots
+ * @target: target
  *
- * Return: whether; false when nothing of this entry is there.
+ * Return: true when requests of this entry are queued for @target, or are at it
+ * while all its slots are taken; false when it has none of this entry.
  */
-bool path_loaded(const struct target *t)
+bool path_target_loaded(const struct target *target)
 {
-	return t->queue_head ||
-	       (t->running && at_target(t) >= t->advertised.slots);
+	return target->queue_head ||
+	       (target->running &&
+		requests_at(target) >= target->advertised.slots);
 }
 
 /**
- * path_limits() - what limits the requests that go to a service
- * @p: state
- * @service: number of its name
+ * path_limits() - get the limits on the requests to a service
+ * @path: state
+ * @service: number of the service in the directory
  *
- * Return: limits.
+ * Return: a copy of the present limits.
  */
-struct path_limits path_limits(const struct path *p, uint32_t service)
+struct path_limits path_limits(const struct path *path, uint32_t service)
 {
-	const struct request_window *w = &p->windows[service];
+	const struct request_window *w = &path->windows[service];
 
 	return (struct path_limits){
-		.work_ns = p->work[service].all.mean_ns,
-		.running = flow_cache_running(p->flows, service),
+		.work_ns = path->work[service].all.mean_ns,
+		.running = flow_cache_running_count(path->flows, service),
 		.window = w->size,
 		.refused_percent = w->refused_ratio * PERCENT,
 	};
 }
 
 /**
- * path_stop() - this process will end: nothing waits here from now on
- * @p: state
- * @now_ns: time
+ * path_stop() - forward all queued requests and queue none from now on, since
+ *	this process is about to end
+ * @path: state
+ * @now_ns: current time
  */
-void path_stop(struct path *p, uint64_t now_ns)
+void path_stop(struct path *path, uint64_t now_ns)
 {
-	p->stopping = true;
-	path_release_all(p, now_ns);
+	path->stopping = true;
+	path_release_all_queued(path, now_ns);
 }
