--- a/core/packet/node.c
+++ b/core/packet/node.c
@@ -35,7 +35,8 @@
  * rate, those of expedited ones, which are sent only for their loads, one by
  * one.
  */
-static void charge_hello(struct node *node, const struct hello *hello, uint32_t count)
+static void charge_hello(struct node *node, const struct hello *hello,
+			 uint32_t count)
 {
 	uint64_t head_bytes_per_s = count * HELLO_HEAD_BYTES * NS_PER_S /
 				    node->policy->heartbeat_ns;
@@ -64,7 +65,9 @@
 
 	if (!path_has_loaded_target(node->path))
 		return;
-	peer_set_expedite(node->peers, next_ns > node->loads_due_ns ? next_ns : node->loads_due_ns);
+	peer_set_expedite(node->peers, next_ns > node->loads_due_ns
+					       ? next_ns
+					       : node->loads_due_ns);
 }
 
 /* Whether the documents were complete at some position; pages of a listing that
@@ -100,7 +103,8 @@
 
 enum hello_reason { HELLO_UNSOLICITED, HELLO_REPLY };
 
-static void send_hello(struct node *node, const uint64_t *to, uint32_t count, const struct target *dead, enum hello_reason why)
+static void send_hello(struct node *node, const uint64_t *to, uint32_t count,
+		       const struct target *dead, enum hello_reason why)
 {
 	struct hello hello = { 0 };
 
@@ -121,7 +125,8 @@
 	else if (node->now_ns >= node->loads_due_ns && node->policy->tell_loads)
 		loads_fill_hello(node->directory, &hello);
 	if (node->policy->tell_failures)
-		loads_fill_hello_failing(node->directory, &hello, node->policy, node->now_ns);
+		loads_fill_hello_failing(node->directory, &hello, node->policy,
+					 node->now_ns);
 	charge_hello(node, &hello, count);
 	node->port.hello(node->port.ctx, to, count, &hello);
 }
@@ -153,7 +158,8 @@
 	node->port.resend(node->port.ctx, flow, reason);
 }
 
-static void send_queued(void *ctx, const struct flow_state *flow, const uint8_t *bytes, uint32_t n_bytes)
+static void send_queued(void *ctx, const struct flow_state *flow,
+			const uint8_t *bytes, uint32_t n_bytes)
 {
 	struct node *node = ctx;
 
@@ -172,20 +178,32 @@
 	node_advertise(ctx, target);
 }
 
-static void report_health(void *ctx, const struct target *target, uint8_t before)
+static void report_health(void *ctx, const struct target *target,
+			  uint8_t before)
 {
 	struct node *node = ctx;
 
 	node->port.health(node->port.ctx, target, before);
 }
 
-static void log_ejection(void *ctx, const struct target *target, float others_failures)
+static void log_ejection(void *ctx, const struct target *target,
+			 float others_failures)
 {
 	struct node *node = ctx;
 	uint64_t ms = (target->ejected_until_ns - node->now_ns) / NS_PER_MS;
 
 	node->counters.ejections++;
-	node->port.log(node->port.ctx, NODE_WARNING, "target.eject", directory_service_name(node->directory, target->advertised.service), "target %llx gets no new flows for %llu ms: %.1f recent " "failures here, %.1f at peers, %.1f on average at the " "other targets of its service", (unsigned long long)target->advertised.id, (unsigned long long)ms, (double)outlier_failure_count(target, node->policy, node->now_ns), (double)target->peers_failures, (double)others_failures);
+	node->port.log(node->port.ctx, NODE_WARNING, "target.eject",
+		       directory_service_name(node->directory,
+					      target->advertised.service),
+		       "target %llx gets no new flows for %llu ms: %.1f recent "
+		       "failures here, %.1f at peers, %.1f on average at the "
+		       "other targets of its service",
+		       (unsigned long long)target->advertised.id,
+		       (unsigned long long)ms,
+		       (double)outlier_failure_count(target, node->policy,
+						     node->now_ns),
+		       (double)target->peers_failures, (double)others_failures);
 }
 
 /* Hash of the name of the entry's data centre. */
@@ -247,7 +265,8 @@
  *
  * Return: entry, to be freed with node_free(), or NULL when out of memory.
  */
-struct node *node_new(const struct node_conf *conf, struct node_port port, uint64_t now_ns)
+struct node *node_new(const struct node_conf *conf, struct node_port port,
+		      uint64_t now_ns)
 {
 	struct node *node = calloc(1, sizeof(*node));
 
@@ -310,7 +329,8 @@
  * @now_ns: current time
  * @out: set to the decision
  */
-void node_packet(struct node *node, const struct packet *packet, uint64_t now_ns, struct path_verdict *out)
+void node_packet(struct node *node, const struct packet *packet,
+		 uint64_t now_ns, struct path_verdict *out)
 {
 	node->now_ns = now_ns;
 	node->last_client_packet_ns = now_ns;
@@ -327,7 +347,8 @@
  */
 static bool is_nearly_fresh(const struct node *node)
 {
-	if (node->lacks_retained_ns && node->lacks_retained_ns + BEHIND_MAX_NS > node->now_ns)
+	if (node->lacks_retained_ns &&
+	    node->lacks_retained_ns + BEHIND_MAX_NS > node->now_ns)
 		return false;
 	return node_has_snapshot(node) &&
 	       node->behind_ns + BEHIND_MAX_NS > node->now_ns;
@@ -339,14 +360,23 @@
 
 	update_fresh(node);
 	/* An entry that is ready stays so when a peer gets ahead. */
-	if (node_configuration_version(node) && (ready || node->fresh || is_nearly_fresh(node)))
+	if (node_configuration_version(node) &&
+	    (ready || node->fresh || is_nearly_fresh(node)))
 		ready = true;
 	if (node->stop_ns)
 		ready = false;
 	if (ready == node->ready)
 		return;
 	node->ready = ready;
-	node->port.log(node->port.ctx, NODE_INFO, "ready", NULL, "%s, configuration %llu, revision %llu, %u targets, " "%u peers", ready ? "yes" : "no", (unsigned long long)node_configuration_version(node), (unsigned long long)documents_synced(node->documents).revision, directory_target_count(node->directory), peer_set_count_live(node->peers, node->now_ns));
+	node->port.log(
+		node->port.ctx, NODE_INFO, "ready", NULL,
+		"%s, configuration %llu, revision %llu, %u targets, "
+		"%u peers",
+		ready ? "yes" : "no",
+		(unsigned long long)node_configuration_version(node),
+		(unsigned long long)documents_synced(node->documents).revision,
+		directory_target_count(node->directory),
+		peer_set_count_live(node->peers, node->now_ns));
 }
 
 /**
@@ -362,7 +392,8 @@
 
 	node->now_ns = now_ns;
 	path_tick(node->path, now_ns);
-	count = peer_set_take_due(node->peers, !node_has_snapshot(node), now_ns, to, RECIPIENTS_MAX);
+	count = peer_set_take_due(node->peers, !node_has_snapshot(node), now_ns,
+				  to, RECIPIENTS_MAX);
 	if (count) {
 		send_hello(node, to, count, NULL, HELLO_UNSOLICITED);
 		expedite_heartbeat(node);
@@ -385,7 +416,9 @@
 	uint64_t age_ns = hello->epoch_age_ms * NS_PER_MS;
 
 	if (hello->newest.revision)
-		documents_lower_epoch_start(node->documents, hello->newest.epoch, node->now_ns > age_ns ? node->now_ns - age_ns : 0);
+		documents_lower_epoch_start(
+			node->documents, hello->newest.epoch,
+			node->now_ns > age_ns ? node->now_ns - age_ns : 0);
 }
 
 /**
@@ -394,7 +427,8 @@
  * @hello: heartbeat
  * @now_ns: current time
  */
-void node_receive_hello(struct node *node, const struct hello *hello, uint64_t now_ns)
+void node_receive_hello(struct node *node, const struct hello *hello,
+			uint64_t now_ns)
 {
 	node->now_ns = now_ns;
 	peer_set_receive(node->peers, hello, now_ns);
@@ -419,7 +453,9 @@
  * @since_ns: when the attempt began
  * @now_ns: current time
  */
-void node_probe_ended(struct node *node, const struct incarnation *who, enum probe_outcome outcome, uint64_t since_ns, uint64_t now_ns)
+void node_probe_ended(struct node *node, const struct incarnation *who,
+		      enum probe_outcome outcome, uint64_t since_ns,
+		      uint64_t now_ns)
 {
 	node->now_ns = now_ns;
 	path_probe_ended(node->path, who, outcome, since_ns, now_ns);
@@ -448,7 +484,9 @@
 		return false;
 	node->counters.paused++;
 	node->paused_ns = now_ns;
-	node->port.log(node->port.ctx, NODE_WARNING, "paused", NULL, "did not run for %llu ms, what waited is dropped", (unsigned long long)(gap_ns / NS_PER_MS));
+	node->port.log(node->port.ctx, NODE_WARNING, "paused", NULL,
+		       "did not run for %llu ms, what waited is dropped",
+		       (unsigned long long)(gap_ns / NS_PER_MS));
 	return true;
 }
 
