--- a/core/balance/eject.c
+++ b/core/balance/eject.c
@@ -256,10 +256,10 @@
 
 	if (t->n_links) {
 		uint32_t backend = balancer->tables.links[t->first_link];
-		uint32_t service = balancer->tables.backends[backend].service;
+		const struct backend *be = &balancer->tables.backends[backend];
 
 		peers_ns = median_latency_ns(
-			balancer, &balancer->tables.services[service], t);
+			balancer, &balancer->tables.services[be->service], t);
 	}
 	if (outcome == OUTCOME_CANCELLED || outcome == OUTCOME_SHED) {
 		t->health.trial_pending = false;
