--- a/Makefile
+++ b/Makefile
@@ -34,7 +34,7 @@
 PLATFORM := $(patsubst %.c,$(B)/%.o,$(wildcard platform/*.c))
 ifeq ($(OWN),1)
 ADAPT := $(patsubst %,$(B)/adapters/%.o,addr daemon_args fields hello_codec histogram_text http \
-	 http_call \
+	 http_client \
 	 json_text log mistakes msgpack_bound packet_settings policy_settings probe_outcome relay_codec settings \
 	 settings_table toml toml_shape usage zstd_delta)
 endif
--- a/adapters/account_codec.c
+++ b/adapters/account_codec.c
@@ -8,14 +8,14 @@
 static void list_service(struct item_list *l, const struct service_conf *s)
 {
 	item_begin(l, ITEM_SERVICE, SERVICE_FIELDS);
-	item_u64(l, s->vip);
+	item_add_u64(l, s->vip);
 	msgpack_pack_str_with_body(&l->packer, s->name, strlen(s->name));
-	item_u64(l, s->protocol);
-	item_u64(l, s->class);
-	item_u64(l, s->post_idempotent);
-	item_u64(l, s->target_dedups);
-	item_u64(l, s->request_timeout_ns);
-	item_u64(l, s->queue_max);
+	item_add_u64(l, s->protocol);
+	item_add_u64(l, s->class);
+	item_add_u64(l, s->post_idempotent);
+	item_add_u64(l, s->target_dedups);
+	item_add_u64(l, s->request_timeout_ns);
+	item_add_u64(l, s->queue_max);
 	item_end(l);
 }
 
@@ -23,12 +23,12 @@
 			const struct target_conf *t)
 {
 	item_begin(l, ITEM_TARGET, TARGET_FIELDS);
-	item_u64(l, vip);
-	item_u64(l, t->addr);
-	item_u64(l, t->state);
-	item_u64(l, t->weight);
-	item_u64(l, t->slots);
-	item_u64(l, t->connections);
+	item_add_u64(l, vip);
+	item_add_u64(l, t->addr);
+	item_add_u64(l, t->state);
+	item_add_u64(l, t->weight);
+	item_add_u64(l, t->slots);
+	item_add_u64(l, t->connections);
 	item_end(l);
 }
 
@@ -41,7 +41,7 @@
 		n += a->services[i].n_targets;
 	if (item_list_open(&l, n))
 		return -ENOMEM;
-	item_header(&l, a->weight);
+	item_add_header(&l, a->weight);
 	for (uint32_t i = 0; i < a->n_services; i++) {
 		const struct service_conf *s = &a->services[i];
 
@@ -49,7 +49,7 @@
 		for (uint32_t j = 0; j < s->n_targets; j++)
 			list_target(&l, s->vip, &s->targets[j]);
 	}
-	return item_list_close(&l, out);
+	return item_list_finish(&l, out);
 }
 
 static bool read_name(const msgpack_object *o, char name[NAME_MAX_BYTES])
@@ -155,13 +155,13 @@
 	for (uint32_t i = 0; !err && i < c->n; i++) {
 		struct item_fields f;
 
-		err = item_read(&c->items[i], &u, &f);
+		err = item_decode(&c->items[i], &u, &f);
 		if (err)
 			break;
 		if ((i == 0) != (f.kind == ITEM_HEADER))
 			err = -EPROTO;
 		else if (f.kind == ITEM_HEADER)
-			err = item_read_header(&f, &a->weight);
+			err = item_decode_header(&f, &a->weight);
 		else if (f.kind == ITEM_SERVICE)
 			err = a->n_services == SERVICES_PER_ACCOUNT_MAX
 				      ? -EPROTO
--- a/adapters/coap_make.c
+++ b/adapters/coap_make.c
@@ -169,7 +169,7 @@
  * @cap_bytes: its size
  *
  * Return: bytes written; -EMSGSIZE for too little room; -EPROTO for a
- * datagram that coap_wire_read() would refuse; -EINVAL for a long token.
+ * datagram that coap_wire_parse() would refuse; -EINVAL for a long token.
  */
 int32_t coap_wire_rewrite(const struct action *a, uint8_t *buf,
 			  uint32_t cap_bytes)
@@ -252,15 +252,15 @@
 #define N_ANSWERS (sizeof(answers) / sizeof(answers[0]))
 
 /**
- * coap_wire_answer() - an answer that the balancer itself gives
+ * coap_wire_local_answer() - an answer that the balancer itself gives
  * @a: ACT_ANSWER_CALLER
  * @buf: room for the datagram
  * @cap_bytes: its size
  *
  * Return: bytes written, -EMSGSIZE, or -EINVAL for an unknown answer.
  */
-int32_t coap_wire_answer(const struct action *a, uint8_t *buf,
-			 uint32_t cap_bytes)
+int32_t coap_wire_local_answer(const struct action *a, uint8_t *buf,
+			       uint32_t cap_bytes)
 {
 	struct out o = { .buf = buf, .cap_bytes = cap_bytes };
 
@@ -359,15 +359,15 @@
 }
 
 /**
- * coap_wire_load_text() - read a target's answer to coap_wire_load_poll()
+ * coap_wire_parse_load() - read a target's answer to coap_wire_load_poll()
  * @buf: datagram
  * @size_bytes: its size
  * @out: filled
  *
  * Return: true when it is "running waiting connections".
  */
-bool coap_wire_load_text(const uint8_t *buf, uint32_t size_bytes,
-			 struct load_report *out)
+bool coap_wire_parse_load(const uint8_t *buf, uint32_t size_bytes,
+			  struct load_report *out)
 {
 	char text[BODY_MAX_BYTES];
 	uint32_t n = 0;
--- a/adapters/coap_wire.c
+++ b/adapters/coap_wire.c
@@ -200,14 +200,14 @@
 }
 
 /**
- * coap_wire_read() - read a datagram
+ * coap_wire_parse() - read a datagram
  * @buf: datagram; has to stay while @m is in use
  * @size_bytes: its size
  * @m: filled; @m->data is @buf
  *
  * Return: 0, or -EPROTO for anything but a well-formed CoAP message.
  */
-int coap_wire_read(const uint8_t *buf, uint32_t size_bytes, struct message *m)
+int coap_wire_parse(const uint8_t *buf, uint32_t size_bytes, struct message *m)
 {
 	coap_pdu_t *pdu = parse(buf, size_bytes);
 	struct scan s = { .m = m };
--- a/adapters/coap_wire.h
+++ b/adapters/coap_wire.h
@@ -10,17 +10,17 @@
 #define OPTION_TIMEOUT 65000
 #define OPTION_LOAD 65004
 
-int coap_wire_read(const uint8_t *buf, uint32_t size_bytes, struct message *m);
+int coap_wire_parse(const uint8_t *buf, uint32_t size_bytes, struct message *m);
 int32_t coap_wire_rewrite(const struct action *a, uint8_t *buf,
 			  uint32_t cap_bytes);
-int32_t coap_wire_answer(const struct action *a, uint8_t *buf,
-			 uint32_t cap_bytes);
+int32_t coap_wire_local_answer(const struct action *a, uint8_t *buf,
+			       uint32_t cap_bytes);
 int32_t coap_wire_empty(uint8_t type, uint16_t id, uint8_t *buf,
 			uint32_t cap_bytes);
 int32_t coap_wire_cancel(const struct action *a, uint8_t *buf,
 			 uint32_t cap_bytes);
 int32_t coap_wire_load_poll(uint16_t id, uint8_t *buf, uint32_t cap_bytes);
-bool coap_wire_load_text(const uint8_t *buf, uint32_t size_bytes,
-			 struct load_report *out);
+bool coap_wire_parse_load(const uint8_t *buf, uint32_t size_bytes,
+			  struct load_report *out);
 
 #endif
--- a/adapters/daemon_args.c
+++ b/adapters/daemon_args.c
@@ -14,7 +14,7 @@
 	struct arg_end *end;
 };
 
-static void print_help(const struct daemon_about *about, void **table)
+static void print_help(const struct daemon_info *about, void **table)
 {
 	printf("Usage: %s", about->name);
 	arg_print_syntax(stdout, table, "\n");
@@ -22,7 +22,7 @@
 	arg_print_glossary(stdout, table, "  %-18s %s\n");
 }
 
-static int act(const struct daemon_about *about, const struct args *a,
+static int act(const struct daemon_info *about, const struct args *a,
 	       void **table, int errors)
 {
 	if (a->help->count) {
@@ -41,14 +41,14 @@
 }
 
 /**
- * daemon_args() - read the command line and run
+ * daemon_main() - read the command line and run
  * @about: the daemon
  * @argc: as of main()
  * @argv: as of main()
  *
  * Return: exit code.
  */
-int daemon_args(const struct daemon_about *about, int argc, char **argv)
+int daemon_main(const struct daemon_info *about, int argc, char **argv)
 {
 	struct args a = {
 		.settings =
--- a/adapters/fields.c
+++ b/adapters/fields.c
@@ -29,12 +29,12 @@
 }
 
 /**
- * field_name_valid() - is it a name of an account, service, data centre...
+ * field_name_is_valid() - is it a name of an account, service, data centre...
  * @text: text
  *
  * Return: true for 1 to NAME_MAX_BYTES - 1 permitted characters.
  */
-bool field_name_valid(const char *text)
+bool field_name_is_valid(const char *text)
 {
 	size_t n = strspn(text, NAME_CHARS);
 
@@ -43,7 +43,7 @@
 
 static int name_take(const struct field *f, const char *text, void *to)
 {
-	return field_name_valid(text) ? text_keep(f, text, to) : -EINVAL;
+	return field_name_is_valid(text) ? text_keep(f, text, to) : -EINVAL;
 }
 
 static int addr_take(const struct field *f, const char *text, void *to)
@@ -259,7 +259,7 @@
 }
 
 /**
- * field_mistake() - add a mistake at a node's line
+ * field_add_mistake() - add a mistake at a node's line
  * @m: mistakes
  * @node: where
  * @prefix: dotted name of the table, or ""
@@ -267,11 +267,11 @@
  * @problem: what is wrong
  * @expected: what would be right
  */
-void field_mistake(struct mistakes *m, const struct toml_node *node,
-		   const char *prefix, const char *key, const char *problem,
-		   const char *expected)
+void field_add_mistake(struct mistakes *m, const struct toml_node *node,
+		       const char *prefix, const char *key, const char *problem,
+		       const char *expected)
 {
-	char dotted[DOTTED_BYTES];
+	char dotted[DOTTED_KEY_MAX_BYTES];
 
 	g_snprintf(dotted, sizeof(dotted), "%s%s%s", prefix,
 		   prefix[0] && key[0] ? "." : "", key);
@@ -279,7 +279,7 @@
 }
 
 /**
- * field_take() - take one field, or its fallback
+ * field_parse() - take one field, or its fallback
  * @m: mistakes
  * @parent: names the place when @table isn't there
  * @prefix: dotted name of the table, or ""
@@ -287,14 +287,14 @@
  * @f: field
  * @out: struct that @f speaks of
  */
-void field_take(struct mistakes *m, const struct toml_node *parent,
-		const char *prefix, struct toml_node *table,
-		const struct field *f, void *out)
+void field_parse(struct mistakes *m, const struct toml_node *parent,
+		 const char *prefix, struct toml_node *table,
+		 const struct field *f, void *out)
 {
 	struct toml_node *node = toml_find(table, f->key);
 	void *to = (uint8_t *)out + f->offset;
 	char problem[PROBLEM_BYTES] = "missing";
-	char expected[DOTTED_BYTES];
+	char expected[DOTTED_KEY_MAX_BYTES];
 
 	if (!f->keep)
 		fall_back(f, to);
@@ -305,41 +305,42 @@
 		if (value_take(f, node, to, problem, sizeof(problem)))
 			return;
 	}
-	field_mistake(m,
-		      node    ? node
-		      : table ? table
-			      : parent,
-		      prefix, f->key, problem,
-		      expected_text(f, expected, sizeof(expected)));
+	field_add_mistake(m,
+			  node	  ? node
+			  : table ? table
+				  : parent,
+			  prefix, f->key, problem,
+			  expected_text(f, expected, sizeof(expected)));
 }
 
 /**
- * fields_take() - take all fields of a table
+ * fields_parse() - take all fields of a table
  * @m: mistakes
  * @prefix: dotted name of the table, or ""
  * @table: table; keys taken are marked
  * @fields: fields, end with a key of NULL
  * @out: struct that they speak of
  */
-void fields_take(struct mistakes *m, const char *prefix,
-		 struct toml_node *table, const struct field *fields, void *out)
+void fields_parse(struct mistakes *m, const char *prefix,
+		  struct toml_node *table, const struct field *fields,
+		  void *out)
 {
 	for (; fields->key; fields++)
-		field_take(m, table, prefix, table, fields, out);
+		field_parse(m, table, prefix, table, fields, out);
 }
 
 /**
- * fields_unknown() - a mistake for each key that nothing took
+ * fields_report_unknown() - a mistake for each key that nothing took
  * @m: mistakes
  * @prefix: dotted name of the table, or ""
  * @table: table
  */
-void fields_unknown(struct mistakes *m, const char *prefix,
-		    const struct toml_node *table)
+void fields_report_unknown(struct mistakes *m, const char *prefix,
+			   const struct toml_node *table)
 {
 	for (uint32_t i = 0; i < table->n_items; i++)
 		if (!table->items[i].taken)
-			field_mistake(m, &table->items[i], prefix,
-				      table->items[i].key, "unknown key",
-				      "a key that is documented");
+			field_add_mistake(m, &table->items[i], prefix,
+					  table->items[i].key, "unknown key",
+					  "a key that is documented");
 }
--- a/adapters/fields.h
+++ b/adapters/fields.h
@@ -7,7 +7,7 @@
 #include "types.h"
 
 #define ENDPOINT_PREFIX "tcp://"
-#define DOTTED_BYTES 128
+#define DOTTED_KEY_MAX_BYTES 128
 
 /**
  * enum field_kind - how a value is written and kept
@@ -82,17 +82,17 @@
 	}
 #define RANGE(low, high, usual) .min = low, .max = high, .fallback = usual
 
-void field_take(struct mistakes *m, const struct toml_node *parent,
-		const char *prefix, struct toml_node *table,
-		const struct field *f, void *out);
-void fields_take(struct mistakes *m, const char *prefix,
-		 struct toml_node *table, const struct field *fields,
-		 void *out);
-void fields_unknown(struct mistakes *m, const char *prefix,
-		    const struct toml_node *table);
-void field_mistake(struct mistakes *m, const struct toml_node *node,
-		   const char *prefix, const char *key, const char *problem,
-		   const char *expected);
-bool field_name_valid(const char *text);
+void field_parse(struct mistakes *m, const struct toml_node *parent,
+		 const char *prefix, struct toml_node *table,
+		 const struct field *f, void *out);
+void fields_parse(struct mistakes *m, const char *prefix,
+		  struct toml_node *table, const struct field *fields,
+		  void *out);
+void fields_report_unknown(struct mistakes *m, const char *prefix,
+			   const struct toml_node *table);
+void field_add_mistake(struct mistakes *m, const struct toml_node *node,
+		       const char *prefix, const char *key, const char *problem,
+		       const char *expected);
+bool field_name_is_valid(const char *text);
 
 #endif
--- a/adapters/histogram_text.c
+++ b/adapters/histogram_text.c
@@ -10,14 +10,14 @@
 }
 
 /**
- * histogram_text() - write a histogram; buckets without samples are left out
+ * histogram_append_text() - write a histogram; buckets without samples are left out
  * @to: appended to
  * @name: name of the metric
  * @labels: its labels, without braces; at least one
  * @h: histogram
  */
-void histogram_text(GString *to, const char *name, const char *labels,
-		    const struct histogram *h)
+void histogram_append_text(GString *to, const char *name, const char *labels,
+			   const struct histogram *h)
 {
 	uint64_t below = 0;
 	char bound[32];
--- a/adapters/histogram_text.h
+++ b/adapters/histogram_text.h
@@ -6,7 +6,7 @@
 
 #include <glib.h>
 
-void histogram_text(GString *to, const char *name, const char *labels,
-		    const struct histogram *h);
+void histogram_append_text(GString *to, const char *name, const char *labels,
+			   const struct histogram *h);
 
 #endif
--- a/adapters/http.c
+++ b/adapters/http.c
@@ -36,7 +36,7 @@
 };
 
 /*
- * A request that waits for http_answer(). It outlives its connection: a peer
+ * A request that waits for http_respond(). It outlives its connection: a peer
  * that goes away leaves it with no connection, and its answer is dropped.
  */
 struct http_request {
@@ -129,14 +129,14 @@
 }
 
 /**
- * http_answer() - answer a request and free it
- * @req: request whose handler returned HTTP_LATER
+ * http_respond() - answer a request and free it
+ * @req: request whose handler returned HTTP_DEFERRED
  * @status: status code
  * @body: body, may be NULL; stays the caller's
  *
  * When the peer has gone away, the request is freed and nothing is sent.
  */
-void http_answer(struct http_request *req, int status, const GString *body)
+void http_respond(struct http_request *req, int status, const GString *body)
 {
 	struct connection *c = req->connection;
 
@@ -152,12 +152,13 @@
 }
 
 /**
- * http_header() - add a header to a request's answer
+ * http_add_header() - add a header to a request's answer
  * @req: request
  * @name: header's name
  * @value: its value, without line breaks
  */
-void http_header(struct http_request *req, const char *name, const char *value)
+void http_add_header(struct http_request *req, const char *name,
+		     const char *value)
 {
 	g_string_append_printf(req->headers, "%s: %s\r\n", name, value);
 }
@@ -176,7 +177,7 @@
 
 static void refuse(struct connection *c, int status)
 {
-	http_answer(request_new(c, false), status, NULL);
+	http_respond(request_new(c, false), status, NULL);
 }
 
 static void dispatch(struct connection *c)
@@ -193,8 +194,8 @@
 		*query++ = '\0';
 	status = h->handle(h->ctx, req, method, c->url->str, query ? query : "",
 			   c->body, body);
-	if (status != HTTP_LATER)
-		http_answer(req, status, body);
+	if (status != HTTP_DEFERRED)
+		http_respond(req, status, body);
 	g_string_free(body, TRUE);
 }
 
@@ -357,16 +358,16 @@
 }
 
 /**
- * http_open() - serve HTTP/1.1 on an address
+ * http_server_open() - serve HTTP/1.1 on an address
  * @loop: loop that runs the handler
  * @addr: where to listen
  * @handler: who answers
- * @out: the server, to be closed with http_close()
+ * @out: the server, to be closed with http_server_close()
  *
  * Return: 0, or a negative error number of bind or listen.
  */
-int http_open(uv_loop_t *loop, uint64_t addr, struct http_handler handler,
-	      struct http_server **out)
+int http_server_open(uv_loop_t *loop, uint64_t addr,
+		     struct http_handler handler, struct http_server **out)
 {
 	struct http_server *s = calloc(1, sizeof(*s));
 	int rc;
@@ -383,7 +384,7 @@
 	s->tcp.data = s;
 	rc = start(s, addr);
 	if (rc < 0) {
-		http_close(s);
+		http_server_close(s);
 		return rc;
 	}
 	*out = s;
@@ -391,12 +392,12 @@
 }
 
 /**
- * http_close() - stop listening and drop every connection
+ * http_server_close() - stop listening and drop every connection
  * @s: server; freed when the loop has run its close callbacks
  *
- * Requests that wait for an answer stay good for http_answer().
+ * Requests that wait for an answer stay good for http_respond().
  */
-void http_close(struct http_server *s)
+void http_server_close(struct http_server *s)
 {
 	while (s->connections)
 		connection_close(s->connections);
@@ -404,7 +405,7 @@
 }
 
 /**
- * http_query() - read one parameter of a query string
+ * http_query_parameter() - read one parameter of a query string
  * @query: text after the question mark
  * @name: parameter's name
  * @buf: room for its value, decoded
@@ -412,8 +413,8 @@
  *
  * Return: whether it is there, well coded and short enough.
  */
-bool http_query(const char *query, const char *name, char *buf,
-		size_t size_bytes)
+bool http_query_parameter(const char *query, const char *name, char *buf,
+			  size_t size_bytes)
 {
 	size_t n = strlen(name);
 	const char *at = query;
--- a/adapters/http.h
+++ b/adapters/http.h
@@ -13,7 +13,7 @@
  * struct http_handler - port that answers requests
  * @ctx: passed back
  * @handle: write the body for @method @path?@query with request body @in;
- *	return the status code. HTTP_LATER: answer with http_answer() later
+ *	return the status code. HTTP_DEFERRED: answer with http_respond() later
  */
 struct http_request;
 struct http_handler {
@@ -23,14 +23,15 @@
 		      GString *body);
 };
 
-#define HTTP_LATER 0
+#define HTTP_DEFERRED 0
 
-int http_open(uv_loop_t *loop, uint64_t addr, struct http_handler handler,
-	      struct http_server **out);
-void http_header(struct http_request *req, const char *name, const char *value);
-void http_answer(struct http_request *req, int status, const GString *body);
-void http_close(struct http_server *s);
-bool http_query(const char *query, const char *name, char *buf,
-		size_t size_bytes);
+int http_server_open(uv_loop_t *loop, uint64_t addr,
+		     struct http_handler handler, struct http_server **out);
+void http_add_header(struct http_request *req, const char *name,
+		     const char *value);
+void http_respond(struct http_request *req, int status, const GString *body);
+void http_server_close(struct http_server *s);
+bool http_query_parameter(const char *query, const char *name, char *buf,
+			  size_t size_bytes);
 
 #endif
--- a/adapters/http_call.c
+++ b/adapters/http_client.c
@@ -1,4 +1,4 @@
-#include "http_call.h"
+#include "http_client.h"
 
 #include "settings.h"
 
@@ -18,15 +18,15 @@
 struct connection {
 	uv_tcp_t tcp;
 	uv_connect_t connect;
-	struct http_caller *owner; /* NULL once it was given up */
+	struct http_client *owner; /* NULL once it was given up */
 	bool connected;
 	uint64_t begun_ns;
 };
 
-struct http_caller {
+struct http_client {
 	uv_loop_t *loop;
 	uv_timer_t timer;
-	struct http_call_handler handler;
+	struct http_client_handler handler;
 	struct connection *connection;
 	uint64_t server;
 	bool calling;
@@ -45,7 +45,7 @@
 	free(handle->data);
 }
 
-static void drop_connection(struct http_caller *c)
+static void drop_connection(struct http_client *c)
 {
 	struct connection *n = c->connection;
 
@@ -56,14 +56,14 @@
 	uv_close((uv_handle_t *)&n->tcp, on_closed);
 }
 
-static void finish(struct http_caller *c, int err)
+static void finish(struct http_client *c, int err)
 {
 	struct http_reply reply = {
 		.err = err,
 		.status = err ? 0 : (int)c->parser.status_code,
 		.body = c->body->str,
 		.size_bytes = c->body->len,
-		.came_ns = c->first_ns ? uv_hrtime() - c->first_ns : 0,
+		.transfer_ns = c->first_ns ? uv_hrtime() - c->first_ns : 0,
 		.header = c->header->str,
 	};
 
@@ -84,7 +84,7 @@
 
 static int on_body(http_parser *parser, const char *at, size_t size_bytes)
 {
-	struct http_caller *c = parser->data;
+	struct http_client *c = parser->data;
 
 	if (c->body->len + size_bytes > BODY_MAX_BYTES)
 		return -EMSGSIZE;
@@ -95,7 +95,7 @@
 static int on_header_field(http_parser *parser, const char *at,
 			   size_t size_bytes)
 {
-	struct http_caller *c = parser->data;
+	struct http_client *c = parser->data;
 
 	c->in_wanted = c->wanted && size_bytes == strlen(c->wanted) &&
 		       !g_ascii_strncasecmp(at, c->wanted, size_bytes);
@@ -105,7 +105,7 @@
 static int on_header_value(http_parser *parser, const char *at,
 			   size_t size_bytes)
 {
-	struct http_caller *c = parser->data;
+	struct http_client *c = parser->data;
 
 	if (c->in_wanted)
 		g_string_append_len(c->header, at, (gssize)size_bytes);
@@ -134,7 +134,7 @@
 			: uv_buf_init(NULL, 0);
 }
 
-static void parse(struct http_caller *c, const char *data, size_t size_bytes)
+static void parse(struct http_client *c, const char *data, size_t size_bytes)
 {
 	http_parser_execute(&c->parser, &parsing, data, size_bytes);
 	if (HTTP_PARSER_ERRNO(&c->parser) == HPE_PAUSED) {
@@ -148,7 +148,7 @@
 static void on_read(uv_stream_t *stream, ssize_t n_read, const uv_buf_t *buf)
 {
 	struct connection *n = stream->data;
-	struct http_caller *c = n->owner;
+	struct http_client *c = n->owner;
 
 	if (!c || n_read == 0)
 		return;
@@ -175,7 +175,7 @@
 		finish(n->owner, status);
 }
 
-static void send_request(struct http_caller *c)
+static void send_request(struct http_client *c)
 {
 	uv_write_t *write = malloc(sizeof(*write));
 	uv_buf_t buf =
@@ -196,7 +196,7 @@
 static void on_connect(uv_connect_t *connect, int status)
 {
 	struct connection *n = connect->data;
-	struct http_caller *c = n->owner;
+	struct http_client *c = n->owner;
 
 	if (!c)
 		return;
@@ -214,7 +214,7 @@
 	send_request(c);
 }
 
-static int connect_to(struct http_caller *c, uint64_t server)
+static int connect_to(struct http_client *c, uint64_t server)
 {
 	struct connection *n = calloc(1, sizeof(*n));
 	struct sockaddr_in to = {
@@ -238,17 +238,17 @@
 }
 
 /**
- * http_caller_open() - be ready to call
+ * http_client_open() - be ready to call
  * @loop: loop to run on
  * @handler: takes the end of calls
  * @out: set to the caller
  *
  * Return: 0 or -ENOMEM.
  */
-int http_caller_open(uv_loop_t *loop, struct http_call_handler handler,
-		     struct http_caller **out)
+int http_client_open(uv_loop_t *loop, struct http_client_handler handler,
+		     struct http_client **out)
 {
-	struct http_caller *c = calloc(1, sizeof(*c));
+	struct http_client *c = calloc(1, sizeof(*c));
 
 	if (!c)
 		return -ENOMEM;
@@ -264,7 +264,7 @@
 }
 
 /**
- * http_call() - start a GET; the one before has to have ended
+ * http_client_get() - start a GET; the one before has to have ended
  * @c: caller
  * @server: address; another one than before costs a new connection
  * @path: path and query
@@ -275,8 +275,8 @@
  * Return: 0, and the handler is called later; -EBUSY; another negative error
  * when it could not be started.
  */
-int http_call(struct http_caller *c, uint64_t server, const char *path,
-	      uint64_t timeout_ms)
+int http_client_get(struct http_client *c, uint64_t server, const char *path,
+		    uint64_t timeout_ms)
 {
 	char host[32];
 	int err;
@@ -306,20 +306,20 @@
 }
 
 /**
- * http_caller_header() - a header whose value replies are to bring
+ * http_client_capture_header() - a header whose value replies are to bring
  * @c: caller
  * @name: its name; not copied
  */
-void http_caller_header(struct http_caller *c, const char *name)
+void http_client_capture_header(struct http_client *c, const char *name)
 {
 	c->wanted = name;
 }
 
 /**
- * http_cancel() - give up the call under way; the handler is not called
+ * http_client_cancel() - give up the call under way; the handler is not called
  * @c: caller
  */
-void http_cancel(struct http_caller *c)
+void http_client_cancel(struct http_client *c)
 {
 	if (!c->calling)
 		return;
@@ -329,21 +329,21 @@
 }
 
 /**
- * http_calling() - whether a call is under way
+ * http_client_is_busy() - whether a call is under way
  * @c: caller
  *
  * Return: whether it is.
  */
-bool http_calling(const struct http_caller *c)
+bool http_client_is_busy(const struct http_client *c)
 {
 	return c->calling;
 }
 
 /**
- * http_caller_close() - end; memory goes when the loop turns again
+ * http_client_close() - end; memory goes when the loop turns again
  * @c: caller, or NULL
  */
-void http_caller_close(struct http_caller *c)
+void http_client_close(struct http_client *c)
 {
 	if (!c)
 		return;
--- a/adapters/item_codec.c
+++ b/adapters/item_codec.c
@@ -38,7 +38,7 @@
 	msgpack_pack_array(&l->packer, n_fields);
 }
 
-void item_u64(struct item_list *l, uint64_t value)
+void item_add_u64(struct item_list *l, uint64_t value)
 {
 	msgpack_pack_uint64(&l->packer, value);
 }
@@ -49,13 +49,13 @@
 }
 
 /**
- * item_list_close() - make a content of the list and free the list
+ * item_list_finish() - make a content of the list and free the list
  * @l: list
  * @out: content, to be freed with content_free()
  *
  * Return: 0 or -ENOMEM.
  */
-int item_list_close(struct item_list *l, struct content **out)
+int item_list_finish(struct item_list *l, struct content **out)
 {
 	struct item *items = calloc(l->n + 1, sizeof(*items));
 	uint32_t start = 0;
@@ -75,15 +75,15 @@
 }
 
 /**
- * item_header() - add the header that every content begins with
+ * item_add_header() - add the header that every content begins with
  * @l: list
  * @weight: account's weight, 0 when it has none
  */
-void item_header(struct item_list *l, uint64_t weight)
+void item_add_header(struct item_list *l, uint64_t weight)
 {
 	item_begin(l, ITEM_HEADER, HEADER_FIELDS);
-	item_u64(l, ITEM_CODEC_VERSION);
-	item_u64(l, weight);
+	item_add_u64(l, ITEM_CODEC_VERSION);
+	item_add_u64(l, weight);
 	item_end(l);
 }
 
@@ -112,15 +112,15 @@
 }
 
 /**
- * item_read() - read one item from another process
+ * item_decode() - read one item from another process
  * @item: item
  * @u: unpacked value, initialised once for all items
  * @f: its fields
  *
  * Return: 0, or -EPROTO when it is malformed.
  */
-int item_read(const struct item *item, msgpack_unpacked *u,
-	      struct item_fields *f)
+int item_decode(const struct item *item, msgpack_unpacked *u,
+		struct item_fields *f)
 {
 	static const uint32_t n_fields[] = {
 		[ITEM_HEADER] = HEADER_FIELDS,
@@ -145,13 +145,13 @@
 }
 
 /**
- * item_read_header() - check the version of a content
+ * item_decode_header() - check the version of a content
  * @f: fields of its header
  * @weight: account's weight
  *
  * Return: 0, -EPROTONOSUPPORT for another version, -EPROTO.
  */
-int item_read_header(const struct item_fields *f, uint16_t *weight)
+int item_decode_header(const struct item_fields *f, uint16_t *weight)
 {
 	uint64_t version, w;
 
--- a/adapters/item_codec.h
+++ b/adapters/item_codec.h
@@ -37,16 +37,16 @@
 
 int item_list_open(struct item_list *l, uint32_t cap);
 void item_begin(struct item_list *l, enum item_kind kind, uint32_t n_fields);
-void item_u64(struct item_list *l, uint64_t value);
+void item_add_u64(struct item_list *l, uint64_t value);
 void item_end(struct item_list *l);
-void item_header(struct item_list *l, uint64_t weight);
-int item_list_close(struct item_list *l, struct content **out);
+void item_add_header(struct item_list *l, uint64_t weight);
+int item_list_finish(struct item_list *l, struct content **out);
 
-int item_read(const struct item *item, msgpack_unpacked *u,
-	      struct item_fields *f);
+int item_decode(const struct item *item, msgpack_unpacked *u,
+		struct item_fields *f);
 bool item_field_u64(const struct item_fields *f, uint32_t i, uint64_t max,
 		    uint64_t *out);
 bool item_field_addr(const struct item_fields *f, uint32_t i, uint64_t *out);
-int item_read_header(const struct item_fields *f, uint16_t *weight);
+int item_decode_header(const struct item_fields *f, uint16_t *weight);
 
 #endif
--- a/adapters/platform.c
+++ b/adapters/platform.c
@@ -1,6 +1,6 @@
 #include "platform.h"
 
-#include "http_call.h"
+#include "http_client.h"
 #include "settings.h"
 
 #include <errno.h>
@@ -14,7 +14,7 @@
 #define WATCH_TIMEOUT_MS (WATCH_MS + CALL_TIMEOUT_MS)
 
 struct platform {
-	struct http_caller *caller;
+	struct http_client *caller;
 	uint64_t server;
 	struct platform_handler handler;
 	uv_timer_t failed; /* tells of a call that could not be started */
@@ -45,7 +45,7 @@
 		  struct platform_handler handler, struct platform **out)
 {
 	struct platform *p = calloc(1, sizeof(*p));
-	struct http_call_handler done = { p, on_done, NULL };
+	struct http_client_handler done = { p, on_done, NULL };
 	const char *at =
 		g_str_has_prefix(url, SCHEME) ? url + strlen(SCHEME) : url;
 	int err;
@@ -55,12 +55,12 @@
 	p->handler = handler;
 	err = addr_parse(at, &p->server);
 	if (!err)
-		err = http_caller_open(loop, done, &p->caller);
+		err = http_client_open(loop, done, &p->caller);
 	if (err) {
 		free(p);
 		return err;
 	}
-	http_caller_header(p->caller, "X-Revision");
+	http_client_capture_header(p->caller, "X-Revision");
 	uv_timer_init(loop, &p->failed);
 	p->failed.data = p;
 	*out = p;
@@ -91,8 +91,9 @@
 {
 	GString *path = call_path(call, key, after);
 
-	if (http_call(p->caller, p->server, path->str,
-		      call == CALL_WATCH ? WATCH_TIMEOUT_MS : CALL_TIMEOUT_MS))
+	if (http_client_get(p->caller, p->server, path->str,
+			    call == CALL_WATCH ? WATCH_TIMEOUT_MS
+					       : CALL_TIMEOUT_MS))
 		uv_timer_start(&p->failed, on_failed, 0, 0);
 	g_string_free(path, TRUE);
 }
@@ -103,7 +104,7 @@
  */
 void platform_cancel(struct platform *p)
 {
-	http_cancel(p->caller);
+	http_client_cancel(p->caller);
 	uv_timer_stop(&p->failed);
 }
 
@@ -121,6 +122,6 @@
 	if (!p)
 		return;
 	platform_cancel(p);
-	http_caller_close(p->caller);
+	http_client_close(p->caller);
 	uv_close((uv_handle_t *)&p->failed, on_closed);
 }
--- a/adapters/publication.c
+++ b/adapters/publication.c
@@ -96,7 +96,7 @@
 static void endpoint_once(struct reading *r, const struct toml_node *table,
 			  const char *prefix, const char *key, uint64_t addr)
 {
-	char problem[DOTTED_BYTES];
+	char problem[DOTTED_KEY_MAX_BYTES];
 	char text[32];
 	const char *before;
 	const struct toml_node *node = toml_find(table, key);
@@ -111,8 +111,8 @@
 	}
 	g_snprintf(problem, sizeof(problem), "%s is used twice, before by a %s",
 		   addr_text(addr, text, sizeof(text)), before);
-	field_mistake(r->m, node, prefix, key, problem,
-		      "an endpoint not used elsewhere in the account");
+	field_add_mistake(r->m, node, prefix, key, problem,
+			  "an endpoint not used elsewhere in the account");
 }
 
 static void target_take(struct reading *r, struct toml_node *node,
@@ -121,12 +121,12 @@
 	struct target_read t = { 0 };
 
 	if (node->kind != TOML_TABLE) {
-		field_mistake(r->m, node, "service", "target",
-			      toml_kind_name(node->kind), "a table");
+		field_add_mistake(r->m, node, "service", "target",
+				  toml_kind_name(node->kind), "a table");
 		return;
 	}
-	fields_take(r->m, "target", node, target_fields, &t);
-	fields_unknown(r->m, "target", node);
+	fields_parse(r->m, "target", node, target_fields, &t);
+	fields_report_unknown(r->m, "target", node);
 	endpoint_once(r, node, "target", "address", t.conf.addr);
 	if (!r->data_centre || !strcmp(r->data_centre, t.data_centre))
 		s->targets[s->n_targets++] = t.conf;
@@ -136,16 +136,16 @@
 static uint32_t array_size(struct reading *r, struct toml_node *node,
 			   const char *prefix, uint32_t max)
 {
-	char expected[DOTTED_BYTES];
+	char expected[DOTTED_KEY_MAX_BYTES];
 
 	node->taken = 1;
 	if (node->kind == TOML_ARRAY && node->n_items <= max)
 		return node->n_items;
 	g_snprintf(expected, sizeof(expected), "at most %u tables", max);
-	field_mistake(r->m, node, prefix, node->key,
-		      node->kind == TOML_ARRAY ? "too many"
-					       : toml_kind_name(node->kind),
-		      expected);
+	field_add_mistake(r->m, node, prefix, node->key,
+			  node->kind == TOML_ARRAY ? "too many"
+						   : toml_kind_name(node->kind),
+			  expected);
 	return 0;
 }
 
@@ -170,9 +170,10 @@
 {
 	for (const struct service_conf *o = r->account->services; o != s; o++)
 		if (s->name[0] && !strcmp(o->name, s->name))
-			field_mistake(r->m, toml_find(table, "name"), "service",
-				      "name", "name is used twice",
-				      "a name of its own in the account");
+			field_add_mistake(r->m, toml_find(table, "name"),
+					  "service", "name",
+					  "name is used twice",
+					  "a name of its own in the account");
 }
 
 /* It would be published, be in force, and no caller would get an answer. */
@@ -193,17 +194,17 @@
 	struct service_conf *s;
 
 	if (node->kind != TOML_TABLE) {
-		field_mistake(r->m, node, "", "service",
-			      toml_kind_name(node->kind), "a table");
+		field_add_mistake(r->m, node, "", "service",
+				  toml_kind_name(node->kind), "a table");
 		return;
 	}
 	s = &r->account->services[r->account->n_services++];
-	fields_take(r->m, "service", node, service_fields, s);
+	fields_parse(r->m, "service", node, service_fields, s);
 	name_once(r, node, s);
 	endpoint_once(r, node, "service", "vip", s->vip);
 	carried(r, node, s);
 	targets_take(r, node, s);
-	fields_unknown(r->m, "service", node);
+	fields_report_unknown(r->m, "service", node);
 }
 
 static void services_take(struct reading *r, struct toml_node *body)
@@ -226,13 +227,13 @@
 {
 	if (!merged->account)
 		return;
-	field_take(r->m, merged->account, "", merged->account,
-		   &generation_field, r->account);
+	field_parse(r->m, merged->account, "", merged->account,
+		    &generation_field, r->account);
 	if (!merged->body)
 		return;
-	fields_take(r->m, "", merged->body, account_fields, r->account);
+	fields_parse(r->m, "", merged->body, account_fields, r->account);
 	services_take(r, merged->body);
-	fields_unknown(r->m, "", merged->body);
+	fields_report_unknown(r->m, "", merged->body);
 }
 
 struct account_conf *publication_render(const char *name, const char *text,
@@ -247,7 +248,7 @@
 	r.account = allocate(1, sizeof(*r.account));
 	r.seen = g_hash_table_new_full(NULL, NULL, NULL, g_free);
 	merge_open(&merged, name, text, templates, mistakes);
-	if (!field_name_valid(name))
+	if (!field_name_is_valid(name))
 		mistake_add(mistakes, merged.account_document, 0, "",
 			    "account's name is not valid",
 			    "letters, digits, \"-\", \"_\" and \".\"");
--- a/adapters/publication_merge.c
+++ b/adapters/publication_merge.c
@@ -26,17 +26,17 @@
 {
 	const char *text = NULL;
 
-	if (name->kind != TOML_STRING || !field_name_valid(name->text)) {
-		field_mistake(m, name, "", "template", "not a name",
-			      "a name of letters, digits, \"-\", \"_\" and "
-			      "\".\"");
+	if (name->kind != TOML_STRING || !field_name_is_valid(name->text)) {
+		field_add_mistake(m, name, "", "template", "not a name",
+				  "a name of letters, digits, \"-\", \"_\" and "
+				  "\".\"");
 		return NULL;
 	}
 	if (templates.find)
 		text = templates.find(templates.ctx, name->text);
 	if (!text)
-		field_mistake(m, name, "", "template", "no such template",
-			      "a template that is published");
+		field_add_mistake(m, name, "", "template", "no such template",
+				  "a template that is published");
 	return text;
 }
 
@@ -104,16 +104,17 @@
 	struct toml_node *targets;
 
 	if (target->kind != TOML_TABLE || !name || name->kind != TOML_STRING) {
-		field_mistake(m, target, "target", "service", "missing",
-			      "the name of the service that it serves");
+		field_add_mistake(m, target, "target", "service", "missing",
+				  "the name of the service that it serves");
 		return;
 	}
 	name->taken = 1;
 	if (services && services->kind == TOML_ARRAY)
 		service = service_find(services, name->text);
 	if (!service) {
-		field_mistake(m, name, "target", "service", "unknown service",
-			      "the name of a service of this account");
+		field_add_mistake(m, name, "target", "service",
+				  "unknown service",
+				  "the name of a service of this account");
 		return;
 	}
 	targets = targets_of(service);
@@ -134,8 +135,9 @@
 		return;
 	list->taken = 1;
 	if (list->kind != TOML_ARRAY) {
-		field_mistake(m, list, "", "target", toml_kind_name(list->kind),
-			      "tables [[target]]");
+		field_add_mistake(m, list, "", "target",
+				  toml_kind_name(list->kind),
+				  "tables [[target]]");
 		return;
 	}
 	for (uint32_t i = 0; i < list->n_items; i++)
@@ -166,7 +168,7 @@
 		r->body = r->account;
 	} else {
 		take_keys(r->account);
-		fields_unknown(m, "", r->account);
+		fields_report_unknown(m, "", r->account);
 		r->body = template_read(r, template, templates, m);
 		if (!r->body)
 			return;
--- a/adapters/publication_parameters.c
+++ b/adapters/publication_parameters.c
@@ -66,8 +66,8 @@
 		return;
 	problem = value_problem(kind, value);
 	if (problem)
-		field_mistake(m, value, "parameters", value->key, problem,
-			      expected[kind]);
+		field_add_mistake(m, value, "parameters", value->key, problem,
+				  expected[kind]);
 }
 
 /* Every declared parameter is well declared, given and of its kind. */
@@ -80,13 +80,14 @@
 			toml_find(f->values, declared->key);
 
 		if (kind_of(declared) == PARAMETER_BAD)
-			field_mistake(f->m, declared, "parameters",
-				      declared->key, "unknown kind",
-				      "\"string\", \"address\" or \"integer\"");
+			field_add_mistake(
+				f->m, declared, "parameters", declared->key,
+				"unknown kind",
+				"\"string\", \"address\" or \"integer\"");
 		if (value)
 			check_value(declared, value, f->m);
 		else
-			field_mistake(
+			field_add_mistake(
 				f->m, f->values ? f->values : account,
 				"parameters", declared->key, "missing",
 				"a value, since the template asks for it");
@@ -99,9 +100,9 @@
 		const struct toml_node *value = &f->values->items[i];
 
 		if (!toml_find(f->kinds, value->key))
-			field_mistake(f->m, value, "parameters", value->key,
-				      "unknown parameter",
-				      "a parameter of the template");
+			field_add_mistake(f->m, value, "parameters", value->key,
+					  "unknown parameter",
+					  "a parameter of the template");
 	}
 }
 
@@ -109,13 +110,13 @@
 static const struct toml_node *
 lookup(const struct filling *f, const struct toml_node *node, const char *name)
 {
-	char problem[DOTTED_BYTES];
+	char problem[DOTTED_KEY_MAX_BYTES];
 
 	if (!toml_find(f->kinds, name)) {
 		g_snprintf(problem, sizeof(problem), "${%.60s} is not declared",
 			   name);
-		field_mistake(f->m, node, "", node->key, problem,
-			      "a name of the template's [parameters]");
+		field_add_mistake(f->m, node, "", node->key, problem,
+				  "a name of the template's [parameters]");
 		return NULL;
 	}
 	return toml_find(f->values, name);
@@ -165,8 +166,8 @@
 		char *name;
 
 		if (!end) {
-			field_mistake(f->m, node, "", node->key, "${ without }",
-				      "${NAME}");
+			field_add_mistake(f->m, node, "", node->key,
+					  "${ without }", "${NAME}");
 			break;
 		}
 		name = g_strndup(mark + 2, (gsize)(end - mark - 2));
@@ -198,8 +199,8 @@
 {
 	if (!node || node->kind == TOML_TABLE)
 		return node;
-	field_mistake(m, node, "", node->key, toml_kind_name(node->kind),
-		      "a table");
+	field_add_mistake(m, node, "", node->key, toml_kind_name(node->kind),
+			  "a table");
 	return NULL;
 }
 
--- a/adapters/roster_codec.c
+++ b/adapters/roster_codec.c
@@ -25,8 +25,8 @@
 	if (strcmp(state, "live") && strcmp(state, "leaving"))
 		return -EPROTO;
 	item_begin(l, ITEM_VM, VM_FIELDS);
-	item_u64(l, addr);
-	item_u64(l, !strcmp(state, "leaving"));
+	item_add_u64(l, addr);
+	item_add_u64(l, !strcmp(state, "leaving"));
 	item_end(l);
 	return 0;
 }
@@ -49,7 +49,7 @@
 	*out = NULL;
 	err = item_list_open(&l, 1 + count_lines(text, size_bytes));
 	if (!err)
-		item_header(&l, 0);
+		item_add_header(&l, 0);
 	while (!err && text < end) {
 		const char *newline = memchr(text, '\n', end - text);
 		const char *stop = newline ? newline : end;
@@ -58,7 +58,7 @@
 			err = list_vm(&l, text, (uint32_t)(stop - text));
 		text = stop + 1;
 	}
-	made = item_list_close(&l, out);
+	made = item_list_finish(&l, out);
 	if (!err && !made)
 		return 0;
 	content_free(*out);
@@ -87,11 +87,11 @@
 		uint64_t addr, leaving;
 		struct item_fields f;
 
-		err = item_read(&c->items[i], &u, &f);
+		err = item_decode(&c->items[i], &u, &f);
 		if (err || i == 0) {
 			if (!err)
 				err = f.kind == ITEM_HEADER
-					      ? item_read_header(&f, &weight)
+					      ? item_decode_header(&f, &weight)
 					      : -EPROTO;
 			continue;
 		}
--- a/adapters/settings_table.c
+++ b/adapters/settings_table.c
@@ -47,7 +47,7 @@
 
 	if (!node)
 		node = table ? table : r->root;
-	field_mistake(r->m, node, section, key, problem, expected);
+	field_add_mistake(r->m, node, section, key, problem, expected);
 }
 
 static bool has_section(const struct setting *table, const char *section)
@@ -66,13 +66,14 @@
 		if (t->taken)
 			continue;
 		if (!has_section(table, t->key))
-			field_mistake(r->m, t, t->key, "", "unknown section",
-				      "a section of these settings");
+			field_add_mistake(r->m, t, t->key, "",
+					  "unknown section",
+					  "a section of these settings");
 		else if (t->kind != TOML_TABLE)
-			field_mistake(r->m, t, t->key, "",
-				      toml_kind_name(t->kind), "a table");
+			field_add_mistake(r->m, t, t->key, "",
+					  toml_kind_name(t->kind), "a table");
 		else
-			fields_unknown(r->m, t->key, t);
+			fields_report_unknown(r->m, t->key, t);
 	}
 }
 
@@ -92,7 +93,7 @@
 static void clash(struct settings_reader *r, const struct setting *table,
 		  const struct setting *s, const void *out)
 {
-	char problem[DOTTED_BYTES];
+	char problem[DOTTED_KEY_MAX_BYTES];
 
 	for (const struct setting *o = table; o != s; o++) {
 		if (o->listens != s->listens ||
@@ -121,12 +122,12 @@
 		return;
 	t->taken = 1;
 	if (t->kind != TOML_TABLE) {
-		field_mistake(r->m, t, section, "", toml_kind_name(t->kind),
-			      "a table");
+		field_add_mistake(r->m, t, section, "", toml_kind_name(t->kind),
+				  "a table");
 		return;
 	}
-	fields_take(r->m, section, t, fields, out);
-	fields_unknown(r->m, section, t);
+	fields_parse(r->m, section, t, fields, out);
+	fields_report_unknown(r->m, section, t);
 }
 
 /**
@@ -139,8 +140,8 @@
 		   void *out)
 {
 	for (const struct setting *s = table; s->section; s++)
-		field_take(r->m, r->root, s->section,
-			   toml_find(r->root, s->section), &s->field, out);
+		field_parse(r->m, r->root, s->section,
+			    toml_find(r->root, s->section), &s->field, out);
 	unknown(r, table);
 	for (const struct setting *s = table; s->section; s++)
 		if (s->listens && endpoint(s, out))
--- a/adapters/vips.c
+++ b/adapters/vips.c
@@ -212,8 +212,8 @@
 
 	g_snprintf(problem, sizeof(problem), "%s is %s of account %s",
 		   node->text, what, whose);
-	field_mistake(m, node, prefix, key, problem,
-		      "an endpoint that no other account has as a VIP");
+	field_add_mistake(m, node, prefix, key, problem,
+			  "an endpoint that no other account has as a VIP");
 }
 
 static void vip_check(const struct vips *v, const char *account,
--- a/bench/bench-packet/main.c
+++ b/bench/bench-packet/main.c
@@ -90,7 +90,7 @@
 {
 	struct message m;
 
-	sink += (uint64_t)coap_wire_read(request, REQUEST_BYTES, &m) + m.id;
+	sink += (uint64_t)coap_wire_parse(request, REQUEST_BYTES, &m) + m.id;
 }
 
 static void one_rewrite(void)
@@ -111,7 +111,7 @@
 {
 	uint8_t out[2048];
 
-	sink += (uint64_t)coap_wire_answer(&refusal, out, sizeof(out));
+	sink += (uint64_t)coap_wire_local_answer(&refusal, out, sizeof(out));
 }
 
 static void one_proxy2(void)
@@ -316,7 +316,7 @@
 	if (sodium_init() < 0)
 		return EXIT_FAILURE;
 	prepare();
-	if (coap_wire_read(request, REQUEST_BYTES, &m)) {
+	if (coap_wire_parse(request, REQUEST_BYTES, &m)) {
 		fputs("bench-packet: its own request is malformed\n", stderr);
 		return EXIT_FAILURE;
 	}
--- a/bench/slopes-entry/pump.c
+++ b/bench/slopes-entry/pump.c
@@ -95,7 +95,7 @@
 				coap_wire_rewrite(a, buf, sizeof(buf)) > 0;
 		else if (a->kind == ACT_ANSWER_CALLER)
 			p->own_answers +=
-				coap_wire_answer(a, buf, sizeof(buf)) > 0;
+				coap_wire_local_answer(a, buf, sizeof(buf)) > 0;
 		else if (a->kind == ACT_CANCEL_TARGET)
 			coap_wire_cancel(a, buf, sizeof(buf));
 	}
@@ -111,7 +111,7 @@
 	if (wire_decode(k->data, k->size_bytes, secret, &m) < 0)
 		return;
 	if (m.kind == PEER_FORWARD &&
-	    coap_wire_read(m.data, m.size_bytes, &inner) < 0)
+	    coap_wire_parse(m.data, m.size_bytes, &inner) < 0)
 		return;
 	entry_peer(n->e, &m, m.kind == PEER_FORWARD ? &inner : NULL, p->now_ns,
 		   p->out);
@@ -126,7 +126,7 @@
 		peer_takes(p, n, k);
 		return;
 	}
-	if (coap_wire_read(k->data, k->size_bytes, &m) < 0)
+	if (coap_wire_parse(k->data, k->size_bytes, &m) < 0)
 		return;
 	if (k->kind == FROM_CALLER)
 		entry_caller(n->e, &k->key, &m, p->now_ns, p->out);
--- a/bench/slopes-entry/traffic.c
+++ b/bench/slopes-entry/traffic.c
@@ -125,7 +125,7 @@
 	uint32_t n;
 	bool feed;
 
-	if (coap_wire_read(k->data, k->size_bytes, &m) < 0 ||
+	if (coap_wire_parse(k->data, k->size_bytes, &m) < 0 ||
 	    m.kind != MESSAGE_REQUEST)
 		return;
 	feed = m.flags & MESSAGE_FEED_OPEN;
--- a/cmd/cb-entry/act.c
+++ b/cmd/cb-entry/act.c
@@ -19,7 +19,7 @@
 static void answer_caller(struct daemon *d, const struct action *a)
 {
 	uint8_t buf[SEND_MAX_BYTES];
-	int32_t n = coap_wire_answer(a, buf, sizeof(buf));
+	int32_t n = coap_wire_local_answer(a, buf, sizeof(buf));
 
 	if (n < 0)
 		d->dropped[DROP_ENCODE]++;
--- a/cmd/cb-entry/callers.c
+++ b/cmd/cb-entry/callers.c
@@ -31,7 +31,7 @@
 	uint64_t now_ns = daemon_catch_up(d);
 	struct message msg;
 
-	if (coap_wire_read(buf, size_bytes, &msg)) {
+	if (coap_wire_parse(buf, size_bytes, &msg)) {
 		d->dropped[DROP_CALLER_FORMAT]++;
 		return;
 	}
--- a/cmd/cb-entry/daemon.c
+++ b/cmd/cb-entry/daemon.c
@@ -239,7 +239,7 @@
 {
 	intake_close(d);
 	if (d->http)
-		http_close(d->http);
+		http_server_close(d->http);
 	callers_close(d);
 	uv_walk(d->loop, close_handle, NULL);
 	uv_run(d->loop, UV_RUN_DEFAULT);
--- a/cmd/cb-entry/metrics_accounts.c
+++ b/cmd/cb-entry/metrics_accounts.c
@@ -73,7 +73,7 @@
 	char *labels = g_strdup_printf("account=\"%s\",class=\"%s\"",
 				       r->account, r->class);
 
-	histogram_text(to, name, labels, h);
+	histogram_append_text(to, name, labels, h);
 	g_free(labels);
 }
 
--- a/cmd/cb-entry/operator.c
+++ b/cmd/cb-entry/operator.c
@@ -117,7 +117,7 @@
 {
 	char text[ADDR_TEXT_BYTES];
 
-	return http_query(query, name, text, sizeof(text)) &&
+	return http_query_parameter(query, name, text, sizeof(text)) &&
 	       addr_parse(text, addr) == 0;
 }
 
@@ -178,7 +178,7 @@
 
 	if (query_addr(query, "vip", vip))
 		return STATUS_OK;
-	if (!http_query(query, "vip", text, sizeof(text))) {
+	if (!http_query_parameter(query, "vip", text, sizeof(text))) {
 		g_string_append(body, "want vip=IP:PORT or a service's name\n");
 		return STATUS_BAD_REQUEST;
 	}
@@ -230,7 +230,7 @@
 {
 	char text[ADDR_TEXT_BYTES];
 
-	if (!http_query(query, name, text, sizeof(text)))
+	if (!http_query_parameter(query, name, text, sizeof(text)))
 		return other;
 	return strtoull(text, NULL, 10);
 }
@@ -317,7 +317,7 @@
 	(void)in;
 	if (strcmp(method, "GET") != 0)
 		return STATUS_BAD_METHOD;
-	http_header(req, "Content-Type", "text/plain; version=0.0.4");
+	http_add_header(req, "Content-Type", "text/plain; version=0.0.4");
 	for (size_t i = 0; i < sizeof(routes) / sizeof(routes[0]); i++) {
 		if (strcmp(path, routes[i].path) == 0)
 			return routes[i].answer(ctx, query, body);
@@ -337,7 +337,8 @@
 {
 	struct http_handler handler = { d, handle };
 	char text[ADDR_TEXT_BYTES];
-	int err = http_open(d->loop, d->settings.http, handler, &d->http);
+	int err =
+		http_server_open(d->loop, d->settings.http, handler, &d->http);
 
 	if (err)
 		log_line(LOG_ERROR, "operator.listen",
--- a/cmd/cb-entry/peers.c
+++ b/cmd/cb-entry/peers.c
@@ -21,7 +21,7 @@
 	struct message inner;
 
 	if (m->kind == PEER_FORWARD) {
-		if (coap_wire_read(m->data, m->size_bytes, &inner)) {
+		if (coap_wire_parse(m->data, m->size_bytes, &inner)) {
 			d->dropped[DROP_PEER_INNER]++;
 			return;
 		}
--- a/cmd/cb-entry/polls.c
+++ b/cmd/cb-entry/polls.c
@@ -40,8 +40,8 @@
 	(void)flags;
 	if (n <= 0 || !from)
 		return;
-	if (!coap_wire_load_text((const uint8_t *)buf->base, (uint32_t)n,
-				 &report)) {
+	if (!coap_wire_parse_load((const uint8_t *)buf->base, (uint32_t)n,
+				  &report)) {
 		d->dropped[DROP_TARGET_FORMAT]++;
 		return;
 	}
--- a/cmd/cb-entry/targets.c
+++ b/cmd/cb-entry/targets.c
@@ -14,7 +14,7 @@
 	if (n <= 0 || !from)
 		return;
 	now_ns = daemon_catch_up(d);
-	if (coap_wire_read((const uint8_t *)buf->base, (uint32_t)n, &msg)) {
+	if (coap_wire_parse((const uint8_t *)buf->base, (uint32_t)n, &msg)) {
 		d->dropped[DROP_TARGET_FORMAT]++;
 		return;
 	}
--- a/cmd/cb-packet/daemon.h
+++ b/cmd/cb-packet/daemon.h
@@ -6,7 +6,7 @@
 #define CB_PACKET_DAEMON_H
 
 #include "http.h"
-#include "http_call.h"
+#include "http_client.h"
 #include "node.h"
 #include "packet_settings.h"
 #include "relay_codec.h"
@@ -115,8 +115,8 @@
 	uv_udp_t peers;
 	uint8_t peer_room[RECEIVE_ROOM_BYTES];
 
-	struct http_caller *platform_caller;
-	struct http_caller *peer_caller;
+	struct http_client *platform_caller;
+	struct http_client *peer_caller;
 	uint64_t peer_call_from;
 
 	struct probe *probes[PROBES_MAX];
--- a/cmd/cb-packet/main.c
+++ b/cmd/cb-packet/main.c
@@ -66,11 +66,11 @@
 
 int main(int argc, char **argv)
 {
-	static const struct daemon_about about = {
+	static const struct daemon_info about = {
 		"cb-packet", VERSION,
 		"Carries opaque flows of one VM to their targets.",
 		with_settings
 	};
 
-	return daemon_args(&about, argc, argv);
+	return daemon_main(&about, argc, argv);
 }
--- a/cmd/cb-packet/operators.c
+++ b/cmd/cb-packet/operators.c
@@ -50,12 +50,12 @@
 	for (uint8_t kind = 0; kind < ROUTE_KINDS; kind++) {
 		const struct path_times *t = path_times(d->node->path, kind);
 
-		histogram_text(out, "cb_packet_open_microseconds", labels[kind],
-			       &t->open_us);
-		histogram_text(out, "cb_packet_wait_microseconds", labels[kind],
-			       &t->wait_us);
-		histogram_text(out, "cb_packet_answer_microseconds",
-			       labels[kind], &t->answer_us);
+		histogram_append_text(out, "cb_packet_open_microseconds",
+				      labels[kind], &t->open_us);
+		histogram_append_text(out, "cb_packet_wait_microseconds",
+				      labels[kind], &t->wait_us);
+		histogram_append_text(out, "cb_packet_answer_microseconds",
+				      labels[kind], &t->answer_us);
 	}
 }
 
@@ -174,7 +174,7 @@
 	uint32_t n = directory_target_count(d->node->directory);
 	char limit[32] = "";
 
-	if (http_query(query, "limit", limit, sizeof(limit)) &&
+	if (http_query_parameter(query, "limit", limit, sizeof(limit)) &&
 	    g_ascii_strtoull(limit, NULL, 10) < n)
 		n = (uint32_t)g_ascii_strtoull(limit, NULL, 10);
 	for (uint32_t i = 0; i < n; i++)
@@ -206,8 +206,8 @@
 	const struct route *r;
 	const struct flow_seen *f;
 
-	if (!http_query(query, "caller", caller, sizeof(caller)) ||
-	    !http_query(query, "vip", vip, sizeof(vip)) ||
+	if (!http_query_parameter(query, "caller", caller, sizeof(caller)) ||
+	    !http_query_parameter(query, "vip", vip, sizeof(vip)) ||
 	    addr_parse(caller, &key.caller) || addr_parse(vip, &key.vip)) {
 		g_string_append(out, "expected caller=IP:PORT&vip=IP:PORT\n");
 		return BAD_REQUEST;
@@ -235,7 +235,7 @@
 {
 	char text[32] = "0";
 
-	http_query(query, name, text, sizeof(text));
+	http_query_parameter(query, name, text, sizeof(text));
 	return g_ascii_strtoull(text, NULL, 10);
 }
 
@@ -298,19 +298,20 @@
 {
 	struct http_handler all = { d, answer };
 	struct http_handler ready = { d, answer_ready };
-	int err = http_open(d->loop, d->settings.http, all, &d->http);
+	int err = http_server_open(d->loop, d->settings.http, all, &d->http);
 
 	if (err)
 		return err;
-	return http_open(d->loop, d->settings.ready, ready, &d->ready_http);
+	return http_server_open(d->loop, d->settings.ready, ready,
+				&d->ready_http);
 }
 
 void operators_close(struct packet_daemon *d)
 {
 	if (d->http)
-		http_close(d->http);
+		http_server_close(d->http);
 	if (d->ready_http)
-		http_close(d->ready_http);
+		http_server_close(d->ready_http);
 	if (d->relay.body)
 		g_string_free(d->relay.body, TRUE);
 	if (d->relay.delta.bytes)
--- a/cmd/cb-packet/reading.c
+++ b/cmd/cb-packet/reading.c
@@ -48,7 +48,7 @@
 	enum source_outcome outcome;
 
 	outcome = take(d, r, now_ns, &head);
-	head.came_ns = r->came_ns;
+	head.came_ns = r->transfer_ns;
 	if (outcome == SOURCE_FAILED && !d->node->source.failures)
 		log_line(LOG_WARNING, "platform", NULL, "lost: %s, status %d",
 			 r->err ? uv_strerror(r->err) : "answered", r->status);
@@ -64,8 +64,8 @@
 
 static void call(struct packet_daemon *d, const char *path, uint64_t timeout_ms)
 {
-	int err = http_call(d->platform_caller, d->settings.platform, path,
-			    timeout_ms);
+	int err = http_client_get(d->platform_caller, d->settings.platform,
+				  path, timeout_ms);
 
 	if (err)
 		on_platform(d, &(struct http_reply){
@@ -111,7 +111,7 @@
 {
 	struct packet_daemon *d = ctx;
 
-	http_cancel(d->platform_caller);
+	http_client_cancel(d->platform_caller);
 }
 
 static bool begin_documents(void *ctx, const struct relay_head *head,
@@ -183,9 +183,9 @@
 		   after.epoch, after.revision, base.key_hash, base.since.epoch,
 		   base.since.revision);
 	d->peer_call_from = peer;
-	err = http_call(d->peer_caller,
-			ADDR(ADDR_IP(peer), ADDR_PORT(d->settings.http)), path,
-			PEER_TIMEOUT_MS);
+	err = http_client_get(d->peer_caller,
+			      ADDR(ADDR_IP(peer), ADDR_PORT(d->settings.http)),
+			      path, PEER_TIMEOUT_MS);
 	if (err)
 		on_peer(d, &(struct http_reply){ .err = err, .body = "" });
 }
@@ -198,18 +198,18 @@
  */
 int reading_open(struct packet_daemon *d)
 {
-	struct http_call_handler platform = { d, on_platform, on_connected };
-	struct http_call_handler peer = { d, on_peer, NULL };
-	int err = http_caller_open(d->loop, platform, &d->platform_caller);
+	struct http_client_handler platform = { d, on_platform, on_connected };
+	struct http_client_handler peer = { d, on_peer, NULL };
+	int err = http_client_open(d->loop, platform, &d->platform_caller);
 
 	if (!err)
-		http_caller_header(d->platform_caller,
-				   d->platform->epoch_header);
-	return err ? err : http_caller_open(d->loop, peer, &d->peer_caller);
+		http_client_capture_header(d->platform_caller,
+					   d->platform->epoch_header);
+	return err ? err : http_client_open(d->loop, peer, &d->peer_caller);
 }
 
 void reading_close(struct packet_daemon *d)
 {
-	http_caller_close(d->platform_caller);
-	http_caller_close(d->peer_caller);
+	http_client_close(d->platform_caller);
+	http_client_close(d->peer_caller);
 }
--- a/cmd/cb-watch/main.c
+++ b/cmd/cb-watch/main.c
@@ -44,12 +44,12 @@
 
 int main(int argc, char **argv)
 {
-	static const struct daemon_about about = {
+	static const struct daemon_info about = {
 		"cb-watch", VERSION,
 		"Reads or relays what operators published, and gives it to "
 		"the cb-entry of this VM.",
 		with_settings
 	};
 
-	return daemon_args(&about, argc, argv);
+	return daemon_main(&about, argc, argv);
 }
--- a/cmd/cb-watch/watch.c
+++ b/cmd/cb-watch/watch.c
@@ -141,7 +141,8 @@
 {
 	struct http_handler handler = { w, operators_answer };
 	char addr[32];
-	int err = http_open(w->loop, w->settings.http, handler, &w->http);
+	int err =
+		http_server_open(w->loop, w->settings.http, handler, &w->http);
 
 	if (err)
 		log_line(LOG_ERROR, "http",
@@ -218,7 +219,7 @@
 		uv_close((uv_handle_t *)&w->sigint, NULL);
 	}
 	if (w->http)
-		http_close(w->http);
+		http_server_close(w->http);
 	watch_link_close(w->link);
 	platform_close(w->platform);
 	uv_run(w->loop, UV_RUN_DEFAULT);
--- a/fuzz/coap_fuzz.c
+++ b/fuzz/coap_fuzz.c
@@ -23,14 +23,14 @@
 	coap_wire_rewrite(&a, out, 64);
 	a.timeout_ns = NS_PER_S;
 	n = coap_wire_rewrite(&a, out, sizeof(out));
-	if (coap_wire_read(data, size_bytes, &m) || m.kind != MESSAGE_REQUEST)
+	if (coap_wire_parse(data, size_bytes, &m) || m.kind != MESSAGE_REQUEST)
 		return;
 	/* A request that was accepted is still one, with our timeout. */
 	if (n <= 0)
 		abort();
 	if (n > DATAGRAM_MAX_BYTES)
 		return;
-	if (coap_wire_read(out, (uint32_t)n, &m) || m.timeout_ns != NS_PER_S)
+	if (coap_wire_parse(out, (uint32_t)n, &m) || m.timeout_ns != NS_PER_S)
 		abort();
 }
 
@@ -43,7 +43,7 @@
 	if (size > DATAGRAM_MAX_BYTES || size == 0)
 		return 0;
 	proxy2_read(data, (uint32_t)size, &source, &destination);
-	coap_wire_load_text(data, (uint32_t)size, &report);
+	coap_wire_parse_load(data, (uint32_t)size, &report);
 	write_all(data, (uint32_t)size);
 	return 0;
 }
--- a/sim/sim-experiment/read.c
+++ b/sim/sim-experiment/read.c
@@ -54,9 +54,9 @@
 		return;
 	if (!node || node->kind != TOML_STRING ||
 	    g_strlcpy(out, node->text, n) >= n) {
-		field_mistake(m, node ? node : table, "", key,
-			      node ? "is no text, or too long" : "missing",
-			      "a text");
+		field_add_mistake(m, node ? node : table, "", key,
+				  node ? "is no text, or too long" : "missing",
+				  "a text");
 		return;
 	}
 	node->taken = 1;
@@ -76,15 +76,15 @@
 	struct trouble *out = &x->troubles[x->n_troubles++];
 	struct texts texts = { 0 };
 
-	fields_take(m, "trouble", t, trouble_fields, out);
+	fields_parse(m, "trouble", t, trouble_fields, out);
 	take_text(m, t, "data_centre", texts.data_centre,
 		  sizeof(texts.data_centre), false);
-	fields_unknown(m, "trouble", t);
+	fields_report_unknown(m, "trouble", t);
 	out->zone = zone_named(&x->site, texts.data_centre);
 	if (texts.data_centre[0] && out->zone == UINT32_MAX)
-		field_mistake(m, t, "trouble", "data_centre",
-			      "is not of this deployment",
-			      "the name of a data centre");
+		field_add_mistake(m, t, "trouble", "data_centre",
+				  "is not of this deployment",
+				  "the name of a data centre");
 }
 
 static void take_variant(struct mistakes *m, struct toml_node *t,
@@ -94,8 +94,8 @@
 
 	out->policy = policy_default;
 	take_text(m, t, "title", out->title, sizeof(out->title), true);
-	fields_take(m, "policy", t, policy_fields, &out->policy);
-	fields_unknown(m, "policy", t);
+	fields_parse(m, "policy", t, policy_fields, &out->policy);
+	fields_report_unknown(m, "policy", t);
 }
 
 static void take_all(struct mistakes *m, struct toml_node *root,
@@ -108,8 +108,8 @@
 	if (!list)
 		return;
 	if (list->kind != TOML_ARRAY || list->n_items > most) {
-		field_mistake(m, list, key, "", "is too many, or no list",
-			      "tables of it");
+		field_add_mistake(m, list, key, "", "is too many, or no list",
+				  "tables of it");
 		return;
 	}
 	list->taken = 1;
@@ -131,12 +131,12 @@
 
 	take_text(m, root, "title", x->title, sizeof(x->title), true);
 	take_text(m, root, "site", texts.site, sizeof(texts.site), true);
-	fields_take(m, "", root, experiment_fields, x);
+	fields_parse(m, "", root, experiment_fields, x);
 	if (texts.site[0])
 		site_read(texts.site, &x->site, m);
 	take_all(m, root, "trouble", TROUBLES_MAX, x, take_trouble);
 	take_all(m, root, "policy", POLICIES_MAX, x, take_variant);
-	fields_unknown(m, "", root);
+	fields_report_unknown(m, "", root);
 	take_load(x);
 	if (x->n_variants)
 		return;
--- a/sim/sim-experiment/read_site.c
+++ b/sim/sim-experiment/read_site.c
@@ -92,7 +92,7 @@
 {
 	struct class_text text = { 0 };
 
-	fields_take(m, t->key, t, name_field, &text);
+	fields_parse(m, t->key, t, name_field, &text);
 	g_strlcpy(out, text.name, SITE_NAME_BYTES);
 }
 
@@ -108,9 +108,10 @@
 	struct toml_node *list = toml_find(t, key);
 
 	if (!list || list->kind != TOML_ARRAY || list->n_items != n) {
-		field_mistake(m, list ? list : t, t->key, key,
-			      list ? "is no list of that length" : "missing",
-			      "a number each, in their order");
+		field_add_mistake(m, list ? list : t, t->key, key,
+				  list ? "is no list of that length"
+				       : "missing",
+				  "a number each, in their order");
 		return;
 	}
 	list->taken = 1;
@@ -118,8 +119,8 @@
 		const struct toml_node *v = &list->items[i];
 
 		if (v->kind != TOML_INTEGER && v->kind != TOML_DECIMAL)
-			field_mistake(m, v, t->key, key,
-				      toml_kind_name(v->kind), "a number");
+			field_add_mistake(m, v, t->key, key,
+					  toml_kind_name(v->kind), "a number");
 		else
 			out[i] = number_of(v);
 	}
@@ -143,9 +144,9 @@
 	*n = 0;
 	if (!list || list->kind != TOML_ARRAY || !list->n_items ||
 	    list->n_items > p->most) {
-		field_mistake(m, list ? list : root, p->key, "",
-			      list ? "is too many, or no list" : "missing",
-			      "some tables of it");
+		field_add_mistake(m, list ? list : root, p->key, "",
+				  list ? "is too many, or no list" : "missing",
+				  "some tables of it");
 		return NULL;
 	}
 	list->taken = 1;
@@ -164,11 +165,11 @@
 		double targets[ZONES_MAX] = { 0 };
 
 		take_name(m, &all[i], v->name);
-		fields_take(m, "service", &all[i], service_fields, v);
+		fields_parse(m, "service", &all[i], service_fields, v);
 		take_list(m, &all[i], "targets", s->n_zones, targets);
 		for (uint32_t z = 0; z < s->n_zones; z++)
 			v->targets[z] = (uint32_t)targets[z];
-		fields_unknown(m, "service", &all[i]);
+		fields_report_unknown(m, "service", &all[i]);
 	}
 }
 
@@ -191,21 +192,21 @@
 		struct site_class *c = &s->classes[i];
 		struct class_text text = { 0 };
 
-		fields_take(m, "class", &all[i], class_texts, &text);
-		fields_take(m, "class", &all[i], class_fields, c);
-		fields_unknown(m, "class", &all[i]);
+		fields_parse(m, "class", &all[i], class_texts, &text);
+		fields_parse(m, "class", &all[i], class_fields, c);
+		fields_report_unknown(m, "class", &all[i]);
 		g_strlcpy(c->name, text.name, sizeof(c->name));
 		c->kind = text.kind;
 		c->priority = text.kind == ROUTE_REPORT ? 1 : 2;
 		c->service = service_named(s, text.service);
 		if (c->service == s->n_services)
-			field_mistake(m, &all[i], "class", "service",
-				      "is not described",
-				      "the name of a service");
+			field_add_mistake(m, &all[i], "class", "service",
+					  "is not described",
+					  "the name of a service");
 		if (!i && c->kind != ROUTE_FEED)
-			field_mistake(m, &all[i], "class", "kind",
-				      "is not a feed",
-				      "the feed as the first class");
+			field_add_mistake(m, &all[i], "class", "kind",
+					  "is not a feed",
+					  "the feed as the first class");
 	}
 }
 
@@ -217,8 +218,8 @@
 
 	for (uint32_t z = 0; z < s->n_zones; z++) {
 		take_name(m, &all[z], s->zones[z].name);
-		fields_take(m, "data_centre", &all[z], zone_fields,
-			    &s->zones[z]);
+		fields_parse(m, "data_centre", &all[z], zone_fields,
+			     &s->zones[z]);
 	}
 }
 
@@ -231,7 +232,7 @@
 	for (uint32_t z = 0; z < s->n_zones; z++) {
 		take_list(m, &all->items[z], "rates", s->n_classes,
 			  s->zones[z].per_s);
-		fields_unknown(m, "data_centre", &all->items[z]);
+		fields_report_unknown(m, "data_centre", &all->items[z]);
 	}
 }
 
@@ -252,11 +253,11 @@
 	if (err)
 		return err;
 	take_name(m, r.root, out->name);
-	fields_take(m, "", r.root, site_fields, out);
+	fields_parse(m, "", r.root, site_fields, out);
 	take_zones(m, r.root, out);
 	take_services(m, r.root, out);
 	take_classes(m, r.root, out);
 	take_rates(m, r.root, out);
-	fields_unknown(m, "", r.root);
+	fields_report_unknown(m, "", r.root);
 	return settings_close(&r);
 }
--- a/sim/sim-platform/admin.c
+++ b/sim/sim-platform/admin.c
@@ -72,7 +72,7 @@
 	char text[32];
 
 	out->addr = ADDR_NONE;
-	if (http_query(query, "addr", text, sizeof(text)) &&
+	if (http_query_parameter(query, "addr", text, sizeof(text)) &&
 	    addr_parse(text, &out->addr))
 		return -EINVAL;
 	if (number_query(query, "ms", UINT64_MAX, FAULT_MAX_MS, &ms) ||
--- a/sim/sim-platform/front.c
+++ b/sim/sim-platform/front.c
@@ -28,7 +28,8 @@
 {
 	struct http_handler handler = { f, front_handle };
 
-	return http_open(&f->platform->loop, f->addr, handler, &f->server);
+	return http_server_open(&f->platform->loop, f->addr, handler,
+				&f->server);
 }
 
 /**
@@ -41,7 +42,7 @@
 	f->down_deadline_ns = uv_hrtime() + length_ns;
 	if (!f->server)
 		return;
-	http_close(f->server);
+	http_server_close(f->server);
 	f->server = NULL;
 	watch_drop(f);
 }
@@ -90,7 +91,7 @@
 	char text[24];
 
 	g_snprintf(text, sizeof(text), "%" G_GUINT64_FORMAT, revision);
-	http_header(req, "X-Revision", text);
+	http_add_header(req, "X-Revision", text);
 }
 
 static int get_key(struct front *f, struct http_request *req, const char *key,
@@ -115,7 +116,7 @@
 	char prefix[KEY_MAX_BYTES] = "";
 
 	count(f, CALL_LIST);
-	http_query(query, "prefix", prefix, sizeof(prefix));
+	http_query_parameter(query, "prefix", prefix, sizeof(prefix));
 	keys_list(f->platform->keys, prefix, front_as_of(f), body);
 	front_revision(req, front_as_of(f));
 	return 200;
@@ -138,7 +139,7 @@
 	char *end;
 
 	*out = fallback;
-	if (!http_query(query, name, text, sizeof(text)))
+	if (!http_query_parameter(query, name, text, sizeof(text)))
 		return 0;
 	if (!g_ascii_isdigit(*text))
 		return -EINVAL;
@@ -167,7 +168,7 @@
 		return 200;
 	}
 	watch_begin(f, req, after, uv_hrtime() + timeout_ms * NS_PER_MS);
-	return HTTP_LATER;
+	return HTTP_DEFERRED;
 }
 
 /**
@@ -180,7 +181,7 @@
  * @in: request body
  * @body: answer, filled
  *
- * Return: status code, or HTTP_LATER.
+ * Return: status code, or HTTP_DEFERRED.
  */
 int front_handle(void *ctx, struct http_request *req, const char *method,
 		 const char *path, const char *query, const GString *in,
--- a/sim/sim-platform/platform.c
+++ b/sim/sim-platform/platform.c
@@ -61,7 +61,7 @@
 
 	if (p->opt.admin == ADDR_NONE)
 		return 0;
-	rc = http_open(&p->loop, p->opt.admin, handler, &p->admin);
+	rc = http_server_open(&p->loop, p->opt.admin, handler, &p->admin);
 	return rc ? failed("admin", p->opt.admin, rc) : 0;
 }
 
@@ -106,7 +106,7 @@
 	for (i = 0; i < p->opt.n_addrs; i++)
 		front_down(&p->fronts[i], 0);
 	if (p->admin)
-		http_close(p->admin);
+		http_server_close(p->admin);
 	sim_loop_close(&p->loop);
 	keys_free(p->keys);
 }
--- a/sim/sim-platform/watch.c
+++ b/sim/sim-platform/watch.c
@@ -24,7 +24,7 @@
 	body = g_string_new(NULL);
 	keys_changes(f->platform->keys, w->after, as_of, body);
 	front_revision(w->req, as_of);
-	http_answer(w->req, 200, body);
+	http_respond(w->req, 200, body);
 	g_string_free(body, TRUE);
 	g_free(w);
 	return true;
@@ -77,7 +77,7 @@
 	struct watcher *w;
 
 	while ((w = g_queue_pop_head(&f->watchers))) {
-		http_answer(w->req, 503, NULL);
+		http_respond(w->req, 503, NULL);
 		g_free(w);
 	}
 }
--- a/sim/sim-soak/processes.c
+++ b/sim/sim-soak/processes.c
@@ -180,9 +180,9 @@
 
 	for (uint32_t i = 0; !err && i < s->world->n_entries; i++) {
 		struct soak_entry *e = &s->entries[i];
-		struct http_call_handler handler = { e, on_ready, NULL };
+		struct http_client_handler handler = { e, on_ready, NULL };
 
-		err = http_caller_open(&s->loop, handler, &e->caller);
+		err = http_client_open(&s->loop, handler, &e->caller);
 	}
 	return err;
 }
@@ -196,9 +196,9 @@
 	for (uint32_t i = 0; i < s->world->n_entries; i++) {
 		struct soak_entry *e = &s->entries[i];
 
-		if (e->caller && !http_calling(e->caller) &&
-		    http_call(e->caller, ADDR(PEER_IP + i, READY_PORT),
-			      "/readiness", READY_TIMEOUT_MS))
+		if (e->caller && !http_client_is_busy(e->caller) &&
+		    http_client_get(e->caller, ADDR(PEER_IP + i, READY_PORT),
+				    "/readiness", READY_TIMEOUT_MS))
 			e->ready = false;
 	}
 }
@@ -230,5 +230,5 @@
 		while (s->entries[i].running)
 			uv_run(&s->loop, UV_RUN_ONCE);
 	for (uint32_t i = 0; i < s->world->n_entries; i++)
-		http_caller_close(s->entries[i].caller);
+		http_client_close(s->entries[i].caller);
 }
--- a/sim/sim-soak/publish.c
+++ b/sim/sim-soak/publish.c
@@ -132,7 +132,7 @@
 	char text[24];
 
 	g_snprintf(text, sizeof(text), "%" G_GUINT64_FORMAT, w->epoch);
-	http_header(req, "Store-Era", text);
+	http_add_header(req, "Store-Era", text);
 }
 
 static int wait_for(struct soak_entry *e, struct http_request *req,
@@ -144,7 +144,7 @@
 		e->waiters[i] =
 			(struct waiter){ req, after,
 					 uv_hrtime() + wait_ms * NS_PER_MS };
-		return HTTP_LATER;
+		return HTTP_DEFERRED;
 	}
 	return BUSY;
 }
@@ -175,8 +175,8 @@
 		put_answer(w, 0, "items", body);
 		return OK;
 	}
-	http_query(query, "after", after, sizeof(after));
-	http_query(query, "wait-ms", wait_ms, sizeof(wait_ms));
+	http_query_parameter(query, "after", after, sizeof(after));
+	http_query_parameter(query, "wait-ms", wait_ms, sizeof(wait_ms));
 	from = g_ascii_strtoull(after, NULL, 10);
 	if (w->revision == from)
 		return wait_for(e, req, from,
@@ -201,7 +201,7 @@
 	put_epoch(w, i->req);
 	if (w->revision >= i->after)
 		put_answer(w, i->after, "events", body);
-	http_answer(i->req, w->revision >= i->after ? OK : GONE, body);
+	http_respond(i->req, w->revision >= i->after ? OK : GONE, body);
 	g_string_free(body, TRUE);
 	i->req = NULL;
 }
@@ -231,8 +231,8 @@
 	struct soak_entry *e = &s->entries[entry];
 	struct http_handler handler = { e, handle };
 
-	return http_open(&s->loop, ADDR(STORE_IP_0 + entry, STORE_PORT),
-			 handler, &e->store);
+	return http_server_open(&s->loop, ADDR(STORE_IP_0 + entry, STORE_PORT),
+				handler, &e->store);
 }
 
 /**
@@ -247,11 +247,11 @@
 
 	if (!e->store)
 		return;
-	http_close(e->store);
+	http_server_close(e->store);
 	e->store = NULL;
 	for (uint32_t i = 0; i < WAITERS_MAX; i++)
 		if (e->waiters[i].req)
-			http_answer(e->waiters[i].req, BUSY, nothing);
+			http_respond(e->waiters[i].req, BUSY, nothing);
 	memset(e->waiters, 0, sizeof(e->waiters));
 	g_string_free(nothing, TRUE);
 }
--- a/sim/sim-soak/soak.h
+++ b/sim/sim-soak/soak.h
@@ -6,7 +6,7 @@
 #define SIM_SOAK_H
 
 #include "http.h"
-#include "http_call.h"
+#include "http_client.h"
 #include "world_state.h"
 
 #include <uv.h>
@@ -61,7 +61,7 @@
 	uint64_t lost_until_ns[2];
 	uint64_t slow_until_ns;
 	uint64_t delay_ns;
-	struct http_caller *caller;
+	struct http_client *caller;
 	bool ready;
 	uint64_t ready_ns;
 };
--- a/test/coap_wire_prop.cc
+++ b/test/coap_wire_prop.cc
@@ -128,7 +128,7 @@
 		  int32_t(out.size()));
 	RC_ASSERT(coap_wire_cancel(&a, out.data(), out.size()) <=
 		  int32_t(out.size()));
-	coap_wire_load_text(tight.data(), tight.size(), &report);
+	coap_wire_parse_load(tight.data(), tight.size(), &report);
 }
 
 int main()
@@ -144,7 +144,7 @@
 		RC_ASSERT(bytes(r.data.begin() + r.options, r.data.end()) ==
 			  bytes(out.begin() + 4 + a.token_len, out.end()));
 		RC_PRE(out.size() <= DATAGRAM_MAX_BYTES);
-		RC_ASSERT(coap_wire_read(out.data(), out.size(), &m) == 0);
+		RC_ASSERT(coap_wire_parse(out.data(), out.size(), &m) == 0);
 		RC_ASSERT(m.id == a.id);
 		RC_ASSERT(m.token_len == a.token_len);
 		RC_ASSERT(memcmp(m.token, a.token, a.token_len) == 0);
@@ -158,14 +158,14 @@
 		bytes out = rewrite(a);
 		RC_ASSERT(rest_of(out) == rest_of(r.data));
 		RC_PRE(out.size() <= DATAGRAM_MAX_BYTES);
-		RC_ASSERT(coap_wire_read(out.data(), out.size(), &m) == 0);
+		RC_ASSERT(coap_wire_parse(out.data(), out.size(), &m) == 0);
 		RC_ASSERT(m.timeout_ns == a.timeout_ns);
 	});
 	ok &= rc::check("random bytes break nothing", [&] {
 		bytes data = bytes_up_to(120);
 		bytes tight(data.begin(), data.end());
 
-		RC_ASSERT(coap_wire_read(tight.data(), tight.size(), &m) <= 0);
+		RC_ASSERT(coap_wire_parse(tight.data(), tight.size(), &m) <= 0);
 		every_writer(data);
 	});
 	ok &= rc::check("a mutated request breaks nothing", [&] {
@@ -178,7 +178,7 @@
 			data[at] = *rc::gen::arbitrary<uint8_t>();
 		}
 		bytes tight(data.begin(), data.end());
-		RC_ASSERT(coap_wire_read(tight.data(), tight.size(), &m) <= 0);
+		RC_ASSERT(coap_wire_parse(tight.data(), tight.size(), &m) <= 0);
 		every_writer(data);
 	});
 	return ok ? 0 : 1;
--- a/test/coap_wire_test.c
+++ b/test/coap_wire_test.c
@@ -81,7 +81,7 @@
 
 	(void)state;
 	for (uint32_t i = 0; i < sizeof(rows) / sizeof(rows[0]); i++) {
-		assert_int_equal(coap_wire_read(rows[i].data, rows[i].n, &m),
+		assert_int_equal(coap_wire_parse(rows[i].data, rows[i].n, &m),
 				 0);
 		assert_int_equal(m.kind, rows[i].kind);
 		assert_int_equal(m.flags, rows[i].flags);
@@ -111,7 +111,7 @@
 
 	(void)state;
 	for (uint32_t i = 0; i < sizeof(rows) / sizeof(rows[0]); i++)
-		assert_int_equal(coap_wire_read(rows[i].data, rows[i].n, &m),
+		assert_int_equal(coap_wire_parse(rows[i].data, rows[i].n, &m),
 				 -EPROTO);
 }
 
@@ -136,7 +136,7 @@
 	(void)state;
 	assert_int_equal(n, sizeof(feed_open) + 3);
 	assert_memory_equal(out + 8, feed_open + 5, sizeof(feed_open) - 5);
-	assert_int_equal(coap_wire_read(out, (uint32_t)n, &m), 0);
+	assert_int_equal(coap_wire_parse(out, (uint32_t)n, &m), 0);
 	assert_int_equal(m.id, 0xbeef);
 	assert_int_equal(m.token_len, 4);
 	assert_memory_equal(m.token, a.token, 4);
@@ -160,12 +160,12 @@
 	int32_t n;
 
 	(void)state;
-	assert_int_equal(coap_wire_read(data, sizeof(data), &m), 0);
+	assert_int_equal(coap_wire_parse(data, sizeof(data), &m), 0);
 	assert_int_equal(m.timeout_ns, 5000 * NS_PER_MS);
 	a.timeout_ns = 1200 * NS_PER_MS;
 	n = coap_wire_rewrite(&a, out, sizeof(out));
 	assert_int_equal(n, sizeof(data) + 4);
-	assert_int_equal(coap_wire_read(out, (uint32_t)n, &m), 0);
+	assert_int_equal(coap_wire_parse(out, (uint32_t)n, &m), 0);
 	assert_int_equal(m.timeout_ns, 1200 * NS_PER_MS);
 	assert_memory_equal(out + n - 4, data + 9, 4);
 }
@@ -181,7 +181,7 @@
 	struct message m;
 
 	(void)state;
-	assert_int_equal(coap_wire_read(data, sizeof(data), &m), 0);
+	assert_int_equal(coap_wire_parse(data, sizeof(data), &m), 0);
 	assert_int_equal(m.timeout_ns, 1);
 }
 
@@ -197,20 +197,20 @@
 			    .retry_after_s = 300 };
 	static const char refused[] = "not run: queue full";
 	uint8_t out[96];
-	int32_t n = coap_wire_answer(&a, out, sizeof(out));
+	int32_t n = coap_wire_local_answer(&a, out, sizeof(out));
 	struct message m;
 
 	(void)state;
-	assert_int_equal(coap_wire_read(out, (uint32_t)n, &m), 0);
+	assert_int_equal(coap_wire_parse(out, (uint32_t)n, &m), 0);
 	assert_int_equal(m.flags, MESSAGE_PIGGYBACK | MESSAGE_SHED);
 	assert_memory_equal(out + 5, ((uint8_t[]){ 0xd2, 1, 1, 44, 0xff }), 5);
 	assert_memory_equal(out + 10, refused, sizeof(refused) - 1);
 	a.answer = ANSWER_UNKNOWN;
-	n = coap_wire_answer(&a, out, sizeof(out));
+	n = coap_wire_local_answer(&a, out, sizeof(out));
 	assert_int_equal(out[1], 0xa4);
 	assert_memory_equal(out + n - 15, "outcome unknown", 15);
 	a.answer = ANSWER_FEED_LOST;
-	n = coap_wire_answer(&a, out, sizeof(out));
+	n = coap_wire_local_answer(&a, out, sizeof(out));
 	assert_int_equal(out[1], 0xa3);
 	assert_memory_equal(out + n - 9, "feed lost", 9);
 }
@@ -223,7 +223,7 @@
 	int32_t n = coap_wire_cancel(&a, out, sizeof(out));
 
 	(void)state;
-	assert_int_equal(coap_wire_read(out, (uint32_t)n, &m), 0);
+	assert_int_equal(coap_wire_parse(out, (uint32_t)n, &m), 0);
 	assert_true(m.flags & MESSAGE_FEED_CLOSE);
 	assert_memory_equal(m.token, a.token, 4);
 	a.data = NULL;
@@ -247,7 +247,7 @@
 	int32_t n = coap_wire_cancel(&a, out, sizeof(out));
 
 	(void)state;
-	assert_int_equal(coap_wire_read(out, (uint32_t)n, &m), 0);
+	assert_int_equal(coap_wire_parse(out, (uint32_t)n, &m), 0);
 	assert_int_equal(m.kind, MESSAGE_REQUEST);
 	assert_true(m.flags & MESSAGE_FEED_CLOSE);
 	assert_true(m.flags & MESSAGE_IDEMPOTENT);
@@ -266,14 +266,14 @@
 	int32_t n = coap_wire_load_poll(7, out, sizeof(out));
 
 	(void)state;
-	assert_int_equal(coap_wire_read(out, (uint32_t)n, &m), 0);
+	assert_int_equal(coap_wire_parse(out, (uint32_t)n, &m), 0);
 	assert_int_equal(m.flags, MESSAGE_IDEMPOTENT);
-	assert_true(coap_wire_load_text(answer, sizeof(answer), &report));
+	assert_true(coap_wire_parse_load(answer, sizeof(answer), &report));
 	assert_int_equal(report.running, 2);
 	assert_int_equal(report.waiting, 11);
 	assert_int_equal(report.connections, 90);
-	assert_false(coap_wire_load_text(answer, 11, &report));
-	assert_int_equal(coap_wire_read(option, sizeof(option), &m), 0);
+	assert_false(coap_wire_parse_load(answer, 11, &report));
+	assert_int_equal(coap_wire_parse(option, sizeof(option), &m), 0);
 	assert_true(m.has_load);
 	assert_int_equal(m.load.running, 2);
 	assert_int_equal(m.load.waiting, 256);
--- a/test/http_call_test.c
+++ b/test/http_client_test.c
@@ -1,6 +1,6 @@
 /* The HTTP client, against our own server and a raw socket, on loopback. */
 #include "http.h"
-#include "http_call.h"
+#include "http_client.h"
 #include "loopback.h"
 
 #include <arpa/inet.h>
@@ -24,7 +24,7 @@
 struct fixture {
 	uv_loop_t loop;
 	struct http_server *server;
-	struct http_caller *caller;
+	struct http_client *caller;
 	uint32_t done;
 	int err;
 	int status;
@@ -44,7 +44,7 @@
 	(void)in;
 	if (!strcmp(path, "/never")) {
 		f->never = req;
-		return HTTP_LATER;
+		return HTTP_DEFERRED;
 	}
 	if (!strcmp(path, "/missing"))
 		return 404;
@@ -76,12 +76,12 @@
 {
 	struct fixture *f = g_new0(struct fixture, 1);
 	struct http_handler h = { f, handle };
-	struct http_call_handler c = { f, on_done, on_connected };
+	struct http_client_handler c = { f, on_done, on_connected };
 
 	f->go_on = true;
 	uv_loop_init(&f->loop);
-	assert_int_equal(http_open(&f->loop, SERVER, h, &f->server), 0);
-	assert_int_equal(http_caller_open(&f->loop, c, &f->caller), 0);
+	assert_int_equal(http_server_open(&f->loop, SERVER, h, &f->server), 0);
+	assert_int_equal(http_client_open(&f->loop, c, &f->caller), 0);
 	*state = f;
 	return 0;
 }
@@ -93,11 +93,11 @@
 	GString *nothing = g_string_new(NULL);
 
 	if (f->never)
-		http_answer(f->never, 200, nothing);
+		http_respond(f->never, 200, nothing);
 	g_string_free(nothing, TRUE);
-	http_caller_close(f->caller);
+	http_client_close(f->caller);
 	if (f->server)
-		http_close(f->server);
+		http_server_close(f->server);
 	uv_run(&f->loop, UV_RUN_DEFAULT);
 	uv_loop_close(&f->loop);
 	g_free(f);
@@ -109,16 +109,17 @@
 {
 	uint32_t before = f->done;
 
-	assert_int_equal(http_call(f->caller, server, path, timeout_ms), 0);
-	assert_true(http_calling(f->caller));
-	assert_int_equal(http_call(f->caller, server, path, timeout_ms),
+	assert_int_equal(http_client_get(f->caller, server, path, timeout_ms),
+			 0);
+	assert_true(http_client_is_busy(f->caller));
+	assert_int_equal(http_client_get(f->caller, server, path, timeout_ms),
 			 -EBUSY);
 	for (uint32_t i = 0; i < TURNS_MAX && f->done == before; i++) {
 		uv_run(&f->loop, UV_RUN_NOWAIT);
 		usleep(100);
 	}
 	assert_int_equal(f->done, before + 1);
-	assert_false(http_calling(f->caller));
+	assert_false(http_client_is_busy(f->caller));
 }
 
 static void test_answers(void **state)
@@ -183,11 +184,11 @@
 	struct http_handler h = { f, handle };
 
 	get(f, SERVER, "/a?", LONG_MS);
-	http_close(f->server);
+	http_server_close(f->server);
 	f->server = NULL;
 	for (uint32_t i = 0; i < 100; i++)
 		uv_run(&f->loop, UV_RUN_NOWAIT);
-	assert_int_equal(http_open(&f->loop, SERVER, h, &f->server), 0);
+	assert_int_equal(http_server_open(&f->loop, SERVER, h, &f->server), 0);
 	get(f, SERVER, "/a?", LONG_MS);
 	assert_int_equal(f->err, 0);
 }
@@ -215,7 +216,7 @@
 	int at = listener();
 	int fd = -1;
 
-	assert_int_equal(http_call(f->caller, NOBODY, "/a", LONG_MS), 0);
+	assert_int_equal(http_client_get(f->caller, NOBODY, "/a", LONG_MS), 0);
 	for (uint32_t i = 0; i < TURNS_MAX && f->done == before; i++) {
 		if (fd < 0)
 			fd = accept(at, NULL, NULL);
@@ -242,7 +243,8 @@
 	int at = listener();
 	int fd = -1;
 
-	assert_int_equal(http_call(f->caller, NOBODY, "/a", timeout_ms), 0);
+	assert_int_equal(http_client_get(f->caller, NOBODY, "/a", timeout_ms),
+			 0);
 	for (uint32_t i = 0; i < TURNS_MAX && f->done == before; i++) {
 		if (fd < 0)
 			fd = accept(at, NULL, NULL);
--- a/test/http_test.c
+++ b/test/http_test.c
@@ -34,9 +34,9 @@
 	f->handled++;
 	if (strcmp(path, "/later") == 0) {
 		f->later = req;
-		return HTTP_LATER;
+		return HTTP_DEFERRED;
 	}
-	http_header(req, "X-Revision", "7");
+	http_add_header(req, "X-Revision", "7");
 	g_string_printf(body, "%s %s %s %zu", method, path, query, in->len);
 	return 200;
 }
@@ -65,7 +65,7 @@
 	struct http_handler h = { .ctx = f, .handle = handle };
 
 	uv_loop_init(&f->loop);
-	assert_int_equal(http_open(&f->loop, SERVER, h, &f->server), 0);
+	assert_int_equal(http_server_open(&f->loop, SERVER, h, &f->server), 0);
 	dial(f);
 	*state = f;
 	return 0;
@@ -76,7 +76,7 @@
 	struct fixture *f = *state;
 
 	close(f->fd);
-	http_close(f->server);
+	http_server_close(f->server);
 	uv_run(&f->loop, UV_RUN_DEFAULT);
 	assert_int_equal(uv_loop_close(&f->loop), 0);
 	g_free(f);
@@ -141,7 +141,7 @@
 		turn(f);
 	turn(f);
 	assert_int_equal(f->handled, 1);
-	http_answer(f->later, 200, body);
+	http_respond(f->later, 200, body);
 	got = hear(f, "GET /next  0");
 	assert_true(strstr(got->str, "late") < strstr(got->str, "/next"));
 	g_string_free(got, TRUE);
@@ -163,7 +163,7 @@
 	close(f->fd);
 	for (int i = 0; i < 20; i++)
 		turn(f);
-	http_answer(f->later, 200, NULL);
+	http_respond(f->later, 200, NULL);
 	dial(f);
 	say(f, "GET /alive HTTP/1.1\r\n\r\n");
 	expect(f, "GET /alive  0");
@@ -208,13 +208,15 @@
 	char buf[8];
 
 	(void)state;
-	assert_true(http_query("prefix=a%2Fb&after=12", "after", buf, 8));
+	assert_true(
+		http_query_parameter("prefix=a%2Fb&after=12", "after", buf, 8));
 	assert_string_equal(buf, "12");
-	assert_true(http_query("prefix=a%2Fb&after=12", "prefix", buf, 8));
+	assert_true(http_query_parameter("prefix=a%2Fb&after=12", "prefix", buf,
+					 8));
 	assert_string_equal(buf, "a/b");
-	assert_false(http_query("xafter=1", "after", buf, 8));
-	assert_false(http_query("after=123456789", "after", buf, 8));
-	assert_false(http_query("", "after", buf, 8));
+	assert_false(http_query_parameter("xafter=1", "after", buf, 8));
+	assert_false(http_query_parameter("after=123456789", "after", buf, 8));
+	assert_false(http_query_parameter("", "after", buf, 8));
 }
 
 #define WITH_SERVER(test) cmocka_unit_test_setup_teardown(test, setup, teardown)
--- a/test/users_platform_test.c
+++ b/test/users_platform_test.c
@@ -62,7 +62,7 @@
 
 	(void)state;
 	memcpy(data, example, sizeof(data));
-	users_pin(data, 0xdeadbeef);
+	users_write_cookie(data, 0xdeadbeef);
 	assert_memory_equal(data, example, 28);
 	assert_int_equal(users_read_packet(data, sizeof(data), &k), 0);
 	assert_int_equal(k.cookie, 0xdeadbeef);
@@ -77,7 +77,7 @@
 	uint8_t out[ENVELOPE_MAX_BYTES];
 
 	(void)state;
-	assert_int_equal(users_envelope(&t, out), 8);
+	assert_int_equal(users_write_encapsulation(&t, out), 8);
 	assert_memory_equal(out, expected, 8);
 }
 
