--- a/test/users_platform_test.c
+++ b/test/users_platform_test.c
@@ -1,4 +1,4 @@
-/* The users' platform: packets, the store's answers, what is published. */
+/* Adapter for the platform: packets, the store's answers, documents. */
 #include "users_platform.h"
 
 #include <errno.h>
@@ -12,7 +12,7 @@
 #include <string.h>
 #include <cmocka.h>
 
-/* The example of the platform's page. */
+/* The example in the platform's documentation. */
 static const uint8_t example[32] = {
 	0x08, 0x00, 0x44, 0x33, 0x22, 0x11, 0x00, 0x00, 0x00, 0x00, 0x00,
 	0x00, 0xd5, 0xc3, 0xb2, 0xa1, 0xbb, 0x01, 0x01, 0x00, 0x12, 0xc6,
@@ -27,48 +27,51 @@
 #define CLIENT ADDR(0x64400007, 40001)
 #define VIP ADDR(0xc6120001, 443)
 
-static void test_reads_a_packet(void **state)
+static void test_packet_is_decoded(void **state)
 {
-	struct packet k;
+	struct packet packet;
 
 	(void)state;
-	assert_int_equal(users_read_packet(example, sizeof(example), &k), 0);
-	assert_int_equal(k.flow.caller, CLIENT);
-	assert_int_equal(k.flow.vip, VIP);
-	assert_int_equal(k.flags, PACKET_SYN);
-	assert_int_equal(k.seq, 0x11223344);
-	assert_int_equal(k.cookie, 0);
+	assert_int_equal(users_read_packet(example, sizeof(example), &packet),
+			 0);
+	assert_int_equal(packet.flow.caller, CLIENT);
+	assert_int_equal(packet.flow.vip, VIP);
+	assert_int_equal(packet.flags, PACKET_SYN);
+	assert_int_equal(packet.seq, 0x11223344);
+	assert_int_equal(packet.cookie, 0);
 }
 
-static void test_refuses_what_is_no_packet(void **state)
+static void test_packet_of_wrong_length_is_rejected(void **state)
 {
 	uint8_t data[1300] = { 0 };
-	struct packet k;
+	struct packet packet;
 
 	(void)state;
 	for (uint32_t i = 0; i < sizeof(example); i++)
-		assert_int_equal(users_read_packet(example, i, &k), -EPROTO);
-	assert_int_equal(users_read_packet(data, sizeof(data), &k), -EPROTO);
+		assert_int_equal(users_read_packet(example, i, &packet),
+				 -EPROTO);
+	assert_int_equal(users_read_packet(data, sizeof(data), &packet),
+			 -EPROTO);
 	memcpy(data, example, sizeof(example));
-	data[10] = 5; /* says more than there is */
-	assert_int_equal(users_read_packet(data, 32, &k), -EPROTO);
-	assert_int_equal(users_read_packet(data, 37, &k), 0);
+	data[10] = 5; /* length of the data, which is missing */
+	assert_int_equal(users_read_packet(data, 32, &packet), -EPROTO);
+	assert_int_equal(users_read_packet(data, 37, &packet), 0);
 }
 
-static void test_only_the_echo_is_written(void **state)
+static void test_cookie_changes_only_the_echo_field(void **state)
 {
 	uint8_t data[32];
-	struct packet k;
+	struct packet packet;
 
 	(void)state;
 	memcpy(data, example, sizeof(data));
 	users_write_cookie(data, 0xdeadbeef);
 	assert_memory_equal(data, example, 28);
-	assert_int_equal(users_read_packet(data, sizeof(data), &k), 0);
-	assert_int_equal(k.cookie, 0xdeadbeef);
+	assert_int_equal(users_read_packet(data, sizeof(data), &packet), 0);
+	assert_int_equal(packet.cookie, 0xdeadbeef);
 }
 
-static void test_envelope_names_the_target(void **state)
+static void test_encapsulation_holds_the_target_id(void **state)
 {
 	static const uint8_t expected[8] = {
 		0, 0, 0, 0, 0x7f, 0x3a, 0x91, 0xc2
@@ -81,7 +84,7 @@
 	assert_memory_equal(out, expected, 8);
 }
 
-static void test_reset(void **state)
+static void test_reset_matches_the_documented_example(void **state)
 {
 	struct flow_key flow = { CLIENT, VIP };
 	uint8_t out[RESET_MAX_BYTES];
@@ -94,37 +97,38 @@
 	assert_int_equal(out[5], 1);
 }
 
-struct seen {
+struct received {
 	uint32_t n;
 	struct document last;
 	char value[64];
 };
 
-static void see(void *ctx, const struct document *d)
+static void receive(void *ctx, const struct document *d)
 {
-	struct seen *s = ctx;
+	struct received *received = ctx;
 
-	s->n++;
-	s->last = *d;
+	received->n++;
+	received->last = *d;
 	if (d->value)
-		memcpy(s->value, d->value, d->size_bytes);
+		memcpy(received->value, d->value, d->size_bytes);
 }
 
-static int list(const char *body, struct seen *s, struct answer_head *head)
+static int list(const char *body, struct received *received,
+		struct answer_head *head)
 {
-	memset(s, 0, sizeof(*s));
+	memset(received, 0, sizeof(*received));
 	return users_read_list(body, strlen(body),
-			       (struct facts_port){ s, see }, head);
+			       (struct facts_port){ received, receive }, head);
 }
 
-static void test_reads_the_epoch(void **state)
+static void test_epoch_is_parsed_and_garbage_rejected(void **state)
 {
 	uint64_t epoch = 7;
 
 	(void)state;
 	assert_int_equal(users_read_epoch("3", &epoch), 0);
 	assert_int_equal(epoch, 3);
-	/* A store that tells none. */
+	/* A store that sends no epoch. */
 	assert_int_equal(users_read_epoch("", &epoch), 0);
 	assert_int_equal(epoch, 0);
 	assert_int_equal(users_read_epoch("three", &epoch), -EPROTO);
@@ -133,10 +137,10 @@
 			 -EPROTO);
 }
 
-static void test_reads_a_listing(void **state)
+static void test_listing_is_decoded(void **state)
 {
 	struct answer_head head = { 0 };
-	struct seen s;
+	struct received received;
 
 	(void)state;
 	assert_int_equal(list("{\"items\":[{\"key\":\"servers/i-12\",\"value\":"
@@ -145,32 +149,32 @@
 			      "{\"key\":\"servers/i-13\",\"value\":\"\","
 			      "\"revision\":411}],"
 			      "\"more-pages\":true,\"store-revision\":530}",
-			      &s, &head),
+			      &received, &head),
 			 0);
-	assert_int_equal(s.n, 2);
-	assert_int_equal(s.last.revision, 411);
+	assert_int_equal(received.n, 2);
+	assert_int_equal(received.last.revision, 411);
 	assert_string_equal(head.last_key, "servers/i-13");
 	assert_int_equal(list("{\"items\":[{\"key\":\"servers/i-12\",\"value\":"
 			      "\"bm9kZS0x\",\"revision\":412,"
 			      "\"create-revision\":400,\"lease\":77120}],"
 			      "\"more-pages\":true,\"store-revision\":530}",
-			      &s, &head),
+			      &received, &head),
 			 0);
-	assert_int_equal(s.n, 1);
-	assert_int_equal(s.last.revision, 412);
-	assert_int_equal(s.last.created, 400);
-	assert_string_equal(s.value, "node-1");
+	assert_int_equal(received.n, 1);
+	assert_int_equal(received.last.revision, 412);
+	assert_int_equal(received.last.created, 400);
+	assert_string_equal(received.value, "node-1");
 	assert_int_equal(head.revision, 530);
 	assert_true(head.more);
 	assert_string_equal(head.last_key, "servers/i-12");
 }
 
 /*
- * Symptom: an entry comes up and knows no target, or only some. Sequence:
- * somebody else writes among the targets' entries. Cause: one item that could
- * not be read ended the page, and the same page was asked for again.
+ * Another program writes malformed items below the targets' prefix. If one of
+ * them failed the whole page, the page would be requested again without end,
+ * and a starting entry would find no target or only some.
  */
-static void test_other_items_of_a_page_hold(void **state)
+static void test_malformed_item_does_not_hide_the_others(void **state)
 {
 	static const char *const junk[] = {
 		"7",
@@ -183,7 +187,7 @@
 		"{\"key\":\"a\\u0000b\",\"value\":\"bm9k\",\"revision\":3}",
 	};
 	struct answer_head head = { 0 };
-	struct seen s;
+	struct received received;
 	char body[512];
 
 	(void)state;
@@ -192,18 +196,18 @@
 			 "{\"items\":[%s,{\"key\":\"servers/i-2\",\"value\":"
 			 "\"bm9k\",\"revision\":4},%s],\"store-revision\":5}",
 			 junk[i], junk[i]);
-		assert_int_equal(list(body, &s, &head), 0);
-		assert_int_equal(s.n, 1);
-		assert_string_equal(s.last.key, "servers/i-2");
+		assert_int_equal(list(body, &received, &head), 0);
+		assert_int_equal(received.n, 1);
+		assert_string_equal(received.last.key, "servers/i-2");
 	}
 }
 
-/* A value that can't be read: what stood under its key is no more. */
-static void test_value_that_cannot_be_read(void **state)
+/* A malformed value has replaced the earlier one, so it can't be ignored. */
+static void test_malformed_value_arrives_empty(void **state)
 {
 	static const char *const values[] = { "7", "null", "\"\"", "\"!\"" };
 	struct answer_head head = { 0 };
-	struct seen s;
+	struct received received;
 	char body[512];
 
 	(void)state;
@@ -212,15 +216,15 @@
 			 "{\"items\":[{\"key\":\"servers/i-2\",\"value\":%s,"
 			 "\"revision\":4}],\"store-revision\":5}",
 			 values[i]);
-		assert_int_equal(list(body, &s, &head), 0);
-		assert_int_equal(s.n, 1);
-		assert_int_equal(s.last.size_bytes, 0);
-		assert_false(s.last.deleted);
+		assert_int_equal(list(body, &received, &head), 0);
+		assert_int_equal(received.n, 1);
+		assert_int_equal(received.last.size_bytes, 0);
+		assert_false(received.last.deleted);
 	}
 }
 
-/* What others keep in the store takes no memory here. */
-static void test_other_keys_are_left_out(void **state)
+/* Values of other programs in the store must not take memory. */
+static void test_unused_keys_and_oversized_values_take_no_memory(void **state)
 {
 	char *big = g_strnfill(2 << 20, 'A');
 	char *body = g_strdup_printf(
@@ -229,35 +233,36 @@
 		"\"revision\":5}],\"store-revision\":5}",
 		big);
 	struct answer_head head = { 0 };
-	struct seen s;
+	struct received received;
 
 	(void)state;
-	assert_int_equal(list(body, &s, &head), 0);
-	assert_int_equal(s.n, 1);
-	assert_string_equal(s.last.key, "servers/i-2");
-	assert_int_equal(s.last.size_bytes, 0);
+	assert_int_equal(list(body, &received, &head), 0);
+	assert_int_equal(received.n, 1);
+	assert_string_equal(received.last.key, "servers/i-2");
+	assert_int_equal(received.last.size_bytes, 0);
 	g_free(body);
 	g_free(big);
 }
 
-static void test_reads_changes(void **state)
+static void test_deletion_in_a_watch_is_decoded(void **state)
 {
 	static const char body[] =
 		"{\"events\":[{\"key\":\"servers/i-7\",\"revision\":413,"
 		"\"deleted\":true}],\"store-revision\":413}";
 	struct answer_head head = { 0 };
-	struct seen s = { 0 };
+	struct received received = { 0 };
 
 	(void)state;
-	assert_int_equal(users_read_changes(body, strlen(body),
-					    (struct facts_port){ &s, see },
-					    &head),
-			 0);
-	assert_true(s.last.deleted);
-	assert_int_equal(s.last.revision, 413);
+	assert_int_equal(
+		users_read_changes(body, strlen(body),
+				   (struct facts_port){ &received, receive },
+				   &head),
+		0);
+	assert_true(received.last.deleted);
+	assert_int_equal(received.last.revision, 413);
 }
 
-static void test_refuses_what_is_no_answer(void **state)
+static void test_malformed_answer_is_rejected(void **state)
 {
 	static const char *const bodies[] = {
 		"",
@@ -269,15 +274,15 @@
 		"{\"items\":[],\"more-pages\":true,\"store-revision\":5}",
 	};
 	struct answer_head head = { 0 };
-	struct seen s;
+	struct received received;
 
 	(void)state;
 	for (size_t i = 0; i < sizeof(bodies) / sizeof(bodies[0]); i++)
-		assert_int_equal(list(bodies[i], &s, &head), -EPROTO);
+		assert_int_equal(list(bodies[i], &received, &head), -EPROTO);
 }
 
-static int read(const char *key, const char *value, struct directory *names,
-		struct document_news *out)
+static int decode(const char *key, const char *value, struct directory *names,
+		  struct document_news *out)
 {
 	struct document d = { .revision = 9, .created = 4 };
 	const char *problem = NULL;
@@ -293,7 +298,7 @@
 	return err;
 }
 
-static struct directory *names_open(void)
+static struct directory *new_names(void)
 {
 	struct directory_conf conf = { NS_PER_S, NS_PER_S };
 
@@ -305,35 +310,36 @@
 	"\"z\",\"version\":\"v1\",\"slots\":3,\"state\":\"draining\"," \
 	"\"cold-remaining-ms\":1500,\"sequence\":4"
 
-static void test_reads_a_target(void **state)
+static void test_target_is_decoded(void **state)
 {
-	struct directory *names = names_open();
-	struct document_news n;
+	struct directory *names = new_names();
+	struct document_news doc;
 
 	(void)state;
 	directory_add_service(names, "s");
-	assert_int_equal(read("servers/i-7f3a91c2", ENTRY "}", names, &n), 0);
-	assert_int_equal(n.kind, DOCUMENT_TARGET);
-	assert_int_equal(n.target.id, 0x7f3a91c2);
-	assert_int_equal(n.target.addr, ADDR(0x0a800009, 8080));
-	assert_int_equal(n.target.slots, 3);
-	assert_true(n.target.leaving);
-	assert_int_equal(n.target.created.revision, 4);
-	assert_int_equal(n.target.sequence, 4);
-	assert_int_equal(n.target.cold_ms, 1500);
-	assert_int_equal(n.target.started_ms, 0);
-	assert_int_equal(read("servers/i-7f3a91c2",
-			      ENTRY ",\"born\":1785000000123,\"more\":{}}",
-			      names, &n),
+	assert_int_equal(decode("servers/i-7f3a91c2", ENTRY "}", names, &doc),
 			 0);
-	assert_int_equal(n.target.started_ms, 1785000000123);
-	assert_int_equal(read("servers/i-7f3a91c2", NULL, names, &n), 0);
-	assert_int_equal(n.target.id, 0x7f3a91c2);
-	assert_int_equal(n.target.key_hash, hash_text("servers/i-7f3a91c2"));
+	assert_int_equal(doc.kind, DOCUMENT_TARGET);
+	assert_int_equal(doc.target.id, 0x7f3a91c2);
+	assert_int_equal(doc.target.addr, ADDR(0x0a800009, 8080));
+	assert_int_equal(doc.target.slots, 3);
+	assert_true(doc.target.leaving);
+	assert_int_equal(doc.target.created.revision, 4);
+	assert_int_equal(doc.target.sequence, 4);
+	assert_int_equal(doc.target.cold_ms, 1500);
+	assert_int_equal(doc.target.started_ms, 0);
+	assert_int_equal(decode("servers/i-7f3a91c2",
+				ENTRY ",\"born\":1785000000123,\"more\":{}}",
+				names, &doc),
+			 0);
+	assert_int_equal(doc.target.started_ms, 1785000000123);
+	assert_int_equal(decode("servers/i-7f3a91c2", NULL, names, &doc), 0);
+	assert_int_equal(doc.target.id, 0x7f3a91c2);
+	assert_int_equal(doc.target.key_hash, hash_text("servers/i-7f3a91c2"));
 	directory_free(names);
 }
 
-/* An entry with one field changed, absent when @value is NULL. */
+/* A target's entry with one field changed, or removed when @value is NULL. */
 static char *entry_with(const char *field, const char *value)
 {
 	json_t *root = json_loads(ENTRY ",\"born\":1785000000123}", 0, NULL);
@@ -349,13 +355,13 @@
 }
 
 /*
- * Symptom: flows go where nothing serves them, or a target that serves is taken
- * for dead. Sequence: somebody else writes among the targets' entries. Cause:
- * what was missing or of another type counted as 0, empty or serving.
+ * Another program writes below the targets' prefix. If a field that is missing
+ * or of another type counted as 0, empty or ready, flows would be sent to an
+ * address where nothing serves them, or a working target be taken for dead.
  */
-static void test_entries_that_name_no_target(void **state)
+static void test_target_with_an_invalid_field_is_rejected(void **state)
 {
-	static const char *const bad[][2] = {
+	static const char *const invalid[][2] = {
 		{ "service", NULL },
 		{ "service", "7" },
 		{ "service", "\"\"" },
@@ -395,26 +401,27 @@
 		{ "born", "0" },
 		{ "born", "-5" },
 	};
-	struct directory *names = names_open();
-	struct document_news n;
+	struct directory *names = new_names();
+	struct document_news doc;
 
 	(void)state;
 	directory_add_service(names, "s");
-	for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
-		char *text = entry_with(bad[i][0], bad[i][1]);
+	for (size_t i = 0; i < G_N_ELEMENTS(invalid); i++) {
+		char *text = entry_with(invalid[i][0], invalid[i][1]);
 
-		assert_int_equal(read("servers/i-7f3a91c2", text, names, &n),
+		assert_int_equal(decode("servers/i-7f3a91c2", text, names,
+					&doc),
 				 -EPROTO);
-		assert_int_equal(n.kind, DOCUMENT_TARGET);
-		assert_int_equal(n.target.id, 0x7f3a91c2);
+		assert_int_equal(doc.kind, DOCUMENT_TARGET);
+		assert_int_equal(doc.target.id, 0x7f3a91c2);
 		free(text);
 	}
 	directory_free(names);
 }
 
-static void test_keys_that_are_no_id(void **state)
+static void test_key_without_a_valid_id_is_rejected(void **state)
 {
-	static const char *const bad[] = {
+	static const char *const invalid[] = {
 		"servers/",	  "servers/i-",
 		"servers/12",	  "servers/i-12 ",
 		"servers/i- 12",  "servers/i-0x12",
@@ -424,54 +431,56 @@
 		"servers/ii-12",  "servers/i-12345678901234567",
 		"servers/i-0000",
 	};
-	struct directory *names = names_open();
-	struct document_news n;
+	struct directory *names = new_names();
+	struct document_news doc;
 
 	(void)state;
 	directory_add_service(names, "s");
-	for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
-		assert_int_equal(read(bad[i], ENTRY "}", names, &n), -EPROTO);
-		assert_int_equal(n.kind, DOCUMENT_OTHER);
+	for (size_t i = 0; i < G_N_ELEMENTS(invalid); i++) {
+		assert_int_equal(decode(invalid[i], ENTRY "}", names, &doc),
+				 -EPROTO);
+		assert_int_equal(doc.kind, DOCUMENT_OTHER);
 	}
 	directory_free(names);
 }
 
-/* Its entry may come before the configuration that names its service. */
-static void test_target_of_a_service_not_named_yet(void **state)
+/* A target's entry may arrive before the configuration with its service. */
+static void test_target_before_its_service_is_known(void **state)
 {
-	struct directory *names = names_open();
-	struct document_news n;
+	struct directory *names = new_names();
+	struct document_news doc;
 
 	(void)state;
-	assert_int_equal(read("servers/i-7f3a91c2", ENTRY "}", names, &n),
+	assert_int_equal(decode("servers/i-7f3a91c2", ENTRY "}", names, &doc),
 			 -ENOENT);
 	assert_int_equal(directory_service_count(names), 0);
 	directory_add_service(names, "s");
-	assert_int_equal(read("servers/i-7f3a91c2", ENTRY "}", names, &n), 0);
+	assert_int_equal(decode("servers/i-7f3a91c2", ENTRY "}", names, &doc),
+			 0);
 	directory_free(names);
 }
 
-/* A young process learns of a departed target whose flows may still come. */
-static void test_reads_a_departed_target(void **state)
+/* A new process must recognise flows of a target that is already deleted. */
+static void test_last_value_of_a_deleted_target_is_decoded(void **state)
 {
-	struct directory *names = names_open();
+	struct directory *names = new_names();
 	struct document d = { .key = "servers/i-7f3a91c2",
 			      .revision = 9,
 			      .deleted = true };
-	struct document_news n;
+	struct document_news doc;
 	const char *problem;
 
 	(void)state;
 	directory_add_service(names, "s");
 	d.value = (uint8_t *)ENTRY "}";
 	d.size_bytes = (uint32_t)strlen((char *)d.value);
-	assert_int_equal(users_read_document(&d, names, &n, &problem), 0);
-	assert_int_equal(n.target.addr, ADDR(0x0a800009, 8080));
+	assert_int_equal(users_read_document(&d, names, &doc, &problem), 0);
+	assert_int_equal(doc.target.addr, ADDR(0x0a800009, 8080));
 	d.value = (uint8_t *)"junk";
 	d.size_bytes = 4;
-	assert_int_equal(users_read_document(&d, names, &n, &problem), 0);
-	assert_int_equal(n.target.id, 0x7f3a91c2);
-	assert_int_equal(n.target.addr, 0);
+	assert_int_equal(users_read_document(&d, names, &doc, &problem), 0);
+	assert_int_equal(doc.target.id, 0x7f3a91c2);
+	assert_int_equal(doc.target.addr, 0);
 	directory_free(names);
 }
 
@@ -479,42 +488,42 @@
 	"{\"host\":\"198.18.0.1\",\"prefix\":\"/443/\",\"kind\":\"safe\"," \
 	"\"timeout-ms\":2500,\"priority\":2,\"service\":\"s\"}"
 
-static void test_reads_a_configuration(void **state)
+static void test_configuration_is_decoded(void **state)
 {
-	struct directory *names = names_open();
-	struct document_news n;
+	struct directory *names = new_names();
+	struct document_news doc;
 
 	(void)state;
-	assert_int_equal(read("op/config",
-			      "{\"version\":7,\"routes\":[" ROUTE
-			      "],\"services\":[{\"name\":\"s\"},"
-			      "{\"name\":\"t\",\"cold-start-s\":2.5,"
-			      "\"cold-per-s\":4.5}],"
-			      "\"limits\":{\"idle-timeout-ms\":15000}}",
-			      names, &n),
+	assert_int_equal(decode("op/config",
+				"{\"version\":7,\"routes\":[" ROUTE
+				"],\"services\":[{\"name\":\"s\"},"
+				"{\"name\":\"t\",\"cold-start-s\":2.5,"
+				"\"cold-per-s\":4.5}],"
+				"\"limits\":{\"idle-timeout-ms\":15000}}",
+				names, &doc),
 			 0);
 	assert_int_not_equal(directory_find_service(names, "t"),
 			     DIRECTORY_SERVICE_NONE);
-	assert_int_equal(n.kind, DOCUMENT_ROUTES);
-	assert_int_equal(n.routes->version, 7);
-	assert_int_equal(n.routes->n_routes, 1);
-	assert_int_equal(n.routes->routes[0].vip, VIP);
-	assert_int_equal(n.routes->routes[0].kind, ROUTE_FEED);
-	assert_int_equal(n.routes->idle_timeout_ns, 15 * NS_PER_S);
-	assert_int_equal(n.routes->n_cold, 2);
-	assert_true(n.routes->cold[0].flows_per_s == 0);
-	assert_int_equal(n.routes->cold[1].service,
+	assert_int_equal(doc.kind, DOCUMENT_ROUTES);
+	assert_int_equal(doc.routes->version, 7);
+	assert_int_equal(doc.routes->n_routes, 1);
+	assert_int_equal(doc.routes->routes[0].vip, VIP);
+	assert_int_equal(doc.routes->routes[0].kind, ROUTE_FEED);
+	assert_int_equal(doc.routes->idle_timeout_ns, 15 * NS_PER_S);
+	assert_int_equal(doc.routes->n_cold, 2);
+	assert_true(doc.routes->cold[0].flows_per_s == 0);
+	assert_int_equal(doc.routes->cold[1].service,
 			 directory_find_service(names, "t"));
-	assert_int_equal(n.routes->cold[1].cold_ms, 2500);
-	assert_true(n.routes->cold[1].flows_per_s == 4.5f);
-	route_table_free(n.routes);
+	assert_int_equal(doc.routes->cold[1].cold_ms, 2500);
+	assert_true(doc.routes->cold[1].flows_per_s == 4.5f);
+	route_table_free(doc.routes);
 	directory_free(names);
 }
 
-/* A bad one is refused whole: half a configuration would drop routes. */
-static void test_refuses_bad_documents_whole(void **state)
+/* Taking the valid part of a bad configuration would drop routes. */
+static void test_bad_document_is_rejected_as_a_whole(void **state)
 {
-	static const char *const bad[][2] = {
+	static const char *const invalid[][2] = {
 		{ "op/config", "" },
 		{ "op/config", "{}" },
 		{ "op/config", "{\"version\":7}" },
@@ -529,67 +538,69 @@
 		  "{\"service\":\"s\",\"address\":\"1.2.3.4:99999\"}" },
 		{ "servers/i-12", "{\"address\":\"1.2.3.4:80\"}" },
 	};
-	struct directory *names = names_open();
-	struct document_news n;
+	struct directory *names = new_names();
+	struct document_news doc;
 
 	(void)state;
-	for (size_t i = 0; i < sizeof(bad) / sizeof(bad[0]); i++)
-		assert_int_equal(read(bad[i][0], bad[i][1], names, &n),
+	for (size_t i = 0; i < sizeof(invalid) / sizeof(invalid[0]); i++)
+		assert_int_equal(decode(invalid[i][0], invalid[i][1], names,
+					&doc),
 				 -EPROTO);
-	assert_int_equal(read("other/key", "x", names, &n), 0);
-	assert_int_equal(n.kind, DOCUMENT_OTHER);
+	assert_int_equal(decode("other/key", "x", names, &doc), 0);
+	assert_int_equal(doc.kind, DOCUMENT_OTHER);
 	directory_free(names);
 }
 
-/* The key says it, whatever stands under it. */
-static void test_reads_an_evacuation(void **state)
+/* A malformed value must not prevent an evacuation. */
+static void test_evacuation_is_taken_with_any_value(void **state)
 {
 	static const char *const bodies[] = { "{}", "", "[1]", "not JSON" };
-	struct directory *names = names_open();
-	struct document_news n;
+	struct directory *names = new_names();
+	struct document_news doc;
 
 	(void)state;
 	for (size_t i = 0; i < sizeof(bodies) / sizeof(bodies[0]); i++) {
-		assert_int_equal(read("op/evacuate/garda-hall", bodies[i],
-				      names, &n),
+		assert_int_equal(decode("op/evacuate/garda-hall", bodies[i],
+					names, &doc),
 				 0);
-		assert_int_equal(n.kind, DOCUMENT_EVACUATION);
-		assert_string_equal(n.data_centre, "garda-hall");
+		assert_int_equal(doc.kind, DOCUMENT_EVACUATION);
+		assert_string_equal(doc.data_centre, "garda-hall");
 	}
-	assert_int_equal(read("op/evacuate/garda-hall", NULL, names, &n), 0);
-	assert_int_equal(n.kind, DOCUMENT_EVACUATION);
+	assert_int_equal(decode("op/evacuate/garda-hall", NULL, names, &doc),
+			 0);
+	assert_int_equal(doc.kind, DOCUMENT_EVACUATION);
 	directory_free(names);
 }
 
-static void test_refuses_an_evacuation_of_no_name(void **state)
+static void test_evacuation_without_a_valid_name_is_rejected(void **state)
 {
-	struct directory *names = names_open();
-	struct document_news n;
+	struct directory *names = new_names();
+	struct document_news doc;
 	char key[128] = "op/evacuate/";
 
 	(void)state;
-	assert_int_equal(read(key, "{}", names, &n), -EPROTO);
+	assert_int_equal(decode(key, "{}", names, &doc), -EPROTO);
 	memset(key + strlen(key), 'z', NAME_MAX_BYTES);
-	assert_int_equal(read(key, "{}", names, &n), -EPROTO);
+	assert_int_equal(decode(key, "{}", names, &doc), -EPROTO);
 	directory_free(names);
 }
 
-/* Its listing and its watch bring it like any other key. */
-static void test_evacuations_are_taken_from_the_store(void **state)
+/* Evacuations must not be dropped like unused keys. */
+static void test_listing_contains_evacuations(void **state)
 {
 	static const char body[] =
 		"{\"items\":[{\"key\":\"op/evacuate/como-hall\",\"value\":"
 		"\"e30=\",\"revision\":8}],\"store-revision\":9}";
 	struct answer_head head = { 0 };
-	struct seen s;
+	struct received received;
 
 	(void)state;
-	assert_int_equal(list(body, &s, &head), 0);
-	assert_int_equal(s.n, 1);
-	assert_string_equal(s.last.key, "op/evacuate/como-hall");
+	assert_int_equal(list(body, &received, &head), 0);
+	assert_int_equal(received.n, 1);
+	assert_string_equal(received.last.key, "op/evacuate/como-hall");
 }
 
-static void test_paths(void **state)
+static void test_request_paths(void **state)
 {
 	char path[PATH_MAX_BYTES];
 
@@ -607,29 +618,32 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_reads_a_packet),
-		cmocka_unit_test(test_refuses_what_is_no_packet),
-		cmocka_unit_test(test_only_the_echo_is_written),
-		cmocka_unit_test(test_envelope_names_the_target),
-		cmocka_unit_test(test_reset),
-		cmocka_unit_test(test_reads_the_epoch),
-		cmocka_unit_test(test_reads_a_listing),
-		cmocka_unit_test(test_other_items_of_a_page_hold),
-		cmocka_unit_test(test_value_that_cannot_be_read),
-		cmocka_unit_test(test_other_keys_are_left_out),
-		cmocka_unit_test(test_reads_changes),
-		cmocka_unit_test(test_refuses_what_is_no_answer),
-		cmocka_unit_test(test_reads_a_target),
-		cmocka_unit_test(test_entries_that_name_no_target),
-		cmocka_unit_test(test_keys_that_are_no_id),
-		cmocka_unit_test(test_target_of_a_service_not_named_yet),
-		cmocka_unit_test(test_reads_a_departed_target),
-		cmocka_unit_test(test_reads_a_configuration),
-		cmocka_unit_test(test_refuses_bad_documents_whole),
-		cmocka_unit_test(test_reads_an_evacuation),
-		cmocka_unit_test(test_refuses_an_evacuation_of_no_name),
-		cmocka_unit_test(test_evacuations_are_taken_from_the_store),
-		cmocka_unit_test(test_paths),
+		cmocka_unit_test(test_packet_is_decoded),
+		cmocka_unit_test(test_packet_of_wrong_length_is_rejected),
+		cmocka_unit_test(test_cookie_changes_only_the_echo_field),
+		cmocka_unit_test(test_encapsulation_holds_the_target_id),
+		cmocka_unit_test(test_reset_matches_the_documented_example),
+		cmocka_unit_test(test_epoch_is_parsed_and_garbage_rejected),
+		cmocka_unit_test(test_listing_is_decoded),
+		cmocka_unit_test(test_malformed_item_does_not_hide_the_others),
+		cmocka_unit_test(test_malformed_value_arrives_empty),
+		cmocka_unit_test(
+			test_unused_keys_and_oversized_values_take_no_memory),
+		cmocka_unit_test(test_deletion_in_a_watch_is_decoded),
+		cmocka_unit_test(test_malformed_answer_is_rejected),
+		cmocka_unit_test(test_target_is_decoded),
+		cmocka_unit_test(test_target_with_an_invalid_field_is_rejected),
+		cmocka_unit_test(test_key_without_a_valid_id_is_rejected),
+		cmocka_unit_test(test_target_before_its_service_is_known),
+		cmocka_unit_test(
+			test_last_value_of_a_deleted_target_is_decoded),
+		cmocka_unit_test(test_configuration_is_decoded),
+		cmocka_unit_test(test_bad_document_is_rejected_as_a_whole),
+		cmocka_unit_test(test_evacuation_is_taken_with_any_value),
+		cmocka_unit_test(
+			test_evacuation_without_a_valid_name_is_rejected),
+		cmocka_unit_test(test_listing_contains_evacuations),
+		cmocka_unit_test(test_request_paths),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
