--- a/adapters/account_codec.h
+++ b/adapters/account_codec.h
@@ -1,4 +1,4 @@
-/* Accounts and lists of VMs as items of a content, coded with msgpack. */
+/* Encodes accounts and the list of VMs as contents: sorted msgpack items. */
 #ifndef CB_ACCOUNT_CODEC_H
 #define CB_ACCOUNT_CODEC_H
 
@@ -6,8 +6,8 @@
 #include "content.h"
 
 /**
- * account_encode() - an account as a content
- * @a: account; its name and generation travel beside the content
+ * account_encode() - encode an account as a content
+ * @account: account; its name and generation are not encoded
  * @out: content, to be freed with content_free()
  *
  * Equal accounts give equal contents, whatever the order of their services
@@ -15,40 +15,42 @@
  *
  * Return: 0 or -ENOMEM.
  */
-int account_encode(const struct account_conf *a, struct content **out);
+int account_encode(const struct account_conf *account, struct content **out);
 
 /**
- * account_decode() - read a content that came from another process
- * @name: account's name
- * @generation: its generation
- * @c: content
- * @out: account, to be freed with account_free()
+ * account_decode() - decode a content received from another process
+ * @name: name of the account
+ * @generation: generation of the account
+ * @content: content
+ * @out: account, to be freed with account_free(); NULL on error
  *
- * Return: 0; -EPROTONOSUPPORT for another version; -EPROTO for a content that
- * is malformed or out of bounds; -ENOMEM.
+ * Return: 0; -EPROTONOSUPPORT for another version of the codec; -EPROTO for a
+ * content that is malformed or exceeds a limit; -ENOMEM.
  */
 int account_decode(const char *name, uint64_t generation,
-		   const struct content *c, struct account_conf **out);
+		   const struct content *content, struct account_conf **out);
 
 /**
- * roster_encode() - the platform's list of VMs as a content
- * @text: lines "ADDRESS STATE"
- * @size_bytes: its size
- * @out: content, to be freed with content_free()
+ * roster_encode() - encode the platform's list of VMs as a content
+ * @text: lines "ADDRESS STATE", not terminated
+ * @size_bytes: size of @text
+ * @out: content, to be freed with content_free(); NULL on error
  *
- * Return: 0; -EPROTO when a line is malformed: the whole list is refused;
- * -ENOMEM.
+ * Return: 0; -EPROTO when any line is malformed; -ENOMEM.
  */
 int roster_encode(const char *text, uint32_t size_bytes, struct content **out);
 
 /**
- * roster_decode() - read the VMs that are not leaving
- * @c: content
- * @vms: room for @cap addresses
- * @cap: see above
+ * roster_decode() - decode the VMs that are not leaving
+ * @content: content made by roster_encode(), perhaps in another process
+ * @addrs: addresses of those VMs
+ * @addrs_max: capacity of @addrs
  *
- * Return: how many, or -EPROTO, -EPROTONOSUPPORT, -ENOSPC.
+ * Return: number of addresses; -EPROTO for a malformed content;
+ * -EPROTONOSUPPORT for another version of the codec; -ENOSPC when there are
+ * more than @addrs_max.
  */
-int32_t roster_decode(const struct content *c, uint64_t *vms, uint32_t cap);
+int32_t roster_decode(const struct content *content, uint64_t *addrs,
+		      uint32_t addrs_max);
 
 #endif
--- a/adapters/addr.c
+++ b/adapters/addr.c
@@ -23,11 +23,11 @@
 }
 
 /**
- * addr_parse() - read "A.B.C.D:PORT"
+ * addr_parse() - parse "A.B.C.D:PORT"
  * @text: text
- * @addr: filled; unchanged on error
+ * @addr: endpoint, see ADDR(); unchanged on error
  *
- * Return: 0, or -EINVAL; port 0 and address 0.0.0.0 are refused.
+ * Return: 0; -EINVAL when @text has another form, or port 0 or address 0.0.0.0.
  */
 int addr_parse(const char *text, uint64_t *addr)
 {
@@ -49,10 +49,10 @@
 }
 
 /**
- * addr_text() - write "A.B.C.D:PORT"
- * @addr: endpoint
- * @buf: room, 22 bytes suffice
- * @size_bytes: its size
+ * addr_text() - format an endpoint as "A.B.C.D:PORT"
+ * @addr: endpoint, see ADDR()
+ * @buf: the text; truncated if @buf is smaller than 22 bytes
+ * @size_bytes: size of @buf
  *
  * Return: @buf.
  */
--- a/adapters/coap_make.c
+++ b/adapters/coap_make.c
@@ -1,6 +1,6 @@
 /*
- * The core's actions as CoAP datagrams. A caller's datagram keeps its bytes
- * but for type, message ID, token and one option.
+ * Encodes the core's actions as CoAP datagrams. In a forwarded datagram only
+ * the type, message ID, token and Timeout option change.
  */
 #include "coap_wire.h"
 
@@ -17,139 +17,162 @@
 #define UINT_OPTION_MAX_BYTES 4
 #define BODY_MAX_BYTES 64
 
-/* Output with a sticky error: after the first failure nothing is written. */
-struct out {
+/* Output buffer. @err keeps the first error; later writes do nothing. */
+struct out_buffer {
 	uint8_t *buf;
 	uint32_t size_bytes;
 	uint32_t cap_bytes;
 	int32_t err;
 };
 
-/* One option of a datagram, and where the walk over them stands. */
-struct walk {
-	const uint8_t *at;
+/**
+ * struct option_cursor - iterator over the options of a datagram
+ * @next: first byte that isn't consumed
+ * @end: end of the datagram
+ * @last_number: number of the last consumed option, 0 before the first
+ * @option: option at @next, set by option_peek()
+ * @option_bytes: encoded size of @option
+ */
+struct option_cursor {
+	const uint8_t *next;
 	const uint8_t *end;
-	uint16_t number;
-	coap_option_t opt;
-	uint32_t opt_bytes;
+	uint16_t last_number;
+	coap_option_t option;
+	uint32_t option_bytes;
 };
 
-static void put_bytes(struct out *o, const void *bytes, size_t n)
+static void put_bytes(struct out_buffer *out, const void *bytes, size_t n)
 {
-	if (o->err)
+	if (out->err)
 		return;
-	if (n > o->cap_bytes - o->size_bytes) {
-		o->err = -EMSGSIZE;
+	if (n > out->cap_bytes - out->size_bytes) {
+		out->err = -EMSGSIZE;
 		return;
 	}
 	if (n)
-		memcpy(o->buf + o->size_bytes, bytes, n);
-	o->size_bytes += n;
+		memcpy(out->buf + out->size_bytes, bytes, n);
+	out->size_bytes += n;
 }
 
-static void put_option(struct out *o, uint32_t delta, const uint8_t *value,
-		       size_t n)
+static void put_option(struct out_buffer *out, uint32_t delta,
+		       const uint8_t *value, size_t n)
 {
 	size_t used;
 
-	if (o->err)
+	if (out->err)
 		return;
-	used = coap_opt_encode(o->buf + o->size_bytes,
-			       o->cap_bytes - o->size_bytes, (uint16_t)delta,
-			       value, n);
+	used = coap_opt_encode(out->buf + out->size_bytes,
+			       out->cap_bytes - out->size_bytes,
+			       (uint16_t)delta, value, n);
 	if (!used)
-		o->err = -EMSGSIZE;
-	o->size_bytes += used;
+		out->err = -EMSGSIZE;
+	out->size_bytes += used;
 }
 
-static void put_uint_option(struct out *o, uint32_t delta, uint32_t value)
+static void put_uint_option(struct out_buffer *out, uint32_t delta,
+			    uint32_t value)
 {
 	uint8_t bytes[UINT_OPTION_MAX_BYTES];
 	uint32_t n = coap_encode_var_safe(bytes, sizeof(bytes), value);
 
-	put_option(o, delta, bytes, n);
+	put_option(out, delta, bytes, n);
 }
 
-static void put_header(struct out *o, uint8_t type, uint8_t code, uint16_t id,
-		       const uint8_t *token, uint8_t token_len)
+static void put_header(struct out_buffer *out, uint8_t type, uint8_t code,
+		       uint16_t id, const uint8_t *token, uint8_t token_len)
 {
 	uint8_t head[HEADER_BYTES] = { (uint8_t)(COAP_VERSION << 6 |
 						 (type & 3) << 4 | token_len),
 				       code, id >> 8, id & 0xff };
 
 	if (token_len > TOKEN_MAX_BYTES) {
-		o->err = -EINVAL;
+		out->err = -EINVAL;
 		return;
 	}
-	put_bytes(o, head, sizeof(head));
-	put_bytes(o, token, token_len);
+	put_bytes(out, head, sizeof(head));
+	put_bytes(out, token, token_len);
 }
 
-static int32_t out_end(const struct out *o)
+static int32_t out_result(const struct out_buffer *out)
 {
-	return o->err ? o->err : (int32_t)o->size_bytes;
+	return out->err ? out->err : (int32_t)out->size_bytes;
 }
 
-/* Where the options begin, or NULL for a datagram that is none of ours. */
-static const uint8_t *options_of(const struct action *a)
+/* Start of the options, or NULL when the datagram is missing or truncated. */
+static const uint8_t *options_start(const struct action *action)
 {
 	uint32_t skip_bytes;
 
-	if (!a->data || a->size_bytes < HEADER_BYTES)
+	if (!action->data || action->size_bytes < HEADER_BYTES)
 		return NULL;
-	skip_bytes = HEADER_BYTES + (a->data[0] & TOKEN_LEN_MASK);
-	return skip_bytes > a->size_bytes ? NULL : a->data + skip_bytes;
+	skip_bytes = HEADER_BYTES + (action->data[0] & TOKEN_LEN_MASK);
+	return skip_bytes > action->size_bytes ? NULL
+					       : action->data + skip_bytes;
 }
 
-/* Look at the option at @at: false at the payload, the end, or a bad one. */
-static bool walk_peek(struct walk *w)
+/*
+ * Parses the next option without consuming it. Returns false at the payload, at
+ * the end of the datagram and at a malformed option.
+ */
+static bool option_peek(struct option_cursor *cursor)
 {
-	if (w->at == w->end || *w->at == PAYLOAD_MARKER)
+	if (cursor->next == cursor->end || *cursor->next == PAYLOAD_MARKER)
 		return false;
-	w->opt_bytes = coap_opt_parse(w->at, (size_t)(w->end - w->at), &w->opt);
-	return w->opt_bytes != 0;
+	cursor->option_bytes =
+		coap_opt_parse(cursor->next,
+			       (size_t)(cursor->end - cursor->next),
+			       &cursor->option);
+	return cursor->option_bytes != 0;
 }
 
-static void walk_past(struct walk *w)
+static void option_skip(struct option_cursor *cursor)
 {
-	w->number += w->opt.delta;
-	w->at += w->opt_bytes;
+	cursor->last_number += cursor->option.delta;
+	cursor->next += cursor->option_bytes;
 }
 
-/* Advance to the first option with @number or a higher one. */
-static bool walk_to(struct walk *w, uint32_t number)
+/* Skips to the first option with @number or a higher one; false if none. */
+static bool option_seek(struct option_cursor *cursor, uint32_t number)
 {
-	while (walk_peek(w)) {
-		if ((uint32_t)w->number + w->opt.delta >= number)
+	while (option_peek(cursor)) {
+		if ((uint32_t)cursor->last_number + cursor->option.delta >=
+		    number)
 			return true;
-		walk_past(w);
+		option_skip(cursor);
 	}
 	return false;
 }
 
-/* Put the option @number in place of any there; the rest stays. */
-static void put_replaced(struct out *o, struct walk *w, uint16_t number,
-			 uint32_t value)
+/*
+ * Copies the remaining options and the payload, with one option @number of the
+ * given value instead of any that the datagram has.
+ */
+static void put_option_replacing(struct out_buffer *out,
+				 struct option_cursor *cursor, uint16_t number,
+				 uint32_t value)
 {
-	const uint8_t *from = w->at;
-	uint16_t before;
-	uint32_t next;
+	const uint8_t *unchanged = cursor->next;
+	uint16_t last_number;
+	uint32_t next_number;
 	bool more;
 
-	more = walk_to(w, number);
-	put_bytes(o, from, (size_t)(w->at - from));
-	before = w->number;
-	put_uint_option(o, (uint32_t)number - before, value);
-	while (more && (uint32_t)w->number + w->opt.delta == number) {
-		walk_past(w);
-		more = walk_peek(w);
+	more = option_seek(cursor, number);
+	put_bytes(out, unchanged, (size_t)(cursor->next - unchanged));
+	last_number = cursor->last_number;
+	put_uint_option(out, (uint32_t)number - last_number, value);
+	while (more &&
+	       (uint32_t)cursor->last_number + cursor->option.delta == number) {
+		option_skip(cursor);
+		more = option_peek(cursor);
 	}
 	if (more) {
-		next = (uint32_t)w->number + w->opt.delta;
-		put_option(o, next - number, w->opt.value, w->opt.length);
-		walk_past(w);
+		next_number =
+			(uint32_t)cursor->last_number + cursor->option.delta;
+		put_option(out, next_number - number, cursor->option.value,
+			   cursor->option.length);
+		option_skip(cursor);
 	}
-	put_bytes(o, w->at, (size_t)(w->end - w->at));
+	put_bytes(out, cursor->next, (size_t)(cursor->end - cursor->next));
 }
 
 static uint32_t timeout_ms(uint64_t timeout_ns)
@@ -162,34 +185,38 @@
 }
 
 /**
- * coap_wire_rewrite() - a received datagram, made fit for the other side
- * @a: action with the datagram, and the type, ID and token to put in; a
- *	timeout_ns other than 0 goes in as the Timeout option
- * @buf: room for the result
- * @cap_bytes: its size
+ * coap_wire_rewrite() - encode a received datagram for forwarding
+ * @action: action with the received datagram and the type, message ID and token
+ *	to write; a timeout_ns other than 0 is written as the Timeout option
+ * @buf: encoded datagram
+ * @cap_bytes: capacity of @buf
  *
- * Return: bytes written; -EMSGSIZE for too little room; -EPROTO for a
- * datagram that coap_wire_parse() would refuse; -EINVAL for a long token.
+ * Return: size of the datagram in bytes; -EMSGSIZE when @buf is too small;
+ * -EPROTO when the received datagram is truncated; -EINVAL when the token
+ * exceeds TOKEN_MAX_BYTES.
  */
-int32_t coap_wire_rewrite(const struct action *a, uint8_t *buf,
+int32_t coap_wire_rewrite(const struct action *action, uint8_t *buf,
 			  uint32_t cap_bytes)
 {
-	struct out o = { .buf = buf, .cap_bytes = cap_bytes };
-	const uint8_t *options = options_of(a);
-	struct walk w = { .at = options };
+	struct out_buffer out = { .buf = buf, .cap_bytes = cap_bytes };
+	const uint8_t *options = options_start(action);
+	struct option_cursor cursor = { .next = options };
 
 	if (!options)
 		return -EPROTO;
-	w.end = a->data + a->size_bytes;
-	put_header(&o, a->type, a->data[1], a->id, a->token, a->token_len);
-	if (a->timeout_ns)
-		put_replaced(&o, &w, OPTION_TIMEOUT, timeout_ms(a->timeout_ns));
+	cursor.end = action->data + action->size_bytes;
+	put_header(&out, action->type, action->data[1], action->id,
+		   action->token, action->token_len);
+	if (action->timeout_ns)
+		put_option_replacing(&out, &cursor, OPTION_TIMEOUT,
+				     timeout_ms(action->timeout_ns));
 	else
-		put_bytes(&o, w.at, (size_t)(w.end - w.at));
-	return out_end(&o);
+		put_bytes(&out, cursor.next,
+			  (size_t)(cursor.end - cursor.next));
+	return out_result(&out);
 }
 
-static const char *const reasons[REFUSE_COUNT] = {
+static const char *const refuse_texts[REFUSE_COUNT] = {
 	[REFUSE_NONE] = "refused",
 	[REFUSE_QUEUE] = "queue full",
 	[REFUSE_SHARE] = "account over its share",
@@ -201,47 +228,48 @@
 	[REFUSE_TRANSFER] = "transfer interrupted, begin again",
 };
 
-static const char *reason_text(uint8_t reason)
+static const char *refuse_text(uint8_t reason)
 {
-	if (reason >= REFUSE_COUNT || !reasons[reason])
-		return reasons[REFUSE_NONE];
-	return reasons[reason];
+	if (reason >= REFUSE_COUNT || !refuse_texts[reason])
+		return refuse_texts[REFUSE_NONE];
+	return refuse_texts[reason];
 }
 
-static void put_body(struct out *o, const char *body)
+static void put_body(struct out_buffer *out, const char *body)
 {
 	const uint8_t marker = PAYLOAD_MARKER;
 
-	put_bytes(o, &marker, 1);
-	put_bytes(o, body, strlen(body));
+	put_bytes(out, &marker, 1);
+	put_bytes(out, body, strlen(body));
 }
 
-static void put_not_run(struct out *o, const struct action *a)
+static void put_not_run(struct out_buffer *out, const struct action *action)
 {
 	char body[BODY_MAX_BYTES];
 
-	snprintf(body, sizeof(body), "not run: %s", reason_text(a->reason));
-	put_uint_option(o, COAP_OPTION_MAXAGE, a->retry_after_s);
-	put_body(o, body);
+	snprintf(body, sizeof(body), "not run: %s",
+		 refuse_text(action->reason));
+	put_uint_option(out, COAP_OPTION_MAXAGE, action->retry_after_s);
+	put_body(out, body);
 }
 
-static void put_unknown(struct out *o, const struct action *a)
+static void put_unknown(struct out_buffer *out, const struct action *action)
 {
-	(void)a;
-	put_body(o, "outcome unknown");
+	(void)action;
+	put_body(out, "outcome unknown");
 }
 
-static void put_feed_lost(struct out *o, const struct action *a)
+static void put_feed_lost(struct out_buffer *out, const struct action *action)
 {
-	(void)a;
-	put_uint_option(o, COAP_OPTION_MAXAGE, 0);
-	put_body(o, "feed lost");
+	(void)action;
+	put_uint_option(out, COAP_OPTION_MAXAGE, 0);
+	put_body(out, "feed lost");
 }
 
 static const struct {
 	uint8_t code;
-	void (*put)(struct out *o, const struct action *a);
-} answers[] = {
+	void (*put)(struct out_buffer *out, const struct action *action);
+} local_answers[] = {
 	[ANSWER_NOT_RUN] = { COAP_RESPONSE_CODE_SERVICE_UNAVAILABLE,
 			     put_not_run },
 	[ANSWER_UNKNOWN] = { COAP_RESPONSE_CODE_GATEWAY_TIMEOUT, put_unknown },
@@ -249,129 +277,138 @@
 			       put_feed_lost },
 };
 
-#define N_ANSWERS (sizeof(answers) / sizeof(answers[0]))
+#define N_LOCAL_ANSWERS (sizeof(local_answers) / sizeof(local_answers[0]))
 
 /**
- * coap_wire_local_answer() - an answer that the balancer itself gives
- * @a: ACT_ANSWER_CALLER
- * @buf: room for the datagram
- * @cap_bytes: its size
+ * coap_wire_local_answer() - encode an answer made by the balancer itself
+ * @action: action of kind ACT_ANSWER_CALLER
+ * @buf: encoded datagram
+ * @cap_bytes: capacity of @buf
  *
- * Return: bytes written, -EMSGSIZE, or -EINVAL for an unknown answer.
+ * Return: size of the datagram in bytes; -EMSGSIZE when @buf is too small;
+ * -EINVAL for an unknown answer or a token above TOKEN_MAX_BYTES.
  */
-int32_t coap_wire_local_answer(const struct action *a, uint8_t *buf,
+int32_t coap_wire_local_answer(const struct action *action, uint8_t *buf,
 			       uint32_t cap_bytes)
 {
-	struct out o = { .buf = buf, .cap_bytes = cap_bytes };
+	struct out_buffer out = { .buf = buf, .cap_bytes = cap_bytes };
 
-	if (a->answer >= N_ANSWERS)
+	if (action->answer >= N_LOCAL_ANSWERS)
 		return -EINVAL;
-	put_header(&o, a->type, answers[a->answer].code, a->id, a->token,
-		   a->token_len);
-	answers[a->answer].put(&o, a);
-	return out_end(&o);
+	put_header(&out, action->type, local_answers[action->answer].code,
+		   action->id, action->token, action->token_len);
+	local_answers[action->answer].put(&out, action);
+	return out_result(&out);
 }
 
 /**
- * coap_wire_empty() - an empty message: acknowledgement, reset or probe
+ * coap_wire_empty() - encode an empty message: acknowledgement, reset or probe
  * @type: enum wire_type
  * @id: message ID
- * @buf: room for the datagram
- * @cap_bytes: its size
+ * @buf: encoded datagram
+ * @cap_bytes: capacity of @buf
  *
- * Return: bytes written, or -EMSGSIZE.
+ * Return: size of the datagram in bytes; -EMSGSIZE when @buf is too small.
  */
 int32_t coap_wire_empty(uint8_t type, uint16_t id, uint8_t *buf,
 			uint32_t cap_bytes)
 {
-	struct out o = { .buf = buf, .cap_bytes = cap_bytes };
+	struct out_buffer out = { .buf = buf, .cap_bytes = cap_bytes };
 
-	put_header(&o, type, COAP_EMPTY_CODE, id, NULL, 0);
-	return out_end(&o);
+	put_header(&out, type, COAP_EMPTY_CODE, id, NULL, 0);
+	return out_result(&out);
 }
 
 /**
- * coap_wire_cancel() - tell a target to stop
- * @a: ACT_CANCEL_TARGET; with the request, or a feed's opening request, as
- *	data, and its token
- * @buf: room for the datagram
- * @cap_bytes: its size
+ * coap_wire_cancel() - encode the cancellation of a request or feed
+ * @action: action of kind ACT_CANCEL_TARGET; its data is the request, or the
+ *	request that opened the feed, and its token is the one used at the
+ *	target
+ * @buf: encoded datagram
+ * @cap_bytes: capacity of @buf
  *
- * The request's token with Observe 1 (RFC 7641 section 3.6) and never a reset:
- * a target matches a reset against message IDs of its own, so one with the
- * request's ID would end whatever feed had that number last, and let the
- * request run. Always a GET, so that the cancellation itself runs nothing.
+ * Sends the token with Observe 1 (RFC 7641 section 3.6). A reset would be
+ * wrong: a target matches it against message IDs that it chose itself, so a
+ * reset with the request's ID could end an unrelated feed and would not stop
+ * the request.
+ * The method is always GET, so that the cancellation itself has no effect.
  *
- * Return: bytes written; -EMSGSIZE; -EPROTO without a well-formed request.
+ * Return: size of the datagram in bytes; -EMSGSIZE when @buf is too small;
+ * -EPROTO when the request is missing or truncated; -EINVAL when the token
+ * exceeds TOKEN_MAX_BYTES.
  */
-int32_t coap_wire_cancel(const struct action *a, uint8_t *buf,
+int32_t coap_wire_cancel(const struct action *action, uint8_t *buf,
 			 uint32_t cap_bytes)
 {
-	struct out o = { .buf = buf, .cap_bytes = cap_bytes };
-	const uint8_t *options = options_of(a);
-	struct walk w = { .at = options };
+	struct out_buffer out = { .buf = buf, .cap_bytes = cap_bytes };
+	const uint8_t *options = options_start(action);
+	struct option_cursor cursor = { .next = options };
 
-	if (!a->data || !options)
+	if (!action->data || !options)
 		return -EPROTO;
-	w.end = a->data + a->size_bytes;
-	put_header(&o, a->type, COAP_REQUEST_GET, a->id, a->token,
-		   a->token_len);
-	put_replaced(&o, &w, COAP_OPTION_OBSERVE, 1);
-	return out_end(&o);
+	cursor.end = action->data + action->size_bytes;
+	put_header(&out, action->type, COAP_REQUEST_GET, action->id,
+		   action->token, action->token_len);
+	put_option_replacing(&out, &cursor, COAP_OPTION_OBSERVE, 1);
+	return out_result(&out);
 }
 
 /**
- * coap_wire_load_poll() - a request for a target's load
- * @id: message ID, and token
- * @buf: room for the datagram
- * @cap_bytes: its size
+ * coap_wire_load_poll() - encode a request for a target's load
+ * @id: message ID, also used as the token
+ * @buf: encoded datagram
+ * @cap_bytes: capacity of @buf
  *
- * Return: bytes written, or -EMSGSIZE.
+ * Return: size of the datagram in bytes; -EMSGSIZE when @buf is too small.
  */
 int32_t coap_wire_load_poll(uint16_t id, uint8_t *buf, uint32_t cap_bytes)
 {
 	static const char path[] = "load";
 	const uint8_t token[] = { id >> 8, id & 0xff };
-	struct out o = { .buf = buf, .cap_bytes = cap_bytes };
+	struct out_buffer out = { .buf = buf, .cap_bytes = cap_bytes };
 
-	put_header(&o, WIRE_PLAIN, COAP_REQUEST_GET, id, token, sizeof(token));
-	put_option(&o, COAP_OPTION_URI_PATH, (const uint8_t *)path,
+	put_header(&out, WIRE_PLAIN, COAP_REQUEST_GET, id, token,
+		   sizeof(token));
+	put_option(&out, COAP_OPTION_URI_PATH, (const uint8_t *)path,
 		   sizeof(path) - 1);
-	return out_end(&o);
+	return out_result(&out);
 }
 
-static const uint8_t *payload_of(const uint8_t *buf, uint32_t size_bytes,
-				 uint32_t *payload_bytes)
+static const uint8_t *find_payload(const uint8_t *buf, uint32_t size_bytes,
+				   uint32_t *payload_bytes)
 {
-	const struct action a = { .data = buf, .size_bytes = size_bytes };
-	const uint8_t *options = options_of(&a);
-	struct walk w = { .at = options };
+	const struct action action = { .data = buf, .size_bytes = size_bytes };
+	const uint8_t *options = options_start(&action);
+	struct option_cursor cursor = { .next = options };
 
 	if (!options)
 		return NULL;
-	w.end = buf + size_bytes;
-	while (walk_peek(&w))
-		walk_past(&w);
-	if (w.at == w.end || *w.at != PAYLOAD_MARKER)
+	cursor.end = buf + size_bytes;
+	while (option_peek(&cursor))
+		option_skip(&cursor);
+	if (cursor.next == cursor.end || *cursor.next != PAYLOAD_MARKER)
 		return NULL;
-	*payload_bytes = (uint32_t)(w.end - w.at) - 1;
-	return w.at + 1;
+	*payload_bytes = (uint32_t)(cursor.end - cursor.next) - 1;
+	return cursor.next + 1;
 }
 
 /**
- * coap_wire_parse_load() - read a target's answer to coap_wire_load_poll()
+ * coap_wire_parse_load() - parse a target's answer to coap_wire_load_poll()
  * @buf: datagram
- * @size_bytes: its size
- * @out: filled
+ * @size_bytes: size of @buf
+ * @out: load; undefined on failure
+ *
+ * The payload is three numbers: running requests, waiting requests and
+ * connections.
  *
- * Return: true when it is "running waiting connections".
+ * Return: whether the answer is valid.
  */
 bool coap_wire_parse_load(const uint8_t *buf, uint32_t size_bytes,
 			  struct load_report *out)
 {
 	char text[BODY_MAX_BYTES];
 	uint32_t n = 0;
-	const uint8_t *payload = payload_of(buf, size_bytes, &n);
+	const uint8_t *payload = find_payload(buf, size_bytes, &n);
 
 	if (!payload || n >= sizeof(text))
 		return false;
--- a/adapters/daemon_args.c
+++ b/adapters/daemon_args.c
@@ -3,9 +3,9 @@
 #include <argtable2.h>
 #include <stdio.h>
 
-#define MISTAKES_SHOWN 8
+#define ERRORS_SHOWN_MAX 8
 
-/* Arguments; end stands last, as argtable wants it. */
+/* Argument table; argtable requires @end to be the last element. */
 struct args {
 	struct arg_file *settings;
 	struct arg_lit *check;
@@ -14,56 +14,59 @@
 	struct arg_end *end;
 };
 
-static void print_help(const struct daemon_info *about, void **table)
+static void print_help(const struct daemon_info *info, void **table)
 {
-	printf("Usage: %s", about->name);
+	printf("Usage: %s", info->name);
 	arg_print_syntax(stdout, table, "\n");
-	printf("%s\n", about->purpose);
+	printf("%s\n", info->purpose);
 	arg_print_glossary(stdout, table, "  %-18s %s\n");
 }
 
-static int act(const struct daemon_info *about, const struct args *a,
-	       void **table, int errors)
+static int run_or_print(const struct daemon_info *info, const struct args *args,
+			void **table, int n_errors)
 {
-	if (a->help->count) {
-		print_help(about, table);
+	if (args->help->count) {
+		print_help(info, table);
 		return DAEMON_OK;
 	}
-	if (a->version->count) {
-		printf("%s %s\n", about->name, about->version);
+	if (args->version->count) {
+		printf("%s %s\n", info->name, info->version);
 		return DAEMON_OK;
 	}
-	if (errors) {
-		arg_print_errors(stderr, a->end, about->name);
+	if (n_errors) {
+		arg_print_errors(stderr, args->end, info->name);
 		return DAEMON_USAGE;
 	}
-	return about->run(a->settings->filename[0], a->check->count > 0);
+	return info->run(args->settings->filename[0], args->check->count > 0);
 }
 
 /**
- * daemon_main() - read the command line and run
- * @about: the daemon
- * @argc: as of main()
- * @argv: as of main()
+ * daemon_main() - parse the command line and run the daemon
+ * @info: the daemon
+ * @argc: argument of main()
+ * @argv: argument of main()
  *
- * Return: exit code.
+ * Return: exit code, enum daemon_exit.
  */
-int daemon_main(const struct daemon_info *about, int argc, char **argv)
+int daemon_main(const struct daemon_info *info, int argc, char **argv)
 {
-	struct args a = {
-		.settings =
-			arg_file1(NULL, "settings", "FILE", "settings, TOML"),
+	struct args args = {
+		.settings = arg_file1(NULL, "settings", "FILE",
+				      "settings file, TOML"),
 		.check = arg_lit0(NULL, "check",
-				  "read the settings, print mistakes, stop"),
-		.help = arg_lit0(NULL, "help", "print this and stop"),
-		.version = arg_lit0(NULL, "version", "print it and stop"),
-		.end = arg_end(MISTAKES_SHOWN),
+				  "check the settings, print errors, exit"),
+		.help = arg_lit0(NULL, "help", "print this help and exit"),
+		.version =
+			arg_lit0(NULL, "version", "print the version and exit"),
+		.end = arg_end(ERRORS_SHOWN_MAX),
 	};
-	void *table[] = { a.settings, a.check, a.help, a.version, a.end };
+	void *table[] = { args.settings, args.check, args.help, args.version,
+			  args.end };
 	int code = DAEMON_FAULT;
 
 	if (!arg_nullcheck(table))
-		code = act(about, &a, table, arg_parse(argc, argv, table));
+		code = run_or_print(info, &args, table,
+				    arg_parse(argc, argv, table));
 	arg_freetable(table, sizeof(table) / sizeof(table[0]));
 	return code;
 }
--- a/adapters/fetch.c
+++ b/adapters/fetch.c
@@ -5,20 +5,20 @@
 
 #define HTTP_OK 200
 #define HTTP_NOT_FOUND 404
-/* A value has at most 1 MiB; more than this is no answer of ours. */
+/* Values have up to 1 MiB; a much larger body comes from some other server. */
 #define BODY_MAX_BYTES (16U << 20)
 
-static size_t keep(char *data, size_t size, size_t n, void *to)
+static size_t append_body(char *data, size_t size, size_t n_members, void *ctx)
 {
-	GString *body = to;
+	GString *body = ctx;
 
-	if (body->len + size * n > BODY_MAX_BYTES)
+	if (body->len + size * n_members > BODY_MAX_BYTES)
 		return 0;
-	g_string_append_len(body, data, (gssize)(size * n));
-	return size * n;
+	g_string_append_len(body, data, (gssize)(size * n_members));
+	return size * n_members;
 }
 
-static int status_error(long status, char error[FETCH_ERROR_BYTES])
+static int status_to_errno(long status, char error[FETCH_ERROR_BYTES])
 {
 	if (status == HTTP_OK)
 		return 0;
@@ -26,7 +26,7 @@
 	return status == HTTP_NOT_FOUND ? -ENOENT : -EPROTO;
 }
 
-static int curl_error(CURLcode code, char error[FETCH_ERROR_BYTES])
+static int curl_code_to_errno(CURLcode code, char error[FETCH_ERROR_BYTES])
 {
 	if (!error[0])
 		g_strlcpy(error, curl_easy_strerror(code), FETCH_ERROR_BYTES);
@@ -35,13 +35,14 @@
 
 /**
  * fetch() - GET a URL and wait for the answer
- * @url: URL; proxies from the environment are not used
- * @timeout_ms: longest wait, in milliseconds
- * @body: filled, also with the body of an error
- * @error: filled with what went wrong, empty otherwise
+ * @url: URL; proxies set in the environment are not used
+ * @timeout_ms: limit on the whole call, in milliseconds
+ * @body: replaced by the body, also when the status is an error
+ * @error: error text, "" on success
  *
- * Return: 0 for 200; -ENOENT for 404; -EPROTO for another status;
- * -ETIMEDOUT; -EHOSTUNREACH when there was no answer; -ENOMEM.
+ * Return: 0 for status 200; -ENOENT for 404; -EPROTO for another status;
+ * -ETIMEDOUT; -EHOSTUNREACH when no complete answer was received or the body
+ * was too large; -ENOMEM.
  */
 int fetch(const char *url, uint32_t timeout_ms, GString *body,
 	  char error[FETCH_ERROR_BYTES])
@@ -58,13 +59,13 @@
 	curl_easy_setopt(curl, CURLOPT_NOPROXY, "*");
 	curl_easy_setopt(curl, CURLOPT_NOSIGNAL, 1L);
 	curl_easy_setopt(curl, CURLOPT_TIMEOUT_MS, (long)timeout_ms);
-	curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, keep);
+	curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, append_body);
 	curl_easy_setopt(curl, CURLOPT_WRITEDATA, body);
 	curl_easy_setopt(curl, CURLOPT_ERRORBUFFER, error);
 	code = curl_easy_perform(curl);
 	curl_easy_getinfo(curl, CURLINFO_RESPONSE_CODE, &status);
 	curl_easy_setopt(curl, CURLOPT_ERRORBUFFER, NULL);
 	curl_easy_cleanup(curl);
-	return code == CURLE_OK ? status_error(status, error)
-				: curl_error(code, error);
+	return code == CURLE_OK ? status_to_errno(status, error)
+				: curl_code_to_errno(code, error);
 }
--- a/adapters/fetch.h
+++ b/adapters/fetch.h
@@ -1,4 +1,4 @@
-/* One HTTP GET that waits for its answer, by libcurl; for operators' tools. */
+/* Blocking HTTP GET on libcurl, for command line tools. */
 #ifndef CB_FETCH_H
 #define CB_FETCH_H
 
@@ -6,6 +6,7 @@
 
 #include <glib.h>
 
+/* At least CURL_ERROR_SIZE. */
 #define FETCH_ERROR_BYTES 256
 
 int fetch(const char *url, uint32_t timeout_ms, GString *body,
--- a/adapters/fields.c
+++ b/adapters/fields.c
@@ -12,70 +12,72 @@
 #define NAME_CHARS \
 	"abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_."
 
-static int choice_find(const struct field *f, const char *word)
+static int find_choice(const struct field *field, const char *word)
 {
-	for (int i = 0; f->choices[i]; i++)
-		if (!strcmp(f->choices[i], word))
+	for (int i = 0; field->choices[i]; i++)
+		if (!strcmp(field->choices[i], word))
 			return i;
 	return -EINVAL;
 }
 
-static int text_keep(const struct field *f, const char *text, void *to)
+static int store_text(const struct field *field, const char *text, void *member)
 {
-	if (strlen(text) >= f->size_bytes)
+	if (strlen(text) >= field->size_bytes)
 		return -ENAMETOOLONG;
-	g_strlcpy(to, text, f->size_bytes);
+	g_strlcpy(member, text, field->size_bytes);
 	return 0;
 }
 
 /**
- * field_name_is_valid() - is it a name of an account, service, data centre...
- * @text: text
+ * field_name_is_valid() - check the name of an account, service or data centre
+ * @text: name
  *
- * Return: true for 1 to NAME_MAX_BYTES - 1 permitted characters.
+ * Return: true for 1 to NAME_MAX_BYTES - 1 letters, digits, "-", "_" and ".".
  */
 bool field_name_is_valid(const char *text)
 {
-	size_t n = strspn(text, NAME_CHARS);
+	size_t length = strspn(text, NAME_CHARS);
 
-	return n > 0 && n < NAME_MAX_BYTES && !text[n];
+	return length > 0 && length < NAME_MAX_BYTES && !text[length];
 }
 
-static int name_take(const struct field *f, const char *text, void *to)
+static int parse_name(const struct field *field, const char *text, void *member)
 {
-	return field_name_is_valid(text) ? text_keep(f, text, to) : -EINVAL;
+	return field_name_is_valid(text) ? store_text(field, text, member)
+					 : -EINVAL;
 }
 
-static int addr_take(const struct field *f, const char *text, void *to)
+static int parse_addr(const struct field *field, const char *text, void *member)
 {
-	(void)f;
-	return addr_parse(text, to);
+	(void)field;
+	return addr_parse(text, member);
 }
 
-static int ip_take(const struct field *f, const char *text, void *to)
+static int parse_ip(const struct field *field, const char *text, void *member)
 {
 	struct in_addr in;
 	uint32_t ip;
 
-	(void)f;
+	(void)field;
 	if (inet_pton(AF_INET, text, &in) != 1 || in.s_addr == 0)
 		return -EINVAL;
 	ip = ntohl(in.s_addr);
-	memcpy(to, &ip, sizeof(ip));
+	memcpy(member, &ip, sizeof(ip));
 	return 0;
 }
 
-static int endpoint_take(const struct field *f, const char *text, void *to)
+static int parse_endpoint(const struct field *field, const char *text,
+			  void *member)
 {
 	uint64_t addr;
 
 	if (!g_str_has_prefix(text, ENDPOINT_PREFIX) ||
 	    addr_parse(text + sizeof(ENDPOINT_PREFIX) - 1, &addr))
 		return -EINVAL;
-	return text_keep(f, text, to);
+	return store_text(field, text, member);
 }
 
-static int url_take(const struct field *f, const char *text, void *to)
+static int parse_url(const struct field *field, const char *text, void *member)
 {
 	char *scheme = NULL;
 	char *host = NULL;
@@ -87,16 +89,16 @@
 	     host[0];
 	g_free(scheme);
 	g_free(host);
-	return ok ? text_keep(f, text, to) : -EINVAL;
+	return ok ? store_text(field, text, member) : -EINVAL;
 }
 
-static int key_take(const struct field *f, const char *text, void *to)
+static int parse_key(const struct field *field, const char *text, void *member)
 {
-	uint8_t *out = to;
+	uint8_t *out = member;
 
-	if (strlen(text) != f->size_bytes * 2)
+	if (strlen(text) != field->size_bytes * 2)
 		return -EINVAL;
-	for (size_t i = 0; i < f->size_bytes; i++) {
+	for (size_t i = 0; i < field->size_bytes; i++) {
 		int high = g_ascii_xdigit_value(text[2 * i]);
 		int low = g_ascii_xdigit_value(text[2 * i + 1]);
 
@@ -107,40 +109,44 @@
 	return 0;
 }
 
-static int choice_take(const struct field *f, const char *text, void *to)
+static int parse_choice(const struct field *field, const char *text,
+			void *member)
 {
-	int i = choice_find(f, text);
+	int i = find_choice(field, text);
 
 	if (i < 0)
 		return i;
-	*(uint8_t *)to = (uint8_t)i;
+	*(uint8_t *)member = (uint8_t)i;
 	return 0;
 }
 
-static int word_take(const struct field *f, const char *text, void *to)
+static int parse_word(const struct field *field, const char *text, void *member)
 {
-	int i = choice_find(f, text);
+	int i = find_choice(field, text);
 
-	return i < 0 ? i : text_keep(f, text, to);
+	return i < 0 ? i : store_text(field, text, member);
 }
 
-/* What each kind of field expects; choices and ranges are spelled out. */
+/*
+ * TOML type and parser of each kind. @expected is the text for error messages;
+ * NULL when it is made from the field's choices or range.
+ */
 static const struct {
 	uint8_t toml;
-	int (*take)(const struct field *f, const char *text, void *to);
+	int (*parse)(const struct field *field, const char *text, void *member);
 	const char *expected;
 } kinds[FIELD_KIND_COUNT] = {
-	[FIELD_NAME] = { TOML_STRING, name_take,
+	[FIELD_NAME] = { TOML_STRING, parse_name,
 			 "a name of letters, digits, \"-\", \"_\" and \".\"" },
-	[FIELD_ADDR] = { TOML_STRING, addr_take,
+	[FIELD_ADDR] = { TOML_STRING, parse_addr,
 			 "an address \"A.B.C.D:PORT\"" },
-	[FIELD_IP] = { TOML_STRING, ip_take, "an address \"A.B.C.D\"" },
-	[FIELD_ENDPOINT] = { TOML_STRING, endpoint_take,
+	[FIELD_IP] = { TOML_STRING, parse_ip, "an address \"A.B.C.D\"" },
+	[FIELD_ENDPOINT] = { TOML_STRING, parse_endpoint,
 			     "an endpoint \"tcp://A.B.C.D:PORT\"" },
-	[FIELD_URL] = { TOML_STRING, url_take, "a URL \"http://HOST:PORT\"" },
-	[FIELD_KEY] = { TOML_STRING, key_take, "64 hex digits" },
-	[FIELD_CHOICE] = { TOML_STRING, choice_take, NULL },
-	[FIELD_WORD] = { TOML_STRING, word_take, NULL },
+	[FIELD_URL] = { TOML_STRING, parse_url, "a URL \"http://HOST:PORT\"" },
+	[FIELD_KEY] = { TOML_STRING, parse_key, "64 hex digits" },
+	[FIELD_CHOICE] = { TOML_STRING, parse_choice, NULL },
+	[FIELD_WORD] = { TOML_STRING, parse_word, NULL },
 	[FIELD_U16] = { TOML_INTEGER, NULL, NULL },
 	[FIELD_U32] = { TOML_INTEGER, NULL, NULL },
 	[FIELD_U64] = { TOML_INTEGER, NULL, NULL },
@@ -150,124 +156,130 @@
 	[FIELD_BOOL] = { TOML_BOOL, NULL, "true or false" },
 };
 
-static bool fraction(const struct field *f)
+static bool allows_fraction(const struct field *field)
 {
-	return f->kind == FIELD_SECONDS || f->kind == FIELD_DECIMAL;
+	return field->kind == FIELD_SECONDS || field->kind == FIELD_DECIMAL;
 }
 
-static const char *choices_text(const struct field *f, char *buf, size_t n)
+static const char *format_choices(const struct field *field, char *buf,
+				  size_t size_bytes)
 {
-	g_strlcpy(buf, "one of", n);
-	for (uint32_t i = 0; f->choices[i]; i++) {
-		g_strlcat(buf, i ? ", \"" : " \"", n);
-		g_strlcat(buf, f->choices[i], n);
-		g_strlcat(buf, "\"", n);
+	g_strlcpy(buf, "one of", size_bytes);
+	for (uint32_t i = 0; field->choices[i]; i++) {
+		g_strlcat(buf, i ? ", \"" : " \"", size_bytes);
+		g_strlcat(buf, field->choices[i], size_bytes);
+		g_strlcat(buf, "\"", size_bytes);
 	}
 	return buf;
 }
 
-static const char *expected_text(const struct field *f, char *buf, size_t n)
+static const char *format_expected(const struct field *field, char *buf,
+				   size_t size_bytes)
 {
-	if (kinds[f->kind].expected)
-		return kinds[f->kind].expected;
-	if (f->choices)
-		return choices_text(f, buf, n);
-	g_snprintf(buf, n, "%s from %lld to %lld",
-		   fraction(f) ? "a number" : "an integer", (long long)f->min,
-		   (long long)f->max);
+	if (kinds[field->kind].expected)
+		return kinds[field->kind].expected;
+	if (field->choices)
+		return format_choices(field, buf, size_bytes);
+	g_snprintf(buf, size_bytes, "%s from %lld to %lld",
+		   allows_fraction(field) ? "a number" : "an integer",
+		   (long long)field->min, (long long)field->max);
 	return buf;
 }
 
-static void number_put(const struct field *f, int64_t number, void *to)
+static void store_integer(const struct field *field, int64_t number,
+			  void *member)
 {
 	uint16_t u16 = (uint16_t)number;
 	uint32_t u32 = (uint32_t)number;
 	uint64_t u64 = (uint64_t)number;
 	double decimal = (double)number;
 
-	if (f->kind == FIELD_MS)
+	if (field->kind == FIELD_MS)
 		u64 *= NS_PER_MS;
-	if (f->kind == FIELD_SECONDS)
+	if (field->kind == FIELD_SECONDS)
 		u64 *= NS_PER_S;
-	if (f->kind == FIELD_BOOL)
-		*(bool *)to = number != 0;
-	else if (f->kind == FIELD_U16)
-		memcpy(to, &u16, sizeof(u16));
-	else if (f->kind == FIELD_U32)
-		memcpy(to, &u32, sizeof(u32));
-	else if (f->kind == FIELD_DECIMAL)
-		memcpy(to, &decimal, sizeof(decimal));
+	if (field->kind == FIELD_BOOL)
+		*(bool *)member = number != 0;
+	else if (field->kind == FIELD_U16)
+		memcpy(member, &u16, sizeof(u16));
+	else if (field->kind == FIELD_U32)
+		memcpy(member, &u32, sizeof(u32));
+	else if (field->kind == FIELD_DECIMAL)
+		memcpy(member, &decimal, sizeof(decimal));
 	else
-		memcpy(to, &u64, sizeof(u64));
+		memcpy(member, &u64, sizeof(u64));
 }
 
-static bool in_range(const struct field *f, int64_t number)
+static bool integer_in_range(const struct field *field, int64_t number)
 {
-	return f->kind == FIELD_BOOL || (number >= f->min && number <= f->max);
+	return field->kind == FIELD_BOOL ||
+	       (number >= field->min && number <= field->max);
 }
 
-/* Also refuses what is no number: nothing is in range of it. */
-static bool decimal_take(const struct field *f, double number, void *to,
-			 char *problem, size_t n)
+/* The negated range check rejects NaN too. */
+static bool parse_decimal(const struct field *field, double number,
+			  void *member, char *problem, size_t size_bytes)
 {
 	uint64_t ns;
 
-	if (!(number >= (double)f->min && number <= (double)f->max)) {
-		g_snprintf(problem, n, "%g is out of range", number);
+	if (!(number >= (double)field->min && number <= (double)field->max)) {
+		g_snprintf(problem, size_bytes, "%g is out of range", number);
 		return false;
 	}
 	ns = (uint64_t)(number * (double)NS_PER_S);
-	if (f->kind == FIELD_SECONDS)
-		memcpy(to, &ns, sizeof(ns));
+	if (field->kind == FIELD_SECONDS)
+		memcpy(member, &ns, sizeof(ns));
 	else
-		memcpy(to, &number, sizeof(number));
+		memcpy(member, &number, sizeof(number));
 	return true;
 }
 
-/* Takes the value, or says in @problem why not. */
-static bool value_take(const struct field *f, const struct toml_node *node,
-		       void *to, char *problem, size_t n)
+/* Stores the value in @member; on failure writes the reason to @problem. */
+static bool parse_value(const struct field *field, const struct toml_node *node,
+			void *member, char *problem, size_t size_bytes)
 {
-	if (fraction(f) && node->kind == TOML_DECIMAL)
-		return decimal_take(f, node->decimal, to, problem, n);
-	if (node->kind != kinds[f->kind].toml) {
-		g_snprintf(problem, n, "is %s", toml_kind_name(node->kind));
+	if (allows_fraction(field) && node->kind == TOML_DECIMAL)
+		return parse_decimal(field, node->decimal, member, problem,
+				     size_bytes);
+	if (node->kind != kinds[field->kind].toml) {
+		g_snprintf(problem, size_bytes, "is %s",
+			   toml_kind_name(node->kind));
 		return false;
 	}
-	if (kinds[f->kind].take) {
-		g_snprintf(problem, n, "\"%.80s\" is not valid",
-			   f->kind == FIELD_KEY ? "..." : node->text);
-		return kinds[f->kind].take(f, node->text, to) == 0;
+	if (kinds[field->kind].parse) {
+		g_snprintf(problem, size_bytes, "\"%.80s\" is not valid",
+			   field->kind == FIELD_KEY ? "..." : node->text);
+		return kinds[field->kind].parse(field, node->text, member) == 0;
 	}
-	if (!in_range(f, node->number)) {
-		g_snprintf(problem, n, "%lld is out of range",
+	if (!integer_in_range(field, node->number)) {
+		g_snprintf(problem, size_bytes, "%lld is out of range",
 			   (long long)node->number);
 		return false;
 	}
-	number_put(f, node->number, to);
+	store_integer(field, node->number, member);
 	return true;
 }
 
-static void fall_back(const struct field *f, void *to)
+static void store_default(const struct field *field, void *member)
 {
-	if (kinds[f->kind].toml != TOML_STRING)
-		number_put(f, f->fallback, to);
-	else if (f->kind == FIELD_CHOICE)
-		*(uint8_t *)to = (uint8_t)f->fallback;
-	else if (f->kind == FIELD_WORD)
-		text_keep(f, f->choices[f->fallback], to);
+	if (kinds[field->kind].toml != TOML_STRING)
+		store_integer(field, field->fallback, member);
+	else if (field->kind == FIELD_CHOICE)
+		*(uint8_t *)member = (uint8_t)field->fallback;
+	else if (field->kind == FIELD_WORD)
+		store_text(field, field->choices[field->fallback], member);
 }
 
 /**
- * field_add_mistake() - add a mistake at a node's line
- * @m: mistakes
- * @node: where
- * @prefix: dotted name of the table, or ""
- * @key: name in the table, or ""
+ * field_add_mistake() - report an error at a node's line
+ * @mistakes: list to which the error is added
+ * @node: node with the document and line
+ * @prefix: dotted name of the table, "" at the top
+ * @key: key in the table, "" for the table itself
  * @problem: what is wrong
- * @expected: what would be right
+ * @expected: what a valid value looks like
  */
-void field_add_mistake(struct mistakes *m, const struct toml_node *node,
+void field_add_mistake(struct mistakes *mistakes, const struct toml_node *node,
 		       const char *prefix, const char *key, const char *problem,
 		       const char *expected)
 {
@@ -275,72 +287,73 @@
 
 	g_snprintf(dotted, sizeof(dotted), "%s%s%s", prefix,
 		   prefix[0] && key[0] ? "." : "", key);
-	mistake_add(m, node->document, node->line, dotted, problem, expected);
+	mistake_add(mistakes, node->document, node->line, dotted, problem,
+		    expected);
 }
 
 /**
- * field_parse() - take one field, or its fallback
- * @m: mistakes
- * @parent: names the place when @table isn't there
- * @prefix: dotted name of the table, or ""
- * @table: table, or NULL when the document has none
- * @f: field
- * @out: struct that @f speaks of
+ * field_parse() - parse one key into its member, or store the default
+ * @mistakes: list to which errors are added
+ * @parent: node whose line is reported when @table is NULL
+ * @prefix: dotted name of the table, "" at the top
+ * @table: table, whose key is marked as taken; NULL when the document has none
+ * @field: field
+ * @out: struct with the member
  */
-void field_parse(struct mistakes *m, const struct toml_node *parent,
+void field_parse(struct mistakes *mistakes, const struct toml_node *parent,
 		 const char *prefix, struct toml_node *table,
-		 const struct field *f, void *out)
+		 const struct field *field, void *out)
 {
-	struct toml_node *node = toml_find(table, f->key);
-	void *to = (uint8_t *)out + f->offset;
+	struct toml_node *node = toml_find(table, field->key);
+	void *member = (uint8_t *)out + field->offset;
 	char problem[PROBLEM_BYTES] = "missing";
 	char expected[DOTTED_KEY_MAX_BYTES];
 
-	if (!f->keep)
-		fall_back(f, to);
-	if (!node && !f->required)
+	if (!field->keep_if_missing)
+		store_default(field, member);
+	if (!node && !field->required)
 		return;
 	if (node) {
 		node->taken = 1;
-		if (value_take(f, node, to, problem, sizeof(problem)))
+		if (parse_value(field, node, member, problem, sizeof(problem)))
 			return;
 	}
-	field_add_mistake(m,
+	field_add_mistake(mistakes,
 			  node	  ? node
 			  : table ? table
 				  : parent,
-			  prefix, f->key, problem,
-			  expected_text(f, expected, sizeof(expected)));
+			  prefix, field->key, problem,
+			  format_expected(field, expected, sizeof(expected)));
 }
 
 /**
- * fields_parse() - take all fields of a table
- * @m: mistakes
- * @prefix: dotted name of the table, or ""
- * @table: table; keys taken are marked
- * @fields: fields, end with a key of NULL
- * @out: struct that they speak of
+ * fields_parse() - parse all fields of a table
+ * @mistakes: list to which errors are added
+ * @prefix: dotted name of the table, "" at the top
+ * @table: table; its known keys are marked as taken
+ * @fields: fields, up to one whose key is NULL
+ * @out: struct with the members
  */
-void fields_parse(struct mistakes *m, const char *prefix,
+void fields_parse(struct mistakes *mistakes, const char *prefix,
 		  struct toml_node *table, const struct field *fields,
 		  void *out)
 {
 	for (; fields->key; fields++)
-		field_parse(m, table, prefix, table, fields, out);
+		field_parse(mistakes, table, prefix, table, fields, out);
 }
 
 /**
- * fields_report_unknown() - a mistake for each key that nothing took
- * @m: mistakes
- * @prefix: dotted name of the table, or ""
- * @table: table
+ * fields_report_unknown() - report an error for each key not marked as taken
+ * @mistakes: list to which errors are added
+ * @prefix: dotted name of the table, "" at the top
+ * @table: table after fields_parse()
  */
-void fields_report_unknown(struct mistakes *m, const char *prefix,
+void fields_report_unknown(struct mistakes *mistakes, const char *prefix,
 			   const struct toml_node *table)
 {
 	for (uint32_t i = 0; i < table->n_items; i++)
 		if (!table->items[i].taken)
-			field_add_mistake(m, &table->items[i], prefix,
+			field_add_mistake(mistakes, &table->items[i], prefix,
 					  table->items[i].key, "unknown key",
 					  "a key that is documented");
 }
--- a/adapters/fields.h
+++ b/adapters/fields.h
@@ -1,4 +1,4 @@
-/* Checks the values of a TOML table against a table of fields. */
+/* Parses the values of a TOML table into a struct, by a table of fields. */
 #ifndef CB_FIELDS_H
 #define CB_FIELDS_H
 
@@ -10,15 +10,15 @@
 #define DOTTED_KEY_MAX_BYTES 128
 
 /**
- * enum field_kind - how a value is written and kept
- * @FIELD_NAME: letters, digits, "-", "_" and "."
+ * enum field_kind - form of the value in TOML, and type of the member
+ * @FIELD_NAME: letters, digits, "-", "_" and "." into an array of char
  * @FIELD_ADDR: "A.B.C.D:PORT" into uint64_t
  * @FIELD_IP: "A.B.C.D" into uint32_t
- * @FIELD_ENDPOINT: "tcp://A.B.C.D:PORT", kept as text
- * @FIELD_URL: "http://..." or "https://...", kept as text
- * @FIELD_KEY: hex digits into bytes; its value is never printed
- * @FIELD_CHOICE: one of the choices, its index into uint8_t
- * @FIELD_WORD: one of the choices, kept as text
+ * @FIELD_ENDPOINT: "tcp://A.B.C.D:PORT" into an array of char
+ * @FIELD_URL: "http://..." or "https://..." into an array of char
+ * @FIELD_KEY: hex digits into an array of bytes; secret, never printed
+ * @FIELD_CHOICE: one of the choices; its index into uint8_t
+ * @FIELD_WORD: one of the choices; its text into an array of char
  * @FIELD_U16: integer into uint16_t
  * @FIELD_U32: integer into uint32_t
  * @FIELD_U64: integer into uint64_t
@@ -49,23 +49,27 @@
 };
 
 /**
- * struct field - one key; a table of them ends with a key of NULL
- * @key: its name
+ * struct field - a key and the struct member for its value
+ *
+ * A table of fields ends with an element whose @key is NULL.
+ *
+ * @key: name of the key
  * @kind: enum field_kind
- * @required: missing is a mistake
- * @keep: when missing, the member stays as it is
- * @offset: of the member
- * @size_bytes: of the member
- * @min: least integer
- * @max: greatest integer
- * @fallback: integer, bool, or index of the choice, when the key is missing
- * @choices: words, ends with NULL
+ * @required: report an error when the key is missing
+ * @keep_if_missing: leave the member unchanged when the key is missing
+ * @offset: offset of the member in its struct, in bytes
+ * @size_bytes: size of the member
+ * @min: smallest valid number
+ * @max: largest valid number
+ * @fallback: value when the key is missing: number, bool or index of the
+ *	choice; text members stay unchanged
+ * @choices: valid words, ends with NULL; NULL for other kinds
  */
 struct field {
 	const char *key;
 	uint8_t kind;
 	bool required;
-	bool keep;
+	bool keep_if_missing;
 	size_t offset;
 	size_t size_bytes;
 	int64_t min;
@@ -74,23 +78,24 @@
 	const char *const *choices;
 };
 
-#define FIELD(type, name, how, member, ...)                                   \
+#define FIELD(type, name, field_kind, member, ...)                            \
 	{                                                                     \
-		.key = name, .kind = how,                                     \
+		.key = name, .kind = field_kind,                              \
 		.offset = offsetof(struct type, member),                      \
 		.size_bytes = sizeof(((struct type *)0)->member), __VA_ARGS__ \
 	}
-#define RANGE(low, high, usual) .min = low, .max = high, .fallback = usual
+#define RANGE(min_value, max_value, fallback_value) \
+	.min = min_value, .max = max_value, .fallback = fallback_value
 
-void field_parse(struct mistakes *m, const struct toml_node *parent,
+void field_parse(struct mistakes *mistakes, const struct toml_node *parent,
 		 const char *prefix, struct toml_node *table,
-		 const struct field *f, void *out);
-void fields_parse(struct mistakes *m, const char *prefix,
+		 const struct field *field, void *out);
+void fields_parse(struct mistakes *mistakes, const char *prefix,
 		  struct toml_node *table, const struct field *fields,
 		  void *out);
-void fields_report_unknown(struct mistakes *m, const char *prefix,
+void fields_report_unknown(struct mistakes *mistakes, const char *prefix,
 			   const struct toml_node *table);
-void field_add_mistake(struct mistakes *m, const struct toml_node *node,
+void field_add_mistake(struct mistakes *mistakes, const struct toml_node *node,
 		       const char *prefix, const char *key, const char *problem,
 		       const char *expected);
 bool field_name_is_valid(const char *text);
--- a/adapters/hello_codec.h
+++ b/adapters/hello_codec.h
@@ -1,4 +1,4 @@
-/* Heartbeats between cb-packet processes, in msgpack. */
+/* Encodes heartbeats between cb-packet processes with msgpack. */
 #ifndef CB_HELLO_CODEC_H
 #define CB_HELLO_CODEC_H
 
@@ -6,7 +6,7 @@
 
 #define HELLO_MAX_BYTES 1400
 
-uint32_t hello_encode(const struct hello *h, uint8_t out[HELLO_MAX_BYTES]);
+uint32_t hello_encode(const struct hello *hello, uint8_t out[HELLO_MAX_BYTES]);
 int hello_decode(const uint8_t *data, uint32_t size_bytes, struct hello *out);
 
 #endif
--- a/adapters/histogram_text.c
+++ b/adapters/histogram_text.c
@@ -1,39 +1,44 @@
 #include "histogram_text.h"
 
-static void bucket(GString *to, const char *name, const char *labels,
-		   const char *bound, uint64_t below)
+static void append_bucket(GString *out, const char *name, const char *labels,
+			  const char *bound, uint64_t cumulative)
 {
-	g_string_append_printf(to,
+	g_string_append_printf(out,
 			       "%s_bucket{%s,le=\"%s\"} %" G_GUINT64_FORMAT
 			       "\n",
-			       name, labels, bound, below);
+			       name, labels, bound, cumulative);
 }
 
 /**
- * histogram_append_text() - write a histogram; buckets without samples are left out
- * @to: appended to
+ * histogram_append_text() - append a histogram as a metric
+ * @out: page to which the text is appended
  * @name: name of the metric
- * @labels: its labels, without braces; at least one
- * @h: histogram
+ * @labels: labels without braces, at least one
+ * @histogram: histogram
+ *
+ * Buckets without samples are left out; the bucket "+Inf" is always written,
+ * sum and count only when there are samples.
  */
-void histogram_append_text(GString *to, const char *name, const char *labels,
-			   const struct histogram *h)
+void histogram_append_text(GString *out, const char *name, const char *labels,
+			   const struct histogram *histogram)
 {
-	uint64_t below = 0;
+	uint64_t cumulative = 0;
 	char bound[32];
 
-	for (uint32_t i = 0; h->count && i < HISTOGRAM_BUCKETS - 1; i++) {
-		below += h->bucket[i];
+	for (uint32_t i = 0; histogram->count && i < HISTOGRAM_BUCKETS - 1;
+	     i++) {
+		cumulative += histogram->bucket[i];
 		g_snprintf(bound, sizeof(bound), "%" G_GUINT64_FORMAT,
 			   histogram_bound(i));
-		if (h->bucket[i])
-			bucket(to, name, labels, bound, below);
+		if (histogram->bucket[i])
+			append_bucket(out, name, labels, bound, cumulative);
 	}
-	bucket(to, name, labels, "+Inf", h->count);
-	if (!h->count)
+	append_bucket(out, name, labels, "+Inf", histogram->count);
+	if (!histogram->count)
 		return;
-	g_string_append_printf(to,
+	g_string_append_printf(out,
 			       "%s_sum{%s} %" G_GUINT64_FORMAT
 			       "\n%s_count{%s} %" G_GUINT64_FORMAT "\n",
-			       name, labels, h->sum, name, labels, h->count);
+			       name, labels, histogram->sum, name, labels,
+			       histogram->count);
 }
--- a/adapters/histogram_text.h
+++ b/adapters/histogram_text.h
@@ -1,4 +1,4 @@
-/* Histograms as metrics are written. */
+/* Prometheus text format of histograms. */
 #ifndef CB_HISTOGRAM_TEXT_H
 #define CB_HISTOGRAM_TEXT_H
 
@@ -6,7 +6,7 @@
 
 #include <glib.h>
 
-void histogram_append_text(GString *to, const char *name, const char *labels,
-			   const struct histogram *h);
+void histogram_append_text(GString *out, const char *name, const char *labels,
+			   const struct histogram *histogram);
 
 #endif
--- a/adapters/http.c
+++ b/adapters/http.c
@@ -12,22 +12,47 @@
 #define READ_BYTES 65536
 #define LISTEN_BACKLOG 512
 
+/**
+ * struct connection - connection of a client
+ * @tcp: socket
+ * @server: server that owns the connection
+ * @next: next connection of the server
+ * @prev_next: pointer that points to this connection in the server's list
+ * @parser: state of the HTTP parser
+ * @unread: received bytes that are not parsed yet
+ * @url: path and query of the current request
+ * @body: body of the current request
+ * @pending: request that waits for its answer, or NULL
+ * @is_complete: the parser reached the end of a request
+ * @is_parsing: parse_unread() is running, so that http_respond() must not call
+ *	it
+ * @close_after_write: close once the answer is sent
+ * @read_buffer: buffer for reading from the socket
+ */
 struct connection {
 	uv_tcp_t tcp;
 	struct http_server *server;
 	struct connection *next;
-	struct connection **link;
+	struct connection **prev_next;
 	http_parser parser;
-	GString *unread; /* received, not yet parsed */
+	GString *unread;
 	GString *url;
 	GString *body;
 	struct http_request *pending;
-	bool complete;
-	bool parsing;
+	bool is_complete;
+	bool is_parsing;
 	bool close_after_write;
-	char chunk[READ_BYTES];
+	char read_buffer[READ_BYTES];
 };
 
+/**
+ * struct http_server - HTTP server
+ * @tcp: listening socket
+ * @handler: handler of all requests
+ * @connections: open connections
+ * @open_handles: number of libuv handles not closed yet, of the listener and
+ *	the connections; the server is freed with the last one
+ */
 struct http_server {
 	uv_tcp_t tcp;
 	struct http_handler handler;
@@ -35,15 +60,22 @@
 	uint32_t open_handles;
 };
 
-/*
- * A request that waits for http_respond(). It outlives its connection: a peer
- * that goes away leaves it with no connection, and its answer is dropped.
+/**
+ * struct http_request - request until http_respond()
+ *
+ * It may outlive its connection: when the client closes it, @connection becomes
+ * NULL and the answer is dropped.
+ *
+ * @connection: connection, or NULL
+ * @headers: header lines for the answer
+ * @keep_alive: the connection stays open after the answer
+ * @is_head: HEAD request, answered without a body
  */
 struct http_request {
 	struct connection *connection;
 	GString *headers;
 	bool keep_alive;
-	bool head;
+	bool is_head;
 };
 
 struct reply {
@@ -51,111 +83,113 @@
 	GString *text;
 };
 
-static void parse_unread(struct connection *c);
+static void parse_unread(struct connection *conn);
 
-static void release(struct http_server *s)
+static void release_handle(struct http_server *server)
 {
-	if (--s->open_handles == 0)
-		free(s);
+	if (--server->open_handles == 0)
+		free(server);
 }
 
-static void connection_closed(uv_handle_t *h)
+static void on_connection_closed(uv_handle_t *handle)
 {
-	struct connection *c = h->data;
+	struct connection *conn = handle->data;
 
-	g_string_free(c->unread, TRUE);
-	g_string_free(c->url, TRUE);
-	g_string_free(c->body, TRUE);
-	release(c->server);
-	free(c);
+	g_string_free(conn->unread, TRUE);
+	g_string_free(conn->url, TRUE);
+	g_string_free(conn->body, TRUE);
+	release_handle(conn->server);
+	free(conn);
 }
 
-static void connection_close(struct connection *c)
+static void close_connection(struct connection *conn)
 {
-	if (uv_is_closing((uv_handle_t *)&c->tcp))
+	if (uv_is_closing((uv_handle_t *)&conn->tcp))
 		return;
-	if (c->pending)
-		c->pending->connection = NULL;
-	c->pending = NULL;
-	*c->link = c->next;
-	if (c->next)
-		c->next->link = c->link;
-	uv_close((uv_handle_t *)&c->tcp, connection_closed);
+	if (conn->pending)
+		conn->pending->connection = NULL;
+	conn->pending = NULL;
+	*conn->prev_next = conn->next;
+	if (conn->next)
+		conn->next->prev_next = conn->prev_next;
+	uv_close((uv_handle_t *)&conn->tcp, on_connection_closed);
 }
 
-static void written(uv_write_t *w, int status)
+static void on_written(uv_write_t *write, int status)
 {
-	struct reply *r = w->data;
-	struct connection *c = w->handle->data;
+	struct reply *reply = write->data;
+	struct connection *conn = write->handle->data;
 
-	if (status < 0 || c->close_after_write)
-		connection_close(c);
-	g_string_free(r->text, TRUE);
-	free(r);
+	if (status < 0 || conn->close_after_write)
+		close_connection(conn);
+	g_string_free(reply->text, TRUE);
+	free(reply);
 }
 
-static void send_text(struct connection *c, GString *take)
+static void send_reply(struct connection *conn, GString *text)
 {
-	struct reply *r = calloc(1, sizeof(*r));
-	uv_buf_t buf = uv_buf_init(take->str, take->len);
+	struct reply *reply = calloc(1, sizeof(*reply));
+	uv_buf_t buf = uv_buf_init(text->str, text->len);
 
-	if (!r) {
-		g_string_free(take, TRUE);
-		connection_close(c);
+	if (!reply) {
+		g_string_free(text, TRUE);
+		close_connection(conn);
 		return;
 	}
-	r->text = take;
-	r->write.data = r;
-	if (uv_write(&r->write, (uv_stream_t *)&c->tcp, &buf, 1, written) < 0) {
-		g_string_free(take, TRUE);
-		free(r);
-		connection_close(c);
+	reply->text = text;
+	reply->write.data = reply;
+	if (uv_write(&reply->write, (uv_stream_t *)&conn->tcp, &buf, 1,
+		     on_written) < 0) {
+		g_string_free(text, TRUE);
+		free(reply);
+		close_connection(conn);
 	}
 }
 
-static GString *reply_text(const struct http_request *req, int status,
-			   const GString *body)
+static GString *format_reply(const struct http_request *req, int status,
+			     const GString *body)
 {
-	GString *t = g_string_new(NULL);
+	GString *text = g_string_new(NULL);
 	size_t size_bytes = body ? body->len : 0;
 
-	g_string_printf(t, "HTTP/1.1 %d %s\r\nContent-Length: %zu\r\n%s%s\r\n",
+	g_string_printf(text,
+			"HTTP/1.1 %d %s\r\nContent-Length: %zu\r\n%s%s\r\n",
 			status, http_status_str(status), size_bytes,
 			req->keep_alive ? "" : "Connection: close\r\n",
 			req->headers->str);
-	if (body && !req->head)
-		g_string_append_len(t, body->str, body->len);
-	return t;
+	if (body && !req->is_head)
+		g_string_append_len(text, body->str, body->len);
+	return text;
 }
 
 /**
  * http_respond() - answer a request and free it
  * @req: request whose handler returned HTTP_DEFERRED
- * @status: status code
- * @body: body, may be NULL; stays the caller's
+ * @status: HTTP status code
+ * @body: body, owned by the caller; NULL for an empty one
  *
- * When the peer has gone away, the request is freed and nothing is sent.
+ * When the client has closed the connection, nothing is sent.
  */
 void http_respond(struct http_request *req, int status, const GString *body)
 {
-	struct connection *c = req->connection;
+	struct connection *conn = req->connection;
 
-	if (c) {
-		c->pending = NULL;
-		c->close_after_write = !req->keep_alive;
-		send_text(c, reply_text(req, status, body));
+	if (conn) {
+		conn->pending = NULL;
+		conn->close_after_write = !req->keep_alive;
+		send_reply(conn, format_reply(req, status, body));
 	}
 	g_string_free(req->headers, TRUE);
 	g_free(req);
-	if (c && !c->parsing)
-		parse_unread(c);
+	if (conn && !conn->is_parsing)
+		parse_unread(conn);
 }
 
 /**
- * http_add_header() - add a header to a request's answer
+ * http_add_header() - add a header to the answer of a request
  * @req: request
- * @name: header's name
- * @value: its value, without line breaks
+ * @name: name of the header
+ * @value: value of the header, without line breaks
  */
 void http_add_header(struct http_request *req, const char *name,
 		     const char *value)
@@ -163,76 +197,77 @@
 	g_string_append_printf(req->headers, "%s: %s\r\n", name, value);
 }
 
-static struct http_request *request_new(struct connection *c, bool keep_alive)
+static struct http_request *new_request(struct connection *conn,
+					bool keep_alive)
 {
 	struct http_request *req = g_new0(struct http_request, 1);
 
-	req->connection = c;
+	req->connection = conn;
 	req->headers = g_string_new(NULL);
 	req->keep_alive = keep_alive;
-	req->head = c->parser.method == HTTP_HEAD;
-	c->pending = req;
+	req->is_head = conn->parser.method == HTTP_HEAD;
+	conn->pending = req;
 	return req;
 }
 
-static void refuse(struct connection *c, int status)
+static void reject(struct connection *conn, int status)
 {
-	http_respond(request_new(c, false), status, NULL);
+	http_respond(new_request(conn, false), status, NULL);
 }
 
-static void dispatch(struct connection *c)
+static void dispatch_request(struct connection *conn)
 {
-	const struct http_handler *h = &c->server->handler;
-	const char *method = http_method_str(c->parser.method);
-	bool keep_alive = http_should_keep_alive(&c->parser);
-	struct http_request *req = request_new(c, keep_alive);
+	const struct http_handler *handler = &conn->server->handler;
+	const char *method = http_method_str(conn->parser.method);
+	bool keep_alive = http_should_keep_alive(&conn->parser);
+	struct http_request *req = new_request(conn, keep_alive);
 	GString *body = g_string_new(NULL);
-	char *query = strchr(c->url->str, '?');
+	char *query = strchr(conn->url->str, '?');
 	int status;
 
 	if (query)
 		*query++ = '\0';
-	status = h->handle(h->ctx, req, method, c->url->str, query ? query : "",
-			   c->body, body);
+	status = handler->handle(handler->ctx, req, method, conn->url->str,
+				 query ? query : "", conn->body, body);
 	if (status != HTTP_DEFERRED)
 		http_respond(req, status, body);
 	g_string_free(body, TRUE);
 }
 
-static int on_begin(http_parser *p)
+static int on_begin(http_parser *parser)
 {
-	struct connection *c = p->data;
+	struct connection *conn = parser->data;
 
-	g_string_truncate(c->url, 0);
-	g_string_truncate(c->body, 0);
+	g_string_truncate(conn->url, 0);
+	g_string_truncate(conn->body, 0);
 	return 0;
 }
 
-static int on_url(http_parser *p, const char *at, size_t n)
+static int on_url(http_parser *parser, const char *data, size_t size_bytes)
 {
-	struct connection *c = p->data;
+	struct connection *conn = parser->data;
 
-	g_string_append_len(c->url, at, n);
+	g_string_append_len(conn->url, data, size_bytes);
 	return 0;
 }
 
-static int on_body(http_parser *p, const char *at, size_t n)
+static int on_body(http_parser *parser, const char *data, size_t size_bytes)
 {
-	struct connection *c = p->data;
+	struct connection *conn = parser->data;
 
-	if (c->body->len + n > REQUEST_MAX_BYTES)
+	if (conn->body->len + size_bytes > REQUEST_MAX_BYTES)
 		return -1;
-	g_string_append_len(c->body, at, n);
+	g_string_append_len(conn->body, data, size_bytes);
 	return 0;
 }
 
-/* Pipelined requests wait until this one is answered. */
-static int on_complete(http_parser *p)
+/* Pauses the parser: pipelined requests wait until this one is answered. */
+static int on_complete(http_parser *parser)
 {
-	struct connection *c = p->data;
+	struct connection *conn = parser->data;
 
-	c->complete = true;
-	http_parser_pause(p, 1);
+	conn->is_complete = true;
+	http_parser_pause(parser, 1);
 	return 0;
 }
 
@@ -243,197 +278,199 @@
 	.on_message_complete = on_complete,
 };
 
-static bool parse_one(struct connection *c)
+static bool parse_one(struct connection *conn)
 {
 	enum http_errno error;
-	size_t n;
-
-	c->complete = false;
-	http_parser_pause(&c->parser, 0);
-	n = http_parser_execute(&c->parser, &callbacks, c->unread->str,
-				c->unread->len);
-	g_string_erase(c->unread, 0, n);
-	if (c->complete)
+	size_t n_parsed;
+
+	conn->is_complete = false;
+	http_parser_pause(&conn->parser, 0);
+	n_parsed = http_parser_execute(&conn->parser, &callbacks,
+				       conn->unread->str, conn->unread->len);
+	g_string_erase(conn->unread, 0, n_parsed);
+	if (conn->is_complete)
 		return true;
-	error = HTTP_PARSER_ERRNO(&c->parser);
+	error = HTTP_PARSER_ERRNO(&conn->parser);
 	if (error == HPE_CB_body)
-		refuse(c, HTTP_STATUS_PAYLOAD_TOO_LARGE);
-	else if (error != HPE_OK || c->parser.upgrade)
-		refuse(c, HTTP_STATUS_BAD_REQUEST);
+		reject(conn, HTTP_STATUS_PAYLOAD_TOO_LARGE);
+	else if (error != HPE_OK || conn->parser.upgrade)
+		reject(conn, HTTP_STATUS_BAD_REQUEST);
 	return false;
 }
 
-static bool may_parse(const struct connection *c)
+static bool can_parse(const struct connection *conn)
 {
-	return !c->pending && !c->close_after_write && c->unread->len > 0 &&
-	       !uv_is_closing((const uv_handle_t *)&c->tcp);
+	return !conn->pending && !conn->close_after_write &&
+	       conn->unread->len > 0 &&
+	       !uv_is_closing((const uv_handle_t *)&conn->tcp);
 }
 
-static void parse_unread(struct connection *c)
+static void parse_unread(struct connection *conn)
 {
-	c->parsing = true;
-	while (may_parse(c)) {
-		if (!parse_one(c))
+	conn->is_parsing = true;
+	while (can_parse(conn)) {
+		if (!parse_one(conn))
 			break;
-		dispatch(c);
+		dispatch_request(conn);
 	}
-	c->parsing = false;
+	conn->is_parsing = false;
 }
 
-static void on_alloc(uv_handle_t *h, size_t hint, uv_buf_t *buf)
+static void on_alloc(uv_handle_t *handle, size_t hint, uv_buf_t *buf)
 {
-	struct connection *c = h->data;
+	struct connection *conn = handle->data;
 
 	(void)hint;
-	*buf = uv_buf_init(c->chunk, sizeof(c->chunk));
+	*buf = uv_buf_init(conn->read_buffer, sizeof(conn->read_buffer));
 }
 
-static void on_read(uv_stream_t *stream, ssize_t n, const uv_buf_t *buf)
+static void on_read(uv_stream_t *stream, ssize_t n_read, const uv_buf_t *buf)
 {
-	struct connection *c = stream->data;
+	struct connection *conn = stream->data;
 
-	if (n < 0 || c->unread->len + n > REQUEST_MAX_BYTES) {
-		connection_close(c);
+	if (n_read < 0 || conn->unread->len + n_read > REQUEST_MAX_BYTES) {
+		close_connection(conn);
 		return;
 	}
-	if (c->close_after_write)
+	if (conn->close_after_write)
 		return;
-	g_string_append_len(c->unread, buf->base, n);
-	if (!c->parsing)
-		parse_unread(c);
+	g_string_append_len(conn->unread, buf->base, n_read);
+	if (!conn->is_parsing)
+		parse_unread(conn);
 }
 
-static void connection_open(struct http_server *s, struct connection *c)
+static void init_connection(struct http_server *server, struct connection *conn)
 {
-	uv_tcp_init(s->tcp.loop, &c->tcp);
-	s->open_handles++;
-	c->tcp.data = c;
-	c->server = s;
-	c->unread = g_string_new(NULL);
-	c->url = g_string_new(NULL);
-	c->body = g_string_new(NULL);
-	http_parser_init(&c->parser, HTTP_REQUEST);
-	c->parser.data = c;
-	c->next = s->connections;
-	if (c->next)
-		c->next->link = &c->next;
-	c->link = &s->connections;
-	s->connections = c;
+	uv_tcp_init(server->tcp.loop, &conn->tcp);
+	server->open_handles++;
+	conn->tcp.data = conn;
+	conn->server = server;
+	conn->unread = g_string_new(NULL);
+	conn->url = g_string_new(NULL);
+	conn->body = g_string_new(NULL);
+	http_parser_init(&conn->parser, HTTP_REQUEST);
+	conn->parser.data = conn;
+	conn->next = server->connections;
+	if (conn->next)
+		conn->next->prev_next = &conn->next;
+	conn->prev_next = &server->connections;
+	server->connections = conn;
 }
 
 static void on_connection(uv_stream_t *listener, int status)
 {
-	struct http_server *s = listener->data;
-	struct connection *c;
+	struct http_server *server = listener->data;
+	struct connection *conn;
 
 	if (status < 0)
 		return;
-	c = calloc(1, sizeof(*c));
-	if (!c)
+	conn = calloc(1, sizeof(*conn));
+	if (!conn)
 		return;
-	connection_open(s, c);
-	if (uv_accept(listener, (uv_stream_t *)&c->tcp) < 0 ||
-	    uv_read_start((uv_stream_t *)&c->tcp, on_alloc, on_read) < 0)
-		connection_close(c);
+	init_connection(server, conn);
+	if (uv_accept(listener, (uv_stream_t *)&conn->tcp) < 0 ||
+	    uv_read_start((uv_stream_t *)&conn->tcp, on_alloc, on_read) < 0)
+		close_connection(conn);
 }
 
-static void listener_closed(uv_handle_t *h)
+static void on_listener_closed(uv_handle_t *handle)
 {
-	release(h->data);
+	release_handle(handle->data);
 }
 
-static int start(struct http_server *s, uint64_t addr)
+static int listen_on(struct http_server *server, uint64_t addr)
 {
-	struct sockaddr_in sin = {
+	struct sockaddr_in listen_addr = {
 		.sin_family = AF_INET,
 		.sin_port = htons(ADDR_PORT(addr)),
 		.sin_addr.s_addr = htonl(ADDR_IP(addr)),
 	};
-	int rc;
+	int err;
 
-	rc = uv_tcp_bind(&s->tcp, (struct sockaddr *)&sin, 0);
-	if (rc < 0)
-		return rc;
-	return uv_listen((uv_stream_t *)&s->tcp, LISTEN_BACKLOG, on_connection);
+	err = uv_tcp_bind(&server->tcp, (struct sockaddr *)&listen_addr, 0);
+	if (err < 0)
+		return err;
+	return uv_listen((uv_stream_t *)&server->tcp, LISTEN_BACKLOG,
+			 on_connection);
 }
 
 /**
  * http_server_open() - serve HTTP/1.1 on an address
- * @loop: loop that runs the handler
- * @addr: where to listen
- * @handler: who answers
- * @out: the server, to be closed with http_server_close()
+ * @loop: event loop that runs the server and its handler
+ * @addr: address to listen on, see ADDR()
+ * @handler: handler of all requests
+ * @out: server, to be closed with http_server_close()
  *
- * Return: 0, or a negative error number of bind or listen.
+ * Return: 0; -ENOMEM; or the negative error number of bind or listen.
  */
 int http_server_open(uv_loop_t *loop, uint64_t addr,
 		     struct http_handler handler, struct http_server **out)
 {
-	struct http_server *s = calloc(1, sizeof(*s));
-	int rc;
+	struct http_server *server = calloc(1, sizeof(*server));
+	int err;
 
-	if (!s)
+	if (!server)
 		return -ENOMEM;
-	rc = uv_tcp_init(loop, &s->tcp);
-	if (rc < 0) {
-		free(s);
-		return rc;
+	err = uv_tcp_init(loop, &server->tcp);
+	if (err < 0) {
+		free(server);
+		return err;
 	}
-	s->handler = handler;
-	s->open_handles = 1;
-	s->tcp.data = s;
-	rc = start(s, addr);
-	if (rc < 0) {
-		http_server_close(s);
-		return rc;
+	server->handler = handler;
+	server->open_handles = 1;
+	server->tcp.data = server;
+	err = listen_on(server, addr);
+	if (err < 0) {
+		http_server_close(server);
+		return err;
 	}
-	*out = s;
+	*out = server;
 	return 0;
 }
 
 /**
- * http_server_close() - stop listening and drop every connection
- * @s: server; freed when the loop has run its close callbacks
+ * http_server_close() - stop listening and close all connections
+ * @server: server; freed when the loop has run its close callbacks
  *
- * Requests that wait for an answer stay good for http_respond().
+ * Deferred requests remain valid and must still be passed to http_respond().
  */
-void http_server_close(struct http_server *s)
+void http_server_close(struct http_server *server)
 {
-	while (s->connections)
-		connection_close(s->connections);
-	uv_close((uv_handle_t *)&s->tcp, listener_closed);
+	while (server->connections)
+		close_connection(server->connections);
+	uv_close((uv_handle_t *)&server->tcp, on_listener_closed);
 }
 
 /**
- * http_query_parameter() - read one parameter of a query string
- * @query: text after the question mark
- * @name: parameter's name
- * @buf: room for its value, decoded
+ * http_query_parameter() - get a parameter of a query string
+ * @query: query string without the question mark
+ * @name: name of the parameter
+ * @buf: decoded value; unchanged on failure
  * @size_bytes: size of @buf
  *
- * Return: whether it is there, well coded and short enough.
+ * Return: whether the parameter is present, validly encoded and fits @buf.
  */
 bool http_query_parameter(const char *query, const char *name, char *buf,
 			  size_t size_bytes)
 {
-	size_t n = strlen(name);
+	size_t name_length = strlen(name);
 	const char *at = query;
 	const char *end;
 	char *value;
-	bool fits;
+	bool is_valid;
 
-	while (strncmp(at, name, n) != 0 || at[n] != '=') {
+	while (strncmp(at, name, name_length) != 0 || at[name_length] != '=') {
 		at = strchr(at, '&');
 		if (!at)
 			return false;
 		at++;
 	}
-	at += n + 1;
+	at += name_length + 1;
 	end = strchrnul(at, '&');
 	value = g_uri_unescape_segment(at, end, NULL);
-	fits = value && strlen(value) < size_bytes;
-	if (fits)
+	is_valid = value && strlen(value) < size_bytes;
+	if (is_valid)
 		strcpy(buf, value);
 	g_free(value);
-	return fits;
+	return is_valid;
 }
--- a/adapters/http.h
+++ b/adapters/http.h
@@ -1,4 +1,4 @@
-/* A small HTTP/1.1 server for operators, on libuv and http-parser. */
+/* Small HTTP/1.1 server for operators' pages, on libuv and http-parser. */
 #ifndef CB_HTTP_H
 #define CB_HTTP_H
 
@@ -8,19 +8,21 @@
 #include <uv.h>
 
 struct http_server;
+struct http_request;
 
 /**
  * struct http_handler - port that answers requests
- * @ctx: passed back
- * @handle: write the body for @method @path?@query with request body @in;
- *	return the status code. HTTP_DEFERRED: answer with http_respond() later
+ * @ctx: passed to @handle
+ * @handle: answers the request for @method and @path with @query, "" without
+ *	one; @request_body is its body. Writes the answer's body to @reply_body
+ *	and returns the status code, or returns HTTP_DEFERRED to answer later
+ *	with http_respond().
  */
-struct http_request;
 struct http_handler {
 	void *ctx;
 	int (*handle)(void *ctx, struct http_request *req, const char *method,
-		      const char *path, const char *query, const GString *in,
-		      GString *body);
+		      const char *path, const char *query,
+		      const GString *request_body, GString *reply_body);
 };
 
 #define HTTP_DEFERRED 0
@@ -30,7 +32,7 @@
 void http_add_header(struct http_request *req, const char *name,
 		     const char *value);
 void http_respond(struct http_request *req, int status, const GString *body);
-void http_server_close(struct http_server *s);
+void http_server_close(struct http_server *server);
 bool http_query_parameter(const char *query, const char *name, char *buf,
 			  size_t size_bytes);
 
--- a/adapters/http_client.c
+++ b/adapters/http_client.c
@@ -9,35 +9,60 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A listing has at most 1 MB a page; base64 and JSON add to it. */
+/* A page of a listing has up to 1 MB before base64 and JSON. */
 #define BODY_MAX_BYTES (8U << 20)
-#define CHUNK_BYTES 65536
-/* Longest pause within an answer: of a link that others fill, too. */
+#define READ_BYTES 65536
+/* Longest pause within an answer, allowing for a congested link. */
 #define STALL_MS 1500
 
+/**
+ * struct connection - connection to a server
+ * @tcp: socket
+ * @connect: libuv's request to connect
+ * @client: client that uses the connection; NULL once it is being closed
+ * @is_connected: the connection is established
+ * @connect_started_ns: when connecting began
+ */
 struct connection {
 	uv_tcp_t tcp;
 	uv_connect_t connect;
-	struct http_client *owner; /* NULL once it was given up */
-	bool connected;
-	uint64_t begun_ns;
+	struct http_client *client;
+	bool is_connected;
+	uint64_t connect_started_ns;
 };
 
+/**
+ * struct http_client - HTTP client
+ * @loop: event loop
+ * @timer: ends a call whose answer doesn't begin in time or stalls
+ * @handler: called at the end of calls
+ * @connection: current connection, or NULL
+ * @server: address that @connection is made to
+ * @is_busy: a call is in progress
+ * @parser: state of the HTTP parser
+ * @body: body of the answer
+ * @request: text of the request
+ * @captured_name: name of the header to capture, or NULL
+ * @in_captured: the parser is at a header of that name
+ * @first_byte_ns: when the first byte of the answer arrived, 0 before
+ * @captured_value: value of the captured header
+ * @read_buffer: buffer for reading from the socket
+ */
 struct http_client {
 	uv_loop_t *loop;
 	uv_timer_t timer;
 	struct http_client_handler handler;
 	struct connection *connection;
 	uint64_t server;
-	bool calling;
+	bool is_busy;
 	http_parser parser;
 	GString *body;
 	GString *request;
-	const char *wanted;
-	bool in_wanted;
-	uint64_t first_ns; /* first byte of the answer */
-	GString *header;
-	char chunk[CHUNK_BYTES];
+	const char *captured_name;
+	bool in_captured;
+	uint64_t first_byte_ns;
+	GString *captured_value;
+	char read_buffer[READ_BYTES];
 };
 
 static void on_closed(uv_handle_t *handle)
@@ -45,70 +70,75 @@
 	free(handle->data);
 }
 
-static void drop_connection(struct http_client *c)
+static void close_connection(struct http_client *client)
 {
-	struct connection *n = c->connection;
+	struct connection *conn = client->connection;
 
-	if (!n)
+	if (!conn)
 		return;
-	n->owner = NULL;
-	c->connection = NULL;
-	uv_close((uv_handle_t *)&n->tcp, on_closed);
+	conn->client = NULL;
+	client->connection = NULL;
+	uv_close((uv_handle_t *)&conn->tcp, on_closed);
 }
 
-static void finish(struct http_client *c, int err)
+static void end_call(struct http_client *client, int err)
 {
 	struct http_reply reply = {
 		.err = err,
-		.status = err ? 0 : (int)c->parser.status_code,
-		.body = c->body->str,
-		.size_bytes = c->body->len,
-		.transfer_ns = c->first_ns ? uv_hrtime() - c->first_ns : 0,
-		.header = c->header->str,
+		.status = err ? 0 : (int)client->parser.status_code,
+		.body = client->body->str,
+		.size_bytes = client->body->len,
+		.transfer_ns = client->first_byte_ns
+				       ? uv_hrtime() - client->first_byte_ns
+				       : 0,
+		.header = client->captured_value->str,
 	};
 
-	if (!c->calling)
+	if (!client->is_busy)
 		return;
-	c->calling = false;
-	uv_timer_stop(&c->timer);
-	if (err || !http_should_keep_alive(&c->parser))
-		drop_connection(c);
-	c->handler.done(c->handler.ctx, &reply);
+	client->is_busy = false;
+	uv_timer_stop(&client->timer);
+	if (err || !http_should_keep_alive(&client->parser))
+		close_connection(client);
+	client->handler.done(client->handler.ctx, &reply);
 }
 
-/* Answers nothing further: a connection that went silent may stay so. */
+/* end_call() closes the connection, as it may stay silent. */
 static void on_timeout(uv_timer_t *timer)
 {
-	finish(timer->data, -ETIMEDOUT);
+	end_call(timer->data, -ETIMEDOUT);
 }
 
-static int on_body(http_parser *parser, const char *at, size_t size_bytes)
+static int on_body(http_parser *parser, const char *data, size_t size_bytes)
 {
-	struct http_client *c = parser->data;
+	struct http_client *client = parser->data;
 
-	if (c->body->len + size_bytes > BODY_MAX_BYTES)
+	if (client->body->len + size_bytes > BODY_MAX_BYTES)
 		return -EMSGSIZE;
-	g_string_append_len(c->body, at, (gssize)size_bytes);
+	g_string_append_len(client->body, data, (gssize)size_bytes);
 	return 0;
 }
 
-static int on_header_field(http_parser *parser, const char *at,
+static int on_header_field(http_parser *parser, const char *data,
 			   size_t size_bytes)
 {
-	struct http_client *c = parser->data;
+	struct http_client *client = parser->data;
 
-	c->in_wanted = c->wanted && size_bytes == strlen(c->wanted) &&
-		       !g_ascii_strncasecmp(at, c->wanted, size_bytes);
+	client->in_captured =
+		client->captured_name &&
+		size_bytes == strlen(client->captured_name) &&
+		!g_ascii_strncasecmp(data, client->captured_name, size_bytes);
 	return 0;
 }
 
-static int on_header_value(http_parser *parser, const char *at,
+static int on_header_value(http_parser *parser, const char *data,
 			   size_t size_bytes)
 {
-	struct http_client *c = parser->data;
+	struct http_client *client = parser->data;
 
-	if (c->in_wanted)
-		g_string_append_len(c->header, at, (gssize)size_bytes);
+	if (client->in_captured)
+		g_string_append_len(client->captured_value, data,
+				    (gssize)size_bytes);
 	return 0;
 }
 
@@ -118,7 +148,7 @@
 	return 0;
 }
 
-static const http_parser_settings parsing = {
+static const http_parser_settings parser_callbacks = {
 	.on_header_field = on_header_field,
 	.on_header_value = on_header_value,
 	.on_body = on_body,
@@ -127,229 +157,237 @@
 
 static void on_alloc(uv_handle_t *handle, size_t suggested, uv_buf_t *buf)
 {
-	struct connection *n = handle->data;
+	struct connection *conn = handle->data;
 
 	(void)suggested;
-	*buf = n->owner ? uv_buf_init(n->owner->chunk, CHUNK_BYTES)
-			: uv_buf_init(NULL, 0);
+	*buf = conn->client ? uv_buf_init(conn->client->read_buffer, READ_BYTES)
+			    : uv_buf_init(NULL, 0);
 }
 
-static void parse(struct http_client *c, const char *data, size_t size_bytes)
+static void parse(struct http_client *client, const char *data,
+		  size_t size_bytes)
 {
-	http_parser_execute(&c->parser, &parsing, data, size_bytes);
-	if (HTTP_PARSER_ERRNO(&c->parser) == HPE_PAUSED) {
-		http_parser_pause(&c->parser, 0);
-		finish(c, 0);
-	} else if (HTTP_PARSER_ERRNO(&c->parser) != HPE_OK) {
-		finish(c, -EPROTO);
+	http_parser_execute(&client->parser, &parser_callbacks, data,
+			    size_bytes);
+	if (HTTP_PARSER_ERRNO(&client->parser) == HPE_PAUSED) {
+		http_parser_pause(&client->parser, 0);
+		end_call(client, 0);
+	} else if (HTTP_PARSER_ERRNO(&client->parser) != HPE_OK) {
+		end_call(client, -EPROTO);
 	}
 }
 
 static void on_read(uv_stream_t *stream, ssize_t n_read, const uv_buf_t *buf)
 {
-	struct connection *n = stream->data;
-	struct http_client *c = n->owner;
+	struct connection *conn = stream->data;
+	struct http_client *client = conn->client;
 
-	if (!c || n_read == 0)
+	if (!client || n_read == 0)
 		return;
-	if (n_read > 0 && c->calling) {
-		if (!c->first_ns)
-			c->first_ns = uv_hrtime();
-		uv_timer_start(&c->timer, on_timeout, STALL_MS, 0);
-		parse(c, buf->base, (size_t)n_read);
+	if (n_read > 0 && client->is_busy) {
+		if (!client->first_byte_ns)
+			client->first_byte_ns = uv_hrtime();
+		uv_timer_start(&client->timer, on_timeout, STALL_MS, 0);
+		parse(client, buf->base, (size_t)n_read);
 		return;
 	}
-	/* Closed by the server, or bytes that nobody asked for. */
-	if (c->calling)
-		finish(c, n_read == UV_EOF ? -ECONNRESET : (int)n_read);
+	/* Closed by the server, or bytes without a request. */
+	if (client->is_busy)
+		end_call(client, n_read == UV_EOF ? -ECONNRESET : (int)n_read);
 	else
-		drop_connection(c);
+		close_connection(client);
 }
 
 static void on_written(uv_write_t *write, int status)
 {
-	struct connection *n = write->handle->data;
+	struct connection *conn = write->handle->data;
 
 	free(write);
-	if (status && n->owner)
-		finish(n->owner, status);
+	if (status && conn->client)
+		end_call(conn->client, status);
 }
 
-static void send_request(struct http_client *c)
+static void send_request(struct http_client *client)
 {
 	uv_write_t *write = malloc(sizeof(*write));
-	uv_buf_t buf =
-		uv_buf_init(c->request->str, (unsigned int)c->request->len);
+	uv_buf_t buf = uv_buf_init(client->request->str,
+				   (unsigned int)client->request->len);
 	int err = write ? 0 : -ENOMEM;
 
-	http_parser_init(&c->parser, HTTP_RESPONSE);
-	c->parser.data = c;
+	http_parser_init(&client->parser, HTTP_RESPONSE);
+	client->parser.data = client;
 	if (write)
-		err = uv_write(write, (uv_stream_t *)&c->connection->tcp, &buf,
-			       1, on_written);
+		err = uv_write(write, (uv_stream_t *)&client->connection->tcp,
+			       &buf, 1, on_written);
 	if (!err)
 		return;
 	free(write);
-	finish(c, err);
+	end_call(client, err);
 }
 
 static void on_connect(uv_connect_t *connect, int status)
 {
-	struct connection *n = connect->data;
-	struct http_client *c = n->owner;
+	struct connection *conn = connect->data;
+	struct http_client *client = conn->client;
 
-	if (!c)
+	if (!client)
 		return;
 	if (status) {
-		finish(c, status);
+		end_call(client, status);
 		return;
 	}
-	n->connected = true;
-	uv_read_start((uv_stream_t *)&n->tcp, on_alloc, on_read);
-	if (c->handler.connected &&
-	    !c->handler.connected(c->handler.ctx, uv_hrtime() - n->begun_ns)) {
-		finish(c, -EBUSY);
+	conn->is_connected = true;
+	uv_read_start((uv_stream_t *)&conn->tcp, on_alloc, on_read);
+	if (client->handler.connected &&
+	    !client->handler.connected(client->handler.ctx,
+				       uv_hrtime() -
+					       conn->connect_started_ns)) {
+		end_call(client, -EBUSY);
 		return;
 	}
-	send_request(c);
+	send_request(client);
 }
 
-static int connect_to(struct http_client *c, uint64_t server)
+static int start_connect(struct http_client *client, uint64_t server)
 {
-	struct connection *n = calloc(1, sizeof(*n));
-	struct sockaddr_in to = {
+	struct connection *conn = calloc(1, sizeof(*conn));
+	struct sockaddr_in server_addr = {
 		.sin_family = AF_INET,
 		.sin_port = htons(ADDR_PORT(server)),
 		.sin_addr.s_addr = htonl(ADDR_IP(server)),
 	};
 
-	if (!n)
+	if (!conn)
 		return -ENOMEM;
-	uv_tcp_init(c->loop, &n->tcp);
-	uv_tcp_nodelay(&n->tcp, 1);
-	n->tcp.data = n;
-	n->connect.data = n;
-	n->owner = c;
-	n->begun_ns = uv_hrtime();
-	c->connection = n;
-	c->server = server;
-	return uv_tcp_connect(&n->connect, &n->tcp, (struct sockaddr *)&to,
-			      on_connect);
+	uv_tcp_init(client->loop, &conn->tcp);
+	uv_tcp_nodelay(&conn->tcp, 1);
+	conn->tcp.data = conn;
+	conn->connect.data = conn;
+	conn->client = client;
+	conn->connect_started_ns = uv_hrtime();
+	client->connection = conn;
+	client->server = server;
+	return uv_tcp_connect(&conn->connect, &conn->tcp,
+			      (struct sockaddr *)&server_addr, on_connect);
 }
 
 /**
- * http_client_open() - be ready to call
- * @loop: loop to run on
- * @handler: takes the end of calls
- * @out: set to the caller
+ * http_client_open() - create a client; it connects at the first call
+ * @loop: event loop that runs the client and its handler
+ * @handler: called at the end of calls
+ * @out: client, to be closed with http_client_close()
  *
  * Return: 0 or -ENOMEM.
  */
 int http_client_open(uv_loop_t *loop, struct http_client_handler handler,
 		     struct http_client **out)
 {
-	struct http_client *c = calloc(1, sizeof(*c));
+	struct http_client *client = calloc(1, sizeof(*client));
 
-	if (!c)
+	if (!client)
 		return -ENOMEM;
-	c->loop = loop;
-	c->handler = handler;
-	c->body = g_string_new(NULL);
-	c->request = g_string_new(NULL);
-	c->header = g_string_new(NULL);
-	uv_timer_init(loop, &c->timer);
-	c->timer.data = c;
-	*out = c;
+	client->loop = loop;
+	client->handler = handler;
+	client->body = g_string_new(NULL);
+	client->request = g_string_new(NULL);
+	client->captured_value = g_string_new(NULL);
+	uv_timer_init(loop, &client->timer);
+	client->timer.data = client;
+	*out = client;
 	return 0;
 }
 
 /**
- * http_client_get() - start a GET; the one before has to have ended
- * @c: caller
- * @server: address; another one than before costs a new connection
+ * http_client_get() - start a GET request
+ * @client: client without a call in progress
+ * @server: address of the server, see ADDR(); a change needs a new connection
  * @path: path and query
- * @timeout_ms: the answer has to begin within this time. It may take as long as
- *	the link needs, while it goes on: given up and begun anew, a large one
- *	would never come over a narrow link, and each try would fill it.
+ * @timeout_ms: time within which the answer must begin, in milliseconds
+ *
+ * The time for the rest of the answer is not limited while bytes keep arriving.
+ * With a limit, a large answer would never be complete over a slow link, and
+ * each new attempt would fill the link.
  *
- * Return: 0, and the handler is called later; -EBUSY; another negative error
- * when it could not be started.
+ * Return: 0, and the handler is called at the end; -EBUSY while a call is in
+ * progress; another negative error when the call could not be started.
  */
-int http_client_get(struct http_client *c, uint64_t server, const char *path,
-		    uint64_t timeout_ms)
+int http_client_get(struct http_client *client, uint64_t server,
+		    const char *path, uint64_t timeout_ms)
 {
 	char host[32];
 	int err;
 
-	if (c->calling)
+	if (client->is_busy)
 		return -EBUSY;
-	g_string_printf(c->request, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", path,
-			addr_text(server, host, sizeof(host)));
-	g_string_truncate(c->body, 0);
-	g_string_truncate(c->header, 0);
-	c->first_ns = 0;
-	if (c->connection && (c->server != server || !c->connection->connected))
-		drop_connection(c);
-	c->calling = true;
-	uv_timer_start(&c->timer, on_timeout, timeout_ms, 0);
-	if (c->connection) {
-		send_request(c);
+	g_string_printf(client->request, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n",
+			path, addr_text(server, host, sizeof(host)));
+	g_string_truncate(client->body, 0);
+	g_string_truncate(client->captured_value, 0);
+	client->first_byte_ns = 0;
+	if (client->connection &&
+	    (client->server != server || !client->connection->is_connected))
+		close_connection(client);
+	client->is_busy = true;
+	uv_timer_start(&client->timer, on_timeout, timeout_ms, 0);
+	if (client->connection) {
+		send_request(client);
 		return 0;
 	}
-	err = connect_to(c, server);
+	err = start_connect(client, server);
 	if (!err)
 		return 0;
-	c->calling = false;
-	uv_timer_stop(&c->timer);
-	drop_connection(c);
+	client->is_busy = false;
+	uv_timer_stop(&client->timer);
+	close_connection(client);
 	return err;
 }
 
 /**
- * http_client_capture_header() - a header whose value replies are to bring
- * @c: caller
- * @name: its name; not copied
+ * http_client_capture_header() - pass the value of a header with each reply
+ * @client: client
+ * @name: name of the header, without regard to case; not copied, must stay
+ *	valid
  */
-void http_client_capture_header(struct http_client *c, const char *name)
+void http_client_capture_header(struct http_client *client, const char *name)
 {
-	c->wanted = name;
+	client->captured_name = name;
 }
 
 /**
- * http_client_cancel() - give up the call under way; the handler is not called
- * @c: caller
+ * http_client_cancel() - abort the call in progress without calling the handler
+ * @client: client, with or without a call in progress
  */
-void http_client_cancel(struct http_client *c)
+void http_client_cancel(struct http_client *client)
 {
-	if (!c->calling)
+	if (!client->is_busy)
 		return;
-	c->calling = false;
-	uv_timer_stop(&c->timer);
-	drop_connection(c);
+	client->is_busy = false;
+	uv_timer_stop(&client->timer);
+	close_connection(client);
 }
 
 /**
- * http_client_is_busy() - whether a call is under way
- * @c: caller
+ * http_client_is_busy() - check whether a call is in progress
+ * @client: client
  *
- * Return: whether it is.
+ * Return: true between http_client_get() and the end of its call.
  */
-bool http_client_is_busy(const struct http_client *c)
+bool http_client_is_busy(const struct http_client *client)
 {
-	return c->calling;
+	return client->is_busy;
 }
 
 /**
- * http_client_close() - end; memory goes when the loop turns again
- * @c: caller, or NULL
+ * http_client_close() - close a client, without calling its handler
+ * @client: client, freed when the loop has run its close callbacks; or NULL
  */
-void http_client_close(struct http_client *c)
+void http_client_close(struct http_client *client)
 {
-	if (!c)
+	if (!client)
 		return;
-	drop_connection(c);
-	g_string_free(c->body, TRUE);
-	g_string_free(c->request, TRUE);
-	g_string_free(c->header, TRUE);
-	uv_close((uv_handle_t *)&c->timer, on_closed);
+	close_connection(client);
+	g_string_free(client->body, TRUE);
+	g_string_free(client->request, TRUE);
+	g_string_free(client->captured_value, TRUE);
+	uv_close((uv_handle_t *)&client->timer, on_closed);
 }
--- a/adapters/http_client.h
+++ b/adapters/http_client.h
@@ -1,6 +1,6 @@
 /*
- * An HTTP/1.1 client on libuv: one connection to one server, kept open, one
- * GET at a time, each with a deadline for the beginning of its answer.
+ * HTTP/1.1 client on libuv: GET requests one at a time, over one connection
+ * that is kept open. A deadline applies to the beginning of an answer.
  */
 #ifndef CB_HTTP_CLIENT_H
 #define CB_HTTP_CLIENT_H
@@ -10,14 +10,16 @@
 #include <uv.h>
 
 /**
- * struct http_reply - how a call ended
- * @err: 0, or a negative error when no whole answer came: -ETIMEDOUT,
- *	-ECONNREFUSED, -ECONNRESET, -EPROTO, -EMSGSIZE, -EBUSY
- * @status: HTTP status when @err is 0
- * @body: body, ends with a zero byte that @size_bytes doesn't count
- * @size_bytes: its size
- * @transfer_ns: time from its first byte to its last
- * @header: value of the header named by http_client_capture_header(), "" without it
+ * struct http_reply - result of a call; its pointers are valid in the handler
+ * @err: 0; or a negative error when no complete answer was received:
+ *	-ETIMEDOUT, -ECONNREFUSED, -ECONNRESET, -EPROTO (also for a body above
+ *	the limit), -EBUSY or another one of libuv
+ * @status: HTTP status when @err is 0, otherwise 0
+ * @body: body with a terminating zero byte
+ * @size_bytes: size of @body without the zero byte
+ * @transfer_ns: time between the first and the last byte of the answer
+ * @header: value of the header set with http_client_capture_header(), ""
+ *	without
  */
 struct http_reply {
 	int err;
@@ -29,27 +31,28 @@
 };
 
 /**
- * struct http_client_handler - port that takes the end of calls
- * @ctx: passed back
- * @done: the call ended; the next may be started from here
- * @connected: a new connection stands, after so long; false to send nothing:
- *	the call ends with -EBUSY. May be NULL.
+ * struct http_client_handler - port that receives the results of calls
+ * @ctx: passed to the functions
+ * @done: called at the end of each call; may start the next one
+ * @connected: called when a new connection is established, with the time that
+ *	it took; returns false to end the call with -EBUSY without sending the
+ *	request. May be NULL.
  */
 struct http_client_handler {
 	void *ctx;
 	void (*done)(void *ctx, const struct http_reply *reply);
-	bool (*connected)(void *ctx, uint64_t took_ns);
+	bool (*connected)(void *ctx, uint64_t connect_ns);
 };
 
 struct http_client;
 
 int http_client_open(uv_loop_t *loop, struct http_client_handler handler,
 		     struct http_client **out);
-int http_client_get(struct http_client *c, uint64_t server, const char *path,
-		    uint64_t timeout_ms);
-void http_client_capture_header(struct http_client *c, const char *name);
-void http_client_cancel(struct http_client *c);
-bool http_client_is_busy(const struct http_client *c);
-void http_client_close(struct http_client *c);
+int http_client_get(struct http_client *client, uint64_t server,
+		    const char *path, uint64_t timeout_ms);
+void http_client_capture_header(struct http_client *client, const char *name);
+void http_client_cancel(struct http_client *client);
+bool http_client_is_busy(const struct http_client *client);
+void http_client_close(struct http_client *client);
 
 #endif
--- a/adapters/json_text.c
+++ b/adapters/json_text.c
@@ -3,90 +3,91 @@
 #include <inttypes.h>
 #include <string.h>
 
-/* Invalid UTF-8 is not JSON: a reader would refuse the whole line. */
-static void quoted(GString *to, const char *value)
+/* Replaces invalid UTF-8, since a parser would reject the whole line. */
+static void append_quoted(GString *out, const char *value)
 {
 	char *valid = g_utf8_make_valid(value, -1);
 
-	g_string_append_c(to, '"');
-	for (const char *at = valid; *at; at++) {
-		unsigned char c = (unsigned char)*at;
+	g_string_append_c(out, '"');
+	for (const char *next = valid; *next; next++) {
+		unsigned char c = (unsigned char)*next;
 
 		if (c == '"' || c == '\\')
-			g_string_append_printf(to, "\\%c", c);
+			g_string_append_printf(out, "\\%c", c);
 		else if (c < ' ')
-			g_string_append_printf(to, "\\u%04x", c);
+			g_string_append_printf(out, "\\u%04x", c);
 		else
-			g_string_append_c(to, (char)c);
+			g_string_append_c(out, (char)c);
 	}
-	g_string_append_c(to, '"');
+	g_string_append_c(out, '"');
 	g_free(valid);
 }
 
-static void lead(GString *to, const char *key)
+/* Writes the comma and the key before a value, as needed. */
+static void begin_value(GString *out, const char *key)
 {
-	if (to->len && !strchr("{[:\n", to->str[to->len - 1]))
-		g_string_append_c(to, ',');
+	if (out->len && !strchr("{[:\n", out->str[out->len - 1]))
+		g_string_append_c(out, ',');
 	if (!key)
 		return;
-	quoted(to, key);
-	g_string_append_c(to, ':');
+	append_quoted(out, key);
+	g_string_append_c(out, ':');
 }
 
 /**
  * json_open() - begin an object or array
- * @to: text
- * @key: name in the object around it, NULL in an array or at the top
+ * @out: text to append to
+ * @key: key in the enclosing object; NULL in an array or at the top
  * @bracket: '{' or '['
  */
-void json_open(GString *to, const char *key, char bracket)
+void json_open(GString *out, const char *key, char bracket)
 {
-	lead(to, key);
-	g_string_append_c(to, bracket);
+	begin_value(out, key);
+	g_string_append_c(out, bracket);
 }
 
 /**
  * json_close() - end an object or array
- * @to: text
+ * @out: text to append to
  * @bracket: '}' or ']'
  */
-void json_close(GString *to, char bracket)
+void json_close(GString *out, char bracket)
 {
-	g_string_append_c(to, bracket);
+	g_string_append_c(out, bracket);
 }
 
 /**
  * json_string() - write a string
- * @to: text
- * @key: name, or NULL in an array
- * @value: text, escaped as needed
+ * @out: text to append to
+ * @key: key, NULL in an array
+ * @value: any text; it is escaped
  */
-void json_string(GString *to, const char *key, const char *value)
+void json_string(GString *out, const char *key, const char *value)
 {
-	lead(to, key);
-	quoted(to, value);
+	begin_value(out, key);
+	append_quoted(out, value);
 }
 
 /**
  * json_number() - write a number
- * @to: text
- * @key: name, or NULL in an array
+ * @out: text to append to
+ * @key: key, NULL in an array
  * @value: number
  */
-void json_number(GString *to, const char *key, uint64_t value)
+void json_number(GString *out, const char *key, uint64_t value)
 {
-	lead(to, key);
-	g_string_append_printf(to, "%" PRIu64, value);
+	begin_value(out, key);
+	g_string_append_printf(out, "%" PRIu64, value);
 }
 
 /**
  * json_bool() - write true or false
- * @to: text
- * @key: name, or NULL in an array
- * @value: truth
+ * @out: text to append to
+ * @key: key, NULL in an array
+ * @value: value
  */
-void json_bool(GString *to, const char *key, bool value)
+void json_bool(GString *out, const char *key, bool value)
 {
-	lead(to, key);
-	g_string_append(to, value ? "true" : "false");
+	begin_value(out, key);
+	g_string_append(out, value ? "true" : "false");
 }
--- a/adapters/json_text.h
+++ b/adapters/json_text.h
@@ -1,6 +1,6 @@
 /*
- * Writes JSON on one line. A comma is put in where the text before calls for
- * one, so there is no state besides the text.
+ * Writes JSON without line breaks. Whether a comma is needed follows from the
+ * last character written, so there is no state besides the text.
  */
 #ifndef CB_JSON_TEXT_H
 #define CB_JSON_TEXT_H
@@ -9,10 +9,10 @@
 
 #include <glib.h>
 
-void json_open(GString *to, const char *key, char bracket);
-void json_close(GString *to, char bracket);
-void json_string(GString *to, const char *key, const char *value);
-void json_number(GString *to, const char *key, uint64_t value);
-void json_bool(GString *to, const char *key, bool value);
+void json_open(GString *out, const char *key, char bracket);
+void json_close(GString *out, char bracket);
+void json_string(GString *out, const char *key, const char *value);
+void json_number(GString *out, const char *key, uint64_t value);
+void json_bool(GString *out, const char *key, bool value);
 
 #endif
--- a/adapters/policy_settings.c
+++ b/adapters/policy_settings.c
@@ -4,13 +4,14 @@
 #define COUNT_MAX 1000000
 #define MS_MAX 600000
 
-#define NUMBER(name, low, high)                                         \
-	FIELD(policy, #name, FIELD_U32, name, .keep = true, .min = low, \
-	      .max = high)
-#define TIME(name, low)                                               \
-	FIELD(policy, #name "_ms", FIELD_MS, name##_ns, .keep = true, \
-	      .min = low, .max = MS_MAX)
-#define SWITCH(name) FIELD(policy, #name, FIELD_BOOL, name, .keep = true)
+#define NUMBER(name, low, high)                                        \
+	FIELD(policy, #name, FIELD_U32, name, .keep_if_missing = true, \
+	      .min = low, .max = high)
+#define TIME(name, low)                                 \
+	FIELD(policy, #name "_ms", FIELD_MS, name##_ns, \
+	      .keep_if_missing = true, .min = low, .max = MS_MAX)
+#define SWITCH(name) \
+	FIELD(policy, #name, FIELD_BOOL, name, .keep_if_missing = true)
 
 const struct field policy_fields[] = {
 	NUMBER(choices, 0, 16),
