--- a/test/coap_wire_prop.cc
+++ b/test/coap_wire_prop.cc
@@ -13,17 +13,19 @@
 
 using bytes = std::vector<uint8_t>;
 
-/* Options that the library checks no lengths of, in rising order. */
-static const uint16_t numbers[] = { 2048, 2050, 9000, 64000, 65002, 65010 };
+/* Ascending numbers of options whose length libcoap doesn't check. */
+static const uint16_t option_numbers[] = {
+	2048, 2050, 9000, 64000, 65002, 65010
+};
 
-static bytes bytes_up_to(uint32_t n)
+static bytes random_bytes(uint32_t n)
 {
 	auto size = *rc::gen::inRange<uint32_t>(0, n + 1);
 
 	return *rc::gen::container<bytes>(size, rc::gen::arbitrary<uint8_t>());
 }
 
-/* A well-formed request; @options is where its options begin. */
+/* A valid request; @options is the offset of its options. */
 struct request {
 	bytes data;
 	size_t options;
@@ -38,16 +40,16 @@
 	to.insert(to.end(), opt.begin(), opt.end());
 }
 
-static request any_request(bool with_timeout)
+static request random_request(bool with_timeout)
 {
-	auto token = bytes_up_to(TOKEN_MAX_BYTES);
-	auto payload = bytes_up_to(60);
+	auto token = random_bytes(TOKEN_MAX_BYTES);
+	auto payload = random_bytes(60);
 	uint16_t last = 0;
 	request r = { { uint8_t(0x40 | token.size()), 2, 0, 9 }, 0 };
 
 	r.data.insert(r.data.end(), token.begin(), token.end());
 	r.options = r.data.size();
-	for (uint16_t number : numbers) {
+	for (uint16_t number : option_numbers) {
 		if (with_timeout && number > OPTION_TIMEOUT &&
 		    last < OPTION_TIMEOUT) {
 			put_option(r.data, OPTION_TIMEOUT - last, { 9, 9 });
@@ -55,7 +57,7 @@
 		}
 		if (!*rc::gen::arbitrary<bool>())
 			continue;
-		put_option(r.data, number - last, bytes_up_to(300));
+		put_option(r.data, number - last, random_bytes(300));
 		last = number;
 	}
 	if (!payload.empty()) {
@@ -65,10 +67,10 @@
 	return r;
 }
 
-static action any_action(const bytes &data)
+static action random_action(const bytes &data)
 {
 	action a = {};
-	auto token = bytes_up_to(TOKEN_MAX_BYTES);
+	auto token = random_bytes(TOKEN_MAX_BYTES);
 
 	a.type = WIRE_CONFIRM;
 	a.id = *rc::gen::arbitrary<uint16_t>();
@@ -89,8 +91,8 @@
 	return out;
 }
 
-/* Options and payload as text, without the Timeout option. */
-static bytes rest_of(const bytes &data)
+/* Numbers and values of all options but Timeout, then the payload. */
+static bytes other_options_and_payload(const bytes &data)
 {
 	coap_pdu_t *pdu =
 		coap_pdu_init(COAP_MESSAGE_CON, COAP_EMPTY_CODE, 0, 4096);
@@ -116,10 +118,11 @@
 	return rest;
 }
 
-static void every_writer(const bytes &data)
+static void call_all_writers(const bytes &data)
 {
-	bytes tight(data.begin(), data.end());
-	action a = any_action(tight);
+	/* Without spare capacity, so that ASan finds reads past the end. */
+	bytes exact_copy(data.begin(), data.end());
+	action a = random_action(exact_copy);
 	load_report report;
 	bytes out(*rc::gen::inRange<size_t>(0, 300));
 
@@ -128,7 +131,7 @@
 		  int32_t(out.size()));
 	RC_ASSERT(coap_wire_cancel(&a, out.data(), out.size()) <=
 		  int32_t(out.size()));
-	coap_wire_parse_load(tight.data(), tight.size(), &report);
+	coap_wire_parse_load(exact_copy.data(), exact_copy.size(), &report);
 }
 
 int main()
@@ -136,40 +139,48 @@
 	bool ok = true;
 	message m;
 
-	ok &= rc::check("a rewrite changes ID and token, nothing else", [&] {
-		request r = any_request(*rc::gen::arbitrary<bool>());
-		action a = any_action(r.data);
-		bytes out = rewrite(a);
-
-		RC_ASSERT(bytes(r.data.begin() + r.options, r.data.end()) ==
-			  bytes(out.begin() + 4 + a.token_len, out.end()));
-		RC_PRE(out.size() <= DATAGRAM_MAX_BYTES);
-		RC_ASSERT(coap_wire_parse(out.data(), out.size(), &m) == 0);
-		RC_ASSERT(m.id == a.id);
-		RC_ASSERT(m.token_len == a.token_len);
-		RC_ASSERT(memcmp(m.token, a.token, a.token_len) == 0);
-	});
-	ok &= rc::check("a timeout goes in once, the rest stays", [&] {
-		request r = any_request(*rc::gen::arbitrary<bool>());
-		action a = any_action(r.data);
-
-		a.timeout_ns =
-			NS_PER_MS * *rc::gen::inRange<uint64_t>(1, 1u << 31);
-		bytes out = rewrite(a);
-		RC_ASSERT(rest_of(out) == rest_of(r.data));
-		RC_PRE(out.size() <= DATAGRAM_MAX_BYTES);
-		RC_ASSERT(coap_wire_parse(out.data(), out.size(), &m) == 0);
-		RC_ASSERT(m.timeout_ns == a.timeout_ns);
-	});
-	ok &= rc::check("random bytes break nothing", [&] {
-		bytes data = bytes_up_to(120);
-		bytes tight(data.begin(), data.end());
-
-		RC_ASSERT(coap_wire_parse(tight.data(), tight.size(), &m) <= 0);
-		every_writer(data);
+	ok &= rc::check(
+		"a rewrite changes message ID and token, nothing else", [&] {
+			request r = random_request(*rc::gen::arbitrary<bool>());
+			action a = random_action(r.data);
+			bytes out = rewrite(a);
+
+			RC_ASSERT(bytes(r.data.begin() + r.options,
+					r.data.end()) ==
+				  bytes(out.begin() + 4 + a.token_len,
+					out.end()));
+			RC_PRE(out.size() <= DATAGRAM_MAX_BYTES);
+			RC_ASSERT(coap_wire_parse(out.data(), out.size(), &m) ==
+				  0);
+			RC_ASSERT(m.id == a.id);
+			RC_ASSERT(m.token_len == a.token_len);
+			RC_ASSERT(memcmp(m.token, a.token, a.token_len) == 0);
+		});
+	ok &= rc::check(
+		"a rewrite writes one Timeout option and keeps the rest", [&] {
+			request r = random_request(*rc::gen::arbitrary<bool>());
+			action a = random_action(r.data);
+
+			a.timeout_ns = NS_PER_MS *
+				       *rc::gen::inRange<uint64_t>(1, 1u << 31);
+			bytes out = rewrite(a);
+			RC_ASSERT(other_options_and_payload(out) ==
+				  other_options_and_payload(r.data));
+			RC_PRE(out.size() <= DATAGRAM_MAX_BYTES);
+			RC_ASSERT(coap_wire_parse(out.data(), out.size(), &m) ==
+				  0);
+			RC_ASSERT(m.timeout_ns == a.timeout_ns);
+		});
+	ok &= rc::check("random bytes cause no invalid access", [&] {
+		bytes data = random_bytes(120);
+		bytes exact_copy(data.begin(), data.end());
+
+		RC_ASSERT(coap_wire_parse(exact_copy.data(), exact_copy.size(),
+					  &m) <= 0);
+		call_all_writers(data);
 	});
-	ok &= rc::check("a mutated request breaks nothing", [&] {
-		bytes data = any_request(true).data;
+	ok &= rc::check("a mutated request causes no invalid access", [&] {
+		bytes data = random_request(true).data;
 
 		data.resize(*rc::gen::inRange<size_t>(0, data.size() + 1));
 		if (!data.empty()) {
@@ -177,9 +188,10 @@
 
 			data[at] = *rc::gen::arbitrary<uint8_t>();
 		}
-		bytes tight(data.begin(), data.end());
-		RC_ASSERT(coap_wire_parse(tight.data(), tight.size(), &m) <= 0);
-		every_writer(data);
+		bytes exact_copy(data.begin(), data.end());
+		RC_ASSERT(coap_wire_parse(exact_copy.data(), exact_copy.size(),
+					  &m) <= 0);
+		call_all_writers(data);
 	});
 	return ok ? 0 : 1;
 }
--- a/test/coap_wire_test.c
+++ b/test/coap_wire_test.c
@@ -13,14 +13,14 @@
 static const uint8_t feed_open[] = { 0x41, 1,	0x12, 0x34, 0xab, 0x60, 0x54,
 				     'f',  'e', 'e',  'd',  0xff, 'x' };
 
-static void test_kinds_and_flags(void **state)
+static void test_kind_and_flags_of_each_message(void **state)
 {
 	static const struct {
 		uint8_t data[16];
 		uint8_t n;
 		uint8_t kind;
 		uint16_t flags;
-	} rows[] = {
+	} cases[] = {
 		{ { 0x40, 1, 0, 1 },
 		  4,
 		  MESSAGE_REQUEST,
@@ -77,24 +77,24 @@
 		  MESSAGE_REQUEST,
 		  MESSAGE_IDEMPOTENT | MESSAGE_BLOCK },
 	};
-	struct message m;
+	struct message msg;
 
 	(void)state;
-	for (uint32_t i = 0; i < sizeof(rows) / sizeof(rows[0]); i++) {
-		assert_int_equal(coap_wire_parse(rows[i].data, rows[i].n, &m),
-				 0);
-		assert_int_equal(m.kind, rows[i].kind);
-		assert_int_equal(m.flags, rows[i].flags);
-		assert_int_equal(m.id, 1);
+	for (uint32_t i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
+		assert_int_equal(
+			coap_wire_parse(cases[i].data, cases[i].n, &msg), 0);
+		assert_int_equal(msg.kind, cases[i].kind);
+		assert_int_equal(msg.flags, cases[i].flags);
+		assert_int_equal(msg.id, 1);
 	}
 }
 
-static void test_malformed_is_refused(void **state)
+static void test_malformed_datagram_is_rejected(void **state)
 {
 	static const struct {
 		uint8_t data[8];
 		uint8_t n;
-	} rows[] = {
+	} cases[] = {
 		{ { 0x40, 1, 0 }, 3 }, /* short header */
 		{ { 0x80, 1, 0, 1 }, 4 }, /* version 2 */
 		{ { 0x49, 1, 0, 1, 1, 2, 3, 4 }, 8 }, /* token of 9 */
@@ -107,15 +107,16 @@
 		{ { 0x40, 0x20, 0, 1 }, 4 }, /* reserved class 1 */
 		{ { 0x40, 0xe1, 0, 1 }, 4 }, /* signal of CoAP over TCP */
 	};
-	struct message m;
+	struct message msg;
 
 	(void)state;
-	for (uint32_t i = 0; i < sizeof(rows) / sizeof(rows[0]); i++)
-		assert_int_equal(coap_wire_parse(rows[i].data, rows[i].n, &m),
+	for (uint32_t i = 0; i < sizeof(cases) / sizeof(cases[0]); i++)
+		assert_int_equal(coap_wire_parse(cases[i].data, cases[i].n,
+						 &msg),
 				 -EPROTO);
 }
 
-static struct action to_target(const uint8_t *data, uint32_t n)
+static struct action action_to_target(const uint8_t *data, uint32_t n)
 {
 	return (struct action){ .kind = ACT_TO_TARGET,
 				.type = WIRE_CONFIRM,
@@ -126,27 +127,27 @@
 				.size_bytes = n };
 }
 
-static void test_rewrite_keeps_the_rest(void **state)
+static void test_rewrite_keeps_options_and_payload(void **state)
 {
-	struct action a = to_target(feed_open, sizeof(feed_open));
+	struct action a = action_to_target(feed_open, sizeof(feed_open));
 	uint8_t out[64];
 	int32_t n = coap_wire_rewrite(&a, out, sizeof(out));
-	struct message m;
+	struct message msg;
 
 	(void)state;
 	assert_int_equal(n, sizeof(feed_open) + 3);
 	assert_memory_equal(out + 8, feed_open + 5, sizeof(feed_open) - 5);
-	assert_int_equal(coap_wire_parse(out, (uint32_t)n, &m), 0);
-	assert_int_equal(m.id, 0xbeef);
-	assert_int_equal(m.token_len, 4);
-	assert_memory_equal(m.token, a.token, 4);
-	assert_int_equal(m.flags & MESSAGE_FEED_OPEN, MESSAGE_FEED_OPEN);
+	assert_int_equal(coap_wire_parse(out, (uint32_t)n, &msg), 0);
+	assert_int_equal(msg.id, 0xbeef);
+	assert_int_equal(msg.token_len, 4);
+	assert_memory_equal(msg.token, a.token, 4);
+	assert_int_equal(msg.flags & MESSAGE_FEED_OPEN, MESSAGE_FEED_OPEN);
 }
 
 /*
- * Symptom: a target runs a request whose caller has gone.
- * Events: a request with a Timeout option waits in a queue and is sent on.
- * Cause: the option is sent on as it came, or twice, the first counting.
+ * A request with a Timeout option waits in a queue before it is forwarded. If
+ * the option were forwarded unchanged, or a second one added of which the first
+ * counts, the target would run a request whose caller no longer waits.
  */
 static void test_rewrite_replaces_the_timeout(void **state)
 {
@@ -154,38 +155,37 @@
 	static const uint8_t data[] = { 0x40, 1,    0,	  1,	0xe2,
 					0xfc, 0xdb, 0x13, 0x88, 0xa1,
 					0x77, 0xff, 'p' };
-	struct action a = to_target(data, sizeof(data));
-	struct message m;
+	struct action a = action_to_target(data, sizeof(data));
+	struct message msg;
 	uint8_t out[64];
 	int32_t n;
 
 	(void)state;
-	assert_int_equal(coap_wire_parse(data, sizeof(data), &m), 0);
-	assert_int_equal(m.timeout_ns, 5000 * NS_PER_MS);
+	assert_int_equal(coap_wire_parse(data, sizeof(data), &msg), 0);
+	assert_int_equal(msg.timeout_ns, 5000 * NS_PER_MS);
 	a.timeout_ns = 1200 * NS_PER_MS;
 	n = coap_wire_rewrite(&a, out, sizeof(out));
 	assert_int_equal(n, sizeof(data) + 4);
-	assert_int_equal(coap_wire_parse(out, (uint32_t)n, &m), 0);
-	assert_int_equal(m.timeout_ns, 1200 * NS_PER_MS);
+	assert_int_equal(coap_wire_parse(out, (uint32_t)n, &msg), 0);
+	assert_int_equal(msg.timeout_ns, 1200 * NS_PER_MS);
 	assert_memory_equal(out + n - 4, data + 9, 4);
 }
 
 /*
- * Symptom: a request whose caller's time is over is run all the same.
- * Events: a request arrives with Timeout 0.
- * Cause: 0 stands for "not said" in struct message.
+ * A request arrives with Timeout 0: its caller no longer waits. A timeout_ns of
+ * 0 means no timeout in struct message, so the request would still be run.
  */
-static void test_spent_timeout_is_not_unlimited(void **state)
+static void test_timeout_of_zero_is_not_unlimited(void **state)
 {
 	static const uint8_t data[] = { 0x40, 1, 0, 1, 0xe0, 0xfc, 0xdb };
-	struct message m;
+	struct message msg;
 
 	(void)state;
-	assert_int_equal(coap_wire_parse(data, sizeof(data), &m), 0);
-	assert_int_equal(m.timeout_ns, 1);
+	assert_int_equal(coap_wire_parse(data, sizeof(data), &msg), 0);
+	assert_int_equal(msg.timeout_ns, 1);
 }
 
-static void test_own_answers(void **state)
+static void test_local_answers(void **state)
 {
 	struct action a = { .kind = ACT_ANSWER_CALLER,
 			    .answer = ANSWER_NOT_RUN,
@@ -198,11 +198,11 @@
 	static const char refused[] = "not run: queue full";
 	uint8_t out[96];
 	int32_t n = coap_wire_local_answer(&a, out, sizeof(out));
-	struct message m;
+	struct message msg;
 
 	(void)state;
-	assert_int_equal(coap_wire_parse(out, (uint32_t)n, &m), 0);
-	assert_int_equal(m.flags, MESSAGE_PIGGYBACK | MESSAGE_SHED);
+	assert_int_equal(coap_wire_parse(out, (uint32_t)n, &msg), 0);
+	assert_int_equal(msg.flags, MESSAGE_PIGGYBACK | MESSAGE_SHED);
 	assert_memory_equal(out + 5, ((uint8_t[]){ 0xd2, 1, 1, 44, 0xff }), 5);
 	assert_memory_equal(out + 10, refused, sizeof(refused) - 1);
 	a.answer = ANSWER_UNKNOWN;
@@ -215,83 +215,83 @@
 	assert_memory_equal(out + n - 9, "feed lost", 9);
 }
 
-static void test_cancel(void **state)
+static void test_cancel_of_a_feed_closes_it(void **state)
 {
-	struct action a = to_target(feed_open, sizeof(feed_open));
-	struct message m;
+	struct action a = action_to_target(feed_open, sizeof(feed_open));
+	struct message msg;
 	uint8_t out[64];
 	int32_t n = coap_wire_cancel(&a, out, sizeof(out));
 
 	(void)state;
-	assert_int_equal(coap_wire_parse(out, (uint32_t)n, &m), 0);
-	assert_true(m.flags & MESSAGE_FEED_CLOSE);
-	assert_memory_equal(m.token, a.token, 4);
+	assert_int_equal(coap_wire_parse(out, (uint32_t)n, &msg), 0);
+	assert_true(msg.flags & MESSAGE_FEED_CLOSE);
+	assert_memory_equal(msg.token, a.token, 4);
 	a.data = NULL;
 	assert_int_equal(coap_wire_cancel(&a, out, sizeof(out)), -EPROTO);
 }
 
 /*
- * Symptom: a feed ends though nobody closed it, and a cancelled request runs.
- * Sequence: a request times out at its target, the entry sends a reset with
- * the request's message ID, the target has just used that number for an update
- * of a feed. Cause: a reset names a message of its receiver, not of its sender.
+ * A request times out at its target, and the target has just used the request's
+ * message ID for an update of a feed. A reset refers to a message of its
+ * receiver, so a reset with that ID would end the feed and leave the request
+ * running.
  */
-static void test_cancel_of_a_request_is_no_reset(void **state)
+static void test_cancel_of_a_request_is_not_a_reset(void **state)
 {
 	static const uint8_t post[] = { 0x42, 0x02, 0,	 7,    0xa,
 					0xb,  0xb6, 'r', 'e',  'p',
 					'o',  'r',  't', 0xff, 'x' };
-	struct action a = to_target(post, sizeof(post));
-	struct message m;
+	struct action a = action_to_target(post, sizeof(post));
+	struct message msg;
 	uint8_t out[64];
 	int32_t n = coap_wire_cancel(&a, out, sizeof(out));
 
 	(void)state;
-	assert_int_equal(coap_wire_parse(out, (uint32_t)n, &m), 0);
-	assert_int_equal(m.kind, MESSAGE_REQUEST);
-	assert_true(m.flags & MESSAGE_FEED_CLOSE);
-	assert_true(m.flags & MESSAGE_IDEMPOTENT);
-	assert_memory_equal(m.token, a.token, 4);
+	assert_int_equal(coap_wire_parse(out, (uint32_t)n, &msg), 0);
+	assert_int_equal(msg.kind, MESSAGE_REQUEST);
+	assert_true(msg.flags & MESSAGE_FEED_CLOSE);
+	assert_true(msg.flags & MESSAGE_IDEMPOTENT);
+	assert_memory_equal(msg.token, a.token, 4);
 }
 
-static void test_load(void **state)
+static void test_load_of_targets_is_parsed(void **state)
 {
 	static const uint8_t answer[] = { 0x52, 0x45, 0,   7,	0,   7,	  0xff,
 					  '2',	' ',  '1', '1', ' ', '9', '0' };
 	static const uint8_t option[] = { 0x60, 0x45, 0, 1, 0xe6, 0xfc, 0xdf,
 					  0,	2,    1, 0, 0,	  5 };
 	struct load_report report;
-	struct message m;
+	struct message msg;
 	uint8_t out[32];
 	int32_t n = coap_wire_load_poll(7, out, sizeof(out));
 
 	(void)state;
-	assert_int_equal(coap_wire_parse(out, (uint32_t)n, &m), 0);
-	assert_int_equal(m.flags, MESSAGE_IDEMPOTENT);
+	assert_int_equal(coap_wire_parse(out, (uint32_t)n, &msg), 0);
+	assert_int_equal(msg.flags, MESSAGE_IDEMPOTENT);
 	assert_true(coap_wire_parse_load(answer, sizeof(answer), &report));
 	assert_int_equal(report.running, 2);
 	assert_int_equal(report.waiting, 11);
 	assert_int_equal(report.connections, 90);
 	assert_false(coap_wire_parse_load(answer, 11, &report));
-	assert_int_equal(coap_wire_parse(option, sizeof(option), &m), 0);
-	assert_true(m.has_load);
-	assert_int_equal(m.load.running, 2);
-	assert_int_equal(m.load.waiting, 256);
-	assert_int_equal(m.load.connections, 5);
+	assert_int_equal(coap_wire_parse(option, sizeof(option), &msg), 0);
+	assert_true(msg.has_load);
+	assert_int_equal(msg.load.running, 2);
+	assert_int_equal(msg.load.waiting, 256);
+	assert_int_equal(msg.load.connections, 5);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_kinds_and_flags),
-		cmocka_unit_test(test_malformed_is_refused),
-		cmocka_unit_test(test_rewrite_keeps_the_rest),
+		cmocka_unit_test(test_kind_and_flags_of_each_message),
+		cmocka_unit_test(test_malformed_datagram_is_rejected),
+		cmocka_unit_test(test_rewrite_keeps_options_and_payload),
 		cmocka_unit_test(test_rewrite_replaces_the_timeout),
-		cmocka_unit_test(test_spent_timeout_is_not_unlimited),
-		cmocka_unit_test(test_own_answers),
-		cmocka_unit_test(test_cancel),
-		cmocka_unit_test(test_cancel_of_a_request_is_no_reset),
-		cmocka_unit_test(test_load),
+		cmocka_unit_test(test_timeout_of_zero_is_not_unlimited),
+		cmocka_unit_test(test_local_answers),
+		cmocka_unit_test(test_cancel_of_a_feed_closes_it),
+		cmocka_unit_test(test_cancel_of_a_request_is_not_a_reset),
+		cmocka_unit_test(test_load_of_targets_is_parsed),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/codec_case.c
+++ b/test/codec_case.c
@@ -20,9 +20,9 @@
 				uint32_t n)
 {
 	struct item items[ITEMS_MAX];
-	struct content *c, *again = NULL;
+	struct content *c, *encoded = NULL;
 	struct account_conf *a = NULL;
-	enum codec_result result = CODEC_REFUSED;
+	enum codec_result result = CODEC_REJECTED;
 	uint32_t start = 0;
 
 	for (uint32_t i = 0; i < n; i++) {
@@ -31,10 +31,11 @@
 		start = ends[i];
 	}
 	c = content_new(items, n);
-	if (!account_decode("sailing", 7, c, &a) && !account_encode(a, &again))
-		result = c->n == again->n ? CODEC_SAME : CODEC_CHANGED;
+	if (!account_decode("sailing", 7, c, &a) &&
+	    !account_encode(a, &encoded))
+		result = c->n == encoded->n ? CODEC_SAME : CODEC_CHANGED;
 	account_free(a);
-	content_free(again);
+	content_free(encoded);
 	content_free(c);
 	return result;
 }
@@ -82,11 +83,11 @@
 enum codec_result codec_frame(const uint8_t *body, uint32_t size_bytes)
 {
 	uint8_t *frame = malloc(HEAD_BYTES + size_bytes);
-	enum codec_result result = CODEC_REFUSED;
+	enum codec_result result = CODEC_REJECTED;
 	crypto_generichash_state state;
-	uint32_t again_bytes;
+	uint32_t encoded_bytes;
 	struct spread_msg m;
-	uint8_t *again;
+	uint8_t *encoded;
 
 	frame[0] = SPREAD_CODEC_VERSION;
 	if (size_bytes)
@@ -96,13 +97,13 @@
 	crypto_generichash_update(&state, body, size_bytes);
 	crypto_generichash_final(&state, frame + 1, MAC_BYTES);
 	if (!spread_decode(frame, HEAD_BYTES + size_bytes, &auth, &m)) {
-		if (spread_encode(&m, &auth, &again, &again_bytes))
+		if (spread_encode(&m, &auth, &encoded, &encoded_bytes))
 			abort();
-		result = again_bytes == HEAD_BYTES + size_bytes &&
-					 !memcmp(again, frame, again_bytes)
+		result = encoded_bytes == HEAD_BYTES + size_bytes &&
+					 !memcmp(encoded, frame, encoded_bytes)
 				 ? CODEC_SAME
 				 : CODEC_CHANGED;
-		free(again);
+		free(encoded);
 		spread_msg_clear(&m);
 	}
 	free(frame);
--- a/test/codec_prop.cc
+++ b/test/codec_prop.cc
@@ -1,4 +1,5 @@
-// Decoders of accounts and of frames between cb-watch, fed with hostile bytes.
+// Decoders of accounts and of frames between cb-watch processes, with valid,
+// damaged and random bytes.
 #include "codec_case.h"
 
 #include <rapidcheck.h>
@@ -47,7 +48,7 @@
 	return codec_frame(body.data(), static_cast<uint32_t>(body.size()));
 }
 
-// Overwrite some bytes at random places.
+// Overwrites one to four random bytes.
 void damage(std::vector<uint8_t> &bytes)
 {
 	auto count = *rc::gen::inRange<uint32_t>(1, 5);
@@ -61,32 +62,35 @@
 
 bool accounts()
 {
-	bool ok = rc::check("an account survives coding", [] {
+	bool ok = rc::check("encoding and decoding keeps an account", [] {
 		auto i = sample_account(*rc::gen::inRange<uint32_t>(0, 9),
 					*rc::gen::inRange<uint32_t>(0, 9));
 
 		RC_ASSERT(read(i) == CODEC_SAME);
 	});
 
-	ok &= rc::check("a damaged account is refused or whole", [] {
-		auto i = sample_account(4, 4);
-
-		damage(i.bytes);
-		RC_ASSERT(read(i) != CODEC_CHANGED);
-	});
-	ok &= rc::check("a truncated account is refused or whole", [] {
-		auto i = sample_account(4, 4);
-
-		i.ends.resize(*rc::gen::inRange<size_t>(0, i.ends.size()));
-		RC_ASSERT(read(i) != CODEC_CHANGED);
-		RC_ASSERT(!i.ends.empty() || read(i) == CODEC_REFUSED);
-	});
+	ok &= rc::check("a damaged account is rejected or decoded completely",
+			[] {
+				auto i = sample_account(4, 4);
+
+				damage(i.bytes);
+				RC_ASSERT(read(i) != CODEC_CHANGED);
+			});
+	ok &= rc::check(
+		"a truncated account is rejected or decoded completely", [] {
+			auto i = sample_account(4, 4);
+
+			i.ends.resize(
+				*rc::gen::inRange<size_t>(0, i.ends.size()));
+			RC_ASSERT(read(i) != CODEC_CHANGED);
+			RC_ASSERT(!i.ends.empty() || read(i) == CODEC_REJECTED);
+		});
 	return ok;
 }
 
 bool frames()
 {
-	bool ok = rc::check("a frame survives coding", [] {
+	bool ok = rc::check("encoding and decoding keeps a frame", [] {
 		auto body =
 			sample_frame(*rc::gen::inRange<uint8_t>(1, kinds + 1),
 				     *rc::gen::arbitrary<uint64_t>());
@@ -95,22 +99,22 @@
 		RC_ASSERT(read(body) == CODEC_SAME);
 	});
 
-	ok &= rc::check("a truncated frame is refused", [] {
+	ok &= rc::check("a truncated frame is rejected", [] {
 		auto body =
 			sample_frame(*rc::gen::inRange<uint8_t>(1, kinds + 1),
 				     *rc::gen::arbitrary<uint64_t>());
 
 		body.resize(*rc::gen::inRange<size_t>(0, body.size()));
-		RC_ASSERT(read(body) == CODEC_REFUSED);
+		RC_ASSERT(read(body) == CODEC_REJECTED);
 	});
-	ok &= rc::check("a longer frame is refused", [] {
+	ok &= rc::check("a frame with an extra byte is rejected", [] {
 		auto body = sample_frame(
 			*rc::gen::inRange<uint8_t>(1, kinds + 1), 1);
 
 		body.push_back(*rc::gen::arbitrary<uint8_t>());
-		RC_ASSERT(read(body) == CODEC_REFUSED);
+		RC_ASSERT(read(body) == CODEC_REJECTED);
 	});
-	ok &= rc::check("a damaged frame does no harm", [] {
+	ok &= rc::check("a damaged frame causes no invalid access", [] {
 		auto body =
 			sample_frame(*rc::gen::inRange<uint8_t>(1, kinds + 1),
 				     *rc::gen::arbitrary<uint64_t>());
@@ -118,7 +122,7 @@
 		damage(body);
 		read(body);
 	});
-	ok &= rc::check("random bytes do no harm",
+	ok &= rc::check("random bytes cause no invalid access",
 			[](const std::vector<uint8_t> &body) { read(body); });
 	return ok;
 }
--- a/test/entries_prop.cc
+++ b/test/entries_prop.cc
@@ -1,7 +1,8 @@
 /*
- * Entries of targets and entries that no target wrote, in any mixture and any
- * order: the valid ones serve, as they were published last, and nothing else
- * does.
+ * Valid and invalid entries of targets arrive in any order, some of them twice,
+ * before and after the configuration.
+ * A target must serve exactly when its last entry is valid, with the state in
+ * that entry.
  */
 #include <rapidcheck.h>
 
@@ -23,9 +24,9 @@
 constexpr uint64_t NOW_NS = 100 * NS_PER_S;
 constexpr uint64_t STARTED_MS = 1785000000000ULL;
 constexpr unsigned KEYS = 5;
-/* Ways to be no target's entry; below that it is one. */
-constexpr unsigned JUNK_FIRST = 12;
-constexpr unsigned SORTS = 20;
+/* Sorts of writes: from INVALID_FIRST on the value is invalid. */
+constexpr unsigned INVALID_FIRST = 12;
+constexpr unsigned SORT_COUNT = 20;
 
 struct Write {
 	unsigned key;
@@ -35,15 +36,18 @@
 	uint64_t sequence;
 };
 
-/* Each process counts on from 1; the next one of a key starts later. */
+/*
+ * Each process of a target numbers its entries from 1; a later process of the
+ * same key has a later start time.
+ */
 rc::Gen<std::vector<Write>> history()
 {
 	using Draws = std::vector<std::pair<unsigned, unsigned>>;
 
 	return rc::gen::map(
-		rc::gen::container<Draws>(
-			rc::gen::pair(rc::gen::inRange<unsigned>(0, KEYS),
-				      rc::gen::inRange<unsigned>(0, SORTS))),
+		rc::gen::container<Draws>(rc::gen::pair(
+			rc::gen::inRange<unsigned>(0, KEYS),
+			rc::gen::inRange<unsigned>(0, SORT_COUNT))),
 		[](const Draws &draws) {
 			std::map<unsigned, std::pair<uint64_t, uint64_t>> last;
 			std::vector<Write> out;
@@ -78,42 +82,42 @@
 	       ",\"born\":" + number(w.started_ms) + "}";
 }
 
-bool leaves(const Write &w)
+bool is_leaving(const Write &w)
 {
 	return w.sort == 1;
 }
 
-bool removed(const Write &w)
+bool is_removed(const Write &w)
 {
 	return w.sort == 2;
 }
 
-bool valid(const Write &w)
+bool is_valid(const Write &w)
 {
-	return w.sort < JUNK_FIRST && !removed(w);
+	return w.sort < INVALID_FIRST && !is_removed(w);
 }
 
 std::string value_of(const Write &w)
 {
 	switch (w.sort) {
-	case JUNK_FIRST:
+	case INVALID_FIRST:
 		return "\xff\xfe junk";
-	case JUNK_FIRST + 1:
+	case INVALID_FIRST + 1:
 		return entry(w, "\"3\"", "ready", "s");
-	case JUNK_FIRST + 2:
+	case INVALID_FIRST + 2:
 		return entry(w, "3", "paused", "s");
-	case JUNK_FIRST + 3:
+	case INVALID_FIRST + 3:
 		return entry(w, "3", "ready", "unknown");
-	case JUNK_FIRST + 4:
+	case INVALID_FIRST + 4:
 		return "{\"service\":\"s\",\"address\":\"10.0.0.1:80\"}";
-	case JUNK_FIRST + 5:
+	case INVALID_FIRST + 5:
 		return "[]";
-	case JUNK_FIRST + 6:
+	case INVALID_FIRST + 6:
 		return "";
-	case JUNK_FIRST + 7:
+	case INVALID_FIRST + 7:
 		return entry(w, "-1", "ready", "s");
 	default:
-		return entry(w, "3", leaves(w) ? "draining" : "ready", "s");
+		return entry(w, "3", is_leaving(w) ? "draining" : "ready", "s");
 	}
 }
 
@@ -122,11 +126,11 @@
 {
 }
 
-/* An entry with nothing around it. */
-struct Fake {
+/* A node without connections. */
+struct Node {
 	struct node *node;
 
-	Fake()
+	Node()
 	{
 		node_conf conf = {};
 		node_port port = {};
@@ -141,7 +145,7 @@
 		node = node_new(&conf, port, NOW_NS);
 	}
 
-	~Fake()
+	~Node()
 	{
 		node_free(node);
 	}
@@ -176,10 +180,12 @@
 		std::string value = value_of(w);
 
 		put("servers/i-" + number(w.key + 1), w.revision,
-		    removed(w) ? nullptr : &value);
+		    is_removed(w) ? nullptr : &value);
 	}
 
-	/* What is served, by id: start and stage. */
+	/*
+	 * Start time and whether it is leaving, of each serving target by id.
+	 */
 	std::map<uint64_t, std::pair<uint64_t, bool>> serving() const
 	{
 		std::map<uint64_t, std::pair<uint64_t, bool>> out;
@@ -206,44 +212,48 @@
 
 	for (const Write &w : writes) {
 		out.erase(w.key + 1);
-		if (valid(w))
-			out[w.key + 1] = { w.started_ms, leaves(w) };
+		if (is_valid(w))
+			out[w.key + 1] = { w.started_ms, is_leaving(w) };
 	}
 	return out;
 }
 
-bool any_mixture()
+bool targets_serve_in_any_order()
 {
-	return rc::check("valid entries serve, in any order among others", [] {
-		const auto writes = *history();
-		const auto named_at =
-			*rc::gen::inRange<size_t>(0, writes.size() + 1);
-		auto order = writes;
-		Fake in_turn, any;
-
-		for (size_t i = order.size(); i > 1; i--)
-			std::swap(order[i - 1],
-				  order[*rc::gen::inRange<size_t>(0, i)]);
-		in_turn.configure();
-		for (const Write &w : writes)
-			in_turn.put(w);
-		for (size_t i = 0; i < order.size(); i++) {
-			if (i == named_at)
-				any.configure();
-			any.put(order[i]);
-			if (*rc::gen::arbitrary<bool>())
-				any.put(order[i]);
-		}
-		if (named_at == order.size())
-			any.configure();
-		RC_ASSERT(in_turn.serving() == model(writes));
-		RC_ASSERT(any.serving() == model(writes));
-	});
+	return rc::check(
+		"targets with a valid last entry serve, in any order of "
+		"arrival",
+		[] {
+			const auto writes = *history();
+			const auto configured_at =
+				*rc::gen::inRange<size_t>(0, writes.size() + 1);
+			auto order = writes;
+			Node ordered, shuffled;
+
+			for (size_t i = order.size(); i > 1; i--)
+				std::swap(
+					order[i - 1],
+					order[*rc::gen::inRange<size_t>(0, i)]);
+			ordered.configure();
+			for (const Write &w : writes)
+				ordered.put(w);
+			for (size_t i = 0; i < order.size(); i++) {
+				if (i == configured_at)
+					shuffled.configure();
+				shuffled.put(order[i]);
+				if (*rc::gen::arbitrary<bool>())
+					shuffled.put(order[i]);
+			}
+			if (configured_at == order.size())
+				shuffled.configure();
+			RC_ASSERT(ordered.serving() == model(writes));
+			RC_ASSERT(shuffled.serving() == model(writes));
+		});
 }
 
 } // namespace
 
 int main()
 {
-	return any_mixture() ? 0 : 1;
+	return targets_serve_in_any_order() ? 0 : 1;
 }
--- a/test/fetch_test.c
+++ b/test/fetch_test.c
@@ -1,4 +1,4 @@
-/* fetch(): each way in which an answer can go wrong has its error. */
+/* fetch(): the error code of each kind of failure. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <stdint.h>
@@ -15,7 +15,9 @@
 
 #define WAIT_MS 5000
 
-/* Listens on a free port; answers one connection with @reply, or never. */
+/*
+ * Server on a free port; answers one connection with @reply, or never if NULL.
+ */
 struct server {
 	int fd;
 	char url[64];
@@ -40,51 +42,52 @@
 
 static void *serve(void *ctx)
 {
-	struct server *s = ctx;
+	struct server *server = ctx;
 	char request[1024];
-	int fd = accept(s->fd, NULL, NULL);
+	int fd = accept(server->fd, NULL, NULL);
 
 	if (fd < 0)
 		return NULL;
-	if (recv(fd, request, sizeof(request), 0) > 0 && s->reply) {
-		send(fd, s->reply, strlen(s->reply), MSG_NOSIGNAL);
-		send_body(fd, s->body_bytes);
+	if (recv(fd, request, sizeof(request), 0) > 0 && server->reply) {
+		send(fd, server->reply, strlen(server->reply), MSG_NOSIGNAL);
+		send_body(fd, server->body_bytes);
 	}
-	if (!s->reply) /* until the client gives up */
+	if (!server->reply) /* wait until the client times out */
 		(void)!recv(fd, request, sizeof(request), 0);
 	close(fd);
 	return NULL;
 }
 
-static void server_open(struct server *s)
+static void server_open(struct server *server)
 {
 	struct sockaddr_in at = { .sin_family = AF_INET };
 	socklen_t size = sizeof(at);
 
 	at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-	s->fd = socket(AF_INET, SOCK_STREAM, 0);
-	assert_int_equal(bind(s->fd, (struct sockaddr *)&at, size), 0);
-	assert_int_equal(listen(s->fd, 1), 0);
-	assert_int_equal(getsockname(s->fd, (struct sockaddr *)&at, &size), 0);
-	g_snprintf(s->url, sizeof(s->url), "http://127.0.0.1:%u/status",
-		   ntohs(at.sin_port));
-	s->thread = g_thread_new("server", serve, s);
+	server->fd = socket(AF_INET, SOCK_STREAM, 0);
+	assert_int_equal(bind(server->fd, (struct sockaddr *)&at, size), 0);
+	assert_int_equal(listen(server->fd, 1), 0);
+	assert_int_equal(getsockname(server->fd, (struct sockaddr *)&at, &size),
+			 0);
+	g_snprintf(server->url, sizeof(server->url),
+		   "http://127.0.0.1:%u/status", ntohs(at.sin_port));
+	server->thread = g_thread_new("server", serve, server);
 }
 
 static int fetch_once(const char *reply, size_t body_bytes, uint32_t timeout_ms,
 		      GString *body, char error[FETCH_ERROR_BYTES])
 {
-	struct server s = { .reply = reply, .body_bytes = body_bytes };
+	struct server server = { .reply = reply, .body_bytes = body_bytes };
 	int err;
 
-	server_open(&s);
-	err = fetch(s.url, timeout_ms, body, error);
-	g_thread_join(s.thread);
-	close(s.fd);
+	server_open(&server);
+	err = fetch(server.url, timeout_ms, body, error);
+	g_thread_join(server.thread);
+	close(server.fd);
 	return err;
 }
 
-static void statuses_are_told_apart(void **unused)
+static void each_status_has_its_error(void **unused)
 {
 	static const struct {
 		const char *reply;
@@ -114,10 +117,10 @@
 }
 
 /*
- * Symptom: an operator's tool hangs on one VM of a fleet. Events: the process
- * there accepts and never answers. Cause: a call without a timeout.
+ * A process accepts the connection and never answers. Without a timeout, a
+ * command line tool would hang on this one VM.
  */
-static void silence_and_absence_are_errors(void **unused)
+static void timeout_and_unreachable_server_are_errors(void **unused)
 {
 	GString *body = g_string_new(NULL);
 	char error[FETCH_ERROR_BYTES];
@@ -132,10 +135,10 @@
 }
 
 /*
- * Symptom: an operator's tool takes all memory. Events: something else answers
- * at the address, without an end. Cause: a body of any size was kept.
+ * Another kind of server answers at the address with an endless body. Without a
+ * limit, a command line tool would use up the memory.
  */
-static void a_body_without_end_is_an_error(void **unused)
+static void endless_body_is_an_error(void **unused)
 {
 	GString *body = g_string_new(NULL);
 	char error[FETCH_ERROR_BYTES];
@@ -151,9 +154,9 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(statuses_are_told_apart),
-		cmocka_unit_test(silence_and_absence_are_errors),
-		cmocka_unit_test(a_body_without_end_is_an_error),
+		cmocka_unit_test(each_status_has_its_error),
+		cmocka_unit_test(timeout_and_unreachable_server_are_errors),
+		cmocka_unit_test(endless_body_is_an_error),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/http_client_test.c
+++ b/test/http_client_test.c
@@ -1,4 +1,4 @@
-/* The HTTP client, against our own server and a raw socket, on loopback. */
+/* HTTP client against our own server and against raw sockets, on loopback. */
 #include "http.h"
 #include "http_client.h"
 #include "loopback.h"
@@ -14,11 +14,11 @@
 #include <cmocka.h>
 
 #define SERVER ADDR(loopback_host(), 17090)
-#define NOBODY ADDR(loopback_host(), 17091)
+#define RAW_SERVER ADDR(loopback_host(), 17091)
 #define LONG_MS 5000
 #define SHORT_MS 50
-#define TURNS_MAX 20000
-/* Between two bytes of an answer that comes slowly. */
+#define LOOP_RUNS_MAX 20000
+/* Pause between two bytes of a slow answer. */
 #define PIECE_MS 150
 
 struct fixture {
@@ -29,21 +29,21 @@
 	int err;
 	int status;
 	char body[64];
-	struct http_request *never;
+	struct http_request *unanswered;
 	uint32_t connected;
-	bool go_on;
+	bool accept_connections;
 };
 
 static int handle(void *ctx, struct http_request *req, const char *method,
 		  const char *path, const char *query, const GString *in,
 		  GString *body)
 {
-	struct fixture *f = ctx;
+	struct fixture *fixture = ctx;
 
 	(void)method;
 	(void)in;
 	if (!strcmp(path, "/never")) {
-		f->never = req;
+		fixture->unanswered = req;
 		return HTTP_DEFERRED;
 	}
 	if (!strcmp(path, "/missing"))
@@ -54,151 +54,157 @@
 
 static void on_done(void *ctx, const struct http_reply *r)
 {
-	struct fixture *f = ctx;
+	struct fixture *fixture = ctx;
 
-	f->done++;
-	f->err = r->err;
-	f->status = r->status;
-	if (r->size_bytes < sizeof(f->body))
-		strcpy(f->body, r->body);
+	fixture->done++;
+	fixture->err = r->err;
+	fixture->status = r->status;
+	if (r->size_bytes < sizeof(fixture->body))
+		strcpy(fixture->body, r->body);
 }
 
 static bool on_connected(void *ctx, uint64_t took_ns)
 {
-	struct fixture *f = ctx;
+	struct fixture *fixture = ctx;
 
 	assert_in_range(took_ns, 1, 1000000000);
-	f->connected++;
-	return f->go_on;
+	fixture->connected++;
+	return fixture->accept_connections;
 }
 
 static int setup(void **state)
 {
-	struct fixture *f = g_new0(struct fixture, 1);
-	struct http_handler h = { f, handle };
-	struct http_client_handler c = { f, on_done, on_connected };
-
-	f->go_on = true;
-	uv_loop_init(&f->loop);
-	assert_int_equal(http_server_open(&f->loop, SERVER, h, &f->server), 0);
-	assert_int_equal(http_client_open(&f->loop, c, &f->caller), 0);
-	*state = f;
+	struct fixture *fixture = g_new0(struct fixture, 1);
+	struct http_handler h = { fixture, handle };
+	struct http_client_handler c = { fixture, on_done, on_connected };
+
+	fixture->accept_connections = true;
+	uv_loop_init(&fixture->loop);
+	assert_int_equal(http_server_open(&fixture->loop, SERVER, h,
+					  &fixture->server),
+			 0);
+	assert_int_equal(http_client_open(&fixture->loop, c, &fixture->caller),
+			 0);
+	*state = fixture;
 	return 0;
 }
 
 static int teardown(void **state)
 {
-	struct fixture *f = *state;
-
-	GString *nothing = g_string_new(NULL);
-
-	if (f->never)
-		http_respond(f->never, 200, nothing);
-	g_string_free(nothing, TRUE);
-	http_client_close(f->caller);
-	if (f->server)
-		http_server_close(f->server);
-	uv_run(&f->loop, UV_RUN_DEFAULT);
-	uv_loop_close(&f->loop);
-	g_free(f);
+	struct fixture *fixture = *state;
+
+	GString *empty = g_string_new(NULL);
+
+	if (fixture->unanswered)
+		http_respond(fixture->unanswered, 200, empty);
+	g_string_free(empty, TRUE);
+	http_client_close(fixture->caller);
+	if (fixture->server)
+		http_server_close(fixture->server);
+	uv_run(&fixture->loop, UV_RUN_DEFAULT);
+	uv_loop_close(&fixture->loop);
+	g_free(fixture);
 	return 0;
 }
 
-static void get(struct fixture *f, uint64_t server, const char *path,
+static void get(struct fixture *fixture, uint64_t server, const char *path,
 		uint64_t timeout_ms)
 {
-	uint32_t before = f->done;
+	uint32_t before = fixture->done;
 
-	assert_int_equal(http_client_get(f->caller, server, path, timeout_ms),
-			 0);
-	assert_true(http_client_is_busy(f->caller));
-	assert_int_equal(http_client_get(f->caller, server, path, timeout_ms),
+	assert_int_equal(
+		http_client_get(fixture->caller, server, path, timeout_ms), 0);
+	assert_true(http_client_is_busy(fixture->caller));
+	assert_int_equal(http_client_get(fixture->caller, server, path,
+					 timeout_ms),
 			 -EBUSY);
-	for (uint32_t i = 0; i < TURNS_MAX && f->done == before; i++) {
-		uv_run(&f->loop, UV_RUN_NOWAIT);
+	for (uint32_t i = 0; i < LOOP_RUNS_MAX && fixture->done == before;
+	     i++) {
+		uv_run(&fixture->loop, UV_RUN_NOWAIT);
 		usleep(100);
 	}
-	assert_int_equal(f->done, before + 1);
-	assert_false(http_client_is_busy(f->caller));
+	assert_int_equal(fixture->done, before + 1);
+	assert_false(http_client_is_busy(fixture->caller));
 }
 
-static void test_answers(void **state)
+static void test_calls_share_one_connection(void **state)
 {
-	struct fixture *f = *state;
+	struct fixture *fixture = *state;
 
 	for (uint32_t i = 0; i < 3; i++) {
-		get(f, SERVER, "/a?b=1", LONG_MS);
-		assert_int_equal(f->err, 0);
-		assert_int_equal(f->status, 200);
-		assert_string_equal(f->body, "/a b=1");
+		get(fixture, SERVER, "/a?b=1", LONG_MS);
+		assert_int_equal(fixture->err, 0);
+		assert_int_equal(fixture->status, 200);
+		assert_string_equal(fixture->body, "/a b=1");
 	}
-	get(f, SERVER, "/missing", LONG_MS);
-	assert_int_equal(f->status, 404);
-	/* One connection for all. */
-	assert_int_equal(f->connected, 1);
+	get(fixture, SERVER, "/missing", LONG_MS);
+	assert_int_equal(fixture->status, 404);
+	/* All calls used one connection. */
+	assert_int_equal(fixture->connected, 1);
 }
 
-/* Who sees others wait for the server leaves it to them. */
-static void test_connection_that_is_not_used(void **state)
+/* A handler may reject a new connection to leave a busy server to others. */
+static void test_handler_may_reject_a_new_connection(void **state)
 {
-	struct fixture *f = *state;
-
-	f->go_on = false;
-	get(f, SERVER, "/a?", LONG_MS);
-	assert_int_equal(f->err, -EBUSY);
-	f->go_on = true;
-	get(f, SERVER, "/a?", LONG_MS);
-	assert_int_equal(f->err, 0);
-	assert_int_equal(f->connected, 2);
+	struct fixture *fixture = *state;
+
+	fixture->accept_connections = false;
+	get(fixture, SERVER, "/a?", LONG_MS);
+	assert_int_equal(fixture->err, -EBUSY);
+	fixture->accept_connections = true;
+	get(fixture, SERVER, "/a?", LONG_MS);
+	assert_int_equal(fixture->err, 0);
+	assert_int_equal(fixture->connected, 2);
 }
 
 /*
- * Symptom: a process hears of no change any more. Sequence: the store's
- * connection goes silent while a watch waits. Cause: nothing but an answer
- * ended a call.
+ * The connection to the store goes silent during a watch. If only an answer
+ * ended a call, the process would never receive another change.
  */
-static void test_silence_ends_with_the_deadline(void **state)
+static void test_silent_server_ends_with_timeout(void **state)
 {
-	struct fixture *f = *state;
+	struct fixture *fixture = *state;
 
-	get(f, SERVER, "/never", SHORT_MS);
-	assert_int_equal(f->err, -ETIMEDOUT);
+	get(fixture, SERVER, "/never", SHORT_MS);
+	assert_int_equal(fixture->err, -ETIMEDOUT);
 	/* The next call does not use that connection. */
-	get(f, SERVER, "/a?", LONG_MS);
-	assert_int_equal(f->err, 0);
+	get(fixture, SERVER, "/a?", LONG_MS);
+	assert_int_equal(fixture->err, 0);
 }
 
-static void test_nobody_listens(void **state)
+static void test_refused_connection_is_an_error(void **state)
 {
-	struct fixture *f = *state;
+	struct fixture *fixture = *state;
 
-	get(f, NOBODY, "/a", LONG_MS);
-	assert_int_equal(f->err, -ECONNREFUSED);
-	get(f, SERVER, "/a?", LONG_MS);
-	assert_int_equal(f->err, 0);
+	get(fixture, RAW_SERVER, "/a", LONG_MS);
+	assert_int_equal(fixture->err, -ECONNREFUSED);
+	get(fixture, SERVER, "/a?", LONG_MS);
+	assert_int_equal(fixture->err, 0);
 }
 
-static void test_server_that_closed_in_between(void **state)
+static void test_reconnects_after_server_closed(void **state)
 {
-	struct fixture *f = *state;
-	struct http_handler h = { f, handle };
+	struct fixture *fixture = *state;
+	struct http_handler h = { fixture, handle };
 
-	get(f, SERVER, "/a?", LONG_MS);
-	http_server_close(f->server);
-	f->server = NULL;
+	get(fixture, SERVER, "/a?", LONG_MS);
+	http_server_close(fixture->server);
+	fixture->server = NULL;
 	for (uint32_t i = 0; i < 100; i++)
-		uv_run(&f->loop, UV_RUN_NOWAIT);
-	assert_int_equal(http_server_open(&f->loop, SERVER, h, &f->server), 0);
-	get(f, SERVER, "/a?", LONG_MS);
-	assert_int_equal(f->err, 0);
+		uv_run(&fixture->loop, UV_RUN_NOWAIT);
+	assert_int_equal(http_server_open(&fixture->loop, SERVER, h,
+					  &fixture->server),
+			 0);
+	get(fixture, SERVER, "/a?", LONG_MS);
+	assert_int_equal(fixture->err, 0);
 }
 
 static int listener(void)
 {
 	struct sockaddr_in at = {
 		.sin_family = AF_INET,
-		.sin_port = htons(ADDR_PORT(NOBODY)),
-		.sin_addr.s_addr = htonl(ADDR_IP(NOBODY)),
+		.sin_port = htons(ADDR_PORT(RAW_SERVER)),
+		.sin_addr.s_addr = htonl(ADDR_IP(RAW_SERVER)),
 	};
 	int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
 	int on = 1;
@@ -209,43 +215,49 @@
 	return fd;
 }
 
-/* What a raw server sends before it closes, and what the call makes of it. */
-static void raw(struct fixture *f, const char *bytes, int err)
+/* Expects @err from a call to a server that sends @bytes and closes. */
+static void expect_raw_answer(struct fixture *fixture, const char *bytes,
+			      int err)
 {
-	uint32_t before = f->done;
+	uint32_t before = fixture->done;
 	int at = listener();
 	int fd = -1;
 
-	assert_int_equal(http_client_get(f->caller, NOBODY, "/a", LONG_MS), 0);
-	for (uint32_t i = 0; i < TURNS_MAX && f->done == before; i++) {
+	assert_int_equal(
+		http_client_get(fixture->caller, RAW_SERVER, "/a", LONG_MS), 0);
+	for (uint32_t i = 0; i < LOOP_RUNS_MAX && fixture->done == before;
+	     i++) {
 		if (fd < 0)
 			fd = accept(at, NULL, NULL);
 		if (fd >= 0 && i == 200) {
 			assert_true(write(fd, bytes, strlen(bytes)) >= 0);
 			shutdown(fd, SHUT_WR);
 		}
-		uv_run(&f->loop, UV_RUN_NOWAIT);
+		uv_run(&fixture->loop, UV_RUN_NOWAIT);
 		usleep(100);
 	}
-	assert_int_equal(f->done, before + 1);
-	assert_int_equal(f->err, err);
+	assert_int_equal(fixture->done, before + 1);
+	assert_int_equal(fixture->err, err);
 	close(fd);
 	close(at);
 }
 
-/* A raw server sends "x" so often, with pauses, and stops. */
-static void trickle(struct fixture *f, uint32_t pieces, uint64_t timeout_ms)
+/* Calls a server that sends @pieces of 8 body bytes, slowly, then stops. */
+static void get_slow_answer(struct fixture *fixture, uint32_t pieces,
+			    uint64_t timeout_ms)
 {
 	static const char head[] =
 		"HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\n";
-	uint32_t before = f->done, sent = 0;
+	uint32_t before = fixture->done, sent = 0;
 	uint64_t next_ns = 0;
 	int at = listener();
 	int fd = -1;
 
-	assert_int_equal(http_client_get(f->caller, NOBODY, "/a", timeout_ms),
+	assert_int_equal(http_client_get(fixture->caller, RAW_SERVER, "/a",
+					 timeout_ms),
 			 0);
-	for (uint32_t i = 0; i < TURNS_MAX && f->done == before; i++) {
+	for (uint32_t i = 0; i < LOOP_RUNS_MAX && fixture->done == before;
+	     i++) {
 		if (fd < 0)
 			fd = accept(at, NULL, NULL);
 		if (fd >= 0 && !next_ns) {
@@ -257,58 +269,59 @@
 			sent++;
 			next_ns += PIECE_MS * NS_PER_MS;
 		}
-		uv_run(&f->loop, UV_RUN_NOWAIT);
+		uv_run(&fixture->loop, UV_RUN_NOWAIT);
 		usleep(100);
 	}
-	assert_int_equal(f->done, before + 1);
+	assert_int_equal(fixture->done, before + 1);
 	close(fd);
 	close(at);
 }
 
 /*
- * Symptom: a process that starts on a narrow link never has the configuration,
- * and serves nobody. Sequence: an answer of 500 KB takes two seconds; it is
- * given up after a second and a half and asked for again, for ever, which fills
- * the link. Cause: the time limit was on the whole answer.
+ * On a slow link an answer of 500 KB takes two seconds. With a limit of a
+ * second and a half on the whole answer it would be requested again without
+ * end, which fills the link, and the process would never get its configuration.
  */
-static void test_long_answer_goes_on_while_it_comes(void **state)
+static void test_slow_answer_is_not_aborted_while_bytes_arrive(void **state)
 {
-	struct fixture *f = *state;
+	struct fixture *fixture = *state;
 
-	trickle(f, 8, 4 * PIECE_MS);
-	assert_int_equal(f->err, 0);
-	assert_string_equal(f->body, "xxxxxxxx");
+	get_slow_answer(fixture, 8, 4 * PIECE_MS);
+	assert_int_equal(fixture->err, 0);
+	assert_string_equal(fixture->body, "xxxxxxxx");
 }
 
-static void test_answer_that_stops_halfway(void **state)
+static void test_answer_that_stalls_times_out(void **state)
 {
-	struct fixture *f = *state;
+	struct fixture *fixture = *state;
 
-	trickle(f, 3, LONG_MS);
-	assert_int_equal(f->err, -ETIMEDOUT);
+	get_slow_answer(fixture, 3, LONG_MS);
+	assert_int_equal(fixture->err, -ETIMEDOUT);
 }
 
-static void test_cut_and_garbled_answers_are_errors(void **state)
+static void test_truncated_and_malformed_answers_are_errors(void **state)
 {
-	struct fixture *f = *state;
+	struct fixture *fixture = *state;
 
-	raw(f, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc", -ECONNRESET);
-	raw(f, "nonsense\r\n\r\n", -EPROTO);
-	raw(f, "", -ECONNRESET);
+	expect_raw_answer(fixture,
+			  "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc",
+			  -ECONNRESET);
+	expect_raw_answer(fixture, "nonsense\r\n\r\n", -EPROTO);
+	expect_raw_answer(fixture, "", -ECONNRESET);
 }
 
 int main(void)
 {
 #define TEST(name) cmocka_unit_test_setup_teardown(name, setup, teardown)
 	const struct CMUnitTest tests[] = {
-		TEST(test_answers),
-		TEST(test_connection_that_is_not_used),
-		TEST(test_silence_ends_with_the_deadline),
-		TEST(test_nobody_listens),
-		TEST(test_server_that_closed_in_between),
-		TEST(test_long_answer_goes_on_while_it_comes),
-		TEST(test_answer_that_stops_halfway),
-		TEST(test_cut_and_garbled_answers_are_errors),
+		TEST(test_calls_share_one_connection),
+		TEST(test_handler_may_reject_a_new_connection),
+		TEST(test_silent_server_ends_with_timeout),
+		TEST(test_refused_connection_is_an_error),
+		TEST(test_reconnects_after_server_closed),
+		TEST(test_slow_answer_is_not_aborted_while_bytes_arrive),
+		TEST(test_answer_that_stalls_times_out),
+		TEST(test_truncated_and_malformed_answers_are_errors),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/http_test.c
+++ b/test/http_test.c
@@ -1,4 +1,4 @@
-/* The operators' HTTP server, driven over loopback in one loop. */
+/* HTTP server of the operators' pages, over loopback in one event loop. */
 #include "http.h"
 
 #include "loopback.h"
@@ -14,13 +14,13 @@
 #include <cmocka.h>
 
 #define SERVER ADDR(loopback_host(), 17080)
-#define TURNS_MAX 2000
+#define LOOP_RUNS_MAX 2000
 #define TOO_LARGE_BYTES (3u << 20)
 
 struct fixture {
 	uv_loop_t loop;
 	struct http_server *server;
-	struct http_request *later;
+	struct http_request *deferred;
 	uint32_t handled;
 	int fd;
 };
@@ -29,11 +29,11 @@
 		  const char *path, const char *query, const GString *in,
 		  GString *body)
 {
-	struct fixture *f = ctx;
+	struct fixture *fixture = ctx;
 
-	f->handled++;
+	fixture->handled++;
 	if (strcmp(path, "/later") == 0) {
-		f->later = req;
+		fixture->deferred = req;
 		return HTTP_DEFERRED;
 	}
 	http_add_header(req, "X-Revision", "7");
@@ -41,13 +41,13 @@
 	return 200;
 }
 
-static void turn(struct fixture *f)
+static void run_loop_once(struct fixture *fixture)
 {
-	uv_run(&f->loop, UV_RUN_NOWAIT);
+	uv_run(&fixture->loop, UV_RUN_NOWAIT);
 	usleep(100);
 }
 
-static void dial(struct fixture *f)
+static void connect_client(struct fixture *fixture)
 {
 	struct sockaddr_in sin = {
 		.sin_family = AF_INET,
@@ -55,52 +55,54 @@
 		.sin_addr.s_addr = htonl(ADDR_IP(SERVER)),
 	};
 
-	f->fd = socket(AF_INET, SOCK_STREAM, 0);
-	assert_int_equal(connect(f->fd, (void *)&sin, sizeof(sin)), 0);
+	fixture->fd = socket(AF_INET, SOCK_STREAM, 0);
+	assert_int_equal(connect(fixture->fd, (void *)&sin, sizeof(sin)), 0);
 }
 
 static int setup(void **state)
 {
-	struct fixture *f = g_new0(struct fixture, 1);
-	struct http_handler h = { .ctx = f, .handle = handle };
-
-	uv_loop_init(&f->loop);
-	assert_int_equal(http_server_open(&f->loop, SERVER, h, &f->server), 0);
-	dial(f);
-	*state = f;
+	struct fixture *fixture = g_new0(struct fixture, 1);
+	struct http_handler h = { .ctx = fixture, .handle = handle };
+
+	uv_loop_init(&fixture->loop);
+	assert_int_equal(http_server_open(&fixture->loop, SERVER, h,
+					  &fixture->server),
+			 0);
+	connect_client(fixture);
+	*state = fixture;
 	return 0;
 }
 
 static int teardown(void **state)
 {
-	struct fixture *f = *state;
+	struct fixture *fixture = *state;
 
-	close(f->fd);
-	http_server_close(f->server);
-	uv_run(&f->loop, UV_RUN_DEFAULT);
-	assert_int_equal(uv_loop_close(&f->loop), 0);
-	g_free(f);
+	close(fixture->fd);
+	http_server_close(fixture->server);
+	uv_run(&fixture->loop, UV_RUN_DEFAULT);
+	assert_int_equal(uv_loop_close(&fixture->loop), 0);
+	g_free(fixture);
 	return 0;
 }
 
-static void say(struct fixture *f, const char *text)
+static void send_text(struct fixture *fixture, const char *text)
 {
 	ssize_t n = strlen(text);
 
-	assert_int_equal(send(f->fd, text, n, MSG_NOSIGNAL), n);
+	assert_int_equal(send(fixture->fd, text, n, MSG_NOSIGNAL), n);
 }
 
-/* Reads until @want stands in what came; returns all of it. */
-static GString *hear(struct fixture *f, const char *want)
+/* Runs the loop until the received text contains @want; returns the text. */
+static GString *receive_until(struct fixture *fixture, const char *want)
 {
 	GString *got = g_string_new(NULL);
 	char buf[4096];
 
-	for (int i = 0; i < TURNS_MAX && !strstr(got->str, want); i++) {
+	for (int i = 0; i < LOOP_RUNS_MAX && !strstr(got->str, want); i++) {
 		ssize_t n;
 
-		turn(f);
-		n = recv(f->fd, buf, sizeof(buf), MSG_DONTWAIT);
+		run_loop_once(fixture);
+		n = recv(fixture->fd, buf, sizeof(buf), MSG_DONTWAIT);
 		if (n > 0)
 			g_string_append_len(got, buf, n);
 	}
@@ -108,102 +110,102 @@
 	return got;
 }
 
-static void expect(struct fixture *f, const char *want)
+static void expect_text(struct fixture *fixture, const char *want)
 {
-	g_string_free(hear(f, want), TRUE);
+	g_string_free(receive_until(fixture, want), TRUE);
 }
 
-static void one_connection_serves_many(void **state)
+static void one_connection_serves_several_requests(void **state)
 {
-	struct fixture *f = *state;
+	struct fixture *fixture = *state;
 	GString *got;
 
-	say(f, "GET /a?x=1 HTTP/1.1\r\n\r\n");
-	got = hear(f, "GET /a x=1 0");
+	send_text(fixture, "GET /a?x=1 HTTP/1.1\r\n\r\n");
+	got = receive_until(fixture, "GET /a x=1 0");
 	assert_non_null(strstr(got->str, "HTTP/1.1 200 OK\r\n"));
 	assert_non_null(strstr(got->str, "X-Revision: 7\r\n"));
 	g_string_free(got, TRUE);
-	say(f, "POST /b HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc"
-	       "GET /c HTTP/1.1\r\n\r\n");
-	got = hear(f, "GET /c  0");
+	send_text(fixture, "POST /b HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc"
+			   "GET /c HTTP/1.1\r\n\r\n");
+	got = receive_until(fixture, "GET /c  0");
 	assert_non_null(strstr(got->str, "POST /b  3"));
 	g_string_free(got, TRUE);
 }
 
-static void pipelined_request_waits_for_a_late_answer(void **state)
+static void pipelined_request_waits_for_deferred_answer(void **state)
 {
-	struct fixture *f = *state;
+	struct fixture *fixture = *state;
 	GString *body = g_string_new("late");
 	GString *got;
 
-	say(f, "GET /later HTTP/1.1\r\n\r\nGET /next HTTP/1.1\r\n\r\n");
-	for (int i = 0; i < TURNS_MAX && !f->later; i++)
-		turn(f);
-	turn(f);
-	assert_int_equal(f->handled, 1);
-	http_respond(f->later, 200, body);
-	got = hear(f, "GET /next  0");
+	send_text(fixture,
+		  "GET /later HTTP/1.1\r\n\r\nGET /next HTTP/1.1\r\n\r\n");
+	for (int i = 0; i < LOOP_RUNS_MAX && !fixture->deferred; i++)
+		run_loop_once(fixture);
+	run_loop_once(fixture);
+	assert_int_equal(fixture->handled, 1);
+	http_respond(fixture->deferred, 200, body);
+	got = receive_until(fixture, "GET /next  0");
 	assert_true(strstr(got->str, "late") < strstr(got->str, "/next"));
 	g_string_free(got, TRUE);
 	g_string_free(body, TRUE);
 }
 
 /*
- * Symptom: the process dies of a use after free when a watch times out.
- * Sequence: a reader opens a long poll and hangs up; its answer comes later.
- * Cause: the answer would go to a connection that has been freed.
+ * A client closes its connection during a long poll, and the poll is answered
+ * later. The answer must not use the freed connection.
  */
-static void late_answer_to_a_peer_that_left(void **state)
+static void deferred_answer_to_closed_connection_is_dropped(void **state)
 {
-	struct fixture *f = *state;
+	struct fixture *fixture = *state;
 
-	say(f, "GET /later HTTP/1.1\r\n\r\n");
-	for (int i = 0; i < TURNS_MAX && !f->later; i++)
-		turn(f);
-	close(f->fd);
+	send_text(fixture, "GET /later HTTP/1.1\r\n\r\n");
+	for (int i = 0; i < LOOP_RUNS_MAX && !fixture->deferred; i++)
+		run_loop_once(fixture);
+	close(fixture->fd);
 	for (int i = 0; i < 20; i++)
-		turn(f);
-	http_respond(f->later, 200, NULL);
-	dial(f);
-	say(f, "GET /alive HTTP/1.1\r\n\r\n");
-	expect(f, "GET /alive  0");
+		run_loop_once(fixture);
+	http_respond(fixture->deferred, 200, NULL);
+	connect_client(fixture);
+	send_text(fixture, "GET /alive HTTP/1.1\r\n\r\n");
+	expect_text(fixture, "GET /alive  0");
 }
 
 /*
- * Symptom: memory grows without bound.
- * Sequence: a peer sends a body of several megabytes.
- * Cause: a body is gathered whole before the handler sees it.
+ * A body is collected in memory before the handler is called. Without a limit,
+ * a client with a large body would use up the memory.
  */
-static void body_over_the_bound_is_refused(void **state)
+static void body_above_the_limit_is_rejected(void **state)
 {
-	struct fixture *f = *state;
+	struct fixture *fixture = *state;
 	char chunk[4096];
 	uint32_t sent = 0;
 
 	memset(chunk, 'x', sizeof(chunk));
-	say(f, "POST /big HTTP/1.1\r\nContent-Length: 3145728\r\n\r\n");
-	for (int i = 0; i < TURNS_MAX && sent < TOO_LARGE_BYTES; i++) {
-		ssize_t n = send(f->fd, chunk, sizeof(chunk),
+	send_text(fixture,
+		  "POST /big HTTP/1.1\r\nContent-Length: 3145728\r\n\r\n");
+	for (int i = 0; i < LOOP_RUNS_MAX && sent < TOO_LARGE_BYTES; i++) {
+		ssize_t n = send(fixture->fd, chunk, sizeof(chunk),
 				 MSG_DONTWAIT | MSG_NOSIGNAL);
 
 		if (n < 0 && errno != EAGAIN)
 			break;
 		sent += n > 0 ? n : 0;
-		turn(f);
+		run_loop_once(fixture);
 	}
-	expect(f, "413 ");
-	assert_int_equal(f->handled, 0);
+	expect_text(fixture, "413 ");
+	assert_int_equal(fixture->handled, 0);
 }
 
-static void nonsense_is_refused(void **state)
+static void malformed_request_is_rejected(void **state)
 {
-	struct fixture *f = *state;
+	struct fixture *fixture = *state;
 
-	say(f, "nonsense\r\n\r\n");
-	expect(f, "400 ");
+	send_text(fixture, "nonsense\r\n\r\n");
+	expect_text(fixture, "400 ");
 }
 
-static void query_parameters(void **state)
+static void query_parameters_are_decoded(void **state)
 {
 	char buf[8];
 
@@ -224,12 +226,12 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		WITH_SERVER(one_connection_serves_many),
-		WITH_SERVER(pipelined_request_waits_for_a_late_answer),
-		WITH_SERVER(late_answer_to_a_peer_that_left),
-		WITH_SERVER(body_over_the_bound_is_refused),
-		WITH_SERVER(nonsense_is_refused),
-		cmocka_unit_test(query_parameters),
+		WITH_SERVER(one_connection_serves_several_requests),
+		WITH_SERVER(pipelined_request_waits_for_deferred_answer),
+		WITH_SERVER(deferred_answer_to_closed_connection_is_dropped),
+		WITH_SERVER(body_above_the_limit_is_rejected),
+		WITH_SERVER(malformed_request_is_rejected),
+		cmocka_unit_test(query_parameters_are_decoded),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
