--- a/core/packet/flow/path.c
+++ b/core/packet/flow/path.c
@@ -5,12 +5,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Weight of one sample in the mean answer time. */
-#define ANSWER_WEIGHT 32
-/* And in the mean time of a handshake. */
-#define OPEN_WEIGHT 16
-/* Before any feed was seen: one request a second of 50 ms. */
-#define FEED_LOAD_FIRST 0.05f
+/* Each sample has a weight of 1 / divisor in the moving mean. */
+#define ANSWER_DIVISOR 32
+#define OPEN_DIVISOR 16
+/* Until a feed is seen: one request a second that takes 50 ms. */
+#define FEED_LOAD_INITIAL 0.05f
 
 const char *const path_reason_names[PATH_REASON_COUNT] = {
 #define X(name) #name,
@@ -19,469 +18,511 @@
 };
 
 /**
- * path_new() - make the decisions' state
- * @conf: settings
- * @d: directory; outlives this
- * @port: what is needed from outside
- * @rng: random source
+ * path_new() - create the state of the decisions on packets
+ * @conf: settings, copied; its policy must outlive the state
+ * @directory: directory; not owned, must outlive the state
+ * @port: calls to the owner
+ * @rng: seeded random number generator, copied
  *
- * Return: state, or NULL without memory.
+ * Return: state, to be freed with path_free(), or NULL when out of memory.
  */
-struct path *path_new(const struct path_conf *conf, struct directory *d,
+struct path *path_new(const struct path_conf *conf, struct directory *directory,
 		      struct path_port port, struct rng rng)
 {
-	struct path *p = calloc(1, sizeof(*p));
+	struct path *path = calloc(1, sizeof(*path));
 
-	if (!p)
+	if (!path)
 		return NULL;
-	p->conf = *conf;
-	p->policy = conf->policy ? conf->policy : &policy_default;
-	p->directory = d;
-	p->port = port;
-	p->rng = rng;
-	p->feed_load = FEED_LOAD_FIRST;
+	path->conf = *conf;
+	path->policy = conf->policy ? conf->policy : &policy_default;
+	path->directory = directory;
+	path->port = port;
+	path->rng = rng;
+	path->feed_load = FEED_LOAD_INITIAL;
 	for (uint32_t i = 0; i < ROUTE_KINDS; i++)
-		p->answer_ns[i] = p->policy->request_due_max_ns /
-				  p->policy->request_due_means;
-	p->waiting = waiting_new(p->policy->waiting_max);
-	p->flows = flow_cache_new(conf->flows_max, p->waiting);
-	if (p->waiting && p->flows)
-		return p;
-	path_free(p);
+		path->answer_ns[i] = path->policy->request_due_max_ns /
+				     path->policy->request_due_means;
+	path->wait_queue = wait_queue_new(path->policy->waiting_max);
+	path->flows = flow_cache_new(conf->flows_max, path->wait_queue);
+	if (path->wait_queue && path->flows)
+		return path;
+	path_free(path);
 	return NULL;
 }
 
-void path_free(struct path *p)
+void path_free(struct path *path)
 {
-	if (!p)
+	if (!path)
 		return;
-	flow_cache_free(p->flows);
-	waiting_free(p->waiting);
-	free(p);
+	flow_cache_free(path->flows);
+	wait_queue_free(path->wait_queue);
+	free(path);
 }
 
 /*
- * Which of two targets is the better one to compare with one that does not
- * answer: of this data centre, since others may be cut off; then who was heard
- * last.
+ * Whether @a is a better target than @b to compare an unresponsive target with.
+ * Targets of this data centre are better, since others may be partitioned;
+ * among equals the one with the latest sign of life.
  */
-static bool better_witness(const struct path *p, const struct target *a,
-			   const struct target *b)
+static bool is_better_witness(const struct path *path, const struct target *a,
+			      const struct target *b)
 {
-	bool a_near = a->advertised.zone == p->conf.zone;
-	bool b_near = b->advertised.zone == p->conf.zone;
+	bool a_is_local = a->advertised.zone == path->conf.zone;
+	bool b_is_local = b->advertised.zone == path->conf.zone;
 
-	return a_near != b_near ? a_near : a->last_alive_ns > b->last_alive_ns;
+	return a_is_local != b_is_local ? a_is_local
+					: a->last_alive_ns > b->last_alive_ns;
 }
 
 /*
- * Ask a target that should answer. While all others are doubted as well, that is
- * more likely this VM's own link than all of them at once; one of them that
- * answers is a witness, too.
- * Return: whether there is any other.
+ * Probe another target that is expected to answer. Its answer shows that this
+ * VM's own link works. While all other targets are suspected, a fault of the
+ * link is more likely than one of all targets; their pending probes then serve
+ * the same purpose.
+ * Return: whether any other target can answer: one that was probed now, or one
+ * that is suspected.
  */
-static bool ask_witness(void *ctx, const struct target *about)
+static bool probe_witness(void *ctx, const struct target *about)
 {
-	struct path *p = ctx;
+	struct path *path = ctx;
 	struct target *best = NULL;
 	struct health_context c;
-	bool doubted = false;
+	bool has_suspected = false;
 
-	for (uint32_t i = 0; i < directory_target_count(p->directory); i++) {
-		struct target *t = directory_target_at(p->directory, i);
+	for (uint32_t i = 0; i < directory_target_count(path->directory); i++) {
+		struct target *target = directory_target_at(path->directory, i);
 
-		if (t == about || t->stage == TARGET_ABSENT ||
-		    directory_is_evacuated(p->directory, t))
+		if (target == about || target->stage == TARGET_ABSENT ||
+		    directory_is_evacuated(path->directory, target))
 			continue;
-		doubted |= t->health == HEALTH_SUSPECTED;
-		if (t->health == HEALTH_GOOD &&
-		    (!best || better_witness(p, t, best)))
-			best = t;
+		has_suspected |= target->health == HEALTH_SUSPECTED;
+		if (target->health == HEALTH_GOOD &&
+		    (!best || is_better_witness(path, target, best)))
+			best = target;
 	}
 	if (!best)
-		return doubted;
-	c = path_context(p, about->probe_sent_ns);
+		return has_suspected;
+	c = path_health_context(path, about->probe_sent_ns);
 	health_send_probe(best, &c);
 	return true;
 }
 
-struct health_context path_context(struct path *p, uint64_t now_ns)
+struct health_context path_health_context(struct path *path, uint64_t now_ns)
 {
-	return (struct health_context){ p->policy, &p->port.health,
-					now_ns,	   ask_witness,
-					p,	   p->witnessed_ns };
+	return (struct health_context){ path->policy, &path->port.health,
+					now_ns,	      probe_witness,
+					path,	      path->answered_probe_ns };
 }
 
-static void alive(struct path *p, struct target *t, uint64_t now_ns)
+static void mark_alive(struct path *path, struct target *target,
+		       uint64_t now_ns)
 {
-	struct health_context c = path_context(p, now_ns);
+	struct health_context c = path_health_context(path, now_ns);
 
-	health_record_answer(t, &c);
+	health_record_answer(target, &c);
 }
 
-void path_doubt(struct path *p, struct target *t, uint64_t since_ns,
-		uint64_t now_ns)
+void path_suspect(struct path *path, struct target *target, uint64_t since_ns,
+		  uint64_t now_ns)
 {
-	struct health_context c = path_context(p, now_ns);
+	struct health_context c = path_health_context(path, now_ns);
 
-	health_suspect(t, &c, since_ns);
+	health_suspect(target, &c, since_ns);
 }
 
-static void rule(struct path *p, struct path_verdict *out, uint8_t action,
-		 uint8_t reason, const struct target *t)
+static void set_verdict(struct path *path, struct path_verdict *out,
+			uint8_t action, uint8_t reason,
+			const struct target *target)
 {
 	out->action = action;
 	out->reason = reason;
-	out->target = t;
-	p->counts[reason]++;
+	out->target = target;
+	path->counts[reason]++;
 }
 
-/* Whether the flows of a target are to be ended. */
-bool path_gone(const struct path *p, const struct target *t)
+/* Whether the policy demands a reset of the flows of a target in this state. */
+bool path_must_reset_flows(const struct path *path, const struct target *target)
 {
-	return (t->health == HEALTH_DEAD && p->policy->reset_dead) ||
-	       (t->health == HEALTH_SILENT && p->policy->reset_silent);
+	return (target->health == HEALTH_DEAD && path->policy->reset_dead) ||
+	       (target->health == HEALTH_SILENT && path->policy->reset_silent);
 }
 
-/* After which a handshake that has not ended is begun elsewhere. */
-uint64_t path_opening_due_ns(const struct path *p)
+/* Time after which an incomplete handshake is retried at another target. */
+uint64_t path_handshake_timeout_ns(const struct path *path)
 {
-	uint64_t due_ns = p->open_ns * p->policy->opening_due_means;
+	uint64_t due_ns = path->open_ns * path->policy->opening_due_means;
 
-	return due_ns > p->policy->opening_due_ns ? due_ns
-						  : p->policy->opening_due_ns;
+	return due_ns > path->policy->opening_due_ns
+		       ? due_ns
+		       : path->policy->opening_due_ns;
 }
 
-uint64_t path_request_due_ns(const struct path *p, uint8_t kind)
+uint64_t path_answer_timeout_ns(const struct path *path, uint8_t kind)
 {
-	uint64_t due_ns = p->answer_ns[kind] * p->policy->request_due_means;
+	uint64_t due_ns =
+		path->answer_ns[kind] * path->policy->request_due_means;
 
-	if (due_ns < p->policy->request_due_min_ns)
-		return p->policy->request_due_min_ns;
-	if (due_ns > p->policy->request_due_max_ns)
-		return p->policy->request_due_max_ns;
+	if (due_ns < path->policy->request_due_min_ns)
+		return path->policy->request_due_min_ns;
+	if (due_ns > path->policy->request_due_max_ns)
+		return path->policy->request_due_max_ns;
 	return due_ns;
 }
 
-struct target *path_place(struct path *p, const struct flow_key *key,
-			  const struct route *r, const struct target *avoid,
-			  uint64_t now_ns)
+struct target *path_assign_target(struct path *path, const struct flow_key *key,
+				  const struct route *route,
+				  const struct target *avoid, uint64_t now_ns)
 {
 	struct assign_query q = {
-		.policy = p->policy,
-		.service = route_select_service(r, flow_hash(key)),
-		.zone = p->conf.zone,
-		.kind = r->kind,
+		.policy = path->policy,
+		.service = route_select_service(route, flow_hash(key)),
+		.zone = path->conf.zone,
+		.kind = route->kind,
 		.avoid = avoid,
-		.feed_load = p->feed_load,
+		.feed_load = path->feed_load,
 		.now_ns = now_ns,
 	};
 
-	return assign_target(p->directory, &q, &p->rng);
+	return assign_target(path->directory, &q, &path->rng);
 }
 
-/* Keep a packet that may be sent again: it carries no data. */
-static void keep(struct flow_seen *f, const struct packet *k)
+/* Keep a packet for path_port.resend; only one without data may be resent. */
+static void keep_for_resend(struct flow_state *flow,
+			    const struct packet *packet)
 {
-	if (k->size_bytes || k->n_bytes > KEPT_MAX_BYTES)
+	if (packet->size_bytes || packet->n_bytes > RESEND_MAX_BYTES)
 		return;
-	f->kept_bytes = (uint8_t)k->n_bytes;
-	memcpy(f->kept, k->bytes, k->n_bytes);
+	flow->resend_bytes = (uint8_t)packet->n_bytes;
+	memcpy(flow->resend_packet, packet->bytes, packet->n_bytes);
 }
 
 /*
- * A copy of a SYN says that no answer reached the client. It goes to another
- * target: the first may be dead or full, and if both answer the client takes
- * one and the other's handshake ends unused.
+ * A repeated SYN shows that no answer reached the client. It is assigned to
+ * another target, since the first one may be dead or full. If both answer, the
+ * client uses one and the other's handshake is never completed.
  */
-static void syn(struct path *p, const struct packet *k, const struct route *r,
-		uint64_t now_ns, struct path_verdict *out)
+static void handle_syn(struct path *path, const struct packet *packet,
+		       const struct route *route, uint64_t now_ns,
+		       struct path_verdict *out)
 {
-	struct flow_seen *f = flow_cache_get(p->flows, &k->flow);
+	struct flow_state *flow = flow_cache_find(path->flows, &packet->flow);
 	const struct target *avoid = NULL;
-	struct target *t;
+	struct target *target;
 
-	if (f && f->stage == FLOW_OPEN) {
-		rule(p, out, PATH_FORWARD, PATH_pinned, f->target);
+	if (flow && flow->stage == FLOW_OPEN) {
+		set_verdict(path, out, PATH_FORWARD, PATH_pinned, flow->target);
 		return;
 	}
-	if (f && f->stage == FLOW_CLOSED) { /* a port used again */
-		flow_cache_remove(p->flows, f);
-		f = NULL;
+	if (flow &&
+	    flow->stage == FLOW_CLOSED) { /* the client reuses its port */
+		flow_cache_remove(path->flows, flow);
+		flow = NULL;
 	}
-	if (f) {
-		path_doubt(p, f->target, f->opened_ns, now_ns);
-		avoid = f->target;
+	if (flow) {
+		path_suspect(path, flow->target, flow->opened_ns, now_ns);
+		avoid = flow->target;
 	}
-	t = path_place(p, &k->flow, r, avoid, now_ns);
-	if (!t) {
-		rule(p, out, PATH_RESET, PATH_no_target, NULL);
+	target = path_assign_target(path, &packet->flow, route, avoid, now_ns);
+	if (!target) {
+		set_verdict(path, out, PATH_RESET, PATH_no_target, NULL);
 		return;
 	}
-	if (f)
-		flow_cache_move(p->flows, f, t);
+	if (flow)
+		flow_cache_set_target(path->flows, flow, target);
 	else
-		f = flow_cache_add(p->flows, &k->flow, t, r->kind, FLOW_OPENING,
-				   now_ns);
-	flow_cache_touch(p->flows, f, now_ns);
-	f->request_ns = now_ns;
-	f->seq = k->seq;
-	keep(f, k);
-	if (p->policy->opening_due_ns)
-		f->due_ns = now_ns + path_opening_due_ns(p);
-	rule(p, out, PATH_FORWARD, avoid ? PATH_placed_copy : PATH_placed, t);
+		flow = flow_cache_add(path->flows, &packet->flow, target,
+				      route->kind, FLOW_OPENING, now_ns);
+	flow_cache_touch(path->flows, flow, now_ns);
+	flow->forwarded_ns = now_ns;
+	flow->seq = packet->seq;
+	keep_for_resend(flow, packet);
+	if (path->policy->opening_due_ns)
+		flow->answer_due_ns = now_ns + path_handshake_timeout_ns(path);
+	set_verdict(path, out, PATH_FORWARD,
+		    avoid ? PATH_placed_copy : PATH_placed, target);
 }
 
-static void answered(struct path *p, struct flow_seen *f, uint32_t size_bytes,
-		     uint64_t now_ns)
+static void handle_answer(struct path *path, struct flow_state *flow,
+			  uint32_t size_bytes, uint64_t now_ns)
 {
-	uint64_t took_ns = now_ns - f->request_ns;
-	uint64_t *mean_ns = &p->answer_ns[f->kind];
+	uint64_t elapsed_ns = now_ns - flow->forwarded_ns;
+	uint64_t *mean_ns = &path->answer_ns[flow->kind];
 	bool small;
 
-	if (!f->busy)
+	if (!flow->busy)
 		return;
-	histogram_add(&p->times[f->kind].answer_us, took_ns / NS_PER_US);
-	small = outlier_record_answer_size(&p->sizes, p->policy, f->kind,
-					   size_bytes);
+	histogram_add(&path->latencies[flow->kind].answer_us,
+		      elapsed_ns / NS_PER_US);
+	small = outlier_record_answer_size(&path->sizes, path->policy,
+					   flow->kind, size_bytes);
 	if (small)
-		outlier_record_failure(f->target, p->policy, now_ns);
-	if (f->sent)
-		path_worked(p, f, small, now_ns);
-	*mean_ns += took_ns / ANSWER_WEIGHT - *mean_ns / ANSWER_WEIGHT;
-	flow_cache_busy(p->flows, f, false);
-	path_release(p, f->target->advertised.service, now_ns);
+		outlier_record_failure(flow->target, path->policy, now_ns);
+	if (flow->running)
+		path_record_answer(path, flow, small, now_ns);
+	*mean_ns += elapsed_ns / ANSWER_DIVISOR - *mean_ns / ANSWER_DIVISOR;
+	flow_cache_set_busy(path->flows, flow, false);
+	path_release_queued(path, flow->target->advertised.service, now_ns);
 }
 
 /*
- * Clients repeat what they sent while no entry was there. Which first packets
- * are such repeats can't be told; of flows that asked then, nearly all are.
+ * Clients repeat requests that they sent while no entry forwarded them. A
+ * repeat can't be told from a new request, but nearly all requests that a young
+ * process gets first on flows whose handshake it has not seen are repeats.
  */
-static bool presumed_repeat(const struct path *p, const struct flow_seen *f,
-			    uint64_t now_ns)
+static bool presumed_repeat(const struct path *path,
+			    const struct flow_state *flow, uint64_t now_ns)
 {
-	bool young = now_ns < p->conf.start_ns + p->policy->young_ns;
-	bool first = f->opened_ns == now_ns;
+	bool young = now_ns < path->conf.start_ns + path->policy->young_ns;
+	bool first = flow->opened_ns == now_ns;
 
-	return young && first && !f->trip_ns;
+	return young && first && !flow->rtt_ns;
 }
 
-/* A request of the client's begins. */
-static void begin(struct path *p, struct flow_seen *f, const struct route *r,
-		  uint64_t now_ns)
+/* Start a request of the client. */
+static void begin_request(struct path *path, struct flow_state *flow,
+			  const struct route *route, uint64_t now_ns)
 {
-	f->priority = r->priority;
-	f->asked_ns = now_ns;
-	f->aim_by_ns =
-		r->objective_ms ? now_ns + r->objective_ms * NS_PER_MS : 0;
-	if (f->aim_by_ns && presumed_repeat(p, f, now_ns))
-		f->aim_by_ns = now_ns;
-	f->expires_ns = now_ns + r->timeout_ms * NS_PER_MS;
-	flow_cache_busy(p->flows, f, true);
+	flow->priority = route->priority;
+	flow->arrived_ns = now_ns;
+	flow->objective_deadline_ns =
+		route->objective_ms ? now_ns + route->objective_ms * NS_PER_MS
+				    : 0;
+	if (flow->objective_deadline_ns && presumed_repeat(path, flow, now_ns))
+		flow->objective_deadline_ns = now_ns;
+	flow->expires_ns = now_ns + route->timeout_ms * NS_PER_MS;
+	flow_cache_set_busy(path->flows, flow, true);
 }
 
 /*
- * A packet with data: of a new request, of the one in progress, or a repeat.
- * Return: whether it waits, or repeats one that does.
+ * Handle a packet with data: the first of a request, another one of the request
+ * in progress, or a repeat.
+ * Return: whether the packet was queued or repeats a queued one.
  */
-static bool data(struct path *p, struct flow_seen *f, const struct packet *k,
-		 const struct route *r, uint64_t quiet_ns, uint64_t now_ns)
+static bool handle_data(struct path *path, struct flow_state *flow,
+			const struct packet *packet, const struct route *route,
+			uint64_t quiet_ns, uint64_t now_ns)
 {
-	if ((int32_t)(k->seq - f->seq) <= 0) {
-		if (f->waiting)
+	if ((int32_t)(packet->seq - flow->seq) <= 0) {
+		if (flow->waiting)
 			return true;
-		if (quiet_ns >= p->policy->repeat_quiet_ns)
-			path_doubt(p, f->target, f->request_ns, now_ns);
+		if (quiet_ns >= path->policy->repeat_quiet_ns)
+			path_suspect(path, flow->target, flow->forwarded_ns,
+				     now_ns);
 		return false;
 	}
-	f->seq = k->seq;
-	if (!f->busy) {
-		begin(p, f, r, now_ns);
-		if (path_hold(p, f, k))
+	flow->seq = packet->seq;
+	if (!flow->busy) {
+		begin_request(path, flow, route, now_ns);
+		if (path_queue_request(path, flow, packet))
 			return true;
-		path_sent(p, f, now_ns);
-	} else if (!f->waiting) {
-		f->due_ns = now_ns + path_request_due_ns(p, f->kind);
+		path_request_sent(path, flow, now_ns);
+	} else if (!flow->waiting) {
+		flow->answer_due_ns =
+			now_ns + path_answer_timeout_ns(path, flow->kind);
 	}
 	return false;
 }
 
 /*
- * What a packet of an open flow shows of its target.
- * Return: whether it waits.
+ * Update the flow and its target's health from a packet other than a SYN.
+ * Return: whether the packet was queued or repeats a queued one.
  */
-static bool follow(struct path *p, struct flow_seen *f, const struct packet *k,
-		   const struct route *r, uint64_t now_ns)
+static bool track_packet(struct path *path, struct flow_state *flow,
+			 const struct packet *packet, const struct route *route,
+			 uint64_t now_ns)
 {
-	bool newer_ack = (int32_t)(k->ack - f->ack) > 0;
-	uint64_t quiet_ns = now_ns - f->seen_ns;
+	bool newer_ack = (int32_t)(packet->ack - flow->ack) > 0;
+	uint64_t quiet_ns = now_ns - flow->seen_ns;
 
-	flow_cache_touch(p->flows, f, now_ns);
-	if (f->stage == FLOW_CLOSED)
+	flow_cache_touch(path->flows, flow, now_ns);
+	if (flow->stage == FLOW_CLOSED)
 		return false;
-	if (f->stage == FLOW_OPENING) {
-		uint64_t took_ns = now_ns - f->opened_ns;
-
-		histogram_add(&p->times[f->kind].open_us, took_ns / NS_PER_US);
-		p->open_ns += took_ns / OPEN_WEIGHT - p->open_ns / OPEN_WEIGHT;
-		f->stage = FLOW_OPEN;
-		f->trip_ns = now_ns - f->request_ns;
-		f->kept_bytes = 0;
-		f->ack = k->ack;
-		f->seq = k->seq - 1;
-		f->due_ns = 0;
-		alive(p, f->target, now_ns);
+	if (flow->stage == FLOW_OPENING) {
+		uint64_t elapsed_ns = now_ns - flow->opened_ns;
+
+		histogram_add(&path->latencies[flow->kind].open_us,
+			      elapsed_ns / NS_PER_US);
+		path->open_ns += elapsed_ns / OPEN_DIVISOR -
+				 path->open_ns / OPEN_DIVISOR;
+		flow->stage = FLOW_OPEN;
+		flow->rtt_ns = now_ns - flow->forwarded_ns;
+		flow->resend_bytes = 0;
+		flow->ack = packet->ack;
+		flow->seq = packet->seq - 1;
+		flow->answer_due_ns = 0;
+		mark_alive(path, flow->target, now_ns);
 	} else if (newer_ack) {
-		uint32_t size_bytes = k->ack - f->ack;
+		uint32_t size_bytes = packet->ack - flow->ack;
 
-		f->ack = k->ack;
-		alive(p, f->target, now_ns);
-		answered(p, f, size_bytes, now_ns);
+		flow->ack = packet->ack;
+		mark_alive(path, flow->target, now_ns);
+		handle_answer(path, flow, size_bytes, now_ns);
 	}
-	if (k->flags & (PACKET_FIN | PACKET_RST)) {
-		flow_cache_close(p->flows, f);
-		path_release(p, f->target->advertised.service, now_ns);
+	if (packet->flags & (PACKET_FIN | PACKET_RST)) {
+		flow_cache_close(path->flows, flow);
+		path_release_queued(path, flow->target->advertised.service,
+				    now_ns);
 		return false;
 	}
-	keep(f, k);
-	return k->size_bytes && data(p, f, k, r, quiet_ns, now_ns);
+	keep_for_resend(flow, packet);
+	return packet->size_bytes &&
+	       handle_data(path, flow, packet, route, quiet_ns, now_ns);
 }
 
-static struct flow_seen *flow_of(struct path *p, const struct packet *k,
-				 struct target *t, uint8_t kind,
-				 uint64_t now_ns)
+static struct flow_state *find_or_add_flow(struct path *path,
+					   const struct packet *packet,
+					   struct target *target, uint8_t kind,
+					   uint64_t now_ns)
 {
-	struct flow_seen *f = flow_cache_get(p->flows, &k->flow);
+	struct flow_state *flow = flow_cache_find(path->flows, &packet->flow);
 
-	if (!f) {
-		f = flow_cache_add(p->flows, &k->flow, t, kind, FLOW_OPEN,
-				   now_ns);
-		f->seq = k->seq - 1;
-		f->ack = k->ack;
+	if (!flow) {
+		flow = flow_cache_add(path->flows, &packet->flow, target, kind,
+				      FLOW_OPEN, now_ns);
+		flow->seq = packet->seq - 1;
+		flow->ack = packet->ack;
 	} else {
-		flow_cache_move(p->flows, f, t);
+		flow_cache_set_target(path->flows, flow, target);
 	}
-	return f;
+	return flow;
 }
 
-/* A packet that is not a SYN: its cookie says where it goes. */
-static void pinned(struct path *p, const struct packet *k,
-		   const struct route *r, bool fresh, uint64_t now_ns,
-		   struct path_verdict *out)
+/* Decide on a packet other than a SYN, whose target is named by its cookie. */
+static void forward_by_cookie(struct path *path, const struct packet *packet,
+			      const struct route *route, bool fresh,
+			      uint64_t now_ns, struct path_verdict *out)
 {
-	struct target *t = directory_by_cookie(p->directory, k->cookie);
-	bool history_known =
-		now_ns > p->conf.start_ns + p->conf.flow_lifetime_ns;
+	struct target *target =
+		directory_by_cookie(path->directory, packet->cookie);
+	bool knows_route_history =
+		now_ns > path->conf.start_ns + path->conf.flow_lifetime_ns;
 
-	if (!k->cookie) {
-		rule(p, out, PATH_DROP, PATH_no_cookie, NULL);
+	if (!packet->cookie) {
+		set_verdict(path, out, PATH_DROP, PATH_no_cookie, NULL);
 		return;
 	}
-	if (!r) {
-		rule(p, out, fresh ? PATH_RESET : PATH_DROP, PATH_route_dropped,
-		     t);
+	if (!route) {
+		set_verdict(path, out, fresh ? PATH_RESET : PATH_DROP,
+			    PATH_route_dropped, target);
 		return;
 	}
-	if (!t) {
-		rule(p, out, PATH_DROP, PATH_unknown_cookie, NULL);
+	if (!target) {
+		set_verdict(path, out, PATH_DROP, PATH_unknown_cookie, NULL);
 		return;
 	}
 	/*
-	 * A cookie is a client's word. A process younger than a flow can be
-	 * doesn't know all services that the route had; the target itself then
-	 * turns a packet away that belongs to none of its flows.
+	 * Clients can forge cookies, so the target must belong to a service of
+	 * the route. A process that has run for less than the lifetime of a
+	 * flow doesn't know all services that the route had, and skips this
+	 * check; the target itself rejects packets of unknown flows.
 	 */
-	if (history_known && !route_allows(r, t->advertised.service, now_ns)) {
-		rule(p, out, PATH_DROP, PATH_foreign_cookie, t);
+	if (knows_route_history &&
+	    !route_allows(route, target->advertised.service, now_ns)) {
+		set_verdict(path, out, PATH_DROP, PATH_foreign_cookie, target);
 		return;
 	}
-	if (path_gone(p, t)) {
-		struct flow_seen *f = flow_cache_get(p->flows, &k->flow);
-
-		if (f)
-			flow_cache_close(p->flows, f);
-		rule(p, out, PATH_RESET,
-		     t->health == HEALTH_DEAD ? PATH_target_dead
-					      : PATH_target_silent,
-		     t);
+	if (path_must_reset_flows(path, target)) {
+		struct flow_state *flow =
+			flow_cache_find(path->flows, &packet->flow);
+
+		if (flow)
+			flow_cache_close(path->flows, flow);
+		set_verdict(path, out, PATH_RESET,
+			    target->health == HEALTH_DEAD ? PATH_target_dead
+							  : PATH_target_silent,
+			    target);
 		return;
 	}
-	if (follow(p, flow_of(p, k, t, r->kind, now_ns), k, r, now_ns))
-		rule(p, out, PATH_WAIT, PATH_waits, t);
+	if (track_packet(path,
+			 find_or_add_flow(path, packet, target, route->kind,
+					  now_ns),
+			 packet, route, now_ns))
+		set_verdict(path, out, PATH_WAIT, PATH_waits, target);
 	else
-		rule(p, out, PATH_FORWARD, PATH_pinned, t);
+		set_verdict(path, out, PATH_FORWARD, PATH_pinned, target);
 }
 
 /**
- * path_packet() - decide on one packet
- * @p: state
- * @k: packet
- * @fresh: no peer is known to have a newer configuration
- * @now_ns: time
- * @out: filled
+ * path_packet() - decide what is done with a packet of a client
+ * @path: state
+ * @packet: packet; copied if it is kept or queued
+ * @fresh: no peer is known to have newer documents; a missing route is then
+ *	answered with a reset, otherwise the packet is dropped
+ * @now_ns: current time
+ * @out: set to the decision
  */
-void path_packet(struct path *p, const struct packet *k, bool fresh,
+void path_packet(struct path *path, const struct packet *packet, bool fresh,
 		 uint64_t now_ns, struct path_verdict *out)
 {
-	const struct route_table *table = directory_route_table(p->directory);
-	const struct route *r = route_table_find(table, k->flow.vip);
+	const struct route_table *table =
+		directory_route_table(path->directory);
+	const struct route *route = route_table_find(table, packet->flow.vip);
 
-	out->ack = k->ack;
-	out->kind = r ? r->kind : ROUTE_REPORT;
+	out->ack = packet->ack;
+	out->kind = route ? route->kind : ROUTE_REPORT;
 	if (!table)
-		rule(p, out, PATH_DROP, PATH_no_routes_yet, NULL);
-	else if (!(k->flags & PACKET_SYN))
-		pinned(p, k, r, fresh, now_ns, out);
-	else if (r)
-		syn(p, k, r, now_ns, out);
+		set_verdict(path, out, PATH_DROP, PATH_no_routes_yet, NULL);
+	else if (!(packet->flags & PACKET_SYN))
+		forward_by_cookie(path, packet, route, fresh, now_ns, out);
+	else if (route)
+		handle_syn(path, packet, route, now_ns, out);
 	else
-		rule(p, out, fresh ? PATH_RESET : PATH_DROP, PATH_no_route,
-		     NULL);
-	if (out->action == PATH_RESET && k->flags & PACKET_RST)
+		set_verdict(path, out, fresh ? PATH_RESET : PATH_DROP,
+			    PATH_no_route, NULL);
+	if (out->action == PATH_RESET && packet->flags & PACKET_RST)
 		out->action = PATH_DROP;
 }
 
-const uint64_t *path_counts(const struct path *p)
+/**
+ * path_verdict_counts() - get the number of decisions for each reason
+ * @path: state
+ *
+ * Return: PATH_REASON_COUNT counters, indexed by enum path_reason, owned by
+ * @path.
+ */
+const uint64_t *path_verdict_counts(const struct path *path)
 {
-	return p->counts;
+	return path->counts;
 }
 
 /**
- * path_times() - how long things took
- * @p: state
+ * path_latencies() - get the durations seen on flows of a kind
+ * @path: state
  * @kind: enum route_kind
  *
- * Return: histograms.
+ * Return: histograms, owned by @path.
  */
-const struct path_times *path_times(const struct path *p, uint8_t kind)
+const struct path_latencies *path_latencies(const struct path *path,
+					    uint8_t kind)
 {
-	return &p->times[kind];
+	return &path->latencies[kind];
 }
 
-uint32_t path_flows(const struct path *p)
+uint32_t path_flow_count(const struct path *path)
 {
-	return flow_cache_count(p->flows);
+	return flow_cache_count(path->flows);
 }
 
-uint32_t path_waiting(const struct path *p)
+uint32_t path_queued_count(const struct path *path)
 {
-	return waiting_count(p->waiting);
+	return wait_queue_count(path->wait_queue);
 }
 
 /**
- * path_flow() - a flow that is followed here
- * @p: state
- * @key: client and VIP
+ * path_find_flow() - look up a flow in the cache
+ * @path: state
+ * @key: client address and VIP
  *
- * Return: flow, or NULL.
+ * Return: flow, valid until the next call that changes @path, or NULL.
  */
-const struct flow_seen *path_flow(const struct path *p,
-				  const struct flow_key *key)
+const struct flow_state *path_find_flow(const struct path *path,
+					const struct flow_key *key)
 {
-	return flow_cache_get(p->flows, key);
+	return flow_cache_find(path->flows, key);
 }
 
-float path_feed_load(const struct path *p)
+/* Mean number of requests in progress of an open feed. */
+float path_feed_load(const struct path *path)
 {
-	return p->feed_load;
+	return path->feed_load;
 }
--- a/core/packet/node_published.c
+++ b/core/packet/node_published.c
@@ -1,227 +1,243 @@
-/* What is published takes effect: routes, targets, evacuations. */
+/* Applies published documents: routes, targets, evacuations. */
 #include "node_impl.h"
 
 #include <errno.h>
 
-/* Whoever writes entries that are refused must not fill the log. */
+/* Limits the log lines that a writer of invalid documents can cause. */
 #define REFUSALS_LOGGED_PER_S 20
 
 static const char *const stage_names[] = { "serving", "leaving", "absent" };
 
 /* Version of the configuration in force, 0 for none. */
-uint64_t node_version(const struct node *n)
+uint64_t node_configuration_version(const struct node *node)
 {
-	const struct route_table *t = directory_route_table(n->directory);
+	const struct route_table *table =
+		directory_route_table(node->directory);
 
-	return t ? t->version : 0;
+	return table ? table->version : 0;
 }
 
-static void log_routes(struct node *n, const struct document *doc, int err,
+static void log_routes(struct node *node, const struct document *doc, int err,
 		       uint64_t version, uint32_t routes)
 {
 	if (err)
-		n->port.log(n->port.ctx,
-			    err == -EALREADY ? NODE_INFO : NODE_ERROR, "routes",
-			    NULL, "version %llu not taken, %llu is in force%s",
-			    (unsigned long long)version,
-			    (unsigned long long)node_version(n),
-			    err == -ENOMEM ? ": out of memory" : "");
+		node->port.log(
+			node->port.ctx,
+			err == -EALREADY ? NODE_INFO : NODE_ERROR, "routes",
+			NULL, "version %llu not taken, %llu is in force%s",
+			(unsigned long long)version,
+			(unsigned long long)node_configuration_version(node),
+			err == -ENOMEM ? ": out of memory" : "");
 	else
-		n->port.log(n->port.ctx, NODE_INFO, "routes", NULL,
-			    "version %llu in force, revision %llu, %u routes",
-			    (unsigned long long)version,
-			    (unsigned long long)doc->revision, routes);
+		node->port.log(
+			node->port.ctx, NODE_INFO, "routes", NULL,
+			"version %llu in force, revision %llu, %u routes",
+			(unsigned long long)version,
+			(unsigned long long)doc->revision, routes);
 }
 
-static void take_routes(struct node *n, const struct document *doc,
-			struct route_table *take)
+static void apply_routes(struct node *node, const struct document *doc,
+			 struct route_table *table)
 {
-	uint64_t version = take->version;
-	uint32_t routes = take->n_routes;
-	int err = directory_set_routes(n->directory, take, n->now_ns);
-
-	log_routes(n, doc, err, version, routes);
-	/* Targets may have been published before their service was named. */
-	if (!err && directory_service_count(n->directory) > n->names_taken)
-		documents_redeliver(n->documents);
-	n->names_taken = directory_service_count(n->directory);
+	uint64_t version = table->version;
+	uint32_t routes = table->n_routes;
+	int err = directory_set_routes(node->directory, table, node->now_ns);
+
+	log_routes(node, doc, err, version, routes);
+	/* Targets may have been published before a configuration named their
+	 * service. */
+	if (!err &&
+	    directory_service_count(node->directory) > node->services_named)
+		documents_redeliver(node->documents);
+	node->services_named = directory_service_count(node->directory);
 }
 
-static void log_target(struct node *n, const struct document *doc,
-		       const struct target *t, const char *what)
+static void log_target(struct node *node, const struct document *doc,
+		       const struct target *target, const char *what)
 {
-	n->port.log(n->port.ctx, NODE_INFO, "target", doc->key,
-		    "%s, service %s, started %llu, revision %llu%s", what,
-		    directory_service_name(n->directory, t->advertised.service),
-		    (unsigned long long)t->advertised.started_ms,
-		    (unsigned long long)doc->revision,
-		    t->stage == TARGET_ABSENT && t->presumed_alive
-			    ? ", presumed to live"
-			    : "");
+	node->port.log(node->port.ctx, NODE_INFO, "target", doc->key,
+		       "%s, service %s, started %llu, revision %llu%s", what,
+		       directory_service_name(node->directory,
+					      target->advertised.service),
+		       (unsigned long long)target->advertised.started_ms,
+		       (unsigned long long)doc->revision,
+		       target->stage == TARGET_ABSENT && target->presumed_alive
+			       ? ", presumed to live"
+			       : "");
 }
 
 /*
- * The first time all are new, and the line of readiness counts them: a line
- * each would keep a small VM from serving for longer.
+ * Whether the documents are read for the first time. Serving targets are not
+ * logged then, since the log line of readiness has their number, and a line
+ * for each would delay readiness on a small VM.
  */
-static bool young(const struct node *n)
+static bool is_first_read(const struct node *node)
 {
-	return !node_knows(n);
+	return !node_has_snapshot(node);
 }
 
-static void take_target(struct node *n, const struct document *doc,
-			const struct target_advertisement *news)
+static void apply_target(struct node *node, const struct document *doc,
+			 const struct target_advertisement *news)
 {
 	static const char *const not_taken[] = {
-		[TARGET_NO_CAPACITY] = "not taken: no room for another target",
+		[TARGET_NO_CAPACITY] = "not taken: target table is full",
 		[TARGET_OUTDATED] = "not taken: older than what is known",
-		[TARGET_ID_CONFLICT] = "not taken: another key has this id",
+		[TARGET_ID_CONFLICT] =
+			"not taken: its id belongs to another key",
 	};
-	struct target *t = directory_by_id(n->directory, news->id);
-	uint8_t before = t ? t->stage : UINT8_MAX;
+	struct target *target = directory_by_id(node->directory, news->id);
+	uint8_t before = target ? target->stage : UINT8_MAX;
 	enum target_change change;
 
-	t = directory_update_target(n->directory, news, n->now_ns, &change);
+	target = directory_update_target(node->directory, news, node->now_ns,
+					 &change);
 	if (change >= TARGET_NO_CAPACITY) {
-		n->port.log(n->port.ctx, NODE_WARNING, "target", doc->key,
-			    "%s, revision %llu", not_taken[change],
-			    (unsigned long long)doc->revision);
+		node->port.log(node->port.ctx, NODE_WARNING, "target", doc->key,
+			       "%s, revision %llu", not_taken[change],
+			       (unsigned long long)doc->revision);
 		return;
 	}
 	if (change == TARGET_RESTARTED) {
-		log_target(n, doc, t, "restarted");
-		path_restarted(n->path, t);
+		log_target(node, doc, target, "restarted");
+		path_target_restarted(node->path, target);
 	}
-	if (t->stage != before && !(t->stage == TARGET_SERVING && young(n)))
-		log_target(n, doc, t, stage_names[t->stage]);
+	if (target->stage != before &&
+	    !(target->stage == TARGET_SERVING && is_first_read(node)))
+		log_target(node, doc, target, stage_names[target->stage]);
 }
 
-/* @trouble_ns: of the platform, when the entry may only have lapsed. */
-static void take_absent(struct node *n, const struct document *doc,
-			const struct target_advertisement *news,
-			uint64_t trouble_ns)
+/* @platform_failed_ns: when the platform last failed to answer, so that the
+ * entry may only have lapsed; 0 to take it as deleted. */
+static void apply_absence(struct node *node, const struct document *doc,
+			  const struct target_advertisement *news,
+			  uint64_t platform_failed_ns)
 {
-	struct target *t = directory_by_id(n->directory, news->id);
+	struct target *target = directory_by_id(node->directory, news->id);
 	uint8_t before;
 
-	/* A deletion seen first still says whose flows may come. */
-	if (!t && news->addr) {
-		take_target(n, doc, news);
-		t = directory_by_id(n->directory, news->id);
+	/* The last value of a deleted entry names the target of open flows. */
+	if (!target && news->addr) {
+		apply_target(node, doc, news);
+		target = directory_by_id(node->directory, news->id);
 	}
-	if (!t)
+	if (!target)
 		return;
-	before = t->stage;
-	directory_mark_absent(n->directory, news, n->now_ns, trouble_ns);
-	if (t->stage != before)
-		log_target(n, doc, t, stage_names[t->stage]);
+	before = target->stage;
+	directory_mark_absent(node->directory, news, node->now_ns,
+			      platform_failed_ns);
+	if (target->stage != before)
+		log_target(node, doc, target, stage_names[target->stage]);
 }
 
 /*
- * Anybody may write where targets publish themselves. Such an entry names no
- * target: whatever was published under its key before it does not hold any
- * more, and all other entries do.
+ * Refuse a document that could not be decoded. Any client of the platform can
+ * write where targets publish themselves. An invalid entry names no target: it
+ * ends the target that was published under its key before, and no other.
  */
-static void refuse(struct node *n, const struct document *doc,
-		   const struct document_news *news, const char *problem)
+static void refuse_document(struct node *node, const struct document *doc,
+			    const struct decoded_document *news,
+			    const char *problem)
 {
 	struct target_advertisement named = { 0 };
 
-	n->counters.documents_refused++;
-	if (n->now_ns >= n->refusals_ns + NS_PER_S) {
-		n->refusals_ns = n->now_ns;
-		n->refusals = 0;
+	node->counters.documents_refused++;
+	if (node->now_ns >= node->refusals_since_ns + NS_PER_S) {
+		node->refusals_since_ns = node->now_ns;
+		node->refusals = 0;
 	}
-	if (n->refusals++ < REFUSALS_LOGGED_PER_S)
-		n->port.log(n->port.ctx, NODE_WARNING, "document", doc->key,
-			    "revision %llu refused: %s",
-			    (unsigned long long)doc->revision, problem);
+	if (node->refusals++ < REFUSALS_LOGGED_PER_S)
+		node->port.log(node->port.ctx, NODE_WARNING, "document",
+			       doc->key, "revision %llu refused: %s",
+			       (unsigned long long)doc->revision, problem);
 	if (news->kind != DOCUMENT_TARGET)
 		return;
 	named.id = news->target.id;
 	named.key_hash = news->target.key_hash;
-	take_absent(n, doc, &named, 0);
+	apply_absence(node, doc, &named, 0);
 }
 
-static void take_evacuation(struct node *n, const struct document *doc,
-			    const char *data_centre)
+static void apply_evacuation(struct node *node, const struct document *doc,
+			     const char *data_centre)
 {
-	int err = directory_set_evacuated(n->directory, data_centre,
+	int err = directory_set_evacuated(node->directory, data_centre,
 					  !doc->deleted);
 
 	if (err == -EALREADY)
 		return;
 	if (!err && doc->deleted)
-		node_cold_returned(n, (uint32_t)hash_text(data_centre));
+		node_cold_evacuation_over(node,
+					  (uint32_t)hash_text(data_centre));
 	if (err)
-		n->port.log(n->port.ctx, NODE_ERROR, "evacuation", data_centre,
-			    "not taken, revision %llu: %s",
-			    (unsigned long long)doc->revision,
-			    err == -ENOSPC ? "too many data centres"
-					   : "name too long");
+		node->port.log(node->port.ctx, NODE_ERROR, "evacuation",
+			       data_centre, "not taken, revision %llu: %s",
+			       (unsigned long long)doc->revision,
+			       err == -ENOSPC ? "too many data centres"
+					      : "name too long");
 	else
-		n->port.log(n->port.ctx, NODE_INFO, "evacuation", data_centre,
-			    "%s, revision %llu",
-			    doc->deleted ? "over" : "in force",
-			    (unsigned long long)doc->revision);
+		node->port.log(node->port.ctx, NODE_INFO, "evacuation",
+			       data_centre, "%s, revision %llu",
+			       doc->deleted ? "over" : "in force",
+			       (unsigned long long)doc->revision);
 }
 
 /**
- * node_document_compare() - the order of a document and what is known under its
- *	key, by what they say themselves
- * @ctx: entry
+ * node_document_compare() - compare the age of a document with the one in force
+ *	under its key, by their contents
+ * @ctx: entry, struct node
  * @doc: document
  *
- * Versions of the configuration and the numbers of targets' entries grow, also
- * while the platform goes back.
+ * Versions of the configuration and sequence numbers of targets' entries grow
+ * even when the platform is restored from an older copy.
  *
- * Return: above 0 when @doc is the later one, below 0 when it is the earlier
- * one, 0 when that cannot be told.
+ * Return: above 0 when @doc is later, below 0 when it is earlier, 0 when the
+ * contents give no order.
  */
 int node_document_compare(void *ctx, const struct document *doc)
 {
-	struct node *n = ctx;
-	struct document_news news;
+	struct node *node = ctx;
+	struct decoded_document news;
 	const char *problem = "";
 	uint64_t version;
 
-	if (n->port.decode(doc, n->directory, &news, &problem))
+	if (node->port.decode(doc, node->directory, &news, &problem))
 		return 0;
 	if (news.kind == DOCUMENT_TARGET)
-		return directory_compare_advertisement(n->directory,
+		return directory_compare_advertisement(node->directory,
 						       &news.target);
 	if (news.kind != DOCUMENT_ROUTES || !news.routes)
 		return 0;
 	version = news.routes->version;
 	route_table_free(news.routes);
-	return (version > node_version(n)) - (version < node_version(n));
+	return (version > node_configuration_version(node)) -
+	       (version < node_configuration_version(node));
 }
 
 /**
- * node_document_changed() - a document is newer than what was known under its
- *	key
- * @ctx: entry
+ * node_document_changed() - apply a document that is newer than the known one
+ *	under its key
+ * @ctx: entry, struct node
  * @doc: document
  *
- * Return: false when it has to be shown again once more services are named.
+ * Return: false when it has to be passed once more after a configuration named
+ * more services.
  */
 bool node_document_changed(void *ctx, const struct document *doc)
 {
-	struct node *n = ctx;
-	struct document_news news;
+	struct node *node = ctx;
+	struct decoded_document news;
 	const char *problem = "";
-	int err = n->port.decode(doc, n->directory, &news, &problem);
+	int err = node->port.decode(doc, node->directory, &news, &problem);
 
 	if (err)
-		refuse(n, doc, &news, problem);
+		refuse_document(node, doc, &news, problem);
 	else if (news.kind == DOCUMENT_ROUTES && news.routes)
-		take_routes(n, doc, news.routes);
+		apply_routes(node, doc, news.routes);
 	else if (news.kind == DOCUMENT_EVACUATION)
-		take_evacuation(n, doc, news.data_centre);
+		apply_evacuation(node, doc, news.data_centre);
 	else if (news.kind == DOCUMENT_TARGET && doc->deleted)
-		take_absent(n, doc, &news.target,
-			    peer_set_platform_fault_ns(n->peers));
+		apply_absence(node, doc, &news.target,
+			      peer_set_platform_failed_ns(node->peers));
 	else if (news.kind == DOCUMENT_TARGET)
-		take_target(n, doc, &news.target);
+		apply_target(node, doc, &news.target);
 	return err != -ENOENT;
 }
--- a/core/packet/target/target.h
+++ b/core/packet/target/target.h
@@ -20,8 +20,8 @@
  *	power
  * @HEALTH_DEAD: its process has ended; another one may start under its id
  *
- * Ordered from best to worst: assign_target() prefers lower values, and from
- * HEALTH_SILENT on a target is probed periodically.
+ * Ordered from best to worst: assign_target() ranks targets by it, and a target
+ * is probed periodically from HEALTH_SILENT on.
  */
 enum target_health {
 	HEALTH_GOOD,
@@ -100,7 +100,7 @@
  *	answered nor overdue; the others are queued at this entry or presumed
  *	lost
  * @queue_head: latest of its requests that are queued at this entry, 0 for
- *	none, see struct waiting
+ *	none, see struct wait_queue
  * @short_mean: @busy_short, averaged over LOAD_WINDOW_NS
  * @running_mean: @running, averaged over struct policy's running_window_ns
  * @means_updated_ns: when the two means were last updated
--- a/sim/sim-packets/entries.c
+++ b/sim/sim-packets/entries.c
@@ -43,10 +43,10 @@
 	world_at(w, TICK_NS, on_tick, e->a, e->b, 0);
 	if (s->frozen)
 		return;
-	node_late(s->node, w->now_ns - s->ran_ns, w->now_ns);
+	node_process_stalled(s->node, w->now_ns - s->ran_ns, w->now_ns);
 	s->ran_ns = w->now_ns;
 	node_tick(s->node, w->now_ns);
-	if (node_stopped(s->node, w->now_ns))
+	if (node_may_exit(s->node, w->now_ns))
 		world_entry_ended(w, (uint32_t)e->a);
 }
 
@@ -85,7 +85,7 @@
 	struct letter *l = &w->letters[e->b];
 
 	if (runs(s))
-		node_hello(s->node, &l->hello, w->now_ns);
+		node_receive_hello(s->node, &l->hello, w->now_ns);
 	l->next = w->spare_letter;
 	w->spare_letter = (uint32_t)e->b;
 }
@@ -123,26 +123,26 @@
 	if (!runs(s))
 		return;
 	if (!runs(peer) || world_cut(w, s->zone, peer->zone)) {
-		node_fetched(s->node, NULL, w->now_ns);
+		node_fetch_end(s->node, NULL, w->now_ns);
 		return;
 	}
 	head.through = documents_synced(from);
 	head.newest = documents_newest(from);
 	head.floor = documents_floor(from);
 	head.whole = documents_peer_needs_full(from, after);
-	if (!node_fetching(s->node, &head, w->now_ns)) {
-		node_fetched(s->node, NULL, w->now_ns);
+	if (!node_fetch_begin(s->node, &head, w->now_ns)) {
+		node_fetch_end(s->node, NULL, w->now_ns);
 		return;
 	}
 	for (uint32_t i = 0; i < documents_count(from); i++) {
 		const struct document *d = documents_at(from, i);
 
 		if (head.whole)
-			node_relay_listed(s->node, d);
+			node_take_relay_listed(s->node, d);
 		else if (documents_peer_lacks(from, after, d))
-			node_relayed(s->node, d);
+			node_take_relayed(s->node, d);
 	}
-	node_fetched(s->node, &head, w->now_ns);
+	node_fetch_end(s->node, &head, w->now_ns);
 }
 
 static void cancel(void *ctx)
@@ -181,8 +181,8 @@
 	struct sim_entry *s = &w->entries[a->entry];
 
 	if (runs(s))
-		node_probed(s->node, &a->who, (enum probe_outcome)e->b,
-			    a->since_ns, w->now_ns);
+		node_probe_ended(s->node, &a->who, (enum probe_outcome)e->b,
+				 a->since_ns, w->now_ns);
 }
 
 static void probe(void *ctx, const struct target *t)
@@ -192,7 +192,8 @@
 	const struct sim_target *s = &c->w->targets[at];
 	enum probe_outcome outcome = PROBE_ACCEPTED;
 	uint64_t way_ns = 2 * world_way_ns(c->w, c->e->zone, s->zone);
-	uint64_t wait_ns = path_probe_wait_ns(c->e->node->path, c->w->now_ns);
+	uint64_t wait_ns =
+		path_probe_timeout_ns(c->e->node->path, c->w->now_ns);
 	uint64_t link = link_ns(c->w, c->e, SYN_BYTES);
 	uint32_t number =
 		attempt_with(c->w, (uint32_t)(c->e - c->w->entries), t);
@@ -311,7 +312,7 @@
 	pace(w, e);
 }
 
-static void again(void *ctx, const struct flow_seen *f, uint8_t reason)
+static void again(void *ctx, const struct flow_state *f, uint8_t reason)
 {
 	struct port_ctx *c = ctx;
 	struct sim_packet k = {
@@ -326,7 +327,7 @@
 }
 
 /* A packet that has waited; which one it was, its flow's end knows. */
-static void send_on(void *ctx, const struct flow_seen *f, const uint8_t *bytes,
+static void send_on(void *ctx, const struct flow_state *f, const uint8_t *bytes,
 		    uint32_t n_bytes)
 {
 	struct port_ctx *c = ctx;
@@ -356,7 +357,7 @@
 		 (uint32_t)(e - w->entries));
 }
 
-static void reset_flow(void *ctx, const struct flow_seen *f)
+static void reset_flow(void *ctx, const struct flow_state *f)
 {
 	struct port_ctx *c = ctx;
 
@@ -370,7 +371,7 @@
 	(void)was;
 }
 
-static void no_log(void *ctx, enum node_log level, const char *step,
+static void no_log(void *ctx, enum node_log_level level, const char *step,
 		   const char *peer, const char *format, ...)
 {
 	(void)ctx;
@@ -405,8 +406,8 @@
 		.fetch = fetch,
 		.hello = send_hello,
 		.probe = probe,
-		.again = again,
-		.send = send_on,
+		.resend = again,
+		.send_queued = send_on,
 		.reset = reset_flow,
 		.health = no_health,
 		.decode = store_decode,
