--- a/adapters/hello_codec.c
+++ b/adapters/hello_codec.c
@@ -30,7 +30,8 @@
 {
 	msgpack_pack_array(packer, hello->n_peers);
 	for (uint32_t i = 0; i < hello->n_peers; i++)
-		pack_row(packer, PEER_FIELDS, (uint64_t[]){ hello->peers[i].addr,
+		pack_row(packer, PEER_FIELDS,
+			 (uint64_t[]){ hello->peers[i].addr,
 				       hello->peers[i].zone,
 				       hello->peers[i].age_ms });
 	msgpack_pack_array(packer, hello->n_loads);
@@ -81,7 +82,10 @@
 	msgpack_pack_uint64(&packer, hello->from);
 	msgpack_pack_uint64(&packer, hello->zone);
 	msgpack_pack_uint64(&packer, hello->boot);
-	msgpack_pack_uint64(&packer, (hello->leaving ? HELLO_FLAG_LEAVING : 0) | (hello->reply ? HELLO_FLAG_REPLY : 0) | (hello->has_loads ? HELLO_FLAG_LOADS : 0));
+	msgpack_pack_uint64(&packer,
+			    (hello->leaving ? HELLO_FLAG_LEAVING : 0) |
+				    (hello->reply ? HELLO_FLAG_REPLY : 0) |
+				    (hello->has_loads ? HELLO_FLAG_LOADS : 0));
 	msgpack_pack_uint64(&packer, hello->newest.epoch);
 	msgpack_pack_uint64(&packer, hello->newest.revision);
 	msgpack_pack_uint64(&packer, hello->retained_digest);
@@ -110,7 +114,8 @@
  * Decodes at most @max rows of @fields numbers each into @out, one row after
  * another. Returns the number of rows, or -EPROTO.
  */
-static int unpack_rows(const msgpack_object *o, uint32_t max, uint32_t fields, uint64_t *out)
+static int unpack_rows(const msgpack_object *o, uint32_t max, uint32_t fields,
+		       uint64_t *out)
 {
 	if (!msgpack_list(o, max))
 		return -EPROTO;
@@ -188,7 +193,19 @@
 	const msgpack_object *f = o->via.array.ptr;
 	uint64_t version, zone, flags, epoch_age_ms, fault_age_ms;
 
-	if (o->type != MSGPACK_OBJECT_ARRAY || o->via.array.size != HELLO_FIELDS || !msgpack_number(&f[0], UINT64_MAX, &version) || version != HELLO_VERSION || !msgpack_number(&f[1], UINT64_MAX, &hello->from) || !msgpack_number(&f[2], UINT32_MAX, &zone) || !msgpack_number(&f[3], UINT64_MAX, &hello->boot) || !msgpack_number(&f[4], UINT32_MAX, &flags) || !msgpack_number(&f[5], UINT64_MAX, &hello->newest.epoch) || !msgpack_number(&f[6], UINT64_MAX, &hello->newest.revision) || !msgpack_number(&f[7], UINT64_MAX, &hello->retained_digest) || !msgpack_number(&f[8], UINT32_MAX, &epoch_age_ms) || !msgpack_number(&f[9], UINT32_MAX, &fault_age_ms))
+	if (o->type != MSGPACK_OBJECT_ARRAY ||
+	    o->via.array.size != HELLO_FIELDS ||
+	    !msgpack_number(&f[0], UINT64_MAX, &version) ||
+	    version != HELLO_VERSION ||
+	    !msgpack_number(&f[1], UINT64_MAX, &hello->from) ||
+	    !msgpack_number(&f[2], UINT32_MAX, &zone) ||
+	    !msgpack_number(&f[3], UINT64_MAX, &hello->boot) ||
+	    !msgpack_number(&f[4], UINT32_MAX, &flags) ||
+	    !msgpack_number(&f[5], UINT64_MAX, &hello->newest.epoch) ||
+	    !msgpack_number(&f[6], UINT64_MAX, &hello->newest.revision) ||
+	    !msgpack_number(&f[7], UINT64_MAX, &hello->retained_digest) ||
+	    !msgpack_number(&f[8], UINT32_MAX, &epoch_age_ms) ||
+	    !msgpack_number(&f[9], UINT32_MAX, &fault_age_ms))
 		return false;
 	hello->zone = (uint32_t)zone;
 	hello->leaving = flags & HELLO_FLAG_LEAVING;
@@ -220,7 +237,9 @@
 	if (msgpack_bound(data, size_bytes))
 		return -EPROTO;
 	msgpack_unpacked_init(&unpacked);
-	if (msgpack_unpack_next(&unpacked, (const char *)data, size_bytes, &offset) == MSGPACK_UNPACK_SUCCESS && decode_fields(&unpacked.data, out))
+	if (msgpack_unpack_next(&unpacked, (const char *)data, size_bytes,
+				&offset) == MSGPACK_UNPACK_SUCCESS &&
+	    decode_fields(&unpacked.data, out))
 		err = 0;
 	msgpack_unpacked_destroy(&unpacked);
 	return err;
--- a/test/entries_prop.cc
+++ b/test/entries_prop.cc
@@ -44,7 +44,11 @@
 {
 	using Draws = std::vector<std::pair<unsigned, unsigned>>;
 
-	return rc::gen::map(rc::gen::container<Draws>(rc::gen::pair(rc::gen::inRange<unsigned>(0, KEYS), rc::gen::inRange<unsigned>(0, SORT_COUNT))), [](const Draws &draws) {
+	return rc::gen::map(
+		rc::gen::container<Draws>(rc::gen::pair(
+			rc::gen::inRange<unsigned>(0, KEYS),
+			rc::gen::inRange<unsigned>(0, SORT_COUNT))),
+		[](const Draws &draws) {
 			std::map<unsigned, std::pair<uint64_t, uint64_t>> last;
 			std::vector<Write> out;
 
@@ -68,7 +72,8 @@
 	return std::to_string(v);
 }
 
-std::string entry(const Write &w, const std::string &slots, const std::string &state, const std::string &service)
+std::string entry(const Write &w, const std::string &slots,
+		  const std::string &state, const std::string &service)
 {
 	return "{\"service\":\"" + service + "\",\"address\":\"10.0.0." +
 	       number(w.key + 1) + ":80\",\"zone\":\"z\",\"version\":\"v\"," +
@@ -116,7 +121,8 @@
 	}
 }
 
-void no_log(void *, enum node_log_level, const char *, const char *, const char *, ...)
+void no_log(void *, enum node_log_level, const char *, const char *,
+	    const char *, ...)
 {
 }
 
@@ -144,7 +150,8 @@
 		node_free(node);
 	}
 
-	void put(const std::string &key, uint64_t revision, const std::string *value)
+	void put(const std::string &key, uint64_t revision,
+		 const std::string *value)
 	{
 		document d = {};
 		std::string copy = value ? *value : "";
@@ -172,7 +179,8 @@
 	{
 		std::string value = value_of(w);
 
-		put("servers/i-" + number(w.key + 1), w.revision, is_removed(w) ? nullptr : &value);
+		put("servers/i-" + number(w.key + 1), w.revision,
+		    is_removed(w) ? nullptr : &value);
 	}
 
 	/*
@@ -182,7 +190,8 @@
 	{
 		std::map<uint64_t, std::pair<uint64_t, bool>> out;
 
-		for (uint32_t i = 0; i < directory_target_count(node->directory); i++) {
+		for (uint32_t i = 0;
+		     i < directory_target_count(node->directory); i++) {
 			const target *t =
 				directory_target_at(node->directory, i);
 
@@ -211,7 +220,10 @@
 
 bool targets_serve_in_any_order()
 {
-	return rc::check("targets with a valid last entry serve, in any order of " "arrival", [] {
+	return rc::check(
+		"targets with a valid last entry serve, in any order of "
+		"arrival",
+		[] {
 			const auto writes = *history();
 			const auto configured_at =
 				*rc::gen::inRange<size_t>(0, writes.size() + 1);
@@ -219,7 +231,9 @@
 			Node ordered, shuffled;
 
 			for (size_t i = order.size(); i > 1; i--)
-				std::swap(order[i - 1], order[*rc::gen::inRange<size_t>(0, i)]);
+				std::swap(
+					order[i - 1],
+					order[*rc::gen::inRange<size_t>(0, i)]);
 			ordered.configure();
 			for (const Write &w : writes)
 				ordered.put(w);
--- a/test/users_platform_test.c
+++ b/test/users_platform_test.c
@@ -32,7 +32,8 @@
 	struct packet packet;
 
 	(void)state;
-	assert_int_equal(users_read_packet(example, sizeof(example), &packet), 0);
+	assert_int_equal(users_read_packet(example, sizeof(example), &packet),
+			 0);
 	assert_int_equal(packet.flow.caller, CLIENT);
 	assert_int_equal(packet.flow.vip, VIP);
 	assert_int_equal(packet.flags, PACKET_SYN);
@@ -47,8 +48,10 @@
 
 	(void)state;
 	for (uint32_t i = 0; i < sizeof(example); i++)
-		assert_int_equal(users_read_packet(example, i, &packet), -EPROTO);
-	assert_int_equal(users_read_packet(data, sizeof(data), &packet), -EPROTO);
+		assert_int_equal(users_read_packet(example, i, &packet),
+				 -EPROTO);
+	assert_int_equal(users_read_packet(data, sizeof(data), &packet),
+			 -EPROTO);
 	memcpy(data, example, sizeof(example));
 	data[10] = 5; /* length of the data, which is missing */
 	assert_int_equal(users_read_packet(data, 32, &packet), -EPROTO);
@@ -110,10 +113,13 @@
 		memcpy(received->value, d->value, d->size_bytes);
 }
 
-static int list(const char *body, struct received *received, struct answer_head *head)
+static int list(const char *body, struct received *received,
+		struct answer_head *head)
 {
 	memset(received, 0, sizeof(*received));
-	return users_read_list(body, strlen(body), (struct document_sink){ received, receive }, head);
+	return users_read_list(body, strlen(body),
+			       (struct document_sink){ received, receive },
+			       head);
 }
 
 static void test_epoch_is_parsed_and_garbage_rejected(void **state)
@@ -128,7 +134,8 @@
 	assert_int_equal(epoch, 0);
 	assert_int_equal(users_read_epoch("three", &epoch), -EPROTO);
 	assert_int_equal(users_read_epoch("-1", &epoch), -EPROTO);
-	assert_int_equal(users_read_epoch("18446744073709551616", &epoch), -EPROTO);
+	assert_int_equal(users_read_epoch("18446744073709551616", &epoch),
+			 -EPROTO);
 }
 
 static void test_listing_is_decoded(void **state)
@@ -137,11 +144,23 @@
 	struct received received;
 
 	(void)state;
-	assert_int_equal(list("{\"items\":[{\"key\":\"servers/i-12\",\"value\":" "\"bm9kZS0x\",\"revision\":412," "\"create-revision\":400,\"lease\":77120}," "{\"key\":\"servers/i-13\",\"value\":\"\"," "\"revision\":411}]," "\"more-pages\":true,\"store-revision\":530}", &received, &head), 0);
+	assert_int_equal(list("{\"items\":[{\"key\":\"servers/i-12\",\"value\":"
+			      "\"bm9kZS0x\",\"revision\":412,"
+			      "\"create-revision\":400,\"lease\":77120},"
+			      "{\"key\":\"servers/i-13\",\"value\":\"\","
+			      "\"revision\":411}],"
+			      "\"more-pages\":true,\"store-revision\":530}",
+			      &received, &head),
+			 0);
 	assert_int_equal(received.n, 2);
 	assert_int_equal(received.last.revision, 411);
 	assert_string_equal(head.last_key, "servers/i-13");
-	assert_int_equal(list("{\"items\":[{\"key\":\"servers/i-12\",\"value\":" "\"bm9kZS0x\",\"revision\":412," "\"create-revision\":400,\"lease\":77120}]," "\"more-pages\":true,\"store-revision\":530}", &received, &head), 0);
+	assert_int_equal(list("{\"items\":[{\"key\":\"servers/i-12\",\"value\":"
+			      "\"bm9kZS0x\",\"revision\":412,"
+			      "\"create-revision\":400,\"lease\":77120}],"
+			      "\"more-pages\":true,\"store-revision\":530}",
+			      &received, &head),
+			 0);
 	assert_int_equal(received.n, 1);
 	assert_int_equal(received.last.revision, 412);
 	assert_int_equal(received.last.created, 400);
@@ -174,7 +193,10 @@
 
 	(void)state;
 	for (size_t i = 0; i < sizeof(junk) / sizeof(junk[0]); i++) {
-		snprintf(body, sizeof(body), "{\"items\":[%s,{\"key\":\"servers/i-2\",\"value\":" "\"bm9k\",\"revision\":4},%s],\"store-revision\":5}", junk[i], junk[i]);
+		snprintf(body, sizeof(body),
+			 "{\"items\":[%s,{\"key\":\"servers/i-2\",\"value\":"
+			 "\"bm9k\",\"revision\":4},%s],\"store-revision\":5}",
+			 junk[i], junk[i]);
 		assert_int_equal(list(body, &received, &head), 0);
 		assert_int_equal(received.n, 1);
 		assert_string_equal(received.last.key, "servers/i-2");
@@ -191,7 +213,10 @@
 
 	(void)state;
 	for (size_t i = 0; i < sizeof(values) / sizeof(values[0]); i++) {
-		snprintf(body, sizeof(body), "{\"items\":[{\"key\":\"servers/i-2\",\"value\":%s," "\"revision\":4}],\"store-revision\":5}", values[i]);
+		snprintf(body, sizeof(body),
+			 "{\"items\":[{\"key\":\"servers/i-2\",\"value\":%s,"
+			 "\"revision\":4}],\"store-revision\":5}",
+			 values[i]);
 		assert_int_equal(list(body, &received, &head), 0);
 		assert_int_equal(received.n, 1);
 		assert_int_equal(received.last.size_bytes, 0);
@@ -203,7 +228,11 @@
 static void test_unused_keys_and_oversized_values_take_no_memory(void **state)
 {
 	char *big = g_strnfill(2 << 20, 'A');
-	char *body = g_strdup_printf("{\"items\":[{\"key\":\"my/leader\",\"value\":\"bm9k\"," "\"revision\":4},{\"key\":\"servers/i-2\",\"value\":\"%s\"," "\"revision\":5}],\"store-revision\":5}", big);
+	char *body = g_strdup_printf(
+		"{\"items\":[{\"key\":\"my/leader\",\"value\":\"bm9k\","
+		"\"revision\":4},{\"key\":\"servers/i-2\",\"value\":\"%s\","
+		"\"revision\":5}],\"store-revision\":5}",
+		big);
 	struct answer_head head = { 0 };
 	struct received received;
 
@@ -225,7 +254,9 @@
 	struct received received = { 0 };
 
 	(void)state;
-	assert_int_equal(users_read_changes(body, strlen(body), (struct document_sink){ &received, receive },
+	assert_int_equal(
+		users_read_changes(body, strlen(body),
+				   (struct document_sink){ &received, receive },
 				   &head),
 		0);
 	assert_true(received.last.deleted);
@@ -251,7 +282,8 @@
 		assert_int_equal(list(bodies[i], &received, &head), -EPROTO);
 }
 
-static int decode(const char *key, const char *value, struct directory *names, struct decoded_document *out)
+static int decode(const char *key, const char *value, struct directory *names,
+		  struct decoded_document *out)
 {
 	struct document d = { .revision = 9, .created = 4 };
 	const char *problem = NULL;
@@ -286,7 +318,8 @@
 
 	(void)state;
 	directory_add_service(names, "s");
-	assert_int_equal(decode("servers/i-7f3a91c2", ENTRY "}", names, &doc), 0);
+	assert_int_equal(decode("servers/i-7f3a91c2", ENTRY "}", names, &doc),
+			 0);
 	assert_int_equal(doc.kind, DOCUMENT_TARGET);
 	assert_int_equal(doc.target.id, 0x7f3a91c2);
 	assert_int_equal(doc.target.addr, ADDR(0x0a800009, 8080));
@@ -296,7 +329,10 @@
 	assert_int_equal(doc.target.sequence, 4);
 	assert_int_equal(doc.target.cold_ms, 1500);
 	assert_int_equal(doc.target.started_ms, 0);
-	assert_int_equal(decode("servers/i-7f3a91c2", ENTRY ",\"born\":1785000000123,\"more\":{}}", names, &doc), 0);
+	assert_int_equal(decode("servers/i-7f3a91c2",
+				ENTRY ",\"born\":1785000000123,\"more\":{}}",
+				names, &doc),
+			 0);
 	assert_int_equal(doc.target.started_ms, 1785000000123);
 	assert_int_equal(decode("servers/i-7f3a91c2", NULL, names, &doc), 0);
 	assert_int_equal(doc.target.id, 0x7f3a91c2);
@@ -312,7 +348,8 @@
 
 	json_object_del(root, field);
 	if (value)
-		json_object_set_new(root, field, json_loads(value, JSON_DECODE_ANY, NULL));
+		json_object_set_new(root, field,
+				    json_loads(value, JSON_DECODE_ANY, NULL));
 	text = json_dumps(root, 0);
 	json_decref(root);
 	return text;
@@ -373,7 +410,9 @@
 	for (size_t i = 0; i < G_N_ELEMENTS(invalid); i++) {
 		char *text = entry_with(invalid[i][0], invalid[i][1]);
 
-		assert_int_equal(decode("servers/i-7f3a91c2", text, names, &doc), -EPROTO);
+		assert_int_equal(decode("servers/i-7f3a91c2", text, names,
+					&doc),
+				 -EPROTO);
 		assert_int_equal(doc.kind, DOCUMENT_TARGET);
 		assert_int_equal(doc.target.id, 0x7f3a91c2);
 		free(text);
@@ -399,7 +438,8 @@
 	(void)state;
 	directory_add_service(names, "s");
 	for (size_t i = 0; i < G_N_ELEMENTS(invalid); i++) {
-		assert_int_equal(decode(invalid[i], ENTRY "}", names, &doc), -EPROTO);
+		assert_int_equal(decode(invalid[i], ENTRY "}", names, &doc),
+				 -EPROTO);
 		assert_int_equal(doc.kind, DOCUMENT_OTHER);
 	}
 	directory_free(names);
@@ -412,10 +452,12 @@
 	struct decoded_document doc;
 
 	(void)state;
-	assert_int_equal(decode("servers/i-7f3a91c2", ENTRY "}", names, &doc), -ENOENT);
+	assert_int_equal(decode("servers/i-7f3a91c2", ENTRY "}", names, &doc),
+			 -ENOENT);
 	assert_int_equal(directory_service_count(names), 0);
 	directory_add_service(names, "s");
-	assert_int_equal(decode("servers/i-7f3a91c2", ENTRY "}", names, &doc), 0);
+	assert_int_equal(decode("servers/i-7f3a91c2", ENTRY "}", names, &doc),
+			 0);
 	directory_free(names);
 }
 
@@ -453,8 +495,16 @@
 	struct decoded_document doc;
 
 	(void)state;
-	assert_int_equal(decode("op/config", "{\"version\":7,\"routes\":[" ROUTE "],\"services\":[{\"name\":\"s\"}," "{\"name\":\"t\",\"cold-start-s\":2.5," "\"cold-per-s\":4.5}]," "\"limits\":{\"idle-timeout-ms\":15000}}", names, &doc), 0);
-	assert_int_not_equal(directory_find_service(names, "t"), DIRECTORY_SERVICE_NONE);
+	assert_int_equal(decode("op/config",
+				"{\"version\":7,\"routes\":[" ROUTE
+				"],\"services\":[{\"name\":\"s\"},"
+				"{\"name\":\"t\",\"cold-start-s\":2.5,"
+				"\"cold-per-s\":4.5}],"
+				"\"limits\":{\"idle-timeout-ms\":15000}}",
+				names, &doc),
+			 0);
+	assert_int_not_equal(directory_find_service(names, "t"),
+			     DIRECTORY_SERVICE_NONE);
 	assert_int_equal(doc.kind, DOCUMENT_ROUTES);
 	assert_int_equal(doc.routes->version, 7);
 	assert_int_equal(doc.routes->n_routes, 1);
@@ -463,7 +513,8 @@
 	assert_int_equal(doc.routes->idle_timeout_ns, 15 * NS_PER_S);
 	assert_int_equal(doc.routes->n_cold, 2);
 	assert_true(doc.routes->cold[0].flows_per_s == 0);
-	assert_int_equal(doc.routes->cold[1].service, directory_find_service(names, "t"));
+	assert_int_equal(doc.routes->cold[1].service,
+			 directory_find_service(names, "t"));
 	assert_int_equal(doc.routes->cold[1].cold_ms, 2500);
 	assert_true(doc.routes->cold[1].flows_per_s == 4.5f);
 	route_table_free(doc.routes);
@@ -493,7 +544,9 @@
 
 	(void)state;
 	for (size_t i = 0; i < sizeof(invalid) / sizeof(invalid[0]); i++)
-		assert_int_equal(decode(invalid[i][0], invalid[i][1], names, &doc), -EPROTO);
+		assert_int_equal(decode(invalid[i][0], invalid[i][1], names,
+					&doc),
+				 -EPROTO);
 	assert_int_equal(decode("other/key", "x", names, &doc), 0);
 	assert_int_equal(doc.kind, DOCUMENT_OTHER);
 	directory_free(names);
@@ -508,11 +561,14 @@
 
 	(void)state;
 	for (size_t i = 0; i < sizeof(bodies) / sizeof(bodies[0]); i++) {
-		assert_int_equal(decode("op/evacuate/garda-hall", bodies[i], names, &doc), 0);
+		assert_int_equal(decode("op/evacuate/garda-hall", bodies[i],
+					names, &doc),
+				 0);
 		assert_int_equal(doc.kind, DOCUMENT_EVACUATION);
 		assert_string_equal(doc.data_centre, "garda-hall");
 	}
-	assert_int_equal(decode("op/evacuate/garda-hall", NULL, names, &doc), 0);
+	assert_int_equal(decode("op/evacuate/garda-hall", NULL, names, &doc),
+			 0);
 	assert_int_equal(doc.kind, DOCUMENT_EVACUATION);
 	directory_free(names);
 }
@@ -572,18 +628,21 @@
 		cmocka_unit_test(test_listing_is_decoded),
 		cmocka_unit_test(test_malformed_item_does_not_hide_the_others),
 		cmocka_unit_test(test_malformed_value_arrives_empty),
-		cmocka_unit_test(test_unused_keys_and_oversized_values_take_no_memory),
+		cmocka_unit_test(
+			test_unused_keys_and_oversized_values_take_no_memory),
 		cmocka_unit_test(test_deletion_in_a_watch_is_decoded),
 		cmocka_unit_test(test_malformed_answer_is_rejected),
 		cmocka_unit_test(test_target_is_decoded),
 		cmocka_unit_test(test_target_with_an_invalid_field_is_rejected),
 		cmocka_unit_test(test_key_without_a_valid_id_is_rejected),
 		cmocka_unit_test(test_target_before_its_service_is_known),
-		cmocka_unit_test(test_last_value_of_a_deleted_target_is_decoded),
+		cmocka_unit_test(
+			test_last_value_of_a_deleted_target_is_decoded),
 		cmocka_unit_test(test_configuration_is_decoded),
 		cmocka_unit_test(test_bad_document_is_rejected_as_a_whole),
 		cmocka_unit_test(test_evacuation_is_taken_with_any_value),
-		cmocka_unit_test(test_evacuation_without_a_valid_name_is_rejected),
+		cmocka_unit_test(
+			test_evacuation_without_a_valid_name_is_rejected),
 		cmocka_unit_test(test_listing_contains_evacuations),
 		cmocka_unit_test(test_request_paths),
 	};
