--- a/adapters/coap_wire.c
+++ b/adapters/coap_wire.c
@@ -30,7 +30,7 @@
 	uint8_t code;
 };
 
-static coap_pdu_t *parse(const uint8_t *buf, uint32_t size_bytes)
+static coap_pdu_t *parse_pdu(const uint8_t *buf, uint32_t size_bytes)
 {
 	/* Kept for the life of the thread, to allocate only once. */
 	static _Thread_local coap_pdu_t *pdu;
@@ -153,7 +153,7 @@
 	}
 }
 
-static int read_empty(coap_pdu_type_t type, struct message *msg)
+static int parse_empty(coap_pdu_type_t type, struct message *msg)
 {
 	static const int8_t kinds[] = { [COAP_MESSAGE_CON] = MESSAGE_PROBE,
 					[COAP_MESSAGE_NON] = -1,
@@ -166,7 +166,8 @@
 	return 0;
 }
 
-static int read_request(uint8_t code, coap_pdu_type_t type, struct message *msg)
+static int parse_request(uint8_t code, coap_pdu_type_t type,
+			 struct message *msg)
 {
 	if (type != COAP_MESSAGE_CON && type != COAP_MESSAGE_NON)
 		return -EPROTO;
@@ -176,7 +177,7 @@
 	return 0;
 }
 
-static int read_answer(uint8_t code, coap_pdu_type_t type, struct message *msg)
+static int parse_answer(uint8_t code, coap_pdu_type_t type, struct message *msg)
 {
 	if (type == COAP_MESSAGE_RST)
 		return -EPROTO;
@@ -190,14 +191,14 @@
 	return 0;
 }
 
-static int read_code(uint8_t code, coap_pdu_type_t type, struct message *msg)
+static int parse_code(uint8_t code, coap_pdu_type_t type, struct message *msg)
 {
 	if (code == COAP_EMPTY_CODE)
-		return read_empty(type, msg);
+		return parse_empty(type, msg);
 	if (CODE_CLASS(code) == CLASS_REQUEST)
-		return read_request(code, type, msg);
+		return parse_request(code, type, msg);
 	if (CODE_CLASS(code) >= 2 && CODE_CLASS(code) <= CLASS_SERVER_ERROR)
-		return read_answer(code, type, msg);
+		return parse_answer(code, type, msg);
 	return -EPROTO; /* reserved, or for CoAP over TCP only */
 }
 
@@ -213,7 +214,7 @@
 int coap_wire_parse(const uint8_t *buf, uint32_t size_bytes,
 		    struct message *msg)
 {
-	coap_pdu_t *pdu = parse(buf, size_bytes);
+	coap_pdu_t *pdu = parse_pdu(buf, size_bytes);
 	struct scan scan = { .msg = msg };
 	coap_bin_const_t token;
 	coap_pdu_type_t type;
@@ -227,7 +228,7 @@
 		return -EPROTO;
 	type = coap_pdu_get_type(pdu);
 	scan.code = (uint8_t)coap_pdu_get_code(pdu);
-	err = read_code(scan.code, type, msg);
+	err = parse_code(scan.code, type, msg);
 	if (err)
 		return err;
 	msg->id = (uint16_t)coap_pdu_get_mid(pdu);
--- a/adapters/fields.c
+++ b/adapters/fields.c
@@ -132,7 +132,7 @@
  * NULL when it is made from the field's choices or range.
  */
 static const struct {
-	uint8_t toml;
+	uint8_t toml_kind;
 	int (*parse)(const struct field *field, const char *text, void *member);
 	const char *expected;
 } kinds[FIELD_KIND_COUNT] = {
@@ -218,12 +218,13 @@
 
 /* The negated range check rejects NaN too. */
 static bool parse_decimal(const struct field *field, double number,
-			  void *member, char *problem, size_t size_bytes)
+			  void *member, char *problem, size_t problem_bytes)
 {
 	uint64_t ns;
 
 	if (!(number >= (double)field->min && number <= (double)field->max)) {
-		g_snprintf(problem, size_bytes, "%g is out of range", number);
+		g_snprintf(problem, problem_bytes, "%g is out of range",
+			   number);
 		return false;
 	}
 	ns = (uint64_t)(number * (double)NS_PER_S);
@@ -236,23 +237,23 @@
 
 /* Stores the value in @member; on failure writes the reason to @problem. */
 static bool parse_value(const struct field *field, const struct toml_node *node,
-			void *member, char *problem, size_t size_bytes)
+			void *member, char *problem, size_t problem_bytes)
 {
 	if (allows_fraction(field) && node->kind == TOML_DECIMAL)
 		return parse_decimal(field, node->decimal, member, problem,
-				     size_bytes);
-	if (node->kind != kinds[field->kind].toml) {
-		g_snprintf(problem, size_bytes, "is %s",
+				     problem_bytes);
+	if (node->kind != kinds[field->kind].toml_kind) {
+		g_snprintf(problem, problem_bytes, "is %s",
 			   toml_kind_name(node->kind));
 		return false;
 	}
 	if (kinds[field->kind].parse) {
-		g_snprintf(problem, size_bytes, "\"%.80s\" is not valid",
+		g_snprintf(problem, problem_bytes, "\"%.80s\" is not valid",
 			   field->kind == FIELD_KEY ? "..." : node->text);
 		return kinds[field->kind].parse(field, node->text, member) == 0;
 	}
 	if (!integer_in_range(field, node->number)) {
-		g_snprintf(problem, size_bytes, "%lld is out of range",
+		g_snprintf(problem, problem_bytes, "%lld is out of range",
 			   (long long)node->number);
 		return false;
 	}
@@ -262,7 +263,7 @@
 
 static void store_default(const struct field *field, void *member)
 {
-	if (kinds[field->kind].toml != TOML_STRING)
+	if (kinds[field->kind].toml_kind != TOML_STRING)
 		store_integer(field, field->fallback, member);
 	else if (field->kind == FIELD_CHOICE)
 		*(uint8_t *)member = (uint8_t)field->fallback;
--- a/adapters/hello_codec.c
+++ b/adapters/hello_codec.c
@@ -191,7 +191,7 @@
 static bool decode_fields(const msgpack_object *o, struct hello *hello)
 {
 	const msgpack_object *f = o->via.array.ptr;
-	uint64_t version, zone, flags, epoch_age_ms, fault_age_ms;
+	uint64_t version, zone, flags, epoch_age_ms, platform_failed_age_ms;
 
 	if (o->type != MSGPACK_OBJECT_ARRAY ||
 	    o->via.array.size != HELLO_FIELDS ||
@@ -205,14 +205,14 @@
 	    !msgpack_number(&f[6], UINT64_MAX, &hello->newest.revision) ||
 	    !msgpack_number(&f[7], UINT64_MAX, &hello->retained_digest) ||
 	    !msgpack_number(&f[8], UINT32_MAX, &epoch_age_ms) ||
-	    !msgpack_number(&f[9], UINT32_MAX, &fault_age_ms))
+	    !msgpack_number(&f[9], UINT32_MAX, &platform_failed_age_ms))
 		return false;
 	hello->zone = (uint32_t)zone;
 	hello->leaving = flags & HELLO_FLAG_LEAVING;
 	hello->reply = flags & HELLO_FLAG_REPLY;
 	hello->has_loads = flags & HELLO_FLAG_LOADS;
 	hello->epoch_age_ms = (uint32_t)epoch_age_ms;
-	hello->platform_failed_age_ms = (uint32_t)fault_age_ms;
+	hello->platform_failed_age_ms = (uint32_t)platform_failed_age_ms;
 	return decode_peers(&f[10], hello) && decode_loads(&f[11], hello) &&
 	       decode_dead(&f[12], hello) && decode_failing(&f[13], hello) &&
 	       decode_claims(&f[14], hello);
--- a/adapters/item_codec.c
+++ b/adapters/item_codec.c
@@ -41,11 +41,20 @@
 	msgpack_pack_array(&list->packer, n_fields);
 }
 
+/**
+ * item_add_u64() - add a number as the next field of the current item
+ * @list: list
+ * @value: number
+ */
 void item_add_u64(struct item_list *list, uint64_t value)
 {
 	msgpack_pack_uint64(&list->packer, value);
 }
 
+/**
+ * item_end() - complete the current item
+ * @list: list with fewer items than its capacity
+ */
 void item_end(struct item_list *list)
 {
 	list->end_offsets[list->n++] = (uint32_t)list->bytes.size;
@@ -109,6 +118,14 @@
 	return true;
 }
 
+/**
+ * item_field_addr() - get a field as an endpoint
+ * @fields: fields of an item
+ * @index: index of the field, below the number of fields of the item's kind
+ * @out: endpoint, see ADDR(); undefined on error
+ *
+ * Return: false when the field is not an endpoint in the codec's range.
+ */
 bool item_field_addr(const struct item_fields *fields, uint32_t index,
 		     uint64_t *out)
 {
--- a/test/codec_case.c
+++ b/test/codec_case.c
@@ -10,7 +10,7 @@
 
 #define ITEMS_MAX 512
 #define MAC_BYTES 16
-#define HEAD_BYTES (1 + MAC_BYTES)
+#define HEADER_BYTES (1 + MAC_BYTES)
 #define SERVICES_MAX 8
 #define TARGETS_MAX 8
 
@@ -20,8 +20,8 @@
 				uint32_t n)
 {
 	struct item items[ITEMS_MAX];
-	struct content *c, *encoded = NULL;
-	struct account_conf *a = NULL;
+	struct content *content, *encoded = NULL;
+	struct account_conf *account = NULL;
 	enum codec_result result = CODEC_REJECTED;
 	uint32_t start = 0;
 
@@ -30,13 +30,13 @@
 		items[i].size_bytes = ends[i] - start;
 		start = ends[i];
 	}
-	c = content_new(items, n);
-	if (!account_decode("sailing", 7, c, &a) &&
-	    !account_encode(a, &encoded))
-		result = c->n == encoded->n ? CODEC_SAME : CODEC_CHANGED;
-	account_free(a);
+	content = content_new(items, n);
+	if (!account_decode("sailing", 7, content, &account) &&
+	    !account_encode(account, &encoded))
+		result = content->n == encoded->n ? CODEC_SAME : CODEC_CHANGED;
+	account_free(account);
 	content_free(encoded);
-	content_free(c);
+	content_free(content);
 	return result;
 }
 
@@ -45,14 +45,14 @@
 {
 	struct target_conf targets[SERVICES_MAX][TARGETS_MAX] = { 0 };
 	struct service_conf services[SERVICES_MAX] = { 0 };
-	struct account_conf a = {
+	struct account_conf account = {
 		.name = "sailing",
 		.generation = 7,
 		.weight = 10,
 		.services = services,
 		.n_services = n_services,
 	};
-	struct content *c;
+	struct content *content;
 	uint32_t used = 0, n;
 
 	for (uint32_t i = 0; i < n_services; i++) {
@@ -67,44 +67,46 @@
 			targets[i][j].slots = 2;
 		}
 	}
-	if (account_encode(&a, &c))
+	if (account_encode(&account, &content))
 		return 0;
-	for (uint32_t i = 0; i < c->n && used + c->items[i].size_bytes <= cap;
+	for (uint32_t i = 0;
+	     i < content->n && used + content->items[i].size_bytes <= cap;
 	     i++) {
-		memcpy(bytes + used, c->items[i].data, c->items[i].size_bytes);
-		used += c->items[i].size_bytes;
+		memcpy(bytes + used, content->items[i].data,
+		       content->items[i].size_bytes);
+		used += content->items[i].size_bytes;
 		ends[i] = used;
 	}
-	n = c->n;
-	content_free(c);
+	n = content->n;
+	content_free(content);
 	return n;
 }
 
 enum codec_result codec_frame(const uint8_t *body, uint32_t size_bytes)
 {
-	uint8_t *frame = malloc(HEAD_BYTES + size_bytes);
+	uint8_t *frame = malloc(HEADER_BYTES + size_bytes);
 	enum codec_result result = CODEC_REJECTED;
 	crypto_generichash_state state;
 	uint32_t encoded_bytes;
-	struct spread_msg m;
+	struct spread_msg msg;
 	uint8_t *encoded;
 
 	frame[0] = SPREAD_CODEC_VERSION;
 	if (size_bytes)
-		memcpy(frame + HEAD_BYTES, body, size_bytes);
+		memcpy(frame + HEADER_BYTES, body, size_bytes);
 	crypto_generichash_init(&state, auth.key, sizeof(auth.key), MAC_BYTES);
 	crypto_generichash_update(&state, frame, 1);
 	crypto_generichash_update(&state, body, size_bytes);
 	crypto_generichash_final(&state, frame + 1, MAC_BYTES);
-	if (!spread_decode(frame, HEAD_BYTES + size_bytes, &auth, &m)) {
-		if (spread_encode(&m, &auth, &encoded, &encoded_bytes))
+	if (!spread_decode(frame, HEADER_BYTES + size_bytes, &auth, &msg)) {
+		if (spread_encode(&msg, &auth, &encoded, &encoded_bytes))
 			abort();
-		result = encoded_bytes == HEAD_BYTES + size_bytes &&
+		result = encoded_bytes == HEADER_BYTES + size_bytes &&
 					 !memcmp(encoded, frame, encoded_bytes)
 				 ? CODEC_SAME
 				 : CODEC_CHANGED;
 		free(encoded);
-		spread_msg_clear(&m);
+		spread_msg_clear(&msg);
 	}
 	free(frame);
 	return result;
@@ -117,7 +119,7 @@
 	struct spread_offer offers[3] = { 0 };
 	uint32_t removed[] = { 1, 70, 300 };
 	struct item added[] = { { (const uint8_t *)"ab", 2 }, { NULL, 0 } };
-	struct spread_msg m = {
+	struct spread_msg msg = {
 		.kind = kind,
 		.from = rng_next(&rng) >> 16 | 1,
 		.store_digest = rng_next(&rng),
@@ -136,12 +138,12 @@
 		offers[i].version.generation = 1 + rng_next(&rng) % 1000;
 		offers[i].version.hash = rng_next(&rng);
 	}
-	if (spread_encode(&m, &auth, &frame, &size_bytes))
+	if (spread_encode(&msg, &auth, &frame, &size_bytes))
 		return 0;
-	size_bytes -= HEAD_BYTES;
+	size_bytes -= HEADER_BYTES;
 	if (size_bytes > cap)
 		size_bytes = 0;
-	memcpy(body, frame + HEAD_BYTES, size_bytes);
+	memcpy(body, frame + HEADER_BYTES, size_bytes);
 	free(frame);
 	return size_bytes;
 }
--- a/test/entries_prop.cc
+++ b/test/entries_prop.cc
@@ -1,8 +1,7 @@
 /*
  * Valid and invalid entries of targets arrive in any order, some of them twice,
- * before and after the configuration.
- * A target must serve exactly when its last entry is valid, with the state in
- * that entry.
+ * before and after the configuration. A target must serve exactly when its last
+ * entry is valid, with the state in that entry.
  */
 #include <rapidcheck.h>
 
--- a/test/http_client_test.c
+++ b/test/http_client_test.c
@@ -24,7 +24,7 @@
 struct fixture {
 	uv_loop_t loop;
 	struct http_server *server;
-	struct http_client *caller;
+	struct http_client *client;
 	uint32_t done;
 	int err;
 	int status;
@@ -83,7 +83,7 @@
 	assert_int_equal(http_server_open(&fixture->loop, SERVER, h,
 					  &fixture->server),
 			 0);
-	assert_int_equal(http_client_open(&fixture->loop, c, &fixture->caller),
+	assert_int_equal(http_client_open(&fixture->loop, c, &fixture->client),
 			 0);
 	*state = fixture;
 	return 0;
@@ -98,7 +98,7 @@
 	if (fixture->unanswered)
 		http_respond(fixture->unanswered, 200, empty);
 	g_string_free(empty, TRUE);
-	http_client_close(fixture->caller);
+	http_client_close(fixture->client);
 	if (fixture->server)
 		http_server_close(fixture->server);
 	uv_run(&fixture->loop, UV_RUN_DEFAULT);
@@ -113,9 +113,9 @@
 	uint32_t before = fixture->done;
 
 	assert_int_equal(
-		http_client_get(fixture->caller, server, path, timeout_ms), 0);
-	assert_true(http_client_is_busy(fixture->caller));
-	assert_int_equal(http_client_get(fixture->caller, server, path,
+		http_client_get(fixture->client, server, path, timeout_ms), 0);
+	assert_true(http_client_is_busy(fixture->client));
+	assert_int_equal(http_client_get(fixture->client, server, path,
 					 timeout_ms),
 			 -EBUSY);
 	for (uint32_t i = 0; i < LOOP_RUNS_MAX && fixture->done == before;
@@ -124,7 +124,7 @@
 		usleep(100);
 	}
 	assert_int_equal(fixture->done, before + 1);
-	assert_false(http_client_is_busy(fixture->caller));
+	assert_false(http_client_is_busy(fixture->client));
 }
 
 static void test_calls_share_one_connection(void **state)
@@ -201,7 +201,7 @@
 
 static int listener(void)
 {
-	struct sockaddr_in at = {
+	struct sockaddr_in listen_addr = {
 		.sin_family = AF_INET,
 		.sin_port = htons(ADDR_PORT(RAW_SERVER)),
 		.sin_addr.s_addr = htonl(ADDR_IP(RAW_SERVER)),
@@ -210,7 +210,8 @@
 	int on = 1;
 
 	setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on));
-	assert_int_equal(bind(fd, (void *)&at, sizeof(at)), 0);
+	assert_int_equal(bind(fd, (void *)&listen_addr, sizeof(listen_addr)),
+			 0);
 	assert_int_equal(listen(fd, 4), 0);
 	return fd;
 }
@@ -220,15 +221,15 @@
 			      int err)
 {
 	uint32_t before = fixture->done;
-	int at = listener();
+	int listen_fd = listener();
 	int fd = -1;
 
 	assert_int_equal(
-		http_client_get(fixture->caller, RAW_SERVER, "/a", LONG_MS), 0);
+		http_client_get(fixture->client, RAW_SERVER, "/a", LONG_MS), 0);
 	for (uint32_t i = 0; i < LOOP_RUNS_MAX && fixture->done == before;
 	     i++) {
 		if (fd < 0)
-			fd = accept(at, NULL, NULL);
+			fd = accept(listen_fd, NULL, NULL);
 		if (fd >= 0 && i == 200) {
 			assert_true(write(fd, bytes, strlen(bytes)) >= 0);
 			shutdown(fd, SHUT_WR);
@@ -239,7 +240,7 @@
 	assert_int_equal(fixture->done, before + 1);
 	assert_int_equal(fixture->err, err);
 	close(fd);
-	close(at);
+	close(listen_fd);
 }
 
 /* Calls a server that sends @pieces of 8 body bytes, slowly, then stops. */
@@ -250,16 +251,16 @@
 		"HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\n";
 	uint32_t before = fixture->done, sent = 0;
 	uint64_t next_ns = 0;
-	int at = listener();
+	int listen_fd = listener();
 	int fd = -1;
 
-	assert_int_equal(http_client_get(fixture->caller, RAW_SERVER, "/a",
+	assert_int_equal(http_client_get(fixture->client, RAW_SERVER, "/a",
 					 timeout_ms),
 			 0);
 	for (uint32_t i = 0; i < LOOP_RUNS_MAX && fixture->done == before;
 	     i++) {
 		if (fd < 0)
-			fd = accept(at, NULL, NULL);
+			fd = accept(listen_fd, NULL, NULL);
 		if (fd >= 0 && !next_ns) {
 			assert_true(write(fd, head, strlen(head)) > 0);
 			next_ns = uv_hrtime();
@@ -274,7 +275,7 @@
 	}
 	assert_int_equal(fixture->done, before + 1);
 	close(fd);
-	close(at);
+	close(listen_fd);
 }
 
 /*
