--- a/cmd/cb-entry/actions.c
+++ b/cmd/cb-entry/actions.c
@@ -19,7 +19,7 @@
 static void answer_caller(struct daemon *d, const struct action *action)
 {
 	uint8_t buf[SEND_MAX_BYTES];
-	int32_t n = coap_wire_answer(action, buf, sizeof(buf));
+	int32_t n = coap_wire_local_answer(action, buf, sizeof(buf));
 
 	if (n < 0)
 		d->dropped[DROP_ENCODE]++;
--- a/cmd/cb-entry/callers.c
+++ b/cmd/cb-entry/callers.c
@@ -43,7 +43,7 @@
 	uint64_t now_ns = daemon_run_due_tick(d);
 	struct message msg;
 
-	if (coap_wire_read(buf, size_bytes, &msg)) {
+	if (coap_wire_parse(buf, size_bytes, &msg)) {
 		d->dropped[DROP_CALLER_FORMAT]++;
 		return;
 	}
--- a/cmd/cb-entry/intake.c
+++ b/cmd/cb-entry/intake.c
@@ -108,7 +108,7 @@
  */
 static bool is_older(const struct config *c, const struct account_conf *a)
 {
-	const struct account_conf *now = config_account(c, a->name);
+	const struct account_conf *now = config_find_account(c, a->name);
 
 	return now && a->generation < now->generation;
 }
@@ -140,7 +140,7 @@
 
 static void remove_account(struct config *c, const char *name)
 {
-	const struct account_conf *found = config_account(c, name);
+	const struct account_conf *found = config_find_account(c, name);
 	uint32_t at;
 
 	if (!found)
--- a/cmd/cb-entry/metrics_accounts.c
+++ b/cmd/cb-entry/metrics_accounts.c
@@ -75,7 +75,7 @@
 	char *labels = g_strdup_printf("account=\"%s\",class=\"%s\"",
 				       r->account, r->class);
 
-	histogram_text(to, name, labels, h);
+	histogram_append_text(to, name, labels, h);
 	g_free(labels);
 }
 
@@ -177,7 +177,7 @@
 	uint32_t next = *cursor;
 	uint8_t class;
 
-	if (!balance_stats(b, &next, &account, &class, &stats) ||
+	if (!balance_next_class_stats(b, &next, &account, &class, &stats) ||
 	    strcmp(account, r->account))
 		return NULL;
 	*cursor = next;
--- a/cmd/cb-entry/operators.c
+++ b/cmd/cb-entry/operators.c
@@ -120,7 +120,7 @@
 {
 	char text[ADDR_TEXT_BYTES];
 
-	return http_query(query, name, text, sizeof(text)) &&
+	return http_query_parameter(query, name, text, sizeof(text)) &&
 	       addr_parse(text, addr) == 0;
 }
 
@@ -181,7 +181,7 @@
 
 	if (query_addr(query, "vip", vip))
 		return HTTP_OK;
-	if (!http_query(query, "vip", text, sizeof(text))) {
+	if (!http_query_parameter(query, "vip", text, sizeof(text))) {
 		g_string_append(body, "want vip=IP:PORT or a service's name\n");
 		return HTTP_BAD_REQUEST;
 	}
@@ -237,7 +237,7 @@
 {
 	char text[ADDR_TEXT_BYTES];
 
-	if (!http_query(query, name, text, sizeof(text)))
+	if (!http_query_parameter(query, name, text, sizeof(text)))
 		return default_value;
 	return strtoull(text, NULL, 10);
 }
@@ -305,7 +305,7 @@
 	struct target_stats t;
 	uint32_t cursor = 0;
 
-	while (limit-- && balance_targets(b, &cursor, &t))
+	while (limit-- && balance_next_target_stats(b, &cursor, &t))
 		put_target(body, &t);
 	return HTTP_OK;
 }
@@ -326,7 +326,7 @@
 	(void)in;
 	if (strcmp(method, "GET") != 0)
 		return HTTP_METHOD_NOT_ALLOWED;
-	http_header(req, "Content-Type", "text/plain; version=0.0.4");
+	http_add_header(req, "Content-Type", "text/plain; version=0.0.4");
 	for (size_t i = 0; i < sizeof(routes) / sizeof(routes[0]); i++) {
 		if (strcmp(path, routes[i].path) == 0)
 			return routes[i].write(ctx, query, body);
@@ -346,7 +346,8 @@
 {
 	struct http_handler handler = { d, handle_request };
 	char text[ADDR_TEXT_BYTES];
-	int err = http_open(d->loop, d->settings.http, handler, &d->http);
+	int err =
+		http_server_open(d->loop, d->settings.http, handler, &d->http);
 
 	if (err)
 		log_line(LOG_ERROR, "operator.listen",
--- a/cmd/cb-entry/peers.c
+++ b/cmd/cb-entry/peers.c
@@ -21,7 +21,7 @@
 	struct message inner;
 
 	if (msg->kind == PEER_FORWARD) {
-		if (coap_wire_read(msg->data, msg->size_bytes, &inner)) {
+		if (coap_wire_parse(msg->data, msg->size_bytes, &inner)) {
 			d->dropped[DROP_PEER_INNER]++;
 			return;
 		}
--- a/cmd/cb-packet/daemon.h
+++ b/cmd/cb-packet/daemon.h
@@ -6,7 +6,7 @@
 #define CB_PACKET_DAEMON_H
 
 #include "http.h"
-#include "http_call.h"
+#include "http_client.h"
 #include "node.h"
 #include "packet_settings.h"
 #include "relay_codec.h"
@@ -165,8 +165,8 @@
 	uv_udp_t peer_socket;
 	uint8_t peer_buffer[PACKET_BUFFER_BYTES];
 
-	struct http_caller *platform_client;
-	struct http_caller *peer_client;
+	struct http_client *platform_client;
+	struct http_client *peer_client;
 	uint64_t fetch_peer;
 
 	struct probe *probes[PROBES_MAX];
--- a/cmd/cb-packet/operators.c
+++ b/cmd/cb-packet/operators.c
@@ -54,12 +54,12 @@
 		const struct path_latencies *latencies =
 			path_latencies(d->node->path, kind);
 
-		histogram_text(out, "cb_packet_open_microseconds", labels[kind],
-			       &latencies->open_us);
-		histogram_text(out, "cb_packet_wait_microseconds", labels[kind],
-			       &latencies->wait_us);
-		histogram_text(out, "cb_packet_answer_microseconds",
-			       labels[kind], &latencies->answer_us);
+		histogram_append_text(out, "cb_packet_open_microseconds",
+				      labels[kind], &latencies->open_us);
+		histogram_append_text(out, "cb_packet_wait_microseconds",
+				      labels[kind], &latencies->wait_us);
+		histogram_append_text(out, "cb_packet_answer_microseconds",
+				      labels[kind], &latencies->answer_us);
 	}
 }
 
@@ -183,7 +183,7 @@
 	uint32_t n = directory_target_count(d->node->directory);
 	char limit[32] = "";
 
-	if (http_query(query, "limit", limit, sizeof(limit)) &&
+	if (http_query_parameter(query, "limit", limit, sizeof(limit)) &&
 	    g_ascii_strtoull(limit, NULL, 10) < n)
 		n = (uint32_t)g_ascii_strtoull(limit, NULL, 10);
 	for (uint32_t i = 0; i < n; i++)
@@ -215,8 +215,8 @@
 	const struct route *route;
 	const struct flow_state *flow;
 
-	if (!http_query(query, "caller", caller, sizeof(caller)) ||
-	    !http_query(query, "vip", vip, sizeof(vip)) ||
+	if (!http_query_parameter(query, "caller", caller, sizeof(caller)) ||
+	    !http_query_parameter(query, "vip", vip, sizeof(vip)) ||
 	    addr_parse(caller, &key.caller) || addr_parse(vip, &key.vip)) {
 		g_string_append(out, "expected caller=IP:PORT&vip=IP:PORT\n");
 		return HTTP_BAD_REQUEST;
@@ -245,7 +245,7 @@
 {
 	char text[32] = "0";
 
-	http_query(query, name, text, sizeof(text));
+	http_query_parameter(query, name, text, sizeof(text));
 	return g_ascii_strtoull(text, NULL, 10);
 }
 
@@ -310,11 +310,12 @@
 {
 	struct http_handler pages = { d, handle_request };
 	struct http_handler ready = { d, handle_ready };
-	int err = http_open(d->loop, d->settings.http, pages, &d->http);
+	int err = http_server_open(d->loop, d->settings.http, pages, &d->http);
 
 	if (err)
 		return err;
-	return http_open(d->loop, d->settings.ready, ready, &d->ready_http);
+	return http_server_open(d->loop, d->settings.ready, ready,
+				&d->ready_http);
 }
 
 /**
@@ -324,9 +325,9 @@
 void operators_close(struct packet_daemon *d)
 {
 	if (d->http)
-		http_close(d->http);
+		http_server_close(d->http);
 	if (d->ready_http)
-		http_close(d->ready_http);
+		http_server_close(d->ready_http);
 	if (d->relay.body)
 		g_string_free(d->relay.body, TRUE);
 	if (d->relay.delta.bytes)
--- a/cmd/cb-packet/sync.c
+++ b/cmd/cb-packet/sync.c
@@ -57,7 +57,7 @@
 	enum source_outcome outcome;
 
 	outcome = read_platform_answer(d, reply, now_ns, &head);
-	head.transfer_ns = reply->came_ns;
+	head.transfer_ns = reply->transfer_ns;
 	if (outcome == SOURCE_FAILED && !d->node->source.failures)
 		log_line(LOG_WARNING, "platform", NULL,
 			 "call failed: %s, status %d",
@@ -76,8 +76,8 @@
 static void call_platform(struct packet_daemon *d, const char *path,
 			  uint64_t timeout_ms)
 {
-	int err = http_call(d->platform_client, d->settings.platform, path,
-			    timeout_ms);
+	int err = http_client_get(d->platform_client, d->settings.platform,
+				  path, timeout_ms);
 
 	if (err)
 		on_platform_reply(d, &(struct http_reply){ .err = err,
@@ -124,7 +124,7 @@
 {
 	struct packet_daemon *d = ctx;
 
-	http_cancel(d->platform_client);
+	http_client_cancel(d->platform_client);
 }
 
 static bool begin_relay(void *ctx, const struct relay_head *head,
@@ -197,9 +197,9 @@
 		   after.epoch, after.revision, base.key_hash, base.since.epoch,
 		   base.since.revision);
 	d->fetch_peer = peer;
-	err = http_call(d->peer_client,
-			ADDR(ADDR_IP(peer), ADDR_PORT(d->settings.http)), path,
-			PEER_TIMEOUT_MS);
+	err = http_client_get(d->peer_client,
+			      ADDR(ADDR_IP(peer), ADDR_PORT(d->settings.http)),
+			      path, PEER_TIMEOUT_MS);
 	if (err)
 		on_peer_reply(d,
 			      &(struct http_reply){ .err = err, .body = "" });
@@ -213,15 +213,15 @@
  */
 int sync_open(struct packet_daemon *d)
 {
-	struct http_call_handler platform = { d, on_platform_reply,
-					      on_platform_connected };
-	struct http_call_handler peer = { d, on_peer_reply, NULL };
-	int err = http_caller_open(d->loop, platform, &d->platform_client);
+	struct http_client_handler platform = { d, on_platform_reply,
+						on_platform_connected };
+	struct http_client_handler peer = { d, on_peer_reply, NULL };
+	int err = http_client_open(d->loop, platform, &d->platform_client);
 
 	if (!err)
-		http_caller_header(d->platform_client,
-				   d->platform->epoch_header);
-	return err ? err : http_caller_open(d->loop, peer, &d->peer_client);
+		http_client_capture_header(d->platform_client,
+					   d->platform->epoch_header);
+	return err ? err : http_client_open(d->loop, peer, &d->peer_client);
 }
 
 /**
@@ -230,6 +230,6 @@
  */
 void sync_close(struct packet_daemon *d)
 {
-	http_caller_close(d->platform_client);
-	http_caller_close(d->peer_client);
+	http_client_close(d->platform_client);
+	http_client_close(d->peer_client);
 }
--- a/cmd/cb-watch/watch.c
+++ b/cmd/cb-watch/watch.c
@@ -113,7 +113,7 @@
 
 	g_strlcpy(conf.roster_key, w->vms_key, sizeof(conf.roster_key));
 	w->spread = spread_new(&conf, port, rng, now_ns);
-	rng.s = rng_next(&rng) | 1;
+	rng.state = rng_next(&rng) | 1;
 	w->reader = reader_new(w->settings.data_centre, documents_port(w), rng,
 			       now_ns);
 	w->vms_scratch = calloc(VMS_MAX, sizeof(*w->vms_scratch));
@@ -145,7 +145,8 @@
 {
 	struct http_handler handler = { w, operators_respond };
 	char addr[32];
-	int err = http_open(w->loop, w->settings.http, handler, &w->http);
+	int err =
+		http_server_open(w->loop, w->settings.http, handler, &w->http);
 
 	if (err)
 		log_line(LOG_ERROR, "http",
@@ -222,7 +223,7 @@
 		uv_close((uv_handle_t *)&w->sigint, NULL);
 	}
 	if (w->http)
-		http_close(w->http);
+		http_server_close(w->http);
 	watch_link_close(w->link);
 	platform_close(w->platform);
 	uv_run(w->loop, UV_RUN_DEFAULT);
--- a/core/balance/budget.c
+++ b/core/balance/budget.c
@@ -1,38 +1,38 @@
 #include "budget.h"
 
 /**
- * budget_init() - start with a few retries
- * @b: budget
+ * budget_init() - set a budget to BUDGET_START_RETRIES
+ * @budget: budget
  */
-void budget_init(struct retry_budget *b)
+void budget_init(struct retry_budget *budget)
 {
-	b->tokens = BUDGET_START_RETRIES * BUDGET_SUCCESSES;
+	budget->tokens = BUDGET_START_RETRIES * BUDGET_SUCCESSES;
 }
 
 /**
- * budget_success() - a request of the account succeeded
- * @b: budget
+ * budget_record_success() - add a token for a successful request
+ * @budget: budget of the request's account
  */
-void budget_success(struct retry_budget *b)
+void budget_record_success(struct retry_budget *budget)
 {
-	if (b->tokens < BUDGET_MAX_RETRIES * BUDGET_SUCCESSES)
-		b->tokens++;
+	if (budget->tokens < BUDGET_MAX_RETRIES * BUDGET_SUCCESSES)
+		budget->tokens++;
 }
 
 /**
  * budget_take() - spend one retry
- * @b: budget
+ * @budget: budget
  *
- * When every target sheds, retries multiply the load that made them shed.
- * The budget bounds them to a share of what still succeeds, so that load falls
- * while nothing does.
+ * When all targets shed, retries add to the overload that makes them shed. The
+ * budget limits retries to a share of the requests that succeed, so that the
+ * load decreases while none does.
  *
- * Return: true when the budget had one.
+ * Return: true when the budget contained one.
  */
-bool budget_take(struct retry_budget *b)
+bool budget_take(struct retry_budget *budget)
 {
-	if (b->tokens < BUDGET_SUCCESSES)
+	if (budget->tokens < BUDGET_SUCCESSES)
 		return false;
-	b->tokens -= BUDGET_SUCCESSES;
+	budget->tokens -= BUDGET_SUCCESSES;
 	return true;
 }
--- a/core/base/timers.c
+++ b/core/base/timers.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define NOT_SET UINT32_MAX
+#define NOT_IN_HEAP UINT32_MAX
 
 struct node {
 	uint64_t deadline_ns;
@@ -12,140 +12,142 @@
 
 struct timers {
 	struct node *heap;
-	uint32_t *place;
+	uint32_t *position;
 	uint32_t n;
 };
 
 /**
- * timers_new() - make a heap without deadlines
- * @ids_max: ids go from 0 to @ids_max - 1
+ * timers_new() - allocate timers, all without a deadline
+ * @ids_max: timer ids are below this
  *
- * Return: heap, or NULL without memory.
+ * Return: timers, to be freed with timers_free(), or NULL when out of memory.
  */
 struct timers *timers_new(uint32_t ids_max)
 {
-	struct timers *t = calloc(1, sizeof(*t));
+	struct timers *timers = calloc(1, sizeof(*timers));
 
-	if (!t)
+	if (!timers)
 		return NULL;
-	t->heap = malloc((size_t)ids_max * sizeof(*t->heap));
-	t->place = malloc((size_t)ids_max * sizeof(*t->place));
-	if (!t->heap || !t->place) {
-		timers_free(t);
+	timers->heap = malloc((size_t)ids_max * sizeof(*timers->heap));
+	timers->position = malloc((size_t)ids_max * sizeof(*timers->position));
+	if (!timers->heap || !timers->position) {
+		timers_free(timers);
 		return NULL;
 	}
-	memset(t->place, 0xff, (size_t)ids_max * sizeof(*t->place));
-	return t;
+	memset(timers->position, 0xff,
+	       (size_t)ids_max * sizeof(*timers->position));
+	return timers;
 }
 
-void timers_free(struct timers *t)
+void timers_free(struct timers *timers)
 {
-	if (!t)
+	if (!timers)
 		return;
-	free(t->heap);
-	free(t->place);
-	free(t);
+	free(timers->heap);
+	free(timers->position);
+	free(timers);
 }
 
-static void put(struct timers *t, uint32_t i, struct node node)
+static void set_node(struct timers *timers, uint32_t i, struct node node)
 {
-	t->heap[i] = node;
-	t->place[node.id] = i;
+	timers->heap[i] = node;
+	timers->position[node.id] = i;
 }
 
-static void up(struct timers *t, uint32_t i, struct node node)
+static void sift_up(struct timers *timers, uint32_t i, struct node node)
 {
 	while (i > 0) {
 		uint32_t parent = (i - 1) / 2;
 
-		if (t->heap[parent].deadline_ns <= node.deadline_ns)
+		if (timers->heap[parent].deadline_ns <= node.deadline_ns)
 			break;
-		put(t, i, t->heap[parent]);
+		set_node(timers, i, timers->heap[parent]);
 		i = parent;
 	}
-	put(t, i, node);
+	set_node(timers, i, node);
 }
 
-static void down(struct timers *t, uint32_t i, struct node node)
+static void sift_down(struct timers *timers, uint32_t i, struct node node)
 {
 	for (;;) {
 		uint32_t child = 2 * i + 1;
 
-		if (child >= t->n)
+		if (child >= timers->n)
 			break;
-		if (child + 1 < t->n &&
-		    t->heap[child + 1].deadline_ns < t->heap[child].deadline_ns)
+		if (child + 1 < timers->n &&
+		    timers->heap[child + 1].deadline_ns <
+			    timers->heap[child].deadline_ns)
 			child++;
-		if (t->heap[child].deadline_ns >= node.deadline_ns)
+		if (timers->heap[child].deadline_ns >= node.deadline_ns)
 			break;
-		put(t, i, t->heap[child]);
+		set_node(timers, i, timers->heap[child]);
 		i = child;
 	}
-	put(t, i, node);
+	set_node(timers, i, node);
 }
 
 /**
- * timers_clear() - drop the deadline of an id, if it has one
- * @t: heap
- * @id: id
+ * timers_clear() - remove the deadline of a timer
+ * @timers: timers
+ * @id: timer; ignored when it has no deadline
  */
-void timers_clear(struct timers *t, uint32_t id)
+void timers_clear(struct timers *timers, uint32_t id)
 {
-	uint32_t i = t->place[id];
+	uint32_t i = timers->position[id];
 	struct node last;
 
-	if (i == NOT_SET)
+	if (i == NOT_IN_HEAP)
 		return;
-	t->place[id] = NOT_SET;
-	last = t->heap[--t->n];
+	timers->position[id] = NOT_IN_HEAP;
+	last = timers->heap[--timers->n];
 	if (last.id == id)
 		return;
-	if (i > 0 && t->heap[(i - 1) / 2].deadline_ns > last.deadline_ns)
-		up(t, i, last);
+	if (i > 0 && timers->heap[(i - 1) / 2].deadline_ns > last.deadline_ns)
+		sift_up(timers, i, last);
 	else
-		down(t, i, last);
+		sift_down(timers, i, last);
 }
 
 /**
- * timers_set() - give an id a deadline, replacing an earlier one
- * @t: heap
- * @id: id
- * @deadline_ns: deadline; DEADLINE_NEVER clears it
+ * timers_set() - set the deadline of a timer, replacing an earlier one
+ * @timers: timers
+ * @id: timer
+ * @deadline_ns: deadline; DEADLINE_NEVER removes it
  */
-void timers_set(struct timers *t, uint32_t id, uint64_t deadline_ns)
+void timers_set(struct timers *timers, uint32_t id, uint64_t deadline_ns)
 {
 	struct node node = { deadline_ns, id };
 
-	timers_clear(t, id);
+	timers_clear(timers, id);
 	if (deadline_ns == DEADLINE_NEVER)
 		return;
-	up(t, t->n++, node);
+	sift_up(timers, timers->n++, node);
 }
 
 /**
- * timers_next_ns() - earliest deadline
- * @t: heap
+ * timers_next_ns() - earliest deadline of all timers
+ * @timers: timers
  *
- * Return: deadline, or DEADLINE_NEVER.
+ * Return: the deadline, or DEADLINE_NEVER when no timer has one.
  */
-uint64_t timers_next_ns(const struct timers *t)
+uint64_t timers_next_ns(const struct timers *timers)
 {
-	return t->n ? t->heap[0].deadline_ns : DEADLINE_NEVER;
+	return timers->n ? timers->heap[0].deadline_ns : DEADLINE_NEVER;
 }
 
 /**
- * timers_pop() - take one id whose deadline has come
- * @t: heap
- * @now_ns: time
- * @id: filled
+ * timers_pop() - remove the earliest deadline if it has passed
+ * @timers: timers
+ * @now_ns: current time
+ * @id: set to the timer whose deadline was removed
  *
- * Return: false when none has come.
+ * Return: false, with @id unchanged, when no deadline has passed.
  */
-bool timers_pop(struct timers *t, uint64_t now_ns, uint32_t *id)
+bool timers_pop(struct timers *timers, uint64_t now_ns, uint32_t *id)
 {
-	if (!t->n || t->heap[0].deadline_ns > now_ns)
+	if (!timers->n || timers->heap[0].deadline_ns > now_ns)
 		return false;
-	*id = t->heap[0].id;
-	timers_clear(t, *id);
+	*id = timers->heap[0].id;
+	timers_clear(timers, *id);
 	return true;
 }
--- a/core/packet/node.c
+++ b/core/packet/node.c
@@ -251,7 +251,7 @@
 	if (!node->directory || !node->documents || !node->peers)
 		return -ENOMEM;
 	path.zone = peers.zone;
-	rng.s = rng_next(&rng) | 1;
+	rng.state = rng_next(&rng) | 1;
 	node->path = path_new(&path, node->directory, port, rng);
 	node->pacer = pacer_new(node->policy, conf->link_bytes_per_s);
 	return node->path && node->pacer ? 0 : -ENOMEM;
