--- a/cmd/cb-entry/main.c
+++ b/cmd/cb-entry/main.c
@@ -54,11 +54,11 @@
 
 int main(int argc, char **argv)
 {
-	static const struct daemon_info about = { "cb-entry", VERSION,
-						  "The data path of one VM.",
-						  run_with_settings };
+	static const struct daemon_info info = { "cb-entry", VERSION,
+						 "The data path of one VM.",
+						 run_with_settings };
 
 	if (sodium_init() < 0)
 		return DAEMON_FAULT;
-	return daemon_main(&about, argc, argv);
+	return daemon_main(&info, argc, argv);
 }
--- a/cmd/cb-packet/main.c
+++ b/cmd/cb-packet/main.c
@@ -66,11 +66,11 @@
 
 int main(int argc, char **argv)
 {
-	static const struct daemon_info about = {
+	static const struct daemon_info info = {
 		"cb-packet", VERSION,
 		"Carries opaque flows of one VM to their targets.",
 		run_with_settings
 	};
 
-	return daemon_main(&about, argc, argv);
+	return daemon_main(&info, argc, argv);
 }
--- a/cmd/cb-watch/main.c
+++ b/cmd/cb-watch/main.c
@@ -45,12 +45,12 @@
 
 int main(int argc, char **argv)
 {
-	static const struct daemon_info about = {
+	static const struct daemon_info info = {
 		"cb-watch", VERSION,
 		"Reads or relays what operators published, and gives it to "
 		"the cb-entry of this VM.",
 		run_with_settings
 	};
 
-	return daemon_main(&about, argc, argv);
+	return daemon_main(&info, argc, argv);
 }
