--- a/sim/sim-experiment/experiment.h
+++ b/sim/sim-experiment/experiment.h
@@ -8,7 +8,7 @@
 #include "fields.h"
 #include "windows.h"
 
-#define TROUBLES_MAX 32
+#define INCIDENTS_MAX 32
 #define POLICIES_MAX 32
 #define SEEDS_MAX 1000
 #define TITLE_BYTES 64
@@ -24,7 +24,7 @@
  * @factor: how strong
  * @zone: data centre; UINT32_MAX for any, drawn by the seed
  */
-struct trouble {
+struct incident {
 	uint8_t kind;
 	uint64_t at_ns;
 	double share;
@@ -40,15 +40,15 @@
  * @help: what it does with the figures of struct trouble
  * @begin: make it happen, now
  */
-struct trouble_kind {
+struct incident_kind {
 	const char *name;
 	const char *help;
-	void (*begin)(struct world *w, const struct trouble *t);
+	void (*begin)(struct world *w, const struct incident *t);
 };
 
-extern const struct trouble_kind trouble_kinds[];
-extern const char *const trouble_names[];
-extern const uint32_t n_trouble_kinds;
+extern const struct incident_kind incident_kinds[];
+extern const char *const incident_names[];
+extern const uint32_t n_incident_kinds;
 
 /**
  * struct variant - a policy under test
@@ -77,13 +77,13 @@
 struct experiment {
 	char title[TITLE_BYTES];
 	struct site site;
-	double load;
+	double load_factor;
 	uint32_t seeds;
 	uint32_t first_seed;
 	uint64_t warm_up_ns;
 	uint64_t run_ns;
-	uint32_t n_troubles;
-	struct trouble troubles[TROUBLES_MAX];
+	uint32_t n_incidents;
+	struct incident incidents[INCIDENTS_MAX];
 	uint32_t n_variants;
 	struct variant variants[POLICIES_MAX];
 };
@@ -106,12 +106,12 @@
 struct outcome {
 	double earned;
 	double worst;
-	double in_aim;
+	double on_time;
 	double served;
 	double bound;
 	double bound_worst;
 	double lost[CAUSES];
-	double swamped;
+	double queue_full;
 	double far;
 	double probes;
 	double imbalance;
@@ -124,13 +124,15 @@
 int site_read(const char *path, struct site *out, struct mistakes *m);
 
 /* play.c */
-int experiment_play(const struct experiment *x, uint32_t variant, uint64_t seed,
-		    struct outcome *out, struct windows *windows);
+int experiment_run(const struct experiment *experiment, uint32_t variant,
+		   uint64_t seed, struct outcome *out, struct windows *windows);
 
 /* report.c */
-void report_table(const struct experiment *x, const struct outcome *all);
-void report_json(const struct experiment *x, const struct outcome *all);
-void report_windows(const struct experiment *x, uint32_t variant,
+void report_table(const struct experiment *experiment,
+		  const struct outcome *all);
+void report_json(const struct experiment *experiment,
+		 const struct outcome *all);
+void report_windows(const struct experiment *experiment, uint32_t variant,
 		    const struct windows *v);
 
 #endif
--- a/sim/sim-experiment/main.c
+++ b/sim/sim-experiment/main.c
@@ -36,30 +36,31 @@
 	};
 }
 
-static int play_windows(const struct experiment *x)
+static int run_windows(const struct experiment *experiment)
 {
-	for (uint32_t v = 0; v < x->n_variants; v++) {
+	for (uint32_t v = 0; v < experiment->n_variants; v++) {
 		struct outcome out;
 		struct windows windows;
-		int err = experiment_play(x, v, x->first_seed, &out, &windows);
+		int err = experiment_run(experiment, v, experiment->first_seed,
+					 &out, &windows);
 
 		if (err)
 			return err;
-		report_windows(x, v, &windows);
+		report_windows(experiment, v, &windows);
 		windows_free(&windows);
 	}
 	return 0;
 }
 
-static int play_seeds(const struct experiment *x, struct outcome *all)
+static int run_seeds(const struct experiment *experiment, struct outcome *all)
 {
-	for (uint32_t v = 0; v < x->n_variants; v++)
-		for (uint32_t i = 0; i < x->seeds; i++) {
+	for (uint32_t v = 0; v < experiment->n_variants; v++)
+		for (uint32_t i = 0; i < experiment->seeds; i++) {
 			struct windows windows;
-			int err =
-				experiment_play(x, v, x->first_seed + i,
-						&all[(size_t)v * x->seeds + i],
-						&windows);
+			int err = experiment_run(
+				experiment, v, experiment->first_seed + i,
+				&all[(size_t)v * experiment->seeds + i],
+				&windows);
 
 			if (err)
 				return err;
@@ -68,45 +69,48 @@
 	return 0;
 }
 
-static int play(const struct args *a, const struct experiment *x)
+static int run(const struct args *a, const struct experiment *experiment)
 {
 	struct outcome *all =
-		calloc((size_t)x->n_variants * x->seeds, sizeof(*all));
+		calloc((size_t)experiment->n_variants * experiment->seeds,
+		       sizeof(*all));
 	uint64_t broken = 0;
 
-	if (!all || play_seeds(x, all)) {
+	if (!all || run_seeds(experiment, all)) {
 		fprintf(stderr, "sim-experiment: out of memory\n");
 		free(all);
 		return EXIT_USAGE;
 	}
 	if (a->json->count)
-		report_json(x, all);
+		report_json(experiment, all);
 	else
-		report_table(x, all);
-	for (uint32_t i = 0; i < x->n_variants * x->seeds; i++)
+		report_table(experiment, all);
+	for (uint32_t i = 0; i < experiment->n_variants * experiment->seeds;
+	     i++)
 		broken += all[i].rules;
 	free(all);
 	return broken ? EXIT_BROKEN : EXIT_OK;
 }
 
-static int play_file(const struct args *a, const char *path)
+static int run_file(const struct args *a, const char *path)
 {
-	static struct experiment x; /* large for a stack */
+	static struct experiment experiment; /* large for a stack */
 	struct mistakes m = { 0 };
 	int code = EXIT_USAGE;
 
-	if (experiment_read(path, &x, &m)) {
+	if (experiment_read(path, &experiment, &m)) {
 		mistakes_print(&m, stderr);
 	} else {
 		if (a->seeds->count && a->seeds->ival[0] > 0)
-			x.seeds = (uint32_t)a->seeds->ival[0];
-		code = a->windows->count ? play_windows(&x) : play(a, &x);
+			experiment.seeds = (uint32_t)a->seeds->ival[0];
+		code = a->windows->count ? run_windows(&experiment)
+					 : run(a, &experiment);
 	}
 	mistakes_free(&m);
 	return code;
 }
 
-static int with_args(struct args *a, void **table, int argc, char **argv)
+static int run_with_args(struct args *a, void **table, int argc, char **argv)
 {
 	int errors = arg_parse(argc, argv, table);
 	int code = EXIT_OK;
@@ -121,11 +125,11 @@
 		arg_print_errors(stderr, a->end, "sim-experiment");
 		return EXIT_USAGE;
 	}
-	for (uint32_t i = 0; a->list->count && i < n_trouble_kinds; i++)
-		printf("%-18s %s\n", trouble_kinds[i].name,
-		       trouble_kinds[i].help);
+	for (uint32_t i = 0; a->list->count && i < n_incident_kinds; i++)
+		printf("%-18s %s\n", incident_kinds[i].name,
+		       incident_kinds[i].help);
 	for (int i = 0; i < a->files->count; i++) {
-		int one = play_file(a, a->files->filename[i]);
+		int one = run_file(a, a->files->filename[i]);
 
 		code = one > code ? one : code;
 	}
@@ -140,7 +144,7 @@
 	int code = EXIT_USAGE;
 
 	if (!arg_nullcheck(table))
-		code = with_args(&a, table, argc, argv);
+		code = run_with_args(&a, table, argc, argv);
 	arg_freetable(table, sizeof(table) / sizeof(table[0]));
 	return code;
 }
--- a/sim/sim-experiment/read.c
+++ b/sim/sim-experiment/read.c
@@ -19,7 +19,7 @@
 	      .fallback = usual)
 
 static const struct field experiment_fields[] = {
-	FIELD(experiment, "load", FIELD_DECIMAL, load, .max = 100,
+	FIELD(experiment, "load", FIELD_DECIMAL, load_factor, .max = 100,
 	      .fallback = 1),
 	FIELD(experiment, "seeds", FIELD_U32, seeds, .min = 1, .max = SEEDS_MAX,
 	      .fallback = 20),
@@ -31,22 +31,22 @@
 };
 
 static const struct field trouble_fields[] = {
-	FIELD(trouble, "kind", FIELD_CHOICE, kind, .required = true,
-	      .choices = trouble_names),
-	FIELD(trouble, "at_s", FIELD_SECONDS, at_ns, .max = 3600),
-	FIELD(trouble, "share", FIELD_DECIMAL, share, .max = 1, .fallback = 1),
-	FIELD(trouble, "for_s", FIELD_SECONDS, for_ns, .max = 3600,
+	FIELD(incident, "kind", FIELD_CHOICE, kind, .required = true,
+	      .choices = incident_names),
+	FIELD(incident, "at_s", FIELD_SECONDS, at_ns, .max = 3600),
+	FIELD(incident, "share", FIELD_DECIMAL, share, .max = 1, .fallback = 1),
+	FIELD(incident, "for_s", FIELD_SECONDS, for_ns, .max = 3600,
 	      .fallback = 5),
-	FIELD(trouble, "gap_s", FIELD_SECONDS, gap_ns, .max = 3600,
+	FIELD(incident, "gap_s", FIELD_SECONDS, gap_ns, .max = 3600,
 	      .fallback = 1),
-	FIELD(trouble, "factor", FIELD_DECIMAL, factor, .max = 1000,
+	FIELD(incident, "factor", FIELD_DECIMAL, factor, .max = 1000,
 	      .fallback = 2),
 	{ 0 }
 };
 
 /* A text that may have any characters. */
-static void take_text(struct mistakes *m, struct toml_node *table,
-		      const char *key, char *out, size_t n, bool required)
+static void parse_text(struct mistakes *m, struct toml_node *table,
+		       const char *key, char *out, size_t n, bool required)
 {
 	struct toml_node *node = toml_find(table, key);
 
@@ -62,7 +62,7 @@
 	node->taken = 1;
 }
 
-static uint32_t zone_named(const struct site *s, const char *name)
+static uint32_t find_zone(const struct site *s, const char *name)
 {
 	for (uint32_t z = 0; z < s->n_zones; z++)
 		if (!g_strcmp0(s->zones[z].name, name))
@@ -70,38 +70,40 @@
 	return UINT32_MAX;
 }
 
-static void take_trouble(struct mistakes *m, struct toml_node *t,
-			 struct experiment *x)
+static void parse_incident(struct mistakes *m, struct toml_node *t,
+			   struct experiment *experiment)
 {
-	struct trouble *out = &x->troubles[x->n_troubles++];
+	struct incident *out =
+		&experiment->incidents[experiment->n_incidents++];
 	struct texts texts = { 0 };
 
 	fields_parse(m, "trouble", t, trouble_fields, out);
-	take_text(m, t, "data_centre", texts.data_centre,
-		  sizeof(texts.data_centre), false);
+	parse_text(m, t, "data_centre", texts.data_centre,
+		   sizeof(texts.data_centre), false);
 	fields_report_unknown(m, "trouble", t);
-	out->zone = zone_named(&x->site, texts.data_centre);
+	out->zone = find_zone(&experiment->site, texts.data_centre);
 	if (texts.data_centre[0] && out->zone == UINT32_MAX)
 		field_add_mistake(m, t, "trouble", "data_centre",
 				  "is not of this deployment",
 				  "the name of a data centre");
 }
 
-static void take_variant(struct mistakes *m, struct toml_node *t,
-			 struct experiment *x)
+static void parse_variant(struct mistakes *m, struct toml_node *t,
+			  struct experiment *experiment)
 {
-	struct variant *out = &x->variants[x->n_variants++];
+	struct variant *out = &experiment->variants[experiment->n_variants++];
 
 	out->policy = policy_default;
-	take_text(m, t, "title", out->title, sizeof(out->title), true);
+	parse_text(m, t, "title", out->title, sizeof(out->title), true);
 	fields_parse(m, "policy", t, policy_fields, &out->policy);
 	fields_report_unknown(m, "policy", t);
 }
 
-static void take_all(struct mistakes *m, struct toml_node *root,
-		     const char *key, uint32_t most, struct experiment *x,
-		     void (*take)(struct mistakes *m, struct toml_node *t,
-				  struct experiment *x))
+static void parse_list(struct mistakes *m, struct toml_node *root,
+		       const char *key, uint32_t most,
+		       struct experiment *experiment,
+		       void (*parse)(struct mistakes *m, struct toml_node *t,
+				     struct experiment *experiment))
 {
 	struct toml_node *list = toml_find(root, key);
 
@@ -114,33 +116,36 @@
 	}
 	list->taken = 1;
 	for (uint32_t i = 0; i < list->n_items; i++)
-		take(m, &list->items[i], x);
+		parse(m, &list->items[i], experiment);
 }
 
-static void take_load(struct experiment *x)
+static void apply_load(struct experiment *experiment)
 {
-	for (uint32_t z = 0; z < x->site.n_zones; z++)
-		for (uint32_t c = 0; c < x->site.n_classes; c++)
-			x->site.zones[z].per_s[c] *= x->load;
+	for (uint32_t z = 0; z < experiment->site.n_zones; z++)
+		for (uint32_t c = 0; c < experiment->site.n_classes; c++)
+			experiment->site.zones[z].per_s[c] *=
+				experiment->load_factor;
 }
 
-static void take(struct mistakes *m, struct toml_node *root,
-		 struct experiment *x)
+static void parse_experiment(struct mistakes *m, struct toml_node *root,
+			     struct experiment *experiment)
 {
 	struct texts texts = { 0 };
 
-	take_text(m, root, "title", x->title, sizeof(x->title), true);
-	take_text(m, root, "site", texts.site, sizeof(texts.site), true);
-	fields_parse(m, "", root, experiment_fields, x);
+	parse_text(m, root, "title", experiment->title,
+		   sizeof(experiment->title), true);
+	parse_text(m, root, "site", texts.site, sizeof(texts.site), true);
+	fields_parse(m, "", root, experiment_fields, experiment);
 	if (texts.site[0])
-		site_read(texts.site, &x->site, m);
-	take_all(m, root, "trouble", TROUBLES_MAX, x, take_trouble);
-	take_all(m, root, "policy", POLICIES_MAX, x, take_variant);
+		site_read(texts.site, &experiment->site, m);
+	parse_list(m, root, "trouble", INCIDENTS_MAX, experiment,
+		   parse_incident);
+	parse_list(m, root, "policy", POLICIES_MAX, experiment, parse_variant);
 	fields_report_unknown(m, "", root);
-	take_load(x);
-	if (x->n_variants)
+	apply_load(experiment);
+	if (experiment->n_variants)
 		return;
-	x->variants[x->n_variants++] =
+	experiment->variants[experiment->n_variants++] =
 		(struct variant){ "usual", policy_default };
 }
 
@@ -161,6 +166,6 @@
 	*out = (struct experiment){ 0 };
 	if (err)
 		return err;
-	take(m, r.root, out);
+	parse_experiment(m, r.root, out);
 	return settings_close(&r);
 }
--- a/sim/sim-experiment/read_site.c
+++ b/sim/sim-experiment/read_site.c
@@ -25,21 +25,22 @@
 	      .max = high)
 #define DECIMAL(type, key, member, most) \
 	FIELD(type, key, FIELD_DECIMAL, member, .required = true, .max = most)
-#define SPREAD(key, member, how, high)                                       \
-	FIELD(site_class, key, how, member.mean, .required = true, .min = 1, \
-	      .max = high),                                                  \
-		FIELD(site_class, key "_sigma_percent", FIELD_U32,           \
-		      member.sigma_percent, .max = 300),                     \
-		FIELD(site_class, key "_most", how, member.most, .max = high)
+#define SPREAD(key, member, field_type, high)                             \
+	FIELD(site_class, key, field_type, member.mean, .required = true, \
+	      .min = 1, .max = high),                                     \
+		FIELD(site_class, key "_sigma_percent", FIELD_U32,        \
+		      member.sigma_percent, .max = 300),                  \
+		FIELD(site_class, key "_most", field_type, member.max,    \
+		      .max = high)
 
 static const struct field site_fields[] = {
-	SECONDS(site, "near_s", near_ns, 1),
-	SECONDS(site, "far_s", far_ns, 1),
-	SECONDS(site, "client_s", client_ns, 1),
-	FIELD(site, "remainder", FIELD_BOOL, mod),
+	SECONDS(site, "near_s", same_dc_delay_ns, 1),
+	SECONDS(site, "far_s", other_dc_delay_ns, 1),
+	SECONDS(site, "client_s", client_delay_ns, 1),
+	FIELD(site, "remainder", FIELD_BOOL, by_remainder),
 	FIELD(site, "link_bytes_per_s", FIELD_U64, link_bytes_per_s,
 	      .max = 1 << 30),
-	FIELD(site, "link_told", FIELD_BOOL, link_told),
+	FIELD(site, "link_told", FIELD_BOOL, link_is_known),
 	{ 0 }
 };
 
@@ -67,10 +68,10 @@
 	SPREAD("work_ms", work_ns, FIELD_MS, 60000),
 	SPREAD("request_bytes", request_bytes, FIELD_U64, 500000),
 	SPREAD("answer_bytes", answer_bytes, FIELD_U64, 500000),
-	SECONDS(site_class, "aim_s", aim_ns, 60),
+	SECONDS(site_class, "aim_s", objective_ns, 60),
 	SECONDS(site_class, "deadline_s", deadline_ns, 600),
-	DECIMAL(site_class, "worth", worth, 1000),
-	DECIMAL(site_class, "late_worth", late_worth, 1000),
+	DECIMAL(site_class, "worth", value, 1000),
+	DECIMAL(site_class, "late_worth", late_value, 1000),
 	COUNT(site_class, "retries", retries, 0, 10),
 	{ 0 }
 };
@@ -78,8 +79,8 @@
 static const struct field zone_fields[] = {
 	COUNT(site_zone, "entries", entries, 0, ENTRIES_MAX),
 	COUNT(site_zone, "users", users, 1, USERS_MAX),
-	FIELD(site_zone, "swing", FIELD_DECIMAL, swing, .max = 1),
-	FIELD(site_zone, "wave_s", FIELD_SECONDS, wave_ns, .max = 86400),
+	FIELD(site_zone, "swing", FIELD_DECIMAL, amplitude, .max = 1),
+	FIELD(site_zone, "wave_s", FIELD_SECONDS, period_ns, .max = 86400),
 	FIELD(site_zone, "phase", FIELD_DECIMAL, phase, .max = 1),
 	{ 0 }
 };
@@ -88,7 +89,7 @@
 	FIELD(class_text, "name", FIELD_NAME, name, .required = true), { 0 }
 };
 
-static void take_name(struct mistakes *m, struct toml_node *t, char *out)
+static void parse_name(struct mistakes *m, struct toml_node *t, char *out)
 {
 	struct class_text text = { 0 };
 
@@ -102,8 +103,8 @@
 }
 
 /* A list of numbers; shorter or longer than @n is a mistake. */
-static void take_list(struct mistakes *m, struct toml_node *t, const char *key,
-		      uint32_t n, double *out)
+static void parse_numbers(struct mistakes *m, struct toml_node *t,
+			  const char *key, uint32_t n, double *out)
 {
 	struct toml_node *list = toml_find(t, key);
 
@@ -136,8 +137,8 @@
 	uint32_t most;
 };
 
-static struct toml_node *take_part(struct mistakes *m, struct toml_node *root,
-				   const struct part *p, uint32_t *n)
+static struct toml_node *find_tables(struct mistakes *m, struct toml_node *root,
+				     const struct part *p, uint32_t *n)
 {
 	struct toml_node *list = toml_find(root, p->key);
 
@@ -154,26 +155,26 @@
 	return list->items;
 }
 
-static void take_services(struct mistakes *m, struct toml_node *root,
-			  struct site *s)
+static void parse_services(struct mistakes *m, struct toml_node *root,
+			   struct site *s)
 {
 	struct part part = { "service", SERVICES_MAX };
-	struct toml_node *all = take_part(m, root, &part, &s->n_services);
+	struct toml_node *all = find_tables(m, root, &part, &s->n_services);
 
 	for (uint32_t i = 0; i < s->n_services; i++) {
 		struct site_service *v = &s->services[i];
 		double targets[ZONES_MAX] = { 0 };
 
-		take_name(m, &all[i], v->name);
+		parse_name(m, &all[i], v->name);
 		fields_parse(m, "service", &all[i], service_fields, v);
-		take_list(m, &all[i], "targets", s->n_zones, targets);
+		parse_numbers(m, &all[i], "targets", s->n_zones, targets);
 		for (uint32_t z = 0; z < s->n_zones; z++)
 			v->targets[z] = (uint32_t)targets[z];
 		fields_report_unknown(m, "service", &all[i]);
 	}
 }
 
-static uint32_t service_named(const struct site *s, const char *name)
+static uint32_t find_service(const struct site *s, const char *name)
 {
 	uint32_t i = 0;
 
@@ -182,11 +183,11 @@
 	return i;
 }
 
-static void take_classes(struct mistakes *m, struct toml_node *root,
-			 struct site *s)
+static void parse_classes(struct mistakes *m, struct toml_node *root,
+			  struct site *s)
 {
 	struct part part = { "class", CLASSES_MAX };
-	struct toml_node *all = take_part(m, root, &part, &s->n_classes);
+	struct toml_node *all = find_tables(m, root, &part, &s->n_classes);
 
 	for (uint32_t i = 0; i < s->n_classes; i++) {
 		struct site_class *c = &s->classes[i];
@@ -198,7 +199,7 @@
 		g_strlcpy(c->name, text.name, sizeof(c->name));
 		c->kind = text.kind;
 		c->priority = text.kind == ROUTE_REPORT ? 1 : 2;
-		c->service = service_named(s, text.service);
+		c->service = find_service(s, text.service);
 		if (c->service == s->n_services)
 			field_add_mistake(m, &all[i], "class", "service",
 					  "is not described",
@@ -210,28 +211,28 @@
 	}
 }
 
-static void take_zones(struct mistakes *m, struct toml_node *root,
-		       struct site *s)
+static void parse_zones(struct mistakes *m, struct toml_node *root,
+			struct site *s)
 {
 	struct part part = { "data_centre", ZONES_MAX };
-	struct toml_node *all = take_part(m, root, &part, &s->n_zones);
+	struct toml_node *all = find_tables(m, root, &part, &s->n_zones);
 
 	for (uint32_t z = 0; z < s->n_zones; z++) {
-		take_name(m, &all[z], s->zones[z].name);
+		parse_name(m, &all[z], s->zones[z].name);
 		fields_parse(m, "data_centre", &all[z], zone_fields,
 			     &s->zones[z]);
 	}
 }
 
 /* The classes' number is known by now. */
-static void take_rates(struct mistakes *m, struct toml_node *root,
-		       struct site *s)
+static void parse_rates(struct mistakes *m, struct toml_node *root,
+			struct site *s)
 {
 	struct toml_node *all = toml_find(root, "data_centre");
 
 	for (uint32_t z = 0; z < s->n_zones; z++) {
-		take_list(m, &all->items[z], "rates", s->n_classes,
-			  s->zones[z].per_s);
+		parse_numbers(m, &all->items[z], "rates", s->n_classes,
+			      s->zones[z].per_s);
 		fields_report_unknown(m, "data_centre", &all->items[z]);
 	}
 }
@@ -252,12 +253,12 @@
 	*out = (struct site){ 0 };
 	if (err)
 		return err;
-	take_name(m, r.root, out->name);
+	parse_name(m, r.root, out->name);
 	fields_parse(m, "", r.root, site_fields, out);
-	take_zones(m, r.root, out);
-	take_services(m, r.root, out);
-	take_classes(m, r.root, out);
-	take_rates(m, r.root, out);
+	parse_zones(m, r.root, out);
+	parse_services(m, r.root, out);
+	parse_classes(m, r.root, out);
+	parse_rates(m, r.root, out);
 	fields_report_unknown(m, "", r.root);
 	return settings_close(&r);
 }
--- a/sim/sim-experiment/report.c
+++ b/sim/sim-experiment/report.c
@@ -27,9 +27,9 @@
 static const struct figure figures[] = {
 	FIGURE("earned", earned),
 	FIGURE("worst", worst),
-	FIGURE("in_aim", in_aim),
+	FIGURE("in_aim", on_time),
 	FIGURE("served", served),
-	FIGURE("swamped", swamped),
+	FIGURE("swamped", queue_full),
 	FIGURE("far", far),
 	FIGURE("probes", probes),
 	FIGURE("imbalance", imbalance),
@@ -47,7 +47,7 @@
 /* Those that are compared with the first policy's. */
 #define COMPARED 3
 
-static double value(const struct outcome *o, const struct figure *f)
+static double figure_value(const struct outcome *o, const struct figure *f)
 {
 	double v;
 
@@ -55,45 +55,48 @@
 	return v;
 }
 
-static const struct outcome *of(const struct experiment *x,
-				const struct outcome *all, uint32_t variant)
+static const struct outcome *
+variant_outcomes(const struct experiment *experiment, const struct outcome *all,
+		 uint32_t variant)
 {
-	return all + (size_t)variant * x->seeds;
+	return all + (size_t)variant * experiment->seeds;
 }
 
-static double mean(const struct experiment *x, const struct outcome *of,
-		   const struct figure *f)
+static double mean(const struct experiment *experiment,
+		   const struct outcome *outcomes, const struct figure *f)
 {
 	double sum = 0;
 
-	for (uint32_t i = 0; i < x->seeds; i++)
-		sum += value(&of[i], f);
-	return sum / x->seeds;
+	for (uint32_t i = 0; i < experiment->seeds; i++)
+		sum += figure_value(&outcomes[i], f);
+	return sum / experiment->seeds;
 }
 
 /* Half the width of the interval of the mean difference, seed by seed. */
-static double interval(const struct experiment *x, const struct outcome *a,
-		       const struct outcome *b, const struct figure *f)
+static double interval(const struct experiment *experiment,
+		       const struct outcome *a, const struct outcome *b,
+		       const struct figure *f)
 {
-	double d = mean(x, a, f) - mean(x, b, f), sum = 0;
+	double d = mean(experiment, a, f) - mean(experiment, b, f), sum = 0;
 
-	if (x->seeds < 2)
+	if (experiment->seeds < 2)
 		return 0;
-	for (uint32_t i = 0; i < x->seeds; i++) {
-		double e = value(&a[i], f) - value(&b[i], f) - d;
+	for (uint32_t i = 0; i < experiment->seeds; i++) {
+		double e = figure_value(&a[i], f) - figure_value(&b[i], f) - d;
 
 		sum += e * e;
 	}
-	return gsl_cdf_tdist_Pinv(QUANTILE, x->seeds - 1) *
-	       sqrt(sum / (x->seeds - 1) / x->seeds);
+	return gsl_cdf_tdist_Pinv(QUANTILE, experiment->seeds - 1) *
+	       sqrt(sum / (experiment->seeds - 1) / experiment->seeds);
 }
 
-static uint64_t rules(const struct experiment *x, const struct outcome *of)
+static uint64_t rules(const struct experiment *experiment,
+		      const struct outcome *outcomes)
 {
 	uint64_t n = 0;
 
-	for (uint32_t i = 0; i < x->seeds; i++)
-		n += of[i].rules;
+	for (uint32_t i = 0; i < experiment->seeds; i++)
+		n += outcomes[i].rules;
 	return n;
 }
 
@@ -102,27 +105,39 @@
  * @x: experiment
  * @all: outcomes, policy by policy
  */
-void report_table(const struct experiment *x, const struct outcome *all)
+void report_table(const struct experiment *experiment,
+		  const struct outcome *all)
 {
-	printf("%s: %s, %u seeds from %u, load %.2f\n", x->title, x->site.name,
-	       x->seeds, x->first_seed, x->load);
+	printf("%s: %s, %u seeds from %u, load %.2f\n", experiment->title,
+	       experiment->site.name, experiment->seeds, experiment->first_seed,
+	       experiment->load_factor);
 	printf("%-28s", "");
 	for (uint32_t k = 0; k < N_FIGURES; k++)
 		printf(" %9s", figures[k].name);
 	printf(" rules\n");
-	for (uint32_t v = 0; v < x->n_variants; v++) {
-		printf("%-28s", x->variants[v].title);
+	for (uint32_t v = 0; v < experiment->n_variants; v++) {
+		printf("%-28s", experiment->variants[v].title);
 		for (uint32_t k = 0; k < N_FIGURES; k++)
-			printf(" %9.4f", mean(x, of(x, all, v), &figures[k]));
-		printf(" %5llu\n", (unsigned long long)rules(x, of(x, all, v)));
+			printf(" %9.4f",
+			       mean(experiment,
+				    variant_outcomes(experiment, all, v),
+				    &figures[k]));
+		printf(" %5llu\n",
+		       (unsigned long long)rules(experiment,
+						 variant_outcomes(experiment,
+								  all, v)));
 	}
-	for (uint32_t v = 1; v < x->n_variants; v++) {
-		printf("%-28s", x->variants[v].title);
+	for (uint32_t v = 1; v < experiment->n_variants; v++) {
+		printf("%-28s", experiment->variants[v].title);
 		for (uint32_t k = 0; k < COMPARED; k++)
 			printf(" %s %+.4f +- %.4f", figures[k].name,
-			       mean(x, of(x, all, v), &figures[k]) -
-				       mean(x, all, &figures[k]),
-			       interval(x, of(x, all, v), all, &figures[k]));
+			       mean(experiment,
+				    variant_outcomes(experiment, all, v),
+				    &figures[k]) -
+				       mean(experiment, all, &figures[k]),
+			       interval(experiment,
+					variant_outcomes(experiment, all, v),
+					all, &figures[k]));
 		printf("\n");
 	}
 }
@@ -132,24 +147,33 @@
  * @x: experiment
  * @all: outcomes, policy by policy
  */
-void report_json(const struct experiment *x, const struct outcome *all)
+void report_json(const struct experiment *experiment, const struct outcome *all)
 {
-	for (uint32_t v = 0; v < x->n_variants; v++) {
+	for (uint32_t v = 0; v < experiment->n_variants; v++) {
 		printf("{\"experiment\":\"%s\",\"site\":\"%s\",\"seeds\":%u,"
 		       "\"policy\":\"%s\"",
-		       x->title, x->site.name, x->seeds, x->variants[v].title);
+		       experiment->title, experiment->site.name,
+		       experiment->seeds, experiment->variants[v].title);
 		for (uint32_t k = 0; k < N_FIGURES; k++)
 			printf(",\"%s\":%.5f", figures[k].name,
-			       mean(x, of(x, all, v), &figures[k]));
+			       mean(experiment,
+				    variant_outcomes(experiment, all, v),
+				    &figures[k]));
 		for (uint32_t k = 0; v && k < COMPARED; k++)
 			printf(",\"%s_change\":%.5f,\"%s_interval\":%.5f",
 			       figures[k].name,
-			       mean(x, of(x, all, v), &figures[k]) -
-				       mean(x, all, &figures[k]),
+			       mean(experiment,
+				    variant_outcomes(experiment, all, v),
+				    &figures[k]) -
+				       mean(experiment, all, &figures[k]),
 			       figures[k].name,
-			       interval(x, of(x, all, v), all, &figures[k]));
+			       interval(experiment,
+					variant_outcomes(experiment, all, v),
+					all, &figures[k]));
 		printf(",\"rules\":%llu}\n",
-		       (unsigned long long)rules(x, of(x, all, v)));
+		       (unsigned long long)rules(experiment,
+						 variant_outcomes(experiment,
+								  all, v)));
 	}
 }
 
@@ -159,10 +183,11 @@
  * @variant: number of its policy
  * @v: windows
  */
-void report_windows(const struct experiment *x, uint32_t variant,
+void report_windows(const struct experiment *experiment, uint32_t variant,
 		    const struct windows *v)
 {
-	printf("# %s, %s\n", x->title, x->variants[variant].title);
+	printf("# %s, %s\n", experiment->title,
+	       experiment->variants[variant].title);
 	printf("# from_s requests in_aim late failed earned bound");
 	for (uint32_t k = 1; k < CAUSES; k++)
 		printf(" %s", world_cause_names[k]);
@@ -173,12 +198,12 @@
 		printf("%.0f %llu %llu %llu %llu %.4f %.4f",
 		       (double)o->from_ns / NS_PER_S,
 		       (unsigned long long)o->requests,
-		       (unsigned long long)o->in_aim,
+		       (unsigned long long)o->on_time,
 		       (unsigned long long)o->late,
-		       (unsigned long long)o->failed, o->earned / o->owed,
-		       o->bound / o->owed);
+		       (unsigned long long)o->failed, o->earned / o->offered,
+		       o->bound / o->offered);
 		for (uint32_t k = 1; k < CAUSES; k++)
-			printf(" %.4f", o->lost[k] / o->owed);
+			printf(" %.4f", o->lost[k] / o->offered);
 		printf("\n");
 	}
 }
--- a/sim/sim-packets/arrivals.c
+++ b/sim/sim-packets/arrivals.c
@@ -9,23 +9,22 @@
 #define PROBE_NS (100 * NS_PER_MS)
 #define TRIES_TO_FIND_IDLE 8
 
-static double rate(const struct world *w, uint32_t zone, uint32_t class)
+static double request_rate(const struct world *w, uint32_t zone, uint32_t class)
 {
 	const struct site_zone *z = &w->conf.site.zones[zone];
 	double per_s = z->per_s[class];
 	double since = (double)(w->now_ns - w->start_ns);
 
-	if (z->wave_ns)
-		per_s *=
-			1 +
-			z->swing * sin(2 * M_PI *
-				       (since / (double)z->wave_ns + z->phase));
+	if (z->period_ns)
+		per_s *= 1 + z->amplitude * sin(2 * M_PI *
+						(since / (double)z->period_ns +
+						 z->phase));
 	if (w->now_ns < w->load_until_ns[zone])
-		per_s *= w->load[zone];
+		per_s *= w->load_factor[zone];
 	return per_s;
 }
 
-static uint32_t add(struct world *w, uint32_t zone, uint32_t class)
+static uint32_t add_user(struct world *w, uint32_t zone, uint32_t class)
 {
 	uint32_t i = w->n_users;
 
@@ -43,7 +42,7 @@
 }
 
 /* Users with a long flow stand first, data centre by data centre. */
-static uint32_t first_of(const struct world *w, uint32_t zone)
+static uint32_t first_user(const struct world *w, uint32_t zone)
 {
 	uint32_t first = 0;
 
@@ -52,99 +51,106 @@
 	return first;
 }
 
-static uint32_t any_feeder(struct world *w, uint32_t zone)
+static uint32_t select_feed_user(struct world *w, uint32_t zone)
 {
-	uint32_t first = first_of(w, zone);
+	uint32_t first = first_user(w, zone);
 	uint32_t n = w->conf.site.zones[zone].users;
 	uint32_t user = first;
 
 	for (uint32_t i = 0; i < TRIES_TO_FIND_IDLE; i++) {
 		user = first + (uint32_t)(rng_next(&w->rng) % n);
-		if (!w->users[user].waiting)
+		if (!w->users[user].has_request)
 			break;
 	}
 	return user;
 }
 
 /* One that is idle, or a new one. */
-static uint32_t fresh(struct world *w, uint32_t zone, uint32_t class)
+static uint32_t select_idle_user(struct world *w, uint32_t zone, uint32_t class)
 {
-	uint32_t *next = &w->fresh_next[zone][class];
+	uint32_t *next = &w->next_idle_user[zone][class];
 
 	for (uint32_t i = 0; i < w->n_users; i++) {
 		uint32_t user = (*next + i) % w->n_users;
 		const struct sim_user *u = &w->users[user];
 
-		if (u->zone != zone || u->class != class || u->waiting)
+		if (u->zone != zone || u->class != class || u->has_request)
 			continue;
 		*next = user + 1;
 		return user;
 	}
-	return add(w, zone, class);
+	return add_user(w, zone, class);
 }
 
-static struct sim_ask draw(struct world *w, struct rng *rng, uint32_t class)
+static struct request_spec sample_request(struct world *w, struct rng *rng,
+					  uint32_t class)
 {
 	const struct site_class *c = &w->classes[class];
 
-	return (struct sim_ask){
-		.asked_ns = w->now_ns,
-		.work_ns = world_draw(rng, &c->work_ns),
-		.request_bytes = (uint32_t)world_draw(rng, &c->request_bytes),
-		.answer_bytes = (uint32_t)world_draw(rng, &c->answer_bytes),
+	return (struct request_spec){
+		.arrival_ns = w->now_ns,
+		.work_ns = world_sample(rng, &c->work_ns),
+		.request_bytes = (uint32_t)world_sample(rng, &c->request_bytes),
+		.answer_bytes = (uint32_t)world_sample(rng, &c->answer_bytes),
 	};
 }
 
-static void hand_to(struct world *w, uint32_t user, const struct sim_ask *ask)
+static void start_or_queue(struct world *w, uint32_t user,
+			   const struct request_spec *spec)
 {
 	struct sim_user *u = &w->users[user];
 
-	if (!u->waiting)
-		users_ask(w, user, ask);
+	if (!u->has_request)
+		users_start_request(w, user, spec);
 	else if (u->n_pending < PENDING_MAX)
-		u->pending[u->n_pending++] = *ask;
+		u->pending[u->n_pending++] = *spec;
 }
 
 static void on_arrival(struct world *w, const struct event *e)
 {
-	uint32_t zone = (uint32_t)e->a, class = (uint32_t)e->b;
-	double gap_s =
-		-log(1 - world_chance(&w->ask_rng)) / rate(w, zone, class);
-	struct sim_ask ask = draw(w, &w->ask_rng, class);
+	uint32_t zone = (uint32_t)e->arg0, class = (uint32_t)e->arg1;
+	double gap_s = -log(1 - world_random_unit(&w->arrival_rng)) /
+		       request_rate(w, zone, class);
+	struct request_spec spec = sample_request(w, &w->arrival_rng, class);
 	bool feed = w->classes[class].kind == ROUTE_FEED;
 
-	world_at(w, (uint64_t)(gap_s * (double)NS_PER_S), on_arrival, zone,
-		 class, 0);
-	hand_to(w, feed ? any_feeder(w, zone) : fresh(w, zone, class), &ask);
+	world_schedule(w, (uint64_t)(gap_s * (double)NS_PER_S), on_arrival,
+		       zone, class, 0);
+	start_or_queue(w,
+		       feed ? select_feed_user(w, zone)
+			    : select_idle_user(w, zone, class),
+		       &spec);
 }
 
 static void on_probe(struct world *w, const struct event *e)
 {
-	struct sim_ask ask = draw(w, &w->rng, probe_route(w));
+	struct request_spec spec =
+		sample_request(w, &w->rng, extra_route_index(w));
 
-	hand_to(w, (uint32_t)e->a, &ask);
+	start_or_queue(w, (uint32_t)e->arg0, &spec);
 }
 
 /* A user that only tests the configuration asks again. */
-void arrivals_again(struct world *w, uint32_t user)
+void arrivals_schedule_test_user(struct world *w, uint32_t user)
 {
-	double part = 0.5 + world_chance(&w->rng);
+	double part = 0.5 + world_random_unit(&w->rng);
 
-	world_at(w, (uint64_t)(part * (double)PROBE_NS), on_probe, user, 0, 0);
+	world_schedule(w, (uint64_t)(part * (double)PROBE_NS), on_probe, user,
+		       0, 0);
 }
 
 /* Return: whether a request waited for this user. */
-bool arrivals_next(struct world *w, uint32_t user)
+bool arrivals_start_pending(struct world *w, uint32_t user)
 {
 	struct sim_user *u = &w->users[user];
-	struct sim_ask ask = u->pending[0];
+	struct request_spec spec = u->pending[0];
 
 	if (!u->n_pending)
 		return false;
 	u->n_pending--;
 	for (uint32_t i = 0; i < u->n_pending; i++)
 		u->pending[i] = u->pending[i + 1];
-	users_ask(w, user, &ask);
+	users_start_request(w, user, &spec);
 	return true;
 }
 
@@ -156,11 +162,12 @@
 
 	for (uint32_t z = 0; z < s->n_zones; z++)
 		for (uint32_t i = 0; i < s->zones[z].users; i++)
-			add(w, z, 0);
+			add_user(w, z, 0);
 	for (uint32_t z = 0; z < s->n_zones; z++)
-		arrivals_again(w, add(w, z, probe_route(w)));
+		arrivals_schedule_test_user(w, add_user(w, z,
+							extra_route_index(w)));
 	for (uint32_t z = 0; z < s->n_zones; z++)
 		for (uint32_t c = 0; c < s->n_classes; c++)
 			if (s->zones[z].per_s[c] > 0)
-				world_at(w, 0, on_arrival, z, c, 0);
+				world_schedule(w, 0, on_arrival, z, c, 0);
 }
--- a/sim/sim-packets/bound.c
+++ b/sim/sim-packets/bound.c
@@ -16,15 +16,15 @@
 
 /* When a client sends something for a request, after it was asked: packets and
  * their repeats, or opening packets, their copies and those of later tries. */
-static const uint64_t sent_ms[] = { 0,	  200,	600,  1400, 1600, 2000,
-				    2800, 3000, 3400, 4200, 4600, 5600 };
+static const uint64_t send_times_ms[] = { 0,	200,  600,  1400, 1600, 2000,
+					  2800, 3000, 3400, 4200, 4600, 5600 };
 
 /**
  * struct wish - a request that could be answered in time
  * @work_ns: its work
  * @gain: worth of that above being answered late
  */
-struct wish {
+struct candidate {
 	uint64_t work_ns;
 	double gain;
 };
@@ -39,18 +39,18 @@
  *
  * Return: 0 or -ENOMEM.
  */
-int bound_reach(const struct world *w, struct bound_reach *out)
+int bound_availability(const struct world *w, struct bound_availability *out)
 {
 	bool up[ENTRIES_MAX] = { false };
 	uint32_t running = 0;
 
-	*out = (struct bound_reach){
-		calloc(w->n_runs + 1, sizeof(struct bound_span)), 0
+	*out = (struct bound_availability){
+		calloc(w->n_entry_changes + 1, sizeof(struct bound_span)), 0
 	};
 	if (!out->spans)
 		return -ENOMEM;
-	for (uint32_t i = 0; i < w->n_runs; i++) {
-		const struct entry_mark *m = &w->runs[i];
+	for (uint32_t i = 0; i < w->n_entry_changes; i++) {
+		const struct entry_change *m = &w->entry_changes[i];
 		struct bound_span *s = &out->spans[out->n++];
 
 		if (up[m->entry] != m->up)
@@ -62,7 +62,7 @@
 	return 0;
 }
 
-static bool met(const struct bound_reach *reach, uint64_t at_ns)
+static bool entry_ran_at(const struct bound_availability *reach, uint64_t at_ns)
 {
 	uint32_t low = 0, high = reach->n;
 
@@ -78,41 +78,42 @@
 }
 
 /* Return: when the first packet that meets an entry does, or 0. */
-static uint64_t first_met_ns(const struct world *w,
-			     const struct bound_reach *reach,
-			     const struct world_request *r)
+static uint64_t first_arrival_ns(const struct world *w,
+				 const struct bound_availability *reach,
+				 const struct world_request *r)
 {
-	for (uint32_t i = 0; i < sizeof(sent_ms) / sizeof(sent_ms[0]); i++) {
-		uint64_t at_ns = r->asked_ns + sent_ms[i] * NS_PER_MS +
-				 w->conf.site.client_ns;
+	for (uint32_t i = 0;
+	     i < sizeof(send_times_ms) / sizeof(send_times_ms[0]); i++) {
+		uint64_t at_ns = r->arrival_ns + send_times_ms[i] * NS_PER_MS +
+				 w->conf.site.client_delay_ns;
 
-		if (met(reach, at_ns))
+		if (entry_ran_at(reach, at_ns))
 			return at_ns;
 	}
 	return 0;
 }
 
 /* From the entry to the nearest target, through its work, to the client. */
-static uint64_t earliest_ns(const struct world *w,
-			    const struct bound_reach *reach,
-			    const struct world_request *r)
+static uint64_t earliest_latency_ns(const struct world *w,
+				    const struct bound_availability *reach,
+				    const struct world_request *r)
 {
-	uint64_t met_ns = first_met_ns(w, reach, r);
+	uint64_t met_ns = first_arrival_ns(w, reach, r);
 
-	return met_ns ? met_ns + w->conf.site.near_ns + r->work_ns +
-				w->conf.site.client_ns - r->asked_ns
+	return met_ns ? met_ns + w->conf.site.same_dc_delay_ns + r->work_ns +
+				w->conf.site.client_delay_ns - r->arrival_ns
 		      : UINT64_MAX;
 }
 
-static double slots_ns(const struct world *w, uint32_t service,
-		       uint64_t from_ns, uint64_t to_ns)
+static double slot_time_ns(const struct world *w, uint32_t service,
+			   uint64_t from_ns, uint64_t to_ns)
 {
 	double all = 0;
 	uint64_t at_ns = from_ns;
 	uint32_t slots = 0;
 
-	for (uint32_t i = 0; i < w->n_capacity; i++) {
-		const struct capacity_mark *m = &w->capacity[i];
+	for (uint32_t i = 0; i < w->n_slot_changes; i++) {
+		const struct slot_change *m = &w->slot_changes[i];
 
 		if (m->service != service || m->at_ns >= to_ns)
 			continue;
@@ -127,56 +128,60 @@
 
 static int compare(const void *a, const void *b)
 {
-	const struct wish *x = a, *y = b;
+	const struct candidate *x = a, *y = b;
 	double p = x->gain * (double)y->work_ns;
 	double q = y->gain * (double)x->work_ns;
 
 	return (p < q) - (p > q);
 }
 
-static double best_ns(struct wish *wishes, uint32_t n, double room_ns)
+static double best_gain(struct candidate *candidates, uint32_t n,
+			double room_ns)
 {
 	double gain = 0;
 
-	qsort(wishes, n, sizeof(*wishes), compare);
+	qsort(candidates, n, sizeof(*candidates), compare);
 	for (uint32_t i = 0; i < n && room_ns > 0; i++) {
-		double work_ns = (double)wishes[i].work_ns;
+		double work_ns = (double)candidates[i].work_ns;
 		double part = work_ns <= room_ns ? 1 : room_ns / work_ns;
 
-		gain += part * wishes[i].gain;
+		gain += part * candidates[i].gain;
 		room_ns -= work_ns;
 	}
 	return gain;
 }
 
-static double of_service(const struct world *w, const struct bound_reach *reach,
-			 uint32_t service, uint64_t from_ns, uint64_t to_ns,
-			 struct wish *wishes)
+static double bound_of_service(const struct world *w,
+			       const struct bound_availability *reach,
+			       uint32_t service, uint64_t from_ns,
+			       uint64_t to_ns, struct candidate *candidates)
 {
 	uint64_t latest_ns = 0;
 	uint32_t n = 0;
-	double sure = 0;
+	double late_total = 0;
 
 	for (uint32_t i = 0; i < w->n_requests; i++) {
 		const struct world_request *r = &w->requests[i];
 		const struct site_class *c = &w->classes[r->class];
-		uint64_t took_ns;
+		uint64_t latency_ns;
 
-		if (c->service != service || r->asked_ns < from_ns ||
-		    r->asked_ns >= to_ns)
+		if (c->service != service || r->arrival_ns < from_ns ||
+		    r->arrival_ns >= to_ns)
 			continue;
-		took_ns = earliest_ns(w, reach, r);
-		if (took_ns <= c->deadline_ns)
-			sure += c->late_worth;
-		if (took_ns > c->aim_ns)
+		latency_ns = earliest_latency_ns(w, reach, r);
+		if (latency_ns <= c->deadline_ns)
+			late_total += c->late_value;
+		if (latency_ns > c->objective_ns)
 			continue;
-		wishes[n++] =
-			(struct wish){ r->work_ns, c->worth - c->late_worth };
-		if (c->aim_ns > latest_ns)
-			latest_ns = c->aim_ns;
+		candidates[n++] =
+			(struct candidate){ r->work_ns,
+					    c->value - c->late_value };
+		if (c->objective_ns > latest_ns)
+			latest_ns = c->objective_ns;
 	}
-	return sure + best_ns(wishes, n,
-			      slots_ns(w, service, from_ns, to_ns + latest_ns));
+	return late_total +
+	       best_gain(candidates, n,
+			 slot_time_ns(w, service, from_ns, to_ns + latest_ns));
 }
 
 /**
@@ -188,16 +193,19 @@
  *
  * Return: worth.
  */
-double bound_of(const struct world *w, const struct bound_reach *reach,
-		uint64_t from_ns, uint64_t ns)
+double bound_earned_value(const struct world *w,
+			  const struct bound_availability *reach,
+			  uint64_t from_ns, uint64_t ns)
 {
-	struct wish *wishes = calloc(w->n_requests + 1, sizeof(*wishes));
+	struct candidate *candidates =
+		calloc(w->n_requests + 1, sizeof(*candidates));
 	double all = 0;
 
-	if (!wishes)
+	if (!candidates)
 		return 0;
 	for (uint32_t s = 0; s < w->conf.site.n_services; s++)
-		all += of_service(w, reach, s, from_ns, from_ns + ns, wishes);
-	free(wishes);
+		all += bound_of_service(w, reach, s, from_ns, from_ns + ns,
+					candidates);
+	free(candidates);
 	return all;
 }
--- a/sim/sim-packets/bound.h
+++ b/sim/sim-packets/bound.h
@@ -19,13 +19,14 @@
  * @spans: of them
  * @n: how many
  */
-struct bound_reach {
+struct bound_availability {
 	struct bound_span *spans;
 	uint32_t n;
 };
 
-int bound_reach(const struct world *w, struct bound_reach *out);
-double bound_of(const struct world *w, const struct bound_reach *reach,
-		uint64_t from_ns, uint64_t ns);
+int bound_availability(const struct world *w, struct bound_availability *out);
+double bound_earned_value(const struct world *w,
+			  const struct bound_availability *reach,
+			  uint64_t from_ns, uint64_t ns);
 
 #endif
--- a/sim/sim-packets/entries.c
+++ b/sim/sim-packets/entries.c
@@ -6,11 +6,11 @@
 #include <string.h>
 
 #define TICK_NS (20 * NS_PER_MS)
-#define HEAD_BYTES 32
+#define HEADER_BYTES 32
 /* Of the envelope, IP and UDP. */
-#define OUTER_BYTES 36
+#define ENCAPSULATION_BYTES 36
 /* A link keeps what it carries within this time, and loses the rest. */
-#define LINK_KEEPS_NS (50 * NS_PER_MS)
+#define LINK_QUEUE_NS (50 * NS_PER_MS)
 /* Of a connection's first packet. */
 #define SYN_BYTES 60
 /* A heartbeat among a few others, with IP and UDP. */
@@ -24,37 +24,38 @@
 	return ADDR(PEER_IP + i, PEER_PORT);
 }
 
-static uint32_t entry_at(uint64_t addr)
+static uint32_t entry_index(uint64_t addr)
 {
 	return ADDR_IP(addr) - PEER_IP;
 }
 
-static bool runs(const struct sim_entry *e)
+static bool is_running(const struct sim_entry *e)
 {
 	return e->up && !e->frozen;
 }
 
 static void on_tick(struct world *w, const struct event *e)
 {
-	struct sim_entry *s = &w->entries[e->a];
+	struct sim_entry *s = &w->entries[e->arg0];
 
-	if (!s->up || s->boot != e->b)
+	if (!s->up || s->boot != e->arg1)
 		return;
-	world_at(w, TICK_NS, on_tick, e->a, e->b, 0);
+	world_schedule(w, TICK_NS, on_tick, e->arg0, e->arg1, 0);
 	if (s->frozen)
 		return;
-	node_process_stalled(s->node, w->now_ns - s->ran_ns, w->now_ns);
-	s->ran_ns = w->now_ns;
+	node_process_stalled(s->node, w->now_ns - s->last_tick_ns, w->now_ns);
+	s->last_tick_ns = w->now_ns;
 	node_tick(s->node, w->now_ns);
 	if (node_may_exit(s->node, w->now_ns))
-		world_entry_ended(w, (uint32_t)e->a);
+		world_entry_ended(w, (uint32_t)e->arg0);
 }
 
 /*
  * A datagram is handed to an entry's link. Return: time until it has left the
  * link; UINT64_MAX when it is lost, since too much is before it.
  */
-static uint64_t link_ns(struct world *w, struct sim_entry *e, uint32_t bytes)
+static uint64_t link_delay_ns(struct world *w, struct sim_entry *e,
+			      uint32_t bytes)
 {
 	uint64_t rate = w->conf.site.link_bytes_per_s;
 
@@ -62,32 +63,32 @@
 		return 0;
 	if (e->link_free_ns < w->now_ns)
 		e->link_free_ns = w->now_ns;
-	if (e->link_free_ns > w->now_ns + LINK_KEEPS_NS)
+	if (e->link_free_ns > w->now_ns + LINK_QUEUE_NS)
 		return UINT64_MAX;
 	e->link_free_ns += bytes * NS_PER_S / rate;
 	return e->link_free_ns - w->now_ns;
 }
 
-static uint32_t letter_with(struct world *w, const struct hello *h)
+static uint32_t hello_alloc(struct world *w, const struct hello *h)
 {
-	uint32_t i = w->spare_letter;
+	uint32_t i = w->free_hello;
 
-	if (i == LETTERS_MAX)
+	if (i == HELLOS_IN_FLIGHT_MAX)
 		abort(); /* a mistake of the emulator */
-	w->spare_letter = w->letters[i].next;
-	w->letters[i].hello = *h;
+	w->free_hello = w->hellos_in_flight[i].next;
+	w->hellos_in_flight[i].hello = *h;
 	return i;
 }
 
 static void on_hello(struct world *w, const struct event *e)
 {
-	struct sim_entry *s = &w->entries[e->a];
-	struct letter *l = &w->letters[e->b];
+	struct sim_entry *s = &w->entries[e->arg0];
+	struct hello_in_flight *l = &w->hellos_in_flight[e->arg1];
 
-	if (runs(s))
+	if (is_running(s))
 		node_receive_hello(s->node, &l->hello, w->now_ns);
-	l->next = w->spare_letter;
-	w->spare_letter = (uint32_t)e->b;
+	l->next = w->free_hello;
+	w->free_hello = (uint32_t)e->arg1;
 }
 
 static void send_hello(void *ctx, const uint64_t *to, uint32_t n,
@@ -96,33 +97,35 @@
 	struct port_ctx *c = ctx;
 
 	for (uint32_t i = 0; i < n; i++) {
-		uint32_t at = entry_at(to[i]);
-		uint64_t link = link_ns(c->w, c->e, HELLO_BYTES);
+		uint32_t at = entry_index(to[i]);
+		uint64_t link = link_delay_ns(c->w, c->entry, HELLO_BYTES);
 		uint32_t zone;
 
-		pacer_charge(c->e->node->pacer, HELLO_BYTES, c->w->now_ns);
+		pacer_charge(c->entry->node->pacer, HELLO_BYTES, c->w->now_ns);
 		if (at >= c->w->n_entries || link == UINT64_MAX)
 			continue;
 		zone = c->w->entries[at].zone;
-		if (!world_cut(c->w, c->e->zone, zone))
-			world_at(c->w,
-				 link + world_way_ns(c->w, c->e->zone, zone),
-				 on_hello, at, letter_with(c->w, h), 0);
+		if (!world_is_cut(c->w, c->entry->zone, zone))
+			world_schedule(c->w,
+				       link + world_one_way_ns(c->w,
+							       c->entry->zone,
+							       zone),
+				       on_hello, at, hello_alloc(c->w, h), 0);
 	}
 }
 
 static void on_fetched(struct world *w, const struct event *e)
 {
-	struct sim_entry *s = &w->entries[e->a];
-	struct sim_entry *peer = &w->entries[e->b];
-	struct position after = { e->c >> EPOCH_SHIFT,
-				  e->c & ((1ULL << EPOCH_SHIFT) - 1) };
+	struct sim_entry *s = &w->entries[e->arg0];
+	struct sim_entry *peer = &w->entries[e->arg1];
+	struct position after = { e->arg2 >> EPOCH_SHIFT,
+				  e->arg2 & ((1ULL << EPOCH_SHIFT) - 1) };
 	const struct documents *from = peer->node->documents;
 	struct relay_head head;
 
-	if (!runs(s))
+	if (!is_running(s))
 		return;
-	if (!runs(peer) || world_cut(w, s->zone, peer->zone)) {
+	if (!is_running(peer) || world_is_cut(w, s->zone, peer->zone)) {
 		node_fetch_end(s->node, NULL, w->now_ns);
 		return;
 	}
@@ -149,24 +152,27 @@
 {
 	struct port_ctx *c = ctx;
 
-	c->e->list_due_ns = 0;
+	c->entry->list_answer_ns = 0;
 }
 
 static void fetch(void *ctx, uint64_t peer, struct position after)
 {
 	struct port_ctx *c = ctx;
-	uint32_t at = entry_at(peer);
-	bool there = runs(&c->w->entries[at]) &&
-		     !world_cut(c->w, c->e->zone, c->w->entries[at].zone);
+	uint32_t at = entry_index(peer);
+	bool there =
+		is_running(&c->w->entries[at]) &&
+		!world_is_cut(c->w, c->entry->zone, c->w->entries[at].zone);
 
-	world_at(c->w, there ? 2 * c->w->conf.site.far_ns : PEER_TIMEOUT_NS,
-		 on_fetched, (uint32_t)(c->e - c->w->entries), at,
-		 after.epoch << EPOCH_SHIFT | after.revision);
+	world_schedule(c->w,
+		       there ? 2 * c->w->conf.site.other_dc_delay_ns
+			     : PEER_TIMEOUT_NS,
+		       on_fetched, (uint32_t)(c->entry - c->w->entries), at,
+		       after.epoch << EPOCH_SHIFT | after.revision);
 }
 
 /* A connection attempt under way; an event carries its number. */
-static uint32_t attempt_with(struct world *w, uint32_t entry,
-			     const struct target *t)
+static uint32_t attempt_alloc(struct world *w, uint32_t entry,
+			      const struct target *t)
 {
 	uint32_t i = w->next_attempt++ % ATTEMPTS_MAX;
 
@@ -177,43 +183,45 @@
 
 static void on_probed(struct world *w, const struct event *e)
 {
-	const struct sim_attempt *a = &w->attempts[e->a];
+	const struct sim_attempt *a = &w->attempts[e->arg0];
 	struct sim_entry *s = &w->entries[a->entry];
 
-	if (runs(s))
-		node_probe_ended(s->node, &a->who, (enum probe_outcome)e->b,
-				 a->since_ns, w->now_ns);
+	if (is_running(s))
+		node_probe_ended(s->node, &a->incarnation,
+				 (enum probe_outcome)e->arg1, a->start_ns,
+				 w->now_ns);
 }
 
 static void probe(void *ctx, const struct target *t)
 {
 	struct port_ctx *c = ctx;
-	uint32_t at = targets_at(c->w, t->advertised.addr);
+	uint32_t at = targets_find_by_addr(c->w, t->advertised.addr);
 	const struct sim_target *s = &c->w->targets[at];
 	enum probe_outcome outcome = PROBE_ACCEPTED;
-	uint64_t way_ns = 2 * world_way_ns(c->w, c->e->zone, s->zone);
+	uint64_t way_ns = 2 * world_one_way_ns(c->w, c->entry->zone, s->zone);
 	uint64_t wait_ns =
-		path_probe_timeout_ns(c->e->node->path, c->w->now_ns);
-	uint64_t link = link_ns(c->w, c->e, SYN_BYTES);
+		path_probe_timeout_ns(c->entry->node->path, c->w->now_ns);
+	uint64_t link = link_delay_ns(c->w, c->entry, SYN_BYTES);
 	uint32_t number =
-		attempt_with(c->w, (uint32_t)(c->e - c->w->entries), t);
-	bool lost = s->dark || link == UINT64_MAX ||
-		    world_cut(c->w, c->e->zone, s->zone);
+		attempt_alloc(c->w, (uint32_t)(c->entry - c->w->entries), t);
+	bool lost = s->machine_down || link == UINT64_MAX ||
+		    world_is_cut(c->w, c->entry->zone, s->zone);
 
 	c->w->report.probes++;
 	if (!lost)
 		way_ns += link;
 	/* Silent at first; a late answer is heard all the same. */
 	if (lost || way_ns > wait_ns)
-		world_at(c->w, wait_ns, on_probed, number, PROBE_SILENT, 0);
+		world_schedule(c->w, wait_ns, on_probed, number, PROBE_SILENT,
+			       0);
 	if (lost)
 		return;
 	if (!s->alive)
 		outcome = PROBE_REFUSED;
-	world_at(c->w, way_ns, on_probed, number, outcome, 0);
+	world_schedule(c->w, way_ns, on_probed, number, outcome, 0);
 }
 
-static uint32_t user_of(const struct world *w, const struct flow_key *flow)
+static uint32_t find_user(const struct world *w, const struct flow_key *flow)
 {
 	uint32_t i = ADDR_IP(flow->caller) - w->users[0].ip;
 
@@ -223,47 +231,48 @@
 static void on_forward(struct world *w, const struct event *e)
 {
 	struct sim_packet k = {
-		.user = (uint32_t)(e->b >> 32),
-		.port = (uint16_t)(e->a >> 32),
-		.flags = (uint8_t)(e->a >> 48),
-		.size_bytes = (uint16_t)(e->c >> 32),
-		.seq = (uint32_t)e->c,
+		.user = (uint32_t)(e->arg1 >> 32),
+		.port = (uint16_t)(e->arg0 >> 32),
+		.flags = (uint8_t)(e->arg0 >> 48),
+		.size_bytes = (uint16_t)(e->arg2 >> 32),
+		.seq = (uint32_t)e->arg2,
 	};
 
-	targets_packet(w, (uint32_t)e->a, (uint32_t)e->b, &k);
+	targets_receive(w, (uint32_t)e->arg0, (uint32_t)e->arg1, &k);
 }
 
 /* The intended target alone takes the packet, whoever has its address now. */
-static void carry(struct world *w, struct sim_entry *e, const struct target *t,
-		  const struct sim_packet *k)
+static void send_to_target(struct world *w, struct sim_entry *e,
+			   const struct target *t, const struct sim_packet *k)
 {
-	uint32_t at = targets_at(w, t->advertised.addr);
+	uint32_t at = targets_find_by_addr(w, t->advertised.addr);
 	const struct sim_target *s = &w->targets[at];
-	uint32_t bytes = k->size_bytes + HEAD_BYTES;
-	uint64_t link = link_ns(w, e, bytes + OUTER_BYTES);
+	uint32_t bytes = k->size_bytes + HEADER_BYTES;
+	uint64_t link = link_delay_ns(w, e, bytes + ENCAPSULATION_BYTES);
 
 	if (s->zone != e->zone)
-		w->report.far_bytes += bytes;
-	if (link == UINT64_MAX || s->news.id != t->advertised.id || !s->alive ||
-	    world_cut(w, e->zone, s->zone)) {
-		w->users[k->user].gone = true;
+		w->report.cross_dc_bytes += bytes;
+	if (link == UINT64_MAX || s->advertised.id != t->advertised.id ||
+	    !s->alive || world_is_cut(w, e->zone, s->zone)) {
+		w->users[k->user].target_gone = true;
 		return;
 	}
-	world_at(w, link + world_way_ns(w, e->zone, s->zone), on_forward,
-		 (uint64_t)k->flags << 48 | (uint64_t)k->port << 32 | at,
-		 (uint64_t)k->user << 32 | (uint32_t)(e - w->entries),
-		 (uint64_t)k->size_bytes << 32 | k->seq);
+	world_schedule(w, link + world_one_way_ns(w, e->zone, s->zone),
+		       on_forward,
+		       (uint64_t)k->flags << 48 | (uint64_t)k->port << 32 | at,
+		       (uint64_t)k->user << 32 | (uint32_t)(e - w->entries),
+		       (uint64_t)k->size_bytes << 32 | k->seq);
 }
 
-static void pace(struct world *w, struct sim_entry *e);
+static void schedule_pacing(struct world *w, struct sim_entry *e);
 
-static void on_pace(struct world *w, const struct event *e)
+static void on_pacing_due(struct world *w, const struct event *e)
 {
-	struct sim_entry *s = &w->entries[e->a];
+	struct sim_entry *s = &w->entries[e->arg0];
 	struct datagram d;
 
-	s->pacing = false;
-	if (!runs(s) || s->boot != e->b)
+	s->pace_scheduled = false;
+	if (!is_running(s) || s->boot != e->arg1)
 		return;
 	while (pacer_dequeue(s->node->pacer, w->now_ns, &d)) {
 		const struct target *t =
@@ -272,20 +281,20 @@
 
 		memcpy(&k, d.head, sizeof(k));
 		if (t)
-			carry(w, s, t, &k);
+			send_to_target(w, s, t, &k);
 	}
-	pace(w, s);
+	schedule_pacing(w, s);
 }
 
-static void pace(struct world *w, struct sim_entry *e)
+static void schedule_pacing(struct world *w, struct sim_entry *e)
 {
 	uint64_t due_ns = pacer_due_ns(e->node->pacer);
 
-	if (!due_ns || e->pacing)
+	if (!due_ns || e->pace_scheduled)
 		return;
-	e->pacing = true;
-	world_at(w, due_ns > w->now_ns ? due_ns - w->now_ns : 0, on_pace,
-		 (uint64_t)(e - w->entries), e->boot, 0);
+	e->pace_scheduled = true;
+	world_schedule(w, due_ns > w->now_ns ? due_ns - w->now_ns : 0,
+		       on_pacing_due, (uint64_t)(e - w->entries), e->boot, 0);
 }
 
 /* As the process does it: at once, or when the link has room. */
@@ -297,71 +306,71 @@
 			    .size_bytes = k->size_bytes };
 	uint8_t kind = w->classes[w->users[k->user].class].kind;
 	enum pacer_class c = pacer_classify(&p, kind);
-	uint8_t bytes[HEAD_BYTES + SEGMENT_BYTES];
+	uint8_t bytes[HEADER_BYTES + SEGMENT_BYTES];
 	struct datagram d = { .destination = t->advertised.id,
 			      .copy_id = pacer_copy_id(&p),
 			      .head = bytes,
-			      .head_bytes = HEAD_BYTES + k->size_bytes };
+			      .head_bytes = HEADER_BYTES + k->size_bytes };
 
 	if (pacer_try_send(e->node->pacer, c, d.head_bytes, w->now_ns)) {
-		carry(w, e, t, k);
+		send_to_target(w, e, t, k);
 		return;
 	}
 	memcpy(bytes, k, sizeof(*k));
 	pacer_enqueue(e->node->pacer, c, &d);
-	pace(w, e);
+	schedule_pacing(w, e);
 }
 
-static void again(void *ctx, const struct flow_state *f, uint8_t reason)
+static void resend(void *ctx, const struct flow_state *f, uint8_t reason)
 {
 	struct port_ctx *c = ctx;
 	struct sim_packet k = {
-		.user = user_of(c->w, &f->key),
+		.user = find_user(c->w, &f->key),
 		.port = ADDR_PORT(f->key.caller),
 		.flags = f->stage == FLOW_OPENING ? PACKET_SYN : PACKET_ACK,
 	};
 
 	(void)reason;
 	if (k.user != UINT32_MAX)
-		forward(c->w, c->e, f->target, &k);
+		forward(c->w, c->entry, f->target, &k);
 }
 
 /* A packet that has waited; which one it was, its flow's end knows. */
-static void send_on(void *ctx, const struct flow_state *f, const uint8_t *bytes,
-		    uint32_t n_bytes)
+static void send_queued(void *ctx, const struct flow_state *f,
+			const uint8_t *bytes, uint32_t n_bytes)
 {
 	struct port_ctx *c = ctx;
 	struct sim_packet k = {
-		.user = user_of(c->w, &f->key),
+		.user = find_user(c->w, &f->key),
 		.port = ADDR_PORT(f->key.caller),
 		.flags = PACKET_ACK,
-		.size_bytes = (uint16_t)(n_bytes - HEAD_BYTES),
+		.size_bytes = (uint16_t)(n_bytes - HEADER_BYTES),
 	};
 
 	memcpy(&k.seq, bytes, sizeof(k.seq));
 	if (k.user != UINT32_MAX)
-		forward(c->w, c->e, f->target, &k);
+		forward(c->w, c->entry, f->target, &k);
 }
 
 static void on_reset(struct world *w, const struct event *e)
 {
-	struct flow_key flow = { e->a, e->b };
+	struct flow_key flow = { e->arg0, e->arg1 };
 
-	users_reset(w, &flow, (uint32_t)e->c);
+	users_reset(w, &flow, (uint32_t)e->arg2);
 }
 
 static void reset(struct world *w, struct sim_entry *e,
 		  const struct flow_key *flow)
 {
-	world_at(w, w->conf.site.client_ns, on_reset, flow->caller, flow->vip,
-		 (uint32_t)(e - w->entries));
+	world_schedule(w, w->conf.site.client_delay_ns, on_reset, flow->caller,
+		       flow->vip, (uint32_t)(e - w->entries));
 }
 
 static void reset_flow(void *ctx, const struct flow_state *f)
 {
 	struct port_ctx *c = ctx;
 
-	reset(c->w, c->e, &f->key);
+	reset(c->w, c->entry, &f->key);
 }
 
 static void no_health(void *ctx, const struct target *t, uint8_t was)
@@ -388,7 +397,7 @@
 		.policy = w->conf.policy,
 		.self = entry_addr(entry),
 		.boot = rng_next(&w->rng) >> 1,
-		.link_bytes_per_s = w->conf.site.link_told
+		.link_bytes_per_s = w->conf.site.link_is_known
 					    ? w->conf.site.link_bytes_per_s
 					    : 0,
 		.cold = { (float)COLD_OVERRUN, (float)COLD_SLACK },
@@ -406,8 +415,8 @@
 		.fetch = fetch,
 		.hello = send_hello,
 		.probe = probe,
-		.resend = again,
-		.send_queued = send_on,
+		.resend = resend,
+		.send_queued = send_queued,
 		.reset = reset_flow,
 		.health = no_health,
 		.decode = store_decode,
@@ -424,16 +433,16 @@
 	e->up = true;
 	e->frozen = false;
 	e->watching = false;
-	e->pacing = false;
-	e->ran_ns = w->now_ns;
-	world_mark_entry(w, entry, true);
-	world_at(w, 0, on_tick, entry, e->boot, 0);
+	e->pace_scheduled = false;
+	e->last_tick_ns = w->now_ns;
+	world_record_entry_state(w, entry, true);
+	world_schedule(w, 0, on_tick, entry, e->boot, 0);
 }
 
 static void packet(void *ctx, struct world *w, uint32_t entry,
 		   const struct sim_packet *k)
 {
-	uint8_t bytes[HEAD_BYTES + SEGMENT_BYTES];
+	uint8_t bytes[HEADER_BYTES + SEGMENT_BYTES];
 	struct sim_entry *e = &w->entries[entry];
 	struct sim_user *u = &w->users[k->user];
 	struct packet p = {
@@ -444,14 +453,14 @@
 		.size_bytes = k->size_bytes,
 		.flags = k->flags,
 		.bytes = bytes,
-		.n_bytes = HEAD_BYTES + k->size_bytes,
+		.n_bytes = HEADER_BYTES + k->size_bytes,
 	};
 	struct path_verdict v;
 
 	(void)ctx;
 	memcpy(bytes, &k->seq, sizeof(k->seq));
-	if (!runs(e)) {
-		u->lost = true;
+	if (!is_running(e)) {
+		u->packet_lost = true;
 		return;
 	}
 	node_packet(e->node, &p, w->now_ns, &v);
@@ -460,14 +469,14 @@
 	else if (v.action == PATH_RESET)
 		reset(w, e, &p.flow);
 	else if (v.reason == PATH_no_routes_yet)
-		u->lost = true;
+		u->packet_lost = true;
 }
 
 static void end(void *ctx, struct world *w, uint32_t entry)
 {
 	(void)ctx;
 	w->entries[entry].up = false;
-	world_mark_entry(w, entry, false);
+	world_record_entry_state(w, entry, false);
 }
 
 static void stop(void *ctx, struct world *w, uint32_t entry)
@@ -475,7 +484,7 @@
 	struct sim_entry *e = &w->entries[entry];
 
 	(void)ctx;
-	if (runs(e))
+	if (is_running(e))
 		node_stop(e->node, w->now_ns);
 }
 
@@ -483,7 +492,7 @@
 {
 	(void)ctx;
 	w->entries[entry].frozen = frozen;
-	world_mark_entry(w, entry, !frozen);
+	world_record_entry_state(w, entry, !frozen);
 }
 
 static bool ready(void *ctx, struct world *w, uint32_t entry)
@@ -491,11 +500,11 @@
 	const struct sim_entry *e = &w->entries[entry];
 
 	(void)ctx;
-	return runs(e) && e->node->ready;
+	return is_running(e) && e->node->ready;
 }
 
 /* The emulator's own entries. */
-struct entry_driver entries_emulated(void)
+struct entry_driver emulated_entry_driver(void)
 {
 	return (struct entry_driver){ NULL,   start, end,    stop,
 				      freeze, ready, packet, NULL };
--- a/sim/sim-packets/evacuation.c
+++ b/sim/sim-packets/evacuation.c
@@ -26,28 +26,28 @@
 	uint32_t i = (uint32_t)(rng_next(&w->rng) % w->n_targets);
 
 	(void)e;
-	store_target(w, &w->targets[i]);
-	world_at(w, CHURN_NS, on_churn, 0, 0, 0);
+	store_publish_target(w, &w->targets[i]);
+	world_schedule(w, CHURN_NS, on_churn, 0, 0, 0);
 }
 
 /* Targets publish themselves, a hundred times a second. */
 static void churn(struct world *w)
 {
-	world_at(w, 0, on_churn, 0, 0, 0);
+	world_schedule(w, 0, on_churn, 0, 0, 0);
 }
 
 static void on_storm(struct world *w, const struct event *e)
 {
-	if (e->a)
+	if (e->arg0)
 		world_drop_route(w);
 	else
 		world_add_route(w);
-	world_at(w, STORM_NS, on_storm, !e->a, 0, 0);
+	world_schedule(w, STORM_NS, on_storm, !e->arg0, 0, 0);
 }
 
 static void storm(struct world *w)
 {
-	world_at(w, 0, on_storm, 0, 0, 0);
+	world_schedule(w, 0, on_storm, 0, 0, 0);
 }
 
 static void slow(struct world *w)
@@ -58,7 +58,7 @@
 static void refuses_half(struct world *w)
 {
 	for (uint32_t i = 0; i < w->n_entries; i += 2)
-		world_store(w, i, STORE_REFUSES, GIVE_UP_NS);
+		world_set_store_mode(w, i, STORE_REFUSES, GIVE_UP_NS);
 }
 
 static const struct {
@@ -82,10 +82,10 @@
  * @seed: of all chance
  * @entries: in each of three data centres
  * @condition: index of what goes on meanwhile
- * @each_ns: set to the time at each entry; 0 where it did not come to it
+ * @in_force_ns: set to the time at each entry; 0 where it did not come to it
  */
 void evacuation_run(uint64_t seed, uint32_t entries, uint32_t condition,
-		    uint64_t *each_ns)
+		    uint64_t *in_force_ns)
 {
 	struct site_size size = { ZONES, entries, TARGETS, 0, 0, 0 };
 	struct world_conf conf = { .seed = seed };
@@ -94,8 +94,8 @@
 	uint32_t left = ZONES * entries;
 
 	for (uint32_t i = 0; i < left; i++)
-		each_ns[i] = 0;
-	site_plain(&conf.site, &size);
+		in_force_ns[i] = 0;
+	site_default(&conf.site, &size);
 	w = world_new(&conf);
 	if (!w)
 		return;
@@ -107,9 +107,9 @@
 	while (left && w->now_ns < from_ns + GIVE_UP_NS) {
 		world_run(w, STEP_NS);
 		for (uint32_t i = 0; i < w->n_entries; i++) {
-			if (each_ns[i] || !in_force(&w->entries[i]))
+			if (in_force_ns[i] || !in_force(&w->entries[i]))
 				continue;
-			each_ns[i] = w->now_ns - from_ns;
+			in_force_ns[i] = w->now_ns - from_ns;
 			left--;
 		}
 	}
@@ -144,7 +144,7 @@
 {
 	uint32_t n = ZONES * entries;
 	uint64_t *all = calloc((size_t)seeds * n, sizeof(*all));
-	int lost = 0;
+	int failures = 0;
 
 	if (!all)
 		return -1;
@@ -155,9 +155,9 @@
 			evacuation_run(first_seed + i, entries, c,
 				       all + (size_t)i * n);
 		for (uint32_t i = 0; i < seeds * n; i++)
-			lost += !all[i];
+			failures += !all[i];
 		print(conditions[c].name, all, seeds * n, entries);
 	}
 	free(all);
-	return lost;
+	return failures;
 }
--- a/sim/sim-packets/fault_table.c
+++ b/sim/sim-packets/fault_table.c
@@ -42,13 +42,13 @@
 
 static void on_stop(struct world *w, const struct event *e)
 {
-	world_stop_entry(w, (uint32_t)e->a);
+	world_stop_entry(w, (uint32_t)e->arg0);
 }
 
 static void roll(struct world *w)
 {
 	for (uint32_t i = 0; i < w->n_entries; i++)
-		world_at(w, i * NS_PER_S, on_stop, i, 0, 0);
+		world_schedule(w, i * NS_PER_S, on_stop, i, 0, 0);
 }
 
 static void freeze(struct world *w)
@@ -86,13 +86,13 @@
 }
 
 /* One of each data centre: the first, so that no two faults differ in it. */
-static void fail_targets(struct world *w, enum world_failing how)
+static void fail_targets(struct world *w, enum target_mode mode)
 {
 	for (uint32_t z = 0; z < w->conf.site.n_zones; z++)
 		for (uint32_t i = 0; i < w->n_targets; i++)
 			if (w->targets[i].zone == z && w->targets[i].alive &&
 			    w->targets[i].service == SERVICE_MAIN) {
-				world_fail_target(w, i, how, 8 * NS_PER_S);
+				world_fail_target(w, i, mode, 8 * NS_PER_S);
 				break;
 			}
 }
@@ -109,7 +109,7 @@
 
 static void targets_crawl(struct world *w)
 {
-	fail_targets(w, TARGET_CRAWLS);
+	fail_targets(w, TARGET_SLOW);
 }
 
 static void reuse(struct world *w)
@@ -139,7 +139,7 @@
 
 static void on_restart(struct world *w, const struct event *e)
 {
-	world_restart_target(w, (uint32_t)e->a, e->b);
+	world_restart_target(w, (uint32_t)e->arg0, e->arg1);
 }
 
 static void restart_targets_twice(struct world *w)
@@ -148,7 +148,8 @@
 		uint32_t t = any_target(w);
 
 		world_restart_target(w, t, 200 * NS_PER_MS);
-		world_at(w, 500 * NS_PER_MS, on_restart, t, 200 * NS_PER_MS, 0);
+		world_schedule(w, 500 * NS_PER_MS, on_restart, t,
+			       200 * NS_PER_MS, 0);
 	}
 }
 
@@ -185,7 +186,7 @@
 
 static void on_leave(struct world *w, const struct event *e)
 {
-	world_release_target(w, (uint32_t)e->a);
+	world_release_target(w, (uint32_t)e->arg0);
 }
 
 static void late_entries(struct world *w)
@@ -193,9 +194,9 @@
 	for (uint32_t i = 0; i < 3; i++) {
 		uint32_t t = any_target(w);
 
-		world_late_entry(w, t, 2 * NS_PER_S);
+		world_delay_record(w, t, 2 * NS_PER_S);
 		if (i)
-			world_at(w, 500 * NS_PER_MS, on_leave, t, 0, 0);
+			world_schedule(w, 500 * NS_PER_MS, on_leave, t, 0, 0);
 		else
 			world_restart_target(w, t, 300 * NS_PER_MS);
 	}
@@ -204,20 +205,20 @@
 static void foreign_entries(struct world *w)
 {
 	for (uint32_t i = FOREIGN_NONE + 1; i < FOREIGN_KINDS; i++)
-		world_foreign_entry(w, (enum world_foreign)i, any_target(w),
-				    false);
+		world_write_foreign_record(w, (enum record_defect)i,
+					   any_target(w), false);
 }
 
 static void foreign_entries_in_place(struct world *w)
 {
 	for (uint32_t i = FOREIGN_NONE + 1; i < FOREIGN_KINDS; i++)
-		world_foreign_entry(w, (enum world_foreign)i, any_target(w),
-				    true);
+		world_write_foreign_record(w, (enum record_defect)i,
+					   any_target(w), true);
 }
 
 static void on_release(struct world *w, const struct event *e)
 {
-	world_release_target(w, (uint32_t)e->a);
+	world_release_target(w, (uint32_t)e->arg0);
 }
 
 static void release(struct world *w)
@@ -225,7 +226,7 @@
 	uint32_t n = w->n_targets;
 
 	for (uint32_t i = 0; i < n; i++)
-		world_at(w, i * 400 * NS_PER_MS, on_release, i, 0, 0);
+		world_schedule(w, i * 400 * NS_PER_MS, on_release, i, 0, 0);
 }
 
 static void release_and_roll(struct world *w)
@@ -241,13 +242,13 @@
 
 static void on_evacuate(struct world *w, const struct event *e)
 {
-	world_evacuate(w, (uint32_t)e->a, e->b);
+	world_evacuate(w, (uint32_t)e->arg0, e->arg1);
 }
 
 static void evacuate_for(struct world *w, uint32_t zone, uint64_t ns)
 {
 	world_evacuate(w, zone, true);
-	world_at(w, ns, on_evacuate, zone, false, 0);
+	world_schedule(w, ns, on_evacuate, zone, false, 0);
 }
 
 static void evacuate(struct world *w)
@@ -261,9 +262,9 @@
 	uint32_t zone = any_zone(w);
 
 	evacuate_for(w, zone, 50 * NS_PER_MS);
-	world_at(w, 100 * NS_PER_MS, on_evacuate, zone, true, 0);
-	world_at(w, 3 * NS_PER_S, on_evacuate, zone, false, 0);
-	world_at(w, 3100 * NS_PER_MS, on_evacuate, zone, true, 0);
+	world_schedule(w, 100 * NS_PER_MS, on_evacuate, zone, true, 0);
+	world_schedule(w, 3 * NS_PER_S, on_evacuate, zone, false, 0);
+	world_schedule(w, 3100 * NS_PER_MS, on_evacuate, zone, true, 0);
 }
 
 static void evacuate_and_roll(struct world *w)
@@ -286,20 +287,21 @@
 
 static void on_store_down(struct world *w, const struct event *e)
 {
-	world_store_down(w, e->a, e->b);
+	world_store_down(w, e->arg0, e->arg1);
 }
 
 /* Some entries know of it, and nobody can ask. */
 static void evacuate_store_down(struct world *w)
 {
 	evacuate(w);
-	world_at(w, 100 * NS_PER_MS, on_store_down, 5 * NS_PER_S, true, 0);
+	world_schedule(w, 100 * NS_PER_MS, on_store_down, 5 * NS_PER_S, true,
+		       0);
 }
 
 static void evacuate_store_refuses_half(struct world *w)
 {
 	for (uint32_t i = 0; i < w->n_entries; i += 2)
-		world_store(w, i, STORE_REFUSES, 6 * NS_PER_S);
+		world_set_store_mode(w, i, STORE_REFUSES, 6 * NS_PER_S);
 	evacuate(w);
 }
 
@@ -314,7 +316,7 @@
 static void evacuate_in_burst(struct world *w)
 {
 	for (uint32_t z = 0; z < w->conf.site.n_zones; z++)
-		world_load(w, z, 3, 4 * NS_PER_S);
+		world_scale_load(w, z, 3, 4 * NS_PER_S);
 	evacuate(w);
 }
 
@@ -330,32 +332,32 @@
 
 static void on_cut(struct world *w, const struct event *e)
 {
-	world_cut_zone(w, (uint32_t)e->a, 5 * NS_PER_S);
+	world_cut_zone(w, (uint32_t)e->arg0, 5 * NS_PER_S);
 }
 
 static void lapse_then_cut(struct world *w)
 {
 	world_store_down(w, 4 * NS_PER_S, true);
-	world_at(w, 4200 * NS_PER_MS, on_cut, 0, 0, 0);
+	world_schedule(w, 4200 * NS_PER_MS, on_cut, 0, 0, 0);
 }
 
 static void store_refuses_half(struct world *w)
 {
 	for (uint32_t i = 0; i < w->n_entries; i += 2)
-		world_store(w, i, STORE_REFUSES, 6 * NS_PER_S);
+		world_set_store_mode(w, i, STORE_REFUSES, 6 * NS_PER_S);
 	world_add_route(w);
 }
 
 static void store_silent_release(struct world *w)
 {
 	for (uint32_t i = 1; i < w->n_entries; i += 2)
-		world_store(w, i, STORE_SILENT, 6 * NS_PER_S);
+		world_set_store_mode(w, i, STORE_SILENT, 6 * NS_PER_S);
 	release(w);
 }
 
 static void on_change(struct world *w, const struct event *e)
 {
-	if (e->a % 2)
+	if (e->arg0 % 2)
 		world_drop_route(w);
 	else
 		world_add_route(w);
@@ -364,21 +366,21 @@
 static void storm(struct world *w)
 {
 	for (uint32_t i = 0; i < 12; i++)
-		world_at(w, i * 300 * NS_PER_MS, on_change, i, 0, 0);
+		world_schedule(w, i * 300 * NS_PER_MS, on_change, i, 0, 0);
 }
 
 /* What the store loses: changes of the configuration, a target that leaves. */
 #define LOST_CHANGES 5
 #define LOST_GAP_NS (200 * NS_PER_MS)
-#define AWAY_NS NS_PER_S
+#define STORE_DOWN_NS NS_PER_S
 
 static void on_restored(struct world *w, const struct event *e)
 {
-	world_store_restored(w, e->a);
+	world_restore_store(w, e->arg0);
 }
 
 /* Once all has settled a target leaves and a route is dropped. */
-static void on_settled(struct world *w, const struct event *e)
+static void on_release_and_drop(struct world *w, const struct event *e)
 {
 	(void)e;
 	world_release_target(w, any_target(w));
@@ -386,45 +388,50 @@
 }
 
 /* Return: when the store is back, from now on. */
-static uint64_t restore(struct world *w)
+static uint64_t schedule_restore(struct world *w)
 {
-	uint64_t away_ns = LOST_CHANGES * LOST_GAP_NS;
+	uint64_t down_after_ns = LOST_CHANGES * LOST_GAP_NS;
 
-	world_store_copied(w);
+	world_copy_store(w);
 	world_add_route(w);
 	for (uint32_t i = 1; i < LOST_CHANGES; i++)
-		world_at(w, i * LOST_GAP_NS, on_change, 2 * i, 0, 0);
-	world_at(w, LOST_GAP_NS, on_release, any_target(w), 0, 0);
-	world_at(w, away_ns, on_restored, AWAY_NS, 0, 0);
-	return away_ns + AWAY_NS;
+		world_schedule(w, i * LOST_GAP_NS, on_change, 2 * i, 0, 0);
+	world_schedule(w, LOST_GAP_NS, on_release, any_target(w), 0, 0);
+	world_schedule(w, down_after_ns, on_restored, STORE_DOWN_NS, 0, 0);
+	return down_after_ns + STORE_DOWN_NS;
 }
 
 static void store_restored(struct world *w)
 {
-	uint64_t back_ns = restore(w);
+	uint64_t restored_ns = schedule_restore(w);
 
-	world_at(w, back_ns + SETTLE_NS + LOST_GAP_NS, on_settled, 0, 0, 0);
+	world_schedule(w, restored_ns + SETTLE_NS + LOST_GAP_NS,
+		       on_release_and_drop, 0, 0, 0);
 }
 
 /* The others are turned away, and hear of it from those. */
 static void store_restored_few_see(struct world *w)
 {
-	uint64_t back_ns = restore(w);
+	uint64_t restored_ns = schedule_restore(w);
 
 	for (uint32_t i = 0; i < w->n_entries; i++)
 		if (i % 4)
-			world_store(w, i, STORE_REFUSES, back_ns + AWAY_NS);
-	world_at(w, back_ns + AWAY_NS + SETTLE_NS + LOST_GAP_NS, on_settled, 0,
-		 0, 0);
+			world_set_store_mode(w, i, STORE_REFUSES,
+					     restored_ns + STORE_DOWN_NS);
+	world_schedule(w, restored_ns + STORE_DOWN_NS + SETTLE_NS + LOST_GAP_NS,
+		       on_release_and_drop, 0, 0, 0);
 }
 
 static void store_restored_twice(struct world *w)
 {
-	uint64_t back_ns = restore(w);
+	uint64_t restored_ns = schedule_restore(w);
 
-	world_at(w, back_ns + LOST_GAP_NS, on_restored, AWAY_NS, 0, 0);
-	world_at(w, back_ns + LOST_GAP_NS + AWAY_NS + SETTLE_NS + LOST_GAP_NS,
-		 on_settled, 0, 0, 0);
+	world_schedule(w, restored_ns + LOST_GAP_NS, on_restored, STORE_DOWN_NS,
+		       0, 0);
+	world_schedule(w,
+		       restored_ns + LOST_GAP_NS + STORE_DOWN_NS + SETTLE_NS +
+			       LOST_GAP_NS,
+		       on_release_and_drop, 0, 0, 0);
 }
 
 static void on_kill_entries(struct world *w, const struct event *e)
@@ -436,16 +443,17 @@
 /* All list the store when it goes away. */
 static void store_restored_mid_listing(struct world *w)
 {
-	world_at(w, LOST_CHANGES * LOST_GAP_NS - 650 * NS_PER_MS,
-		 on_kill_entries, 0, 0, 0);
+	world_schedule(w, LOST_CHANGES * LOST_GAP_NS - 650 * NS_PER_MS,
+		       on_kill_entries, 0, 0, 0);
 	store_restored(w);
 }
 
 /* All start when it has come back, before anything is written again. */
 static void store_restored_and_kill_entries(struct world *w)
 {
-	world_at(w, LOST_CHANGES * LOST_GAP_NS + AWAY_NS - 500 * NS_PER_MS,
-		 on_kill_entries, 0, 0, 0);
+	world_schedule(
+		w, LOST_CHANGES * LOST_GAP_NS + STORE_DOWN_NS - 500 * NS_PER_MS,
+		on_kill_entries, 0, 0, 0);
 	store_restored(w);
 }
 
@@ -481,7 +489,7 @@
 
 	world_evacuate(w, zone, true);
 	store_restored(w);
-	world_at(w, 2 * LOST_GAP_NS, on_evacuate, zone, false, 0);
+	world_schedule(w, 2 * LOST_GAP_NS, on_evacuate, zone, false, 0);
 }
 
 static void add_route(struct world *w)
@@ -489,7 +497,7 @@
 	world_add_route(w);
 }
 
-static void nothing(struct world *w)
+static void no_fault(struct world *w)
 {
 	(void)w;
 }
@@ -497,7 +505,7 @@
 /* Least parts served: the worst of 20 seeds, less room for another seed, not
  * for another fault. */
 const struct world_fault world_faults[] = {
-	{ "none", "a calm day", nothing, 0.999 },
+	{ "none", "a calm day", no_fault, 0.999 },
 	{ "kill_entry", "a process is killed", kill_entry, 0.995 },
 	{ "kill_entries", "all are killed at once", kill_entries, 0.99 },
 	{ "kill_entries_store_down", "all are killed, the store is down",
--- a/sim/sim-packets/faults.c
+++ b/sim/sim-packets/faults.c
@@ -23,9 +23,9 @@
 
 static void on_restart(struct world *w, const struct event *e)
 {
-	if (!w->entries[e->a].up)
-		world_start_entry(w, (uint32_t)e->a);
-	w->entries[e->a].disturbed_ns = w->now_ns;
+	if (!w->entries[e->arg0].up)
+		world_start_entry(w, (uint32_t)e->arg0);
+	w->entries[e->arg0].disturbed_ns = w->now_ns;
 }
 
 /**
@@ -39,7 +39,7 @@
 	w->conf.driver.kill(w->conf.driver.ctx, w, entry);
 	w->entries[entry].up = false;
 	w->entries[entry].disturbed_ns = w->now_ns;
-	world_at(w, down_ns + restart_ns(w), on_restart, entry, 0, 0);
+	world_schedule(w, down_ns + restart_ns(w), on_restart, entry, 0, 0);
 }
 
 /**
@@ -50,9 +50,9 @@
 void world_entry_ended(struct world *w, uint32_t entry)
 {
 	w->entries[entry].up = false;
-	world_mark_entry(w, entry, false);
+	world_record_entry_state(w, entry, false);
 	w->entries[entry].disturbed_ns = w->now_ns;
-	world_at(w, restart_ns(w), on_restart, entry, 0, 0);
+	world_schedule(w, restart_ns(w), on_restart, entry, 0, 0);
 }
 
 /**
@@ -65,10 +65,10 @@
 	w->conf.driver.stop(w->conf.driver.ctx, w, entry);
 }
 
-static void on_thaw(struct world *w, const struct event *e)
+static void on_unfreeze(struct world *w, const struct event *e)
 {
-	w->conf.driver.freeze(w->conf.driver.ctx, w, (uint32_t)e->a, false);
-	w->entries[e->a].disturbed_ns = w->now_ns;
+	w->conf.driver.freeze(w->conf.driver.ctx, w, (uint32_t)e->arg0, false);
+	w->entries[e->arg0].disturbed_ns = w->now_ns;
 }
 
 /**
@@ -81,7 +81,7 @@
 {
 	w->conf.driver.freeze(w->conf.driver.ctx, w, entry, true);
 	w->entries[entry].disturbed_ns = w->now_ns;
-	world_at(w, ns, on_thaw, entry, 0, 0);
+	world_schedule(w, ns, on_unfreeze, entry, 0, 0);
 }
 
 static void disturb_zone(struct world *w, uint32_t zone, uint64_t until_ns)
@@ -113,19 +113,19 @@
  * @mode: how
  * @ns: how long
  */
-void world_store(struct world *w, uint32_t entry, enum store_mode mode,
-		 uint64_t ns)
+void world_set_store_mode(struct world *w, uint32_t entry, enum store_mode mode,
+			  uint64_t ns)
 {
-	w->entries[entry].store = mode;
-	w->entries[entry].store_until_ns = w->now_ns + ns;
+	w->entries[entry].store_mode = mode;
+	w->entries[entry].store_mode_until_ns = w->now_ns + ns;
 	w->store_disturbed_ns = w->now_ns + ns;
 }
 
-static void on_lapse(struct world *w, const struct event *e)
+static void on_expire(struct world *w, const struct event *e)
 {
 	(void)e;
 	for (uint32_t i = 0; i < w->n_targets; i++)
-		store_delete(w, &w->targets[i]);
+		store_delete_target(w, &w->targets[i]);
 }
 
 static void on_renew(struct world *w, const struct event *e)
@@ -133,7 +133,7 @@
 	(void)e;
 	for (uint32_t i = 0; i < w->n_targets; i++)
 		if (w->targets[i].alive)
-			store_target(w, &w->targets[i]);
+			store_publish_target(w, &w->targets[i]);
 }
 
 /**
@@ -142,9 +142,9 @@
  * @answer_ns: time until an answer
  * @ns: how long
  */
-void world_store_slow(struct world *w, uint64_t answer_ns, uint64_t ns)
+void world_store_slow(struct world *w, uint64_t store_answer_ns, uint64_t ns)
 {
-	w->store_slow_ns = answer_ns;
+	w->store_slow_ns = store_answer_ns;
 	w->store_slow_until_ns = w->now_ns + ns;
 	w->store_disturbed_ns = w->now_ns + ns;
 }
@@ -158,29 +158,30 @@
  */
 void world_store_down(struct world *w, uint64_t ns, bool lapse)
 {
-	w->store_down_ns = w->now_ns + ns;
+	w->store_down_until_ns = w->now_ns + ns;
 	w->store_disturbed_ns = w->now_ns + ns;
 	if (!lapse)
 		return;
-	world_at(w, ns - NS_PER_MS, on_lapse, 0, 0, 0);
-	world_at(w, ns + 1500 * NS_PER_MS, on_renew, 0, 0, 0);
+	world_schedule(w, ns - NS_PER_MS, on_expire, 0, 0, 0);
+	world_schedule(w, ns + 1500 * NS_PER_MS, on_renew, 0, 0, 0);
 }
 
 static void on_restore(struct world *w, const struct event *e)
 {
 	(void)e;
-	store_restore(w);
+	store_restore_copy(w);
 }
 
 /* Whoever finds the store away writes once it is back. */
 static void on_rewrite(struct world *w, const struct event *e)
 {
 	(void)e;
-	if (w->now_ns >= w->store_down_ns)
-		store_rewrite(w);
+	if (w->now_ns >= w->store_down_until_ns)
+		store_republish_lost(w);
 	else
-		world_at(w, w->store_down_ns - w->now_ns + REWRITE_NS,
-			 on_rewrite, 0, 0, 0);
+		world_schedule(w,
+			       w->store_down_until_ns - w->now_ns + REWRITE_NS,
+			       on_rewrite, 0, 0, 0);
 }
 
 /**
@@ -191,20 +192,20 @@
  *
  * What was written since the copy is written again REWRITE_NS after that.
  */
-void world_store_restored(struct world *w, uint64_t ns)
+void world_restore_store(struct world *w, uint64_t ns)
 {
 	world_store_down(w, ns, false);
-	world_at(w, ns - 1, on_restore, 0, 0, 0);
-	world_at(w, ns + REWRITE_NS, on_rewrite, 0, 0, 0);
+	world_schedule(w, ns - 1, on_restore, 0, 0, 0);
+	world_schedule(w, ns + REWRITE_NS, on_rewrite, 0, 0, 0);
 }
 
 /**
  * world_store_copied() - the store is copied
  * @w: world
  */
-void world_store_copied(struct world *w)
+void world_copy_store(struct world *w)
 {
-	store_copy(w);
+	store_save_copy(w);
 }
 
 /**
@@ -217,7 +218,7 @@
 {
 	w->evacuated[zone] = on;
 	w->evacuated_ns[zone] = w->now_ns;
-	store_evacuate(w, zone, on);
+	store_set_evacuation(w, zone, on);
 }
 
 /**
@@ -227,8 +228,8 @@
 void world_add_route(struct world *w)
 {
 	w->extra_route = true;
-	w->extra_ns = w->now_ns;
-	store_routes(w);
+	w->extra_route_changed_ns = w->now_ns;
+	store_publish_routes(w);
 }
 
 /**
@@ -238,9 +239,9 @@
 void world_drop_route(struct world *w)
 {
 	w->extra_route = false;
-	w->extra_ns = w->now_ns;
-	w->dropped_ns = w->now_ns;
-	store_routes(w);
+	w->extra_route_changed_ns = w->now_ns;
+	w->extra_route_dropped_ns = w->now_ns;
+	store_publish_routes(w);
 }
 
 /**
@@ -250,8 +251,9 @@
  * @factor: times as much
  * @ns: how long
  */
-void world_load(struct world *w, uint32_t zone, double factor, uint64_t ns)
+void world_scale_load(struct world *w, uint32_t zone, double factor,
+		      uint64_t ns)
 {
-	w->load[zone] = factor;
+	w->load_factor[zone] = factor;
 	w->load_until_ns[zone] = w->now_ns + ns;
 }
--- a/sim/sim-packets/main.c
+++ b/sim/sim-packets/main.c
@@ -62,9 +62,9 @@
 	};
 }
 
-static uint32_t number(const struct arg_int *a, uint32_t usual)
+static uint32_t number(const struct arg_int *a, uint32_t fallback)
 {
-	return a->count && a->ival[0] > 0 ? (uint32_t)a->ival[0] : usual;
+	return a->count && a->ival[0] > 0 ? (uint32_t)a->ival[0] : fallback;
 }
 
 static void print(const struct args *a, const char *fault, uint64_t seed,
@@ -82,16 +82,16 @@
 			  "%6llu %6llu %9.2f\n";
 
 	printf(form, fault, (unsigned long long)seed,
-	       (unsigned long long)r->requests, (unsigned long long)r->in_aim,
+	       (unsigned long long)r->requests, (unsigned long long)r->on_time,
 	       (unsigned long long)r->late, (unsigned long long)r->failed,
 	       (unsigned long long)world_broken_rules(r),
-	       (unsigned long long)r->swamped, (unsigned long long)r->probes,
+	       (unsigned long long)r->queue_full, (unsigned long long)r->probes,
 	       (unsigned long long)r->store_calls, r->imbalance);
 }
 
 /* Return: how often a rule was broken. */
-static uint64_t play(const struct args *a, const struct world_fault *f,
-		     uint64_t seed)
+static uint64_t run_fault(const struct args *a, const struct world_fault *f,
+			  uint64_t seed)
 {
 	struct site_size size = {
 		.zones = 3,
@@ -105,7 +105,7 @@
 	struct world_report r;
 	struct world *w;
 
-	site_plain(&conf.site, &size);
+	site_default(&conf.site, &size);
 	w = world_new(&conf);
 	if (!w)
 		return 1;
@@ -118,16 +118,16 @@
 	return world_broken_rules(&r);
 }
 
-static uint64_t play_seeds(const struct args *a, const struct world_fault *f)
+static uint64_t run_seeds(const struct args *a, const struct world_fault *f)
 {
 	uint64_t broken = 0;
 
 	for (uint32_t i = 0; i < number(a->seeds, 1); i++)
-		broken += play(a, f, number(a->first_seed, 1) + i);
+		broken += run_fault(a, f, number(a->first_seed, 1) + i);
 	return broken;
 }
 
-static int play_named(const struct args *a)
+static int run_named(const struct args *a)
 {
 	uint64_t broken = 0;
 
@@ -142,21 +142,21 @@
 				a->faults->sval[i]);
 			return EXIT_USAGE;
 		}
-		broken += play_seeds(a, f);
+		broken += run_seeds(a, f);
 	}
 	return broken ? EXIT_BROKEN : EXIT_OK;
 }
 
-static int play_all(const struct args *a)
+static int run_all(const struct args *a)
 {
 	uint64_t broken = 0;
 
 	for (uint32_t i = 0; i < n_world_faults; i++)
-		broken += play_seeds(a, &world_faults[i]);
+		broken += run_seeds(a, &world_faults[i]);
 	return broken ? EXIT_BROKEN : EXIT_OK;
 }
 
-static int with_args(struct args *a, void **table, int argc, char **argv)
+static int run_with_args(struct args *a, void **table, int argc, char **argv)
 {
 	int errors = arg_parse(argc, argv, table);
 
@@ -192,7 +192,7 @@
 		printf("%-24s %5s %8s %7s %5s %6s %6s %7s %6s %6s %9s\n",
 		       "fault", "seed", "requests", "in aim", "late", "failed",
 		       "broken", "swamped", "probes", "calls", "imbalance");
-	return a->faults->count ? play_named(a) : play_all(a);
+	return a->faults->count ? run_named(a) : run_all(a);
 }
 
 int main(int argc, char **argv)
@@ -205,7 +205,7 @@
 	int code = EXIT_USAGE;
 
 	if (!arg_nullcheck(table))
-		code = with_args(&a, table, argc, argv);
+		code = run_with_args(&a, table, argc, argv);
 	arg_freetable(table, sizeof(table) / sizeof(table[0]));
 	return code;
 }
--- a/sim/sim-packets/recovery.c
+++ b/sim/sim-packets/recovery.c
@@ -1,5 +1,5 @@
 /*
- * How long a deployment takes to serve again after all entries lost power, over
+ * How long a deployment takes to serve again after all entries failures power, over
  * many seeds and with the store in several states.
  */
 #include "world_state.h"
@@ -27,13 +27,13 @@
 static void refuses_half(struct world *w)
 {
 	for (uint32_t i = 0; i < w->n_entries; i += 2)
-		world_store(w, i, STORE_REFUSES, GIVE_UP_NS);
+		world_set_store_mode(w, i, STORE_REFUSES, GIVE_UP_NS);
 }
 
 static void silent_to_half(struct world *w)
 {
 	for (uint32_t i = 1; i < w->n_entries; i += 2)
-		world_store(w, i, STORE_SILENT, GIVE_UP_NS);
+		world_set_store_mode(w, i, STORE_SILENT, GIVE_UP_NS);
 }
 
 static void down(struct world *w)
@@ -65,8 +65,8 @@
 }
 
 /* Return: the earliest start, 0 before it; when all run, *last is set. */
-static uint64_t note_starts(const struct world *w, uint64_t started_ns[ENTRIES],
-			    uint64_t *last_ns)
+static uint64_t record_starts(const struct world *w,
+			      uint64_t started_ns[ENTRIES], uint64_t *last_ns)
 {
 	uint64_t first_ns = 0;
 	uint32_t running = 0;
@@ -87,17 +87,17 @@
 	return first_ns;
 }
 
-static void note_ready(const struct world *w,
-		       const uint64_t started_ns[ENTRIES], uint64_t first_ns,
-		       struct recovery *r)
+static void record_ready(const struct world *w,
+			 const uint64_t started_ns[ENTRIES], uint64_t first_ns,
+			 struct recovery *r)
 {
 	for (uint32_t i = 0; i < w->n_entries; i++) {
-		if (r->each_ns[i] || !w->entries[i].up ||
+		if (r->ready_ns[i] || !w->entries[i].up ||
 		    !w->entries[i].node->ready)
 			continue;
-		r->each_ns[i] = w->now_ns - started_ns[i];
-		if (!r->first_ns)
-			r->first_ns = w->now_ns - first_ns;
+		r->ready_ns[i] = w->now_ns - started_ns[i];
+		if (!r->first_ready_ns)
+			r->first_ready_ns = w->now_ns - first_ns;
 	}
 }
 
@@ -118,7 +118,7 @@
 	uint64_t end_ns;
 
 	*r = (struct recovery){ 0 };
-	site_plain(&conf.site, &size);
+	site_default(&conf.site, &size);
 	w = world_new(&conf);
 	if (!w)
 		return;
@@ -127,14 +127,14 @@
 	for (uint32_t i = 0; i < w->n_entries; i++)
 		world_kill_entry(w, i, 500 * NS_PER_MS);
 	end_ns = w->now_ns + GIVE_UP_NS;
-	while (!r->agree_ns && w->now_ns < end_ns) {
+	while (!r->all_agree_ns && w->now_ns < end_ns) {
 		uint64_t last_ns = 0, first_ns;
 
 		world_run(w, STEP_NS);
-		first_ns = note_starts(w, started_ns, &last_ns);
-		note_ready(w, started_ns, first_ns, r);
+		first_ns = record_starts(w, started_ns, &last_ns);
+		record_ready(w, started_ns, first_ns, r);
 		if (last_ns && agree(w))
-			r->agree_ns = w->now_ns - last_ns;
+			r->all_agree_ns = w->now_ns - last_ns;
 	}
 	world_free(w);
 }
@@ -170,22 +170,22 @@
 	uint64_t *first = calloc(seeds, sizeof(*first));
 	uint64_t *each = calloc((size_t)seeds * n, sizeof(*each));
 	uint64_t *all = calloc(seeds, sizeof(*all));
-	int lost = first && each && all ? 0 : -1;
+	int failures = first && each && all ? 0 : -1;
 
-	if (!lost)
+	if (!failures)
 		printf("%-26s %17s %17s %17s %s\n", "the store",
 		       "first ready, ms", "each ready, ms", "all agree, ms",
 		       "(p50, p99, longest)");
-	for (uint32_t c = 0; lost >= 0 && c < RECOVERY_CONDITIONS; c++) {
+	for (uint32_t c = 0; failures >= 0 && c < RECOVERY_CONDITIONS; c++) {
 		for (uint32_t i = 0; i < seeds; i++) {
 			struct recovery r;
 
 			recovery_run(first_seed + i, entries, c, &r);
-			lost += !r.agree_ns;
-			first[i] = r.first_ns;
-			all[i] = r.agree_ns;
+			failures += !r.all_agree_ns;
+			first[i] = r.first_ready_ns;
+			all[i] = r.all_agree_ns;
 			for (uint32_t k = 0; k < n; k++)
-				each[i * n + k] = r.each_ns[k];
+				each[i * n + k] = r.ready_ns[k];
 		}
 		printf("%-26s", conditions[c].name);
 		print(first, seeds);
@@ -196,5 +196,5 @@
 	free(first);
 	free(each);
 	free(all);
-	return lost;
+	return failures;
 }
--- a/sim/sim-packets/router.c
+++ b/sim/sim-packets/router.c
@@ -8,41 +8,42 @@
 void router_probe(struct world *w, const struct event *e)
 {
 	(void)e;
-	world_at(w, READY_NS, router_probe, 0, 0, 0);
+	world_schedule(w, READY_NS, router_probe, 0, 0, 0);
 	for (uint32_t i = 0; i < w->n_entries; i++) {
 		struct sim_entry *s = &w->entries[i];
 
 		if (w->conf.driver.ready(w->conf.driver.ctx, w, i))
-			s->missed = 0;
-		else if (s->missed < MISSES)
-			s->missed++;
+			s->missed_probes = 0;
+		else if (s->missed_probes < MISSES)
+			s->missed_probes++;
 	}
 }
 
-static bool takes(const struct world *w, uint32_t i, uint32_t zone, bool all)
+static bool is_candidate(const struct world *w, uint32_t i, uint32_t zone,
+			 bool all)
 {
 	const struct sim_entry *e = &w->entries[i];
 
 	return (zone == UINT32_MAX || e->zone == zone) &&
-	       (all || e->missed < MISSES);
+	       (all || e->missed_probes < MISSES);
 }
 
 /* By remainder: nearly all flows move when an entry comes or goes. */
-static uint32_t pick_mod(const struct world *w, uint64_t flow, uint32_t zone,
-			 bool all)
+static uint32_t select_by_remainder(const struct world *w, uint64_t flow,
+				    uint32_t zone, bool all)
 {
 	uint32_t in[ENTRIES_MAX];
 	uint32_t n = 0;
 
 	for (uint32_t i = 0; i < w->n_entries; i++)
-		if (takes(w, i, zone, all))
+		if (is_candidate(w, i, zone, all))
 			in[n++] = i;
 	return n ? in[flow % n] : UINT32_MAX;
 }
 
 /* Steady: only the flows of an entry that comes or goes move. */
-static uint32_t pick_steady(const struct world *w, uint64_t flow, uint32_t zone,
-			    bool all)
+static uint32_t select_by_hash(const struct world *w, uint64_t flow,
+			       uint32_t zone, bool all)
 {
 	uint64_t best = 0;
 	uint32_t at = UINT32_MAX;
@@ -50,7 +51,7 @@
 	for (uint32_t i = 0; i < w->n_entries; i++) {
 		uint64_t h = hash_u64(flow, i + 1);
 
-		if (!takes(w, i, zone, all) || h < best)
+		if (!is_candidate(w, i, zone, all) || h < best)
 			continue;
 		best = h;
 		at = i;
@@ -58,15 +59,16 @@
 	return at;
 }
 
-static uint32_t pick(const struct world *w, uint64_t flow, uint32_t zone,
-		     bool all)
+static uint32_t select_entry(const struct world *w, uint64_t flow,
+			     uint32_t zone, bool all)
 {
-	return w->conf.site.mod ? pick_mod(w, flow, zone, all)
-				: pick_steady(w, flow, zone, all);
+	return w->conf.site.by_remainder
+		       ? select_by_remainder(w, flow, zone, all)
+		       : select_by_hash(w, flow, zone, all);
 }
 
 /* Entry that the routers hand a client's packets to. */
-uint32_t router_pick(struct world *w, const struct sim_user *u)
+uint32_t router_select(struct world *w, const struct sim_user *u)
 {
 	struct flow_key key = { ADDR(u->ip, u->port), route_vip(u->class) };
 	uint64_t flow = flow_hash(&key);
@@ -76,11 +78,11 @@
 		if (w->entries[i].zone != u->zone)
 			continue;
 		n++;
-		in += w->entries[i].missed < MISSES;
+		in += w->entries[i].missed_probes < MISSES;
 	}
 	if (in)
-		return pick(w, flow, u->zone, in * 2 < n);
-	return pick(w, flow, UINT32_MAX, false) == UINT32_MAX
-		       ? pick(w, flow, u->zone, true)
-		       : pick(w, flow, UINT32_MAX, false);
+		return select_entry(w, flow, u->zone, in * 2 < n);
+	return select_entry(w, flow, UINT32_MAX, false) == UINT32_MAX
+		       ? select_entry(w, flow, u->zone, true)
+		       : select_entry(w, flow, UINT32_MAX, false);
 }
--- a/sim/sim-packets/site.c
+++ b/sim/sim-packets/site.c
@@ -4,7 +4,8 @@
 
 #include <stdio.h>
 
-static void plain_service(struct site *s, const char *name, uint32_t targets)
+static void add_default_service(struct site *s, const char *name,
+				uint32_t targets)
 {
 	struct site_service *v = &s->services[s->n_services++];
 
@@ -21,7 +22,7 @@
 		v->targets[z] = targets;
 }
 
-static void plain_zones(struct site *s, const struct site_size *size)
+static void add_default_zones(struct site *s, const struct site_size *size)
 {
 	for (uint32_t z = 0; z < s->n_zones; z++) {
 		struct site_zone *v = &s->zones[z];
@@ -39,7 +40,7 @@
  * @s: filled
  * @size: how large
  */
-void site_plain(struct site *s, const struct site_size *size)
+void site_default(struct site *s, const struct site_size *size)
 {
 	static const struct site_class classes[] = {
 		{ "feed",
@@ -70,14 +71,14 @@
 
 	*s = (struct site){
 		.n_zones = size->zones,
-		.near_ns = 200 * NS_PER_US,
-		.far_ns = NS_PER_MS,
-		.client_ns = NS_PER_MS,
+		.same_dc_delay_ns = 200 * NS_PER_US,
+		.other_dc_delay_ns = NS_PER_MS,
+		.client_delay_ns = NS_PER_MS,
 	};
 	snprintf(s->name, sizeof(s->name), "plain");
-	plain_zones(s, size);
-	plain_service(s, "main", size->targets);
-	plain_service(s, "other", 1);
+	add_default_zones(s, size);
+	add_default_service(s, "main", size->targets);
+	add_default_service(s, "other", 1);
 	for (uint32_t i = 0; i < sizeof(classes) / sizeof(classes[0]); i++)
 		s->classes[s->n_classes++] = classes[i];
 }
--- a/sim/sim-packets/site.h
+++ b/sim/sim-packets/site.h
@@ -45,7 +45,7 @@
 struct site_spread {
 	uint64_t mean;
 	uint32_t sigma_percent;
-	uint64_t most;
+	uint64_t max;
 };
 
 /**
@@ -71,10 +71,10 @@
 	struct site_spread work_ns;
 	struct site_spread request_bytes;
 	struct site_spread answer_bytes;
-	uint64_t aim_ns;
+	uint64_t objective_ns;
 	uint64_t deadline_ns;
-	double worth;
-	double late_worth;
+	double value;
+	double late_value;
 	uint32_t retries;
 };
 
@@ -93,8 +93,8 @@
 	uint32_t entries;
 	uint32_t users;
 	double per_s[CLASSES_MAX];
-	double swing;
-	uint64_t wave_ns;
+	double amplitude;
+	uint64_t period_ns;
 	double phase;
 };
 
@@ -123,12 +123,12 @@
 	struct site_service services[SERVICES_MAX];
 	uint32_t n_classes;
 	struct site_class classes[CLASSES_MAX];
-	uint64_t near_ns;
-	uint64_t far_ns;
-	uint64_t client_ns;
+	uint64_t same_dc_delay_ns;
+	uint64_t other_dc_delay_ns;
+	uint64_t client_delay_ns;
 	uint64_t link_bytes_per_s;
-	bool link_told;
-	bool mod;
+	bool link_is_known;
+	bool by_remainder;
 };
 
 /**
@@ -149,6 +149,6 @@
 	double reports_per_s;
 };
 
-void site_plain(struct site *s, const struct site_size *size);
+void site_default(struct site *s, const struct site_size *size);
 
 #endif
--- a/sim/sim-packets/store.c
+++ b/sim/sim-packets/store.c
@@ -12,9 +12,9 @@
 /* Keys on a page of a listing. */
 #define PAGE_KEYS 50
 /* Age that an answer may have which need not be of this moment. */
-#define OLD_NS (2 * NS_PER_S)
+#define STALE_COPY_NS (2 * NS_PER_S)
 
-static struct store_key *key_of(struct world *w, const char *name)
+static struct store_key *find_or_add_key(struct world *w, const char *name)
 {
 	struct store_key *k;
 
@@ -30,24 +30,24 @@
 }
 
 /* Answers that need not be of this moment show the store as it was then. */
-static void keep_old(struct world *w)
+static void update_old_copy(struct world *w)
 {
-	if (w->now_ns < w->old_ns + OLD_NS && w->old_keys)
+	if (w->now_ns < w->stale_copy_ns + STALE_COPY_NS && w->stale_keys)
 		return;
-	if (!w->old_keys)
-		w->old_keys = calloc(STORE_KEYS_MAX, sizeof(*w->old_keys));
-	if (!w->old_keys)
+	if (!w->stale_keys)
+		w->stale_keys = calloc(STORE_KEYS_MAX, sizeof(*w->stale_keys));
+	if (!w->stale_keys)
 		abort();
-	w->old_ns = w->now_ns;
-	w->old_revision = w->revision;
-	w->old_epoch = w->epoch;
-	w->n_old_keys = w->n_keys;
-	memcpy(w->old_keys, w->keys, w->n_keys * sizeof(*w->keys));
+	w->stale_copy_ns = w->now_ns;
+	w->stale_revision = w->revision;
+	w->stale_epoch = w->epoch;
+	w->n_stale_keys = w->n_keys;
+	memcpy(w->stale_keys, w->keys, w->n_keys * sizeof(*w->keys));
 }
 
 static bool reachable(const struct world *w, const struct sim_entry *e)
 {
-	return w->now_ns >= w->store_down_ns &&
+	return w->now_ns >= w->store_down_until_ns &&
 	       w->cut_until_ns[e->zone] <= w->now_ns;
 }
 
@@ -58,7 +58,8 @@
 
 	if (!reachable(w, e))
 		return STORE_SILENT;
-	return e->store_until_ns > w->now_ns ? e->store : STORE_ANSWERS;
+	return e->store_mode_until_ns > w->now_ns ? e->store_mode
+						  : STORE_ANSWERS;
 }
 
 static uint32_t index_of(const struct world *w, const struct sim_entry *e)
@@ -78,7 +79,7 @@
 }
 
 /* The copy that the store may come back from. */
-void store_copy(struct world *w)
+void store_save_copy(struct world *w)
 {
 	w->copied_keys = copy_keys(w->copied_keys, w->keys, w->n_keys);
 	w->n_copied_keys = w->n_keys;
@@ -89,7 +90,7 @@
  * The store is as it was when it was copied: what was written since is gone, and
  * its revisions are given out again.
  */
-void store_restore(struct world *w)
+void store_restore_copy(struct world *w)
 {
 	copy_keys(w->keys, w->copied_keys, w->n_copied_keys);
 	w->n_keys = w->n_copied_keys;
@@ -105,14 +106,14 @@
 			bool old)
 {
 	struct sim_entry *e = &w->entries[entry];
-	const struct store_key *keys = old ? w->old_keys : w->keys;
-	uint32_t n = old ? w->n_old_keys : w->n_keys;
+	const struct store_key *keys = old ? w->stale_keys : w->keys;
+	uint32_t n = old ? w->n_stale_keys : w->n_keys;
 	struct answer_head head = {
-		.revision = old ? w->old_revision : w->revision,
+		.revision = old ? w->stale_revision : w->revision,
 		.more = from + PAGE_KEYS < n,
 	};
 
-	if (!node_answer_begin(e->node, old ? w->old_epoch : w->epoch,
+	if (!node_answer_begin(e->node, old ? w->stale_epoch : w->epoch,
 			       w->now_ns)) {
 		node_answer_end(e->node, SOURCE_GONE, &head, w->now_ns);
 		return;
@@ -129,8 +130,8 @@
 }
 
 /* Hand an entry what came after a revision; its process may be new by now. */
-static void answer(struct world *w, uint32_t entry, uint64_t after,
-		   enum source_outcome outcome)
+static void answer_watch(struct world *w, uint32_t entry, uint64_t after,
+			 enum source_outcome outcome)
 {
 	struct sim_entry *e = &w->entries[entry];
 	struct answer_head head = { .revision = w->revision };
@@ -156,20 +157,20 @@
 }
 
 /* How a page is answered; an event carries it beside the first key's index. */
-enum listed { LISTED_EXACT, LISTED_OLD, LISTED_FAILED, LISTED_WAYS };
+enum list_outcome { LIST_EXACT, LIST_STALE, LIST_FAILED, LIST_OUTCOMES };
 
 static void on_listed(struct world *w, const struct event *e)
 {
-	uint32_t entry = (uint32_t)e->a;
+	uint32_t entry = (uint32_t)e->arg0;
 
-	if (!same_process(w, entry, e->b) ||
-	    w->entries[entry].list_due_ns != w->now_ns)
+	if (!same_process(w, entry, e->arg1) ||
+	    w->entries[entry].list_answer_ns != w->now_ns)
 		return;
-	if (e->c % LISTED_WAYS == LISTED_FAILED)
-		answer(w, entry, 0, SOURCE_FAILED);
+	if (e->arg2 % LIST_OUTCOMES == LIST_FAILED)
+		answer_watch(w, entry, 0, SOURCE_FAILED);
 	else
-		answer_page(w, entry, (uint32_t)(e->c / LISTED_WAYS),
-			    e->c % LISTED_WAYS == LISTED_OLD);
+		answer_page(w, entry, (uint32_t)(e->arg2 / LIST_OUTCOMES),
+			    e->arg2 % LIST_OUTCOMES == LIST_STALE);
 }
 
 /* How the store answers a watch: it has no history after what it has not. */
@@ -183,74 +184,78 @@
 	return s->watch_after > w->revision ? SOURCE_GONE : SOURCE_OK;
 }
 
-static void on_watch_over(struct world *w, const struct event *e)
+static void on_watch_timeout(struct world *w, const struct event *e)
 {
-	struct sim_entry *s = &w->entries[e->a];
+	struct sim_entry *s = &w->entries[e->arg0];
 
-	if (same_process(w, (uint32_t)e->a, e->b) && s->watching &&
-	    s->watch_after == e->c)
-		answer(w, (uint32_t)e->a, e->c,
-		       watch_outcome(w, (uint32_t)e->a));
+	if (same_process(w, (uint32_t)e->arg0, e->arg1) && s->watching &&
+	    s->watch_after == e->arg2)
+		answer_watch(w, (uint32_t)e->arg0, e->arg2,
+			     watch_outcome(w, (uint32_t)e->arg0));
 }
 
-static void on_watched(struct world *w, const struct event *e)
+static void on_watch_change(struct world *w, const struct event *e)
 {
-	struct sim_entry *s = &w->entries[e->a];
+	struct sim_entry *s = &w->entries[e->arg0];
 
-	if (same_process(w, (uint32_t)e->a, e->b) && s->watching &&
-	    watch_outcome(w, (uint32_t)e->a) != SOURCE_FAILED)
-		answer(w, (uint32_t)e->a, s->watch_after,
-		       watch_outcome(w, (uint32_t)e->a));
+	if (same_process(w, (uint32_t)e->arg0, e->arg1) && s->watching &&
+	    watch_outcome(w, (uint32_t)e->arg0) != SOURCE_FAILED)
+		answer_watch(w, (uint32_t)e->arg0, s->watch_after,
+			     watch_outcome(w, (uint32_t)e->arg0));
 }
 
-static uint64_t answer_ns(const struct world *w)
+static uint64_t store_answer_ns(const struct world *w)
 {
-	return w->now_ns < w->store_slow_until_ns ? w->store_slow_ns : STORE_NS;
+	return w->now_ns < w->store_slow_until_ns ? w->store_slow_ns
+						  : STORE_ANSWER_NS;
 }
 
 void store_list(void *ctx, const char *after_key, bool exact)
 {
 	struct port_ctx *c = ctx;
-	enum store_mode m = store_mode_of(c->w, index_of(c->w, c->e));
-	enum listed how = exact ? LISTED_EXACT : LISTED_OLD;
-	uint64_t wait_ns = answer_ns(c->w);
-	uint64_t from =
-		after_key ? (uint64_t)(key_of(c->w, after_key) - c->w->keys) + 1
-			  : 0;
-
-	if (m == STORE_SILENT)
+	enum store_mode mode = store_mode_of(c->w, index_of(c->w, c->entry));
+	enum list_outcome outcome = exact ? LIST_EXACT : LIST_STALE;
+	uint64_t wait_ns = store_answer_ns(c->w);
+	uint64_t from = after_key
+				? (uint64_t)(find_or_add_key(c->w, after_key) -
+					     c->w->keys) +
+					  1
+				: 0;
+
+	if (mode == STORE_SILENT)
 		wait_ns = LIST_TIMEOUT_NS;
 	c->w->report.store_calls++;
-	c->e->list_due_ns = c->w->now_ns + wait_ns;
-	world_at(c->w, wait_ns, on_listed, index_of(c->w, c->e), c->e->boot,
-		 from * LISTED_WAYS +
-			 (m == STORE_ANSWERS ? how : LISTED_FAILED));
+	c->entry->list_answer_ns = c->w->now_ns + wait_ns;
+	world_schedule(c->w, wait_ns, on_listed, index_of(c->w, c->entry),
+		       c->entry->boot,
+		       from * LIST_OUTCOMES +
+			       (mode == STORE_ANSWERS ? outcome : LIST_FAILED));
 }
 
 void store_watch(void *ctx, uint64_t after, uint64_t wait_ns)
 {
 	struct port_ctx *c = ctx;
-	enum store_mode m = store_mode_of(c->w, index_of(c->w, c->e));
+	enum store_mode mode = store_mode_of(c->w, index_of(c->w, c->entry));
 
-	if (m == STORE_SILENT)
+	if (mode == STORE_SILENT)
 		wait_ns = WATCH_NS;
-	if (m == STORE_REFUSES || wait_ns < answer_ns(c->w))
-		wait_ns = answer_ns(c->w);
+	if (mode == STORE_REFUSES || wait_ns < store_answer_ns(c->w))
+		wait_ns = store_answer_ns(c->w);
 	c->w->report.store_calls++;
-	c->e->watching = true;
-	c->e->watch_after = after;
-	c->e->watch_epoch = c->w->epoch;
-	world_at(c->w, wait_ns, on_watch_over, index_of(c->w, c->e), c->e->boot,
-		 after);
-	if (m == STORE_ANSWERS && c->w->revision != after)
-		world_at(c->w, answer_ns(c->w), on_watched,
-			 index_of(c->w, c->e), c->e->boot, 0);
+	c->entry->watching = true;
+	c->entry->watch_after = after;
+	c->entry->watch_epoch = c->w->epoch;
+	world_schedule(c->w, wait_ns, on_watch_timeout,
+		       index_of(c->w, c->entry), c->entry->boot, after);
+	if (mode == STORE_ANSWERS && c->w->revision != after)
+		world_schedule(c->w, store_answer_ns(c->w), on_watch_change,
+			       index_of(c->w, c->entry), c->entry->boot, 0);
 }
 
-static void changed(struct world *w, struct store_key *k, const void *value,
-		    uint32_t size_bytes)
+static void write_key(struct world *w, struct store_key *k, const void *value,
+		      uint32_t size_bytes)
 {
-	keep_old(w);
+	update_old_copy(w);
 	k->d.revision = ++w->revision;
 	if (k->d.deleted)
 		k->d.created = k->d.revision;
@@ -261,8 +266,8 @@
 	k->d.size_bytes = size_bytes;
 	for (uint32_t i = 0; i < w->n_entries; i++)
 		if (w->entries[i].watching)
-			world_at(w, STORE_NS, on_watched, i, w->entries[i].boot,
-				 0);
+			world_schedule(w, STORE_ANSWER_NS, on_watch_change, i,
+				       w->entries[i].boot, 0);
 }
 
 static void write_routes(struct world *w)
@@ -284,12 +289,12 @@
 			w->classes[i].kind,
 			w->classes[i].priority,
 			(uint32_t)(w->classes[i].deadline_ns / NS_PER_MS),
-			(uint32_t)(w->classes[i].aim_ns / NS_PER_MS),
+			(uint32_t)(w->classes[i].objective_ns / NS_PER_MS),
 		};
-	changed(w, key_of(w, "routes"), &v, sizeof(v));
+	write_key(w, find_or_add_key(w, "routes"), &v, sizeof(v));
 }
 
-void store_routes(struct world *w)
+void store_publish_routes(struct world *w)
 {
 	w->version++;
 	write_routes(w);
@@ -301,7 +306,7 @@
 
 	snprintf(key, sizeof(key), EVACUATION_PREFIX "%s",
 		 w->conf.site.zones[zone].name);
-	return key_of(w, key);
+	return find_or_add_key(w, key);
 }
 
 static bool has_evacuation(struct world *w, uint32_t zone)
@@ -310,14 +315,14 @@
 }
 
 /* The operator evacuates a data centre, or takes it back. */
-void store_evacuate(struct world *w, uint32_t zone, bool on)
+void store_set_evacuation(struct world *w, uint32_t zone, bool on)
 {
 	struct store_key *k = evacuation_key(w, zone);
 
 	if (on)
-		changed(w, k, "", 0);
+		write_key(w, k, "", 0);
 	else if (!k->d.deleted)
-		changed(w, k, NULL, 0);
+		write_key(w, k, NULL, 0);
 }
 
 static void target_key(uint64_t id, char *out, size_t n)
@@ -326,79 +331,81 @@
 }
 
 /* An entry as it was made up, whoever wrote it. */
-void store_foreign(struct world *w, uint64_t id, const struct target_value *v)
+void store_write_target(struct world *w, uint64_t id,
+			const struct target_value *v)
 {
 	char key[64];
 
 	target_key(id, key, sizeof(key));
-	changed(w, key_of(w, key), v, sizeof(*v));
+	write_key(w, find_or_add_key(w, key), v, sizeof(*v));
 }
 
 /* What a target says of itself. */
-void store_value(const struct world *w, const struct sim_target *t,
-		 struct target_value *v)
+void store_target_value(const struct world *w, const struct sim_target *t,
+			struct target_value *v)
 {
-	*v = (struct target_value){ .news = t->news };
+	*v = (struct target_value){ .advertised = t->advertised };
 	memcpy(v->service, w->conf.site.services[t->service].name,
 	       sizeof(v->service));
 	memcpy(v->zone, w->conf.site.zones[t->zone].name, sizeof(v->zone));
 }
 
 /* A target publishes itself. */
-void store_target(struct world *w, struct sim_target *t)
+void store_publish_target(struct world *w, struct sim_target *t)
 {
 	struct target_value v;
 
-	t->news.sequence++;
-	t->news.cold_ms =
+	t->advertised.sequence++;
+	t->advertised.cold_ms =
 		t->cold_until_ns > w->now_ns
 			? (uint32_t)((t->cold_until_ns - w->now_ns) / NS_PER_MS)
 			: 0;
-	store_value(w, t, &v);
-	store_foreign(w, t->news.id, &v);
+	store_target_value(w, t, &v);
+	store_write_target(w, t->advertised.id, &v);
 }
 
-void store_delete(struct world *w, const struct sim_target *t)
+void store_delete_target(struct world *w, const struct sim_target *t)
 {
 	struct store_key *k;
 	char key[64];
 
-	target_key(t->news.id, key, sizeof(key));
-	k = key_of(w, key);
+	target_key(t->advertised.id, key, sizeof(key));
+	k = find_or_add_key(w, key);
 	if (!k->d.deleted)
-		changed(w, k, NULL, 0);
+		write_key(w, k, NULL, 0);
 }
 
 /* Whether the store has a target's entry as the target last wrote it. */
-static bool has_target(struct world *w, const struct sim_target *t)
+static bool has_current_target(struct world *w, const struct sim_target *t)
 {
 	const struct target_value *v;
 	const struct store_key *k;
 	char key[64];
 
-	target_key(t->news.id, key, sizeof(key));
-	k = key_of(w, key);
+	target_key(t->advertised.id, key, sizeof(key));
+	k = find_or_add_key(w, key);
 	v = (const struct target_value *)k->value;
-	return !k->d.deleted && v->news.leaving == t->news.leaving &&
-	       v->news.started_ms == t->news.started_ms;
+	return !k->d.deleted &&
+	       v->advertised.leaving == t->advertised.leaving &&
+	       v->advertised.started_ms == t->advertised.started_ms;
 }
 
 /* The operator and the targets write again what the store has lost. */
-void store_rewrite(struct world *w)
+void store_republish_lost(struct world *w)
 {
-	const struct store_key *routes = key_of(w, "routes");
+	const struct store_key *routes = find_or_add_key(w, "routes");
 
 	if (((const struct routes_value *)routes->value)->version != w->version)
 		write_routes(w);
 	for (uint32_t z = 0; z < w->conf.site.n_zones; z++)
 		if (w->evacuated_ns[z] &&
 		    w->evacuated[z] != has_evacuation(w, z))
-			store_evacuate(w, z, w->evacuated[z]);
+			store_set_evacuation(w, z, w->evacuated[z]);
 	for (uint32_t i = 0; i < w->n_targets; i++) {
 		if (!w->targets[i].alive)
-			store_delete(w, &w->targets[i]);
-		else if (!has_target(w, &w->targets[i]))
-			store_target(w, &w->targets[i]);
+			store_delete_target(w, &w->targets[i]);
+		else if (!has_current_target(w, &w->targets[i]))
+			store_publish_target(w, &w->targets[i]);
 	}
 }
 
@@ -428,7 +435,7 @@
 		r->kind = v->routes[i].kind;
 		r->priority = v->routes[i].priority;
 		r->timeout_ms = v->routes[i].timeout_ms;
-		r->objective_ms = v->routes[i].aim_ms;
+		r->objective_ms = v->routes[i].objective_ms;
 		r->n_shares = 1;
 		r->shares[0] = (struct route_share){
 			directory_find_service(
@@ -466,9 +473,9 @@
 	*problem = "not a target's";
 	if (v.foreign && v.foreign != FOREIGN_UNBORN)
 		return v.foreign == FOREIGN_SERVICE ? -ENOENT : -EPROTO;
-	v.news.id = out->target.id;
-	v.news.key_hash = out->target.key_hash;
-	out->target = v.news;
+	v.advertised.id = out->target.id;
+	v.advertised.key_hash = out->target.key_hash;
+	out->target = v.advertised;
 	out->target.service = directory_find_service(names, v.service);
 	out->target.zone = (uint32_t)hash_text(v.zone);
 	out->target.created = (struct position){ d->epoch, d->created };
--- a/sim/sim-packets/targets.c
+++ b/sim/sim-packets/targets.c
@@ -10,11 +10,11 @@
 #define CRAWL_FACTOR 7
 #define PERCENT 100
 
-void targets_told(struct world *w, uint32_t target)
+void targets_report_change(struct world *w, uint32_t target)
 {
-	world_mark_capacity(w, w->targets[target].service);
-	if (w->conf.driver.target)
-		w->conf.driver.target(w->conf.driver.ctx, w, target);
+	world_record_slots(w, w->targets[target].service);
+	if (w->conf.driver.target_changed)
+		w->conf.driver.target_changed(w->conf.driver.ctx, w, target);
 }
 
 static const struct site_service *service_of(const struct world *w,
@@ -25,21 +25,21 @@
 
 static void on_warm(struct world *w, const struct event *e)
 {
-	struct sim_target *t = &w->targets[e->a];
+	struct sim_target *t = &w->targets[e->arg0];
 
 	if (t->alive && w->now_ns >= t->cold_until_ns &&
-	    w->now_ns >= w->store_down_ns)
-		store_target(w, t);
+	    w->now_ns >= w->store_down_until_ns)
+		store_publish_target(w, t);
 }
 
 /* A target starts: slow for a while, and says so. */
-void targets_cold(struct world *w, uint32_t target)
+void targets_start_cold(struct world *w, uint32_t target)
 {
 	struct sim_target *t = &w->targets[target];
 	uint64_t cold_ns = service_of(w, t)->cold_ns;
 
 	t->cold_until_ns = w->now_ns + cold_ns;
-	world_at(w, cold_ns, on_warm, target, 0, 0);
+	world_schedule(w, cold_ns, on_warm, target, 0, 0);
 }
 
 uint32_t targets_add(struct world *w, uint32_t service, uint32_t zone,
@@ -56,7 +56,7 @@
 		.service = service,
 		.zone = zone,
 		.alive = true,
-		.news = {
+		.advertised = {
 			.id = ++w->next_id,
 			.addr = addr ? addr : ADDR(TARGET_IP + i, TARGET_PORT),
 			.slots = (uint16_t)s->slots,
@@ -64,27 +64,28 @@
 		},
 	};
 	if (w->start_ns) /* the first ones have run for long */
-		targets_cold(w, i);
-	store_target(w, t);
-	targets_told(w, i);
+		targets_start_cold(w, i);
+	store_publish_target(w, t);
+	targets_report_change(w, i);
 	return i;
 }
 
 /* Target that has an address now. */
-uint32_t targets_at(const struct world *w, uint64_t addr)
+uint32_t targets_find_by_addr(const struct world *w, uint64_t addr)
 {
 	uint32_t i = ADDR_IP(addr) - TARGET_IP;
 
 	/* Who came later may have an earlier one's. */
 	for (uint32_t k = w->n_targets; k-- > i + 1;)
-		if (w->targets[k].news.addr == addr)
+		if (w->targets[k].advertised.addr == addr)
 			return k;
 	if (i >= w->n_targets)
 		abort(); /* a mistake of the emulator */
 	return i;
 }
 
-static struct sim_flow *find(struct sim_target *t, uint32_t user, uint16_t port)
+static struct sim_flow *find_flow(struct sim_target *t, uint32_t user,
+				  uint16_t port)
 {
 	for (uint32_t i = 0; i < t->n_flows; i++)
 		if (t->flows[i].user == user && t->flows[i].port == port)
@@ -92,29 +93,30 @@
 	return NULL;
 }
 
-static bool hold(const struct world *w, struct sim_target *t, uint32_t user,
-		 uint16_t port)
+static bool add_flow(const struct world *w, struct sim_target *t, uint32_t user,
+		     uint16_t port)
 {
 	if (t->n_flows >= service_of(w, t)->connections)
 		return false;
-	if (t->n_flows == t->room) {
-		uint32_t room = t->room ? 2 * t->room : 64;
-		struct sim_flow *grown =
-			realloc(t->flows, room * sizeof(*grown));
+	if (t->n_flows == t->flows_capacity) {
+		uint32_t capacity =
+			t->flows_capacity ? 2 * t->flows_capacity : 64;
+		struct sim_flow *grow_list =
+			realloc(t->flows, capacity * sizeof(*grow_list));
 
-		if (!grown)
+		if (!grow_list)
 			abort();
-		t->flows = grown;
-		t->room = room;
+		t->flows = grow_list;
+		t->flows_capacity = capacity;
 	}
 	t->flows[t->n_flows++] =
 		(struct sim_flow){ .user = user, .port = port };
 	return true;
 }
 
-static void drop(struct sim_target *t, uint32_t user, uint16_t port)
+static void drop_flow(struct sim_target *t, uint32_t user, uint16_t port)
 {
-	struct sim_flow *f = find(t, user, port);
+	struct sim_flow *f = find_flow(t, user, port);
 
 	if (f)
 		*f = t->flows[--t->n_flows];
@@ -128,79 +130,81 @@
 	t->busy = 0;
 }
 
-static void begin(struct world *w, uint32_t target,
-		  const struct sim_request *r);
+static void begin_request(struct world *w, uint32_t target,
+			  const struct sim_request *r);
 
-static uint64_t who(uint32_t user, uint16_t port)
+static uint64_t flow_id(uint32_t user, uint16_t port)
 {
 	return (uint64_t)user << 16 | port;
 }
 
 static void on_answer(struct world *w, const struct event *e)
 {
-	users_answered(w, (uint32_t)(e->a >> 16), (uint16_t)e->a, e->b,
-		       (enum sim_answer)e->c);
+	users_answered(w, (uint32_t)(e->arg0 >> 16), (uint16_t)e->arg0, e->arg1,
+		       (enum sim_answer)e->arg2);
 }
 
 static void answer(struct world *w, const struct sim_request *r,
 		   enum sim_answer answer)
 {
-	world_at(w, w->conf.site.client_ns, on_answer, who(r->user, r->port),
-		 r->number, answer);
+	world_schedule(w, w->conf.site.client_delay_ns, on_answer,
+		       flow_id(r->user, r->port), r->request_number, answer);
 }
 
-static enum world_failing failing(const struct world *w,
-				  const struct sim_target *t)
+static enum target_mode current_mode(const struct world *w,
+				     const struct sim_target *t)
 {
-	return w->now_ns < t->failing_until_ns ? t->failing : TARGET_WORKS;
+	return w->now_ns < t->mode_until_ns ? t->mode : TARGET_WORKS;
 }
 
 static void on_cut(struct world *w, const struct event *e)
 {
-	users_cut(w, (uint32_t)(e->a >> 16), (uint16_t)e->a);
+	users_flow_unknown(w, (uint32_t)(e->arg0 >> 16), (uint16_t)e->arg0);
 }
 
 /* One that drains closes each flow after its next answer. */
 static void on_closed(struct world *w, const struct event *e)
 {
-	struct sim_user *u = &w->users[e->a >> 16];
+	struct sim_user *u = &w->users[e->arg0 >> 16];
 
-	if (u->port == (uint16_t)e->a && !u->waiting)
+	if (u->port == (uint16_t)e->arg0 && !u->has_request)
 		u->state = USER_IDLE;
 }
 
 static void on_done(struct world *w, const struct event *e)
 {
-	struct sim_target *t = &w->targets[(uint32_t)e->a];
-	struct sim_request done = { (uint32_t)(e->b >> 16), (uint16_t)e->b,
-				    e->c, 0 };
+	struct sim_target *t = &w->targets[(uint32_t)e->arg0];
+	struct sim_request done = { (uint32_t)(e->arg1 >> 16),
+				    (uint16_t)e->arg1, e->arg2, 0 };
 	struct sim_request next;
 
-	if (!t->alive || t->process != e->a >> 32)
+	if (!t->alive || t->process != e->arg0 >> 32)
 		return;
 	t->busy--;
 	answer(w, &done,
-	       failing(w, t) == TARGET_FAILS ? ANSWER_FAILED : ANSWER_DONE);
-	if (t->left_ns) {
-		drop(t, done.user, done.port);
-		world_at(w, w->conf.site.client_ns, on_closed, e->b, 0, 0);
+	       current_mode(w, t) == TARGET_FAILS ? ANSWER_FAILED
+						  : ANSWER_DONE);
+	if (t->leaving_since_ns) {
+		drop_flow(t, done.user, done.port);
+		world_schedule(w, w->conf.site.client_delay_ns, on_closed,
+			       e->arg1, 0, 0);
 	}
 	if (!t->n_queue)
 		return;
 	next = t->queue[0];
 	memmove(t->queue, t->queue + 1, --t->n_queue * sizeof(t->queue[0]));
-	begin(w, (uint32_t)e->a, &next);
+	begin_request(w, (uint32_t)e->arg0, &next);
 }
 
-static uint64_t takes_ns(const struct world *w, const struct sim_target *t,
-			 uint64_t work_ns)
+static uint64_t run_time_ns(const struct world *w, const struct sim_target *t,
+			    uint64_t work_ns)
 {
-	switch (failing(w, t)) {
+	switch (current_mode(w, t)) {
 	case TARGET_HANGS:
-		return work_ns + t->failing_until_ns - w->now_ns;
+		return work_ns + t->mode_until_ns - w->now_ns;
 	case TARGET_FAILS:
 		return ERROR_NS;
-	case TARGET_CRAWLS:
+	case TARGET_SLOW:
 		return work_ns * CRAWL_FACTOR;
 	case TARGET_WORKS:
 		break;
@@ -210,45 +214,46 @@
 	return work_ns;
 }
 
-static void begin(struct world *w, uint32_t target, const struct sim_request *r)
+static void begin_request(struct world *w, uint32_t target,
+			  const struct sim_request *r)
 {
 	struct sim_target *t = &w->targets[target];
 	struct sim_user *u = &w->users[r->user];
 
 	t->busy++;
-	t->runs++;
-	if (u->number == r->number && w->classes[u->class].kind != ROUTE_FEED &&
-	    ++u->ran > 1)
+	t->requests_run++;
+	if (u->request_number == r->request_number &&
+	    w->classes[u->class].kind != ROUTE_FEED && ++u->runs > 1)
 		w->report.doubled++;
-	world_at(w, takes_ns(w, t, r->work_ns), on_done,
-		 (uint64_t)t->process << 32 | target, who(r->user, r->port),
-		 r->number);
+	world_schedule(w, run_time_ns(w, t, r->work_ns), on_done,
+		       (uint64_t)t->process << 32 | target,
+		       flow_id(r->user, r->port), r->request_number);
 }
 
-static void request(struct world *w, uint32_t target,
-		    const struct sim_request *r)
+static void accept_request(struct world *w, uint32_t target,
+			   const struct sim_request *r)
 {
 	struct sim_target *t = &w->targets[target];
 	const struct site_service *s = service_of(w, t);
 
 	if (t->busy < s->slots) {
-		begin(w, target, r);
+		begin_request(w, target, r);
 	} else if (t->n_queue < s->queue && t->n_queue < QUEUE_MAX) {
 		t->queue[t->n_queue++] = *r;
 	} else {
-		w->report.swamped++;
+		w->report.queue_full++;
 		answer(w, r, ANSWER_REFUSED);
 	}
 }
 
 static void on_opened(struct world *w, const struct event *e)
 {
-	users_opened(w, (uint32_t)(e->a >> 16), (uint16_t)e->a, (uint32_t)e->b,
-		     (uint32_t)e->c);
+	users_opened(w, (uint32_t)(e->arg0 >> 16), (uint16_t)e->arg0,
+		     (uint32_t)e->arg1, (uint32_t)e->arg2);
 }
 
 /* A target takes a flow: in no second more than it bears while it is cold. */
-static void judge_cold(struct world *w, struct sim_target *t)
+static void check_cold_rate(struct world *w, struct sim_target *t)
 {
 	double per_s = service_of(w, t)->cold_per_s;
 	double most = per_s * COLD_OVERRUN + COLD_SLACK;
@@ -258,7 +263,7 @@
 	if (per_s <= 0 || w->now_ns >= t->cold_until_ns)
 		return;
 	/* Of a start under an id that it had entries hear as of any news. */
-	if (t->restarted_ns && w->now_ns < t->restarted_ns + EVACUATE_NS)
+	if (t->restarted_ns && w->now_ns < t->restarted_ns + EVACUATE_MAX_NS)
 		return;
 	for (uint32_t i = 0; i < COLD_WINDOW && i < t->n_opened; i++)
 		within += t->opened_ns[i] + NS_PER_S > w->now_ns &&
@@ -268,8 +273,8 @@
 }
 
 /* A SYN arrived: what it should not have done is counted. */
-static void judge(struct world *w, const struct sim_target *t, uint32_t entry,
-		  const struct sim_user *u)
+static void check_rules(struct world *w, const struct sim_target *t,
+			uint32_t entry, const struct sim_user *u)
 {
 	const struct sim_entry *e = &w->entries[entry];
 	bool calm = w->now_ns > e->disturbed_ns + SETTLE_NS &&
@@ -277,115 +282,119 @@
 
 	if (t->service != w->classes[u->class].service)
 		w->report.misrouted++;
-	if (calm && t->left_ns && w->now_ns > t->left_ns + FORCE_NS)
+	if (calm && t->leaving_since_ns &&
+	    w->now_ns > t->leaving_since_ns + PUBLISH_MAX_NS)
 		w->report.late_drain++;
 	if (calm && w->evacuated[t->zone] &&
-	    w->now_ns > w->evacuated_ns[t->zone] + EVACUATE_NS)
+	    w->now_ns > w->evacuated_ns[t->zone] + EVACUATE_MAX_NS)
 		w->report.evacuated++;
-	if (calm && u->class == probe_route(w) && !w->extra_route &&
-	    w->extra_ns && w->now_ns > w->extra_ns + FORCE_NS)
+	if (calm && u->class == extra_route_index(w) && !w->extra_route &&
+	    w->extra_route_changed_ns &&
+	    w->now_ns > w->extra_route_changed_ns + PUBLISH_MAX_NS)
 		w->report.stale++;
 }
 
 static void on_acked(struct world *w, const struct event *e)
 {
-	users_acked(w, (uint32_t)(e->a >> 16), (uint16_t)e->a, e->b,
-		    (uint32_t)e->c);
+	users_acked(w, (uint32_t)(e->arg0 >> 16), (uint16_t)e->arg0, e->arg1,
+		    (uint32_t)e->arg2);
 }
 
-static uint32_t in_a_row(const struct sim_flow *f)
+static uint32_t contiguous_packets(const struct sim_flow *f)
 {
 	uint32_t n = 0;
 
-	while (n < SEGMENTS_MAX && f->got[n / 64] >> (n % 64) & 1)
+	while (n < SEGMENTS_MAX && f->received[n / 64] >> (n % 64) & 1)
 		n++;
 	return n;
 }
 
 /* A packet of a request; the last one that was missing hands it on. */
-static void segment(struct world *w, uint32_t target, struct sim_flow *f,
-		    const struct sim_packet *k)
+static void receive_segment(struct world *w, uint32_t target,
+			    struct sim_flow *f, const struct sim_packet *k)
 {
 	const struct sim_user *u = &w->users[k->user];
-	uint32_t i = (k->seq - u->base) / SEGMENT_BYTES;
+	uint32_t i = (k->seq - u->request_seq) / SEGMENT_BYTES;
 
 	/* Of a flow that the user has left: what it carried ended there. */
 	if (u->port != k->port)
 		return;
-	if (f->number != u->number)
+	if (f->request_number != u->request_number)
 		*f = (struct sim_flow){ .user = k->user,
 					.port = k->port,
-					.number = u->number };
-	if (i >= u->segments || f->got[i / 64] >> (i % 64) & 1)
+					.request_number = u->request_number };
+	if (i >= u->segments || f->received[i / 64] >> (i % 64) & 1)
 		return;
-	f->got[i / 64] |= 1ULL << (i % 64);
-	f->n_got++;
-	if (f->n_got % 2 == 0 || f->n_got == u->segments)
-		world_at(w, w->conf.site.client_ns, on_acked,
-			 who(k->user, k->port), f->number, in_a_row(f));
-	if (f->n_got < u->segments || f->done)
+	f->received[i / 64] |= 1ULL << (i % 64);
+	f->n_received++;
+	if (f->n_received % 2 == 0 || f->n_received == u->segments)
+		world_schedule(w, w->conf.site.client_delay_ns, on_acked,
+			       flow_id(k->user, k->port), f->request_number,
+			       contiguous_packets(f));
+	if (f->n_received < u->segments || f->is_complete)
 		return;
-	f->done = true;
-	request(w, target,
-		&(struct sim_request){ k->user, k->port, f->number,
-				       u->ask.work_ns });
+	f->is_complete = true;
+	accept_request(w, target,
+		       &(struct sim_request){ k->user, k->port,
+					      f->request_number,
+					      u->spec.work_ns });
 }
 
 /* A client's packet arrives at a target. */
-void targets_packet(struct world *w, uint32_t target, uint32_t entry,
-		    const struct sim_packet *k)
+void targets_receive(struct world *w, uint32_t target, uint32_t entry,
+		     const struct sim_packet *k)
 {
 	struct sim_target *t = &w->targets[target];
-	struct sim_flow *f = find(t, k->user, k->port);
+	struct sim_flow *f = find_flow(t, k->user, k->port);
 
 	if (!t->alive)
 		return;
 	if (k->flags & PACKET_SYN) {
-		judge(w, t, entry, &w->users[k->user]);
+		check_rules(w, t, entry, &w->users[k->user]);
 		if (!f)
-			judge_cold(w, t);
-		if (f || hold(w, t, k->user, k->port))
-			world_at(w, w->conf.site.client_ns, on_opened,
-				 who(k->user, k->port), target,
-				 target_cookie(t->news.id));
+			check_cold_rate(w, t);
+		if (f || add_flow(w, t, k->user, k->port))
+			world_schedule(w, w->conf.site.client_delay_ns,
+				       on_opened, flow_id(k->user, k->port),
+				       target, target_cookie(t->advertised.id));
 	} else if (k->flags & PACKET_FIN) {
-		drop(t, k->user, k->port);
+		drop_flow(t, k->user, k->port);
 	} else if (!f) {
-		world_at(w, w->conf.site.client_ns, on_cut,
-			 who(k->user, k->port), 0, 0);
+		world_schedule(w, w->conf.site.client_delay_ns, on_cut,
+			       flow_id(k->user, k->port), 0, 0);
 	} else if (k->size_bytes) {
-		segment(w, target, f, k);
+		receive_segment(w, target, f, k);
 	}
 }
 
 /* A target's process ends; @dark: with its machine. */
-void targets_end(struct world *w, uint32_t target, bool dark)
+void targets_end(struct world *w, uint32_t target, bool machine_down)
 {
 	struct sim_target *t = &w->targets[target];
 
 	t->alive = false;
-	t->dark = dark;
+	t->machine_down = machine_down;
 	targets_clear(t);
 	t->disturbed_ns = w->now_ns;
-	targets_told(w, target);
+	targets_report_change(w, target);
 }
 
 static void on_left(struct world *w, const struct event *e)
 {
-	struct sim_target *t = &w->targets[e->a];
+	struct sim_target *t = &w->targets[e->arg0];
 
 	if (!t->alive)
 		return;
-	targets_end(w, (uint32_t)e->a, false);
-	store_delete(w, t);
+	targets_end(w, (uint32_t)e->arg0, false);
+	store_delete_target(w, t);
 }
 
 static void on_release(struct world *w, const struct event *e)
 {
-	world_release_target(w, (uint32_t)e->a);
+	world_release_target(w, (uint32_t)e->arg0);
 }
 
-static uint32_t planned(const struct world *w, uint32_t service)
+static uint32_t configured_targets(const struct world *w, uint32_t service)
 {
 	uint32_t n = 0;
 
@@ -395,7 +404,7 @@
 }
 
 /* Nobody replaces the dead here: half of a service has to be left. */
-static bool may_die(const struct world *w, uint32_t target)
+static bool may_kill(const struct world *w, uint32_t target)
 {
 	uint32_t alive = 0;
 
@@ -403,7 +412,7 @@
 		alive += w->targets[i].alive &&
 			 w->targets[i].service == w->targets[target].service;
 	return w->targets[target].alive &&
-	       alive * 2 > planned(w, w->targets[target].service);
+	       alive * 2 > configured_targets(w, w->targets[target].service);
 }
 
 /**
@@ -415,25 +424,25 @@
 {
 	struct sim_target *t = &w->targets[target];
 
-	if (!t->alive || t->left_ns)
+	if (!t->alive || t->leaving_since_ns)
 		return;
 	/* A target leaves once the store has taken its word for it. */
-	if (w->now_ns < w->store_down_ns) {
-		world_at(w, w->store_down_ns - w->now_ns, on_release, target, 0,
-			 0);
+	if (w->now_ns < w->store_down_until_ns) {
+		world_schedule(w, w->store_down_until_ns - w->now_ns,
+			       on_release, target, 0, 0);
 		return;
 	}
 	targets_add(w, t->service, t->zone, 0);
-	t->news.leaving = true;
-	t->left_ns = w->now_ns;
-	store_target(w, t);
-	world_at(w, DRAIN_NS, on_left, target, 0, 0);
+	t->advertised.leaving = true;
+	t->leaving_since_ns = w->now_ns;
+	store_publish_target(w, t);
+	world_schedule(w, DRAIN_NS, on_left, target, 0, 0);
 }
 
-static void on_lapse(struct world *w, const struct event *e)
+static void on_expire(struct world *w, const struct event *e)
 {
-	if (!w->targets[e->a].alive)
-		store_delete(w, &w->targets[e->a]);
+	if (!w->targets[e->arg0].alive)
+		store_delete_target(w, &w->targets[e->arg0]);
 }
 
 /**
@@ -442,12 +451,12 @@
  * @target: target
  * @dark: its machine goes too, so that connections to it hang
  */
-void world_kill_target(struct world *w, uint32_t target, bool dark)
+void world_kill_target(struct world *w, uint32_t target, bool machine_down)
 {
-	if (!may_die(w, target))
+	if (!may_kill(w, target))
 		return;
-	targets_end(w, target, dark);
-	world_at(w, 3 * NS_PER_S, on_lapse, target, 0, 0);
+	targets_end(w, target, machine_down);
+	world_schedule(w, 3 * NS_PER_S, on_expire, target, 0, 0);
 }
 
 /**
@@ -457,18 +466,18 @@
  * @how: how
  * @ns: how long
  */
-void world_fail_target(struct world *w, uint32_t target, enum world_failing how,
+void world_fail_target(struct world *w, uint32_t target, enum target_mode mode,
 		       uint64_t ns)
 {
-	w->targets[target].failing = how;
-	w->targets[target].failing_until_ns = w->now_ns + ns;
+	w->targets[target].mode = mode;
+	w->targets[target].mode_until_ns = w->now_ns + ns;
 }
 
 static void on_reuse(struct world *w, const struct event *e)
 {
-	const struct sim_target *t = &w->targets[e->a];
+	const struct sim_target *t = &w->targets[e->arg0];
 
-	targets_add(w, SERVICE_OTHER, t->zone, t->news.addr);
+	targets_add(w, SERVICE_OTHER, t->zone, t->advertised.addr);
 }
 
 /**
@@ -478,8 +487,8 @@
  */
 void world_reuse_address(struct world *w, uint32_t target)
 {
-	if (!may_die(w, target))
+	if (!may_kill(w, target))
 		return;
 	world_kill_target(w, target, false);
-	world_at(w, 2 * NS_PER_S, on_reuse, target, 0, 0);
+	world_schedule(w, 2 * NS_PER_S, on_reuse, target, 0, 0);
 }
--- a/sim/sim-packets/users.c
+++ b/sim/sim-packets/users.c
@@ -31,43 +31,44 @@
 static void on_arrive(struct world *w, const struct event *e)
 {
 	struct sim_packet k = {
-		.user = (uint32_t)e->a,
-		.port = (uint16_t)(e->a >> 32),
-		.flags = (uint8_t)(e->a >> 48),
-		.size_bytes = (uint16_t)(e->c >> 32),
-		.seq = (uint32_t)e->b,
-		.ack = (uint32_t)e->c,
+		.user = (uint32_t)e->arg0,
+		.port = (uint16_t)(e->arg0 >> 32),
+		.flags = (uint8_t)(e->arg0 >> 48),
+		.size_bytes = (uint16_t)(e->arg2 >> 32),
+		.seq = (uint32_t)e->arg1,
+		.ack = (uint32_t)e->arg2,
 	};
-	uint32_t entry = (uint32_t)(e->b >> 32);
+	uint32_t entry = (uint32_t)(e->arg1 >> 32);
 
 	/* A flow that was given up sends nothing more. */
 	if (w->users[k.user].port == k.port)
-		w->conf.driver.packet(w->conf.driver.ctx, w, entry, &k);
+		w->conf.driver.deliver(w->conf.driver.ctx, w, entry, &k);
 }
 
-static void send(struct world *w, uint32_t user, uint8_t flags, uint32_t seq,
-		 uint32_t size_bytes)
+static void send_packet(struct world *w, uint32_t user, uint8_t flags,
+			uint32_t seq, uint32_t size_bytes)
 {
 	const struct sim_user *u = &w->users[user];
-	uint32_t entry = router_pick(w, u);
-	uint32_t ack = flags & PACKET_SYN ? u->copies : u->ack;
+	uint32_t entry = router_select(w, u);
+	uint32_t ack = flags & PACKET_SYN ? u->syn_copies : u->ack;
 
 	if (entry == UINT32_MAX) {
-		w->users[user].lost = true;
+		w->users[user].packet_lost = true;
 		return;
 	}
-	world_at(w, w->conf.site.client_ns, on_arrive,
-		 (uint64_t)flags << 48 | (uint64_t)u->port << 32 | user,
-		 (uint64_t)entry << 32 | seq, (uint64_t)size_bytes << 32 | ack);
+	world_schedule(w, w->conf.site.client_delay_ns, on_arrive,
+		       (uint64_t)flags << 48 | (uint64_t)u->port << 32 | user,
+		       (uint64_t)entry << 32 | seq,
+		       (uint64_t)size_bytes << 32 | ack);
 }
 
 static void send_segment(struct world *w, uint32_t user, uint32_t i)
 {
 	const struct sim_user *u = &w->users[user];
-	uint32_t left = u->ask.request_bytes - i * SEGMENT_BYTES;
+	uint32_t left = u->spec.request_bytes - i * SEGMENT_BYTES;
 
-	send(w, user, PACKET_ACK, u->base + i * SEGMENT_BYTES,
-	     left < SEGMENT_BYTES ? left : SEGMENT_BYTES);
+	send_packet(w, user, PACKET_ACK, u->request_seq + i * SEGMENT_BYTES,
+		    left < SEGMENT_BYTES ? left : SEGMENT_BYTES);
 }
 
 static void send_window(struct world *w, uint32_t user)
@@ -78,156 +79,160 @@
 		send_segment(w, user, u->sent++);
 }
 
-static void attempt(struct world *w, uint32_t user);
+static void start_attempt(struct world *w, uint32_t user);
 
 static uint8_t cause_of(const struct world *w, const struct sim_user *u,
 			bool served)
 {
-	uint64_t aim_ns = class_of(w, u)->aim_ns;
+	uint64_t objective_ns = class_of(w, u)->objective_ns;
 
-	if (served && w->now_ns - u->ask.asked_ns <= aim_ns)
+	if (served && w->now_ns - u->spec.arrival_ns <= objective_ns)
 		return CAUSE_NONE;
-	if (u->failed)
+	if (u->has_failed)
 		return CAUSE_FAILED;
-	if (u->lost)
+	if (u->packet_lost)
 		return CAUSE_CUT;
-	if (u->gone)
+	if (u->target_gone)
 		return CAUSE_GONE;
-	if (u->refused)
+	if (u->was_refused)
 		return CAUSE_REFUSED;
-	return u->ask.work_ns > aim_ns - aim_ns / 8 ? CAUSE_WORK : CAUSE_WAITED;
+	return u->spec.work_ns > objective_ns - objective_ns / 8 ? CAUSE_WORK
+								 : CAUSE_WAITED;
 }
 
-static void count(struct world *w, const struct sim_user *u, bool served)
+static void count_request(struct world *w, const struct sim_user *u,
+			  bool served)
 {
 	const struct site_class *c = class_of(w, u);
 	struct world_report *r = &w->report;
 
 	r->requests++;
-	r->owed += c->worth;
+	r->offered += c->value;
 	if (!served) {
 		r->failed++;
-	} else if (w->now_ns - u->ask.asked_ns <= c->aim_ns) {
-		r->in_aim++;
-		r->earned += c->worth;
+	} else if (w->now_ns - u->spec.arrival_ns <= c->objective_ns) {
+		r->on_time++;
+		r->earned += c->value;
 	} else {
 		r->late++;
-		r->earned += c->late_worth;
+		r->earned += c->late_value;
 	}
 }
 
-static void finish(struct world *w, uint32_t user, bool served)
+static void finish_request(struct world *w, uint32_t user, bool served)
 {
 	struct sim_user *u = &w->users[user];
 
-	if (!u->waiting)
+	if (!u->has_request)
 		return;
-	u->waiting = false;
+	u->has_request = false;
 	u->used_ns = w->now_ns;
-	if (u->class != probe_route(w)) {
-		count(w, u, served);
-		world_note(w,
-			   &(struct world_request){
-				   .asked_ns = u->ask.asked_ns,
-				   .took_ns =
-					   served ? w->now_ns - u->ask.asked_ns
-						  : 0,
-				   .work_ns = u->ask.work_ns,
-				   .zone = (uint8_t)u->zone,
-				   .class = u->class,
-				   .cause = cause_of(w, u, served),
-			   });
+	if (u->class != extra_route_index(w)) {
+		count_request(w, u, served);
+		world_record_request(
+			w,
+			&(struct world_request){
+				.arrival_ns = u->spec.arrival_ns,
+				.latency_ns =
+					served ? w->now_ns - u->spec.arrival_ns
+					       : 0,
+				.work_ns = u->spec.work_ns,
+				.zone = (uint8_t)u->zone,
+				.class = u->class,
+				.cause = cause_of(w, u, served),
+			});
 	}
 	if (class_of(w, u)->kind != ROUTE_FEED || !served) {
 		if (u->state == USER_OPEN)
-			send(w, user, PACKET_FIN, u->base, 0);
+			send_packet(w, user, PACKET_FIN, u->request_seq, 0);
 		u->state = USER_IDLE;
 	}
-	if (u->class == probe_route(w))
-		arrivals_again(w, user);
+	if (u->class == extra_route_index(w))
+		arrivals_schedule_test_user(w, user);
 	else
-		arrivals_next(w, user);
+		arrivals_start_pending(w, user);
 }
 
 static void on_deadline(struct world *w, const struct event *e)
 {
-	if (w->users[e->a].number == e->b)
-		finish(w, (uint32_t)e->a, false);
+	if (w->users[e->arg0].request_number == e->arg1)
+		finish_request(w, (uint32_t)e->arg0, false);
 }
 
 /* What is missing at the target is sent again, ever later. */
 static void on_repeat(struct world *w, const struct event *e)
 {
-	uint32_t user = (uint32_t)e->a;
+	uint32_t user = (uint32_t)e->arg0;
 	struct sim_user *u = &w->users[user];
-	uint64_t next_ns = e->c * 2 < REPEAT_MAX_NS ? e->c * 2 : REPEAT_MAX_NS;
+	uint64_t next_ns =
+		e->arg2 * 2 < REPEAT_MAX_NS ? e->arg2 * 2 : REPEAT_MAX_NS;
 
-	if (!u->waiting || u->number != e->b >> 16 ||
-	    u->port != (uint16_t)e->b || u->state != USER_OPEN ||
+	if (!u->has_request || u->request_number != e->arg1 >> 16 ||
+	    u->port != (uint16_t)e->arg1 || u->state != USER_OPEN ||
 	    u->acked >= u->segments)
 		return;
 	for (uint32_t i = u->acked; i < u->sent; i++)
 		send_segment(w, user, i);
-	world_at(w, next_ns, on_repeat, e->a, e->b, next_ns);
+	world_schedule(w, next_ns, on_repeat, e->arg0, e->arg1, next_ns);
 }
 
 static void send_request(struct world *w, uint32_t user)
 {
 	struct sim_user *u = &w->users[user];
 
-	u->base += u->segments * SEGMENT_BYTES;
+	u->request_seq += u->segments * SEGMENT_BYTES;
 	u->segments =
-		(u->ask.request_bytes + SEGMENT_BYTES - 1) / SEGMENT_BYTES;
+		(u->spec.request_bytes + SEGMENT_BYTES - 1) / SEGMENT_BYTES;
 	if (u->segments > SEGMENTS_MAX)
 		u->segments = SEGMENTS_MAX;
 	u->sent = u->acked = 0;
 	send_window(w, user);
-	world_at(w, REPEAT_NS, on_repeat, user, u->number << 16 | u->port,
-		 REPEAT_NS);
+	world_schedule(w, REPEAT_NS, on_repeat, user,
+		       u->request_number << 16 | u->port, REPEAT_NS);
 }
 
 static void on_copy(struct world *w, const struct event *e)
 {
-	struct sim_user *u = &w->users[e->a];
+	struct sim_user *u = &w->users[e->arg0];
 
-	if (u->state != USER_OPENING || u->port != e->b || !u->waiting)
+	if (u->state != USER_OPENING || u->port != e->arg1 || !u->has_request)
 		return;
-	u->copies++;
-	send(w, (uint32_t)e->a, PACKET_SYN, 0, 0);
+	u->syn_copies++;
+	send_packet(w, (uint32_t)e->arg0, PACKET_SYN, 0, 0);
 }
 
 static void on_give_up(struct world *w, const struct event *e)
 {
-	struct sim_user *u = &w->users[e->a];
+	struct sim_user *u = &w->users[e->arg0];
 
-	if (u->state == USER_OPENING && u->port == e->b && u->waiting)
-		attempt(w, (uint32_t)e->a);
+	if (u->state == USER_OPENING && u->port == e->arg1 && u->has_request)
+		start_attempt(w, (uint32_t)e->arg0);
 }
 
 /* Each try is a new flow from a new port. */
-static void attempt(struct world *w, uint32_t user)
+static void start_attempt(struct world *w, uint32_t user)
 {
 	struct sim_user *u = &w->users[user];
 
 	if (u->attempts++ > class_of(w, u)->retries) {
-		finish(w, user, false);
+		finish_request(w, user, false);
 		return;
 	}
 	u->port = u->port < 60000 ? u->port + 1 : 1000;
 	u->state = USER_OPENING;
 	u->cookie = 0;
 	u->target = NO_TARGET;
-	u->base = u->ack = 1;
+	u->request_seq = u->ack = 1;
 	u->segments = 0;
-	u->copies = 0;
-	send(w, user, PACKET_SYN, 0, 0);
+	u->syn_copies = 0;
+	send_packet(w, user, PACKET_SYN, 0, 0);
 	for (uint32_t i = 0; i < SYN_COPIES; i++)
-		world_at(w, copy_ns[i], on_copy, user, u->port, 0);
-	world_at(w, SYN_GIVE_UP_NS, on_give_up, user, u->port, 0);
+		world_schedule(w, copy_ns[i], on_copy, user, u->port, 0);
+	world_schedule(w, SYN_GIVE_UP_NS, on_give_up, user, u->port, 0);
 }
 
 /* A flow that the target closed meanwhile is no use. */
-static bool flow_stands(const struct world *w, const struct sim_user *u)
+static bool flow_is_usable(const struct world *w, const struct sim_user *u)
 {
 	const struct site_service *s =
 		&w->conf.site.services[class_of(w, u)->service];
@@ -237,25 +242,27 @@
 }
 
 /* A new request. */
-void users_ask(struct world *w, uint32_t user, const struct sim_ask *ask)
+void users_start_request(struct world *w, uint32_t user,
+			 const struct request_spec *spec)
 {
 	struct sim_user *u = &w->users[user];
-	uint64_t waited_ns = w->now_ns - ask->asked_ns;
+	uint64_t waited_ns = w->now_ns - spec->arrival_ns;
 	uint64_t deadline_ns = class_of(w, u)->deadline_ns;
 
-	u->number = ++w->next_number;
-	u->ask = *ask;
-	u->waiting = true;
+	u->request_number = ++w->next_number;
+	u->spec = *spec;
+	u->has_request = true;
 	u->attempts = 0;
-	u->ran = 0;
-	u->lost = u->gone = u->refused = u->failed = false;
-	world_at(w, waited_ns < deadline_ns ? deadline_ns - waited_ns : 0,
-		 on_deadline, user, u->number, 0);
-	if (flow_stands(w, u)) {
+	u->runs = 0;
+	u->packet_lost = u->target_gone = u->was_refused = u->has_failed =
+		false;
+	world_schedule(w, waited_ns < deadline_ns ? deadline_ns - waited_ns : 0,
+		       on_deadline, user, u->request_number, 0);
+	if (flow_is_usable(w, u)) {
 		u->attempts = 1;
 		send_request(w, user);
 	} else {
-		attempt(w, user);
+		start_attempt(w, user);
 	}
 }
 
@@ -269,22 +276,23 @@
 		return;
 	u->state = USER_OPEN;
 	u->opened_ns = w->now_ns;
-	u->opened_in_force = w->extra_route;
+	u->opened_with_extra_route = w->extra_route;
 	u->target = target;
 	u->process = w->targets[target].process;
 	u->cookie = cookie;
 	u->used_ns = w->now_ns;
-	if (u->waiting)
+	if (u->has_request)
 		send_request(w, user);
 }
 
 /* A target has the first @acked packets of a request. */
-void users_acked(struct world *w, uint32_t user, uint16_t port, uint64_t number,
-		 uint32_t acked)
+void users_acked(struct world *w, uint32_t user, uint16_t port,
+		 uint64_t request_number, uint32_t acked)
 {
 	struct sim_user *u = &w->users[user];
 
-	if (u->port != port || u->number != number || acked <= u->acked)
+	if (u->port != port || u->request_number != request_number ||
+	    acked <= u->acked)
 		return;
 	u->acked = acked;
 	send_window(w, user);
@@ -301,86 +309,88 @@
 
 		bytes -= part;
 		u->ack += part;
-		send(w, user, PACKET_ACK, u->base + u->segments * SEGMENT_BYTES,
-		     0);
+		send_packet(w, user, PACKET_ACK,
+			    u->request_seq + u->segments * SEGMENT_BYTES, 0);
 	}
 }
 
 /* What may run twice, or did not run, is asked again. */
 void users_answered(struct world *w, uint32_t user, uint16_t port,
-		    uint64_t number, enum sim_answer answer)
+		    uint64_t request_number, enum sim_answer answer)
 {
 	struct sim_user *u = &w->users[user];
 
-	if (u->port != port || u->number != number || !u->waiting)
+	if (u->port != port || u->request_number != request_number ||
+	    !u->has_request)
 		return;
 	u->acked = u->segments;
 	acknowledge(w, user,
-		    answer == ANSWER_DONE ? u->ask.answer_bytes : ERROR_BYTES);
-	u->refused = u->refused || answer == ANSWER_REFUSED;
-	u->failed = u->failed || answer == ANSWER_FAILED;
+		    answer == ANSWER_DONE ? u->spec.answer_bytes : ERROR_BYTES);
+	u->was_refused = u->was_refused || answer == ANSWER_REFUSED;
+	u->has_failed = u->has_failed || answer == ANSWER_FAILED;
 	if (answer == ANSWER_DONE)
-		finish(w, user, true);
+		finish_request(w, user, true);
 	else if (answer == ANSWER_FAILED && class_of(w, u)->kind != ROUTE_FEED)
-		finish(w, user, false);
+		finish_request(w, user, false);
 	else
-		attempt(w, user);
+		start_attempt(w, user);
 }
 
 /* A request that may have run is not repeated unless it may run twice. */
-static void lost(struct world *w, uint32_t user)
+static void handle_lost_flow(struct world *w, uint32_t user)
 {
 	struct sim_user *u = &w->users[user];
 	bool opened = u->state == USER_OPEN;
 
 	u->state = USER_IDLE;
-	if (!u->waiting)
+	if (!u->has_request)
 		return;
-	u->refused = true;
+	u->was_refused = true;
 	if (opened && class_of(w, u)->kind != ROUTE_FEED)
-		finish(w, user, false);
+		finish_request(w, user, false);
 	else
-		attempt(w, user);
+		start_attempt(w, user);
 }
 
 /* A target does not know the flow. */
-void users_cut(struct world *w, uint32_t user, uint16_t port)
+void users_flow_unknown(struct world *w, uint32_t user, uint16_t port)
 {
 	struct sim_user *u = &w->users[user];
 
 	if (u->port == port && u->state != USER_IDLE) {
-		u->gone = true;
-		lost(w, user);
+		u->target_gone = true;
+		handle_lost_flow(w, user);
 	}
 }
 
 /* Whether a flow was reset that its target would have served on. */
-static bool broke(const struct world *w, const struct sim_user *u,
-		  const struct sim_entry *e)
+static bool was_wrongly_reset(const struct world *w, const struct sim_user *u,
+			      const struct sim_entry *e)
 {
 	const struct sim_target *t;
 
 	if (u->state != USER_OPEN || u->target == NO_TARGET)
 		return false;
 	/* Also when the route has been added again since. */
-	if (u->class == probe_route(w) &&
-	    (!w->extra_route || !u->opened_in_force ||
-	     w->dropped_ns >= u->opened_ns))
+	if (u->class == extra_route_index(w) &&
+	    (!w->extra_route || !u->opened_with_extra_route ||
+	     w->extra_route_dropped_ns >= u->opened_ns))
 		return false;
 	t = &w->targets[u->target];
 	return t->alive && t->process == u->process &&
-	       w->now_ns > t->restarted_ns + FORCE_NS &&
+	       w->now_ns > t->restarted_ns + PUBLISH_MAX_NS &&
 	       w->now_ns > t->disturbed_ns + SETTLE_NS &&
 	       w->now_ns > e->disturbed_ns + SETTLE_NS &&
 	       w->cut_until_ns[t->zone] + SETTLE_NS < w->now_ns;
 }
 
 /* Whether an entry denied a route that is in force. */
-static bool denied(const struct world *w, const struct sim_user *u,
-		   const struct sim_entry *e)
+static bool was_wrongly_denied(const struct world *w, const struct sim_user *u,
+			       const struct sim_entry *e)
 {
-	return u->state == USER_OPENING && u->class == probe_route(w) &&
-	       w->extra_route && w->now_ns > w->extra_ns + FORCE_NS &&
+	return u->state == USER_OPENING && u->class == extra_route_index(w) &&
+	       w->extra_route &&
+	       w->now_ns > w->extra_route_changed_ns + PUBLISH_MAX_NS &&
 	       w->now_ns > e->disturbed_ns + SETTLE_NS &&
 	       w->now_ns > w->store_disturbed_ns + SETTLE_NS;
 }
@@ -396,8 +406,8 @@
 	    flow->vip != route_vip(u->class) || u->state == USER_IDLE)
 		return;
 	if (u->target != NO_TARGET && !w->targets[u->target].alive)
-		u->gone = true;
-	w->report.broken += broke(w, u, e);
-	w->report.stale += denied(w, u, e);
-	lost(w, user);
+		u->target_gone = true;
+	w->report.broken += was_wrongly_reset(w, u, e);
+	w->report.stale += was_wrongly_denied(w, u, e);
+	handle_lost_flow(w, user);
 }
--- a/sim/sim-packets/windows.c
+++ b/sim/sim-packets/windows.c
@@ -6,11 +6,11 @@
 #include <stdlib.h>
 
 /* Return: number of the window, UINT32_MAX for none. */
-static uint32_t window_at(const struct world *w, uint64_t asked_ns)
+static uint32_t window_at(const struct world *w, uint64_t arrival_ns)
 {
-	return asked_ns < w->start_ns
+	return arrival_ns < w->start_ns
 		       ? UINT32_MAX
-		       : (uint32_t)((asked_ns - w->start_ns) / WINDOW_NS);
+		       : (uint32_t)((arrival_ns - w->start_ns) / WINDOW_NS);
 }
 
 /* Requests of the last window may not have ended: it is left out. */
@@ -19,36 +19,36 @@
 	return (uint32_t)((w->now_ns - w->start_ns) / WINDOW_NS);
 }
 
-static void add(struct window *v, const struct site_class *c,
-		const struct world_request *r)
+static void add_request(struct window *v, const struct site_class *c,
+			const struct world_request *r)
 {
-	double earned = c->worth;
+	double earned = c->value;
 
 	v->requests++;
-	v->owed += c->worth;
-	if (!r->took_ns) {
+	v->offered += c->value;
+	if (!r->latency_ns) {
 		v->failed++;
 		earned = 0;
-	} else if (r->took_ns > c->aim_ns) {
+	} else if (r->latency_ns > c->objective_ns) {
 		v->late++;
-		earned = c->late_worth;
+		earned = c->late_value;
 	} else {
-		v->in_aim++;
+		v->on_time++;
 	}
 	v->earned += earned;
-	v->lost[r->cause] += c->worth - earned;
+	v->lost[r->cause] += c->value - earned;
 }
 
-static void sum(struct windows *v)
+static void sum_windows(struct windows *v)
 {
 	for (uint32_t i = 0; i < v->n; i++) {
 		const struct window *o = &v->all[i];
 
 		v->total.requests += o->requests;
-		v->total.in_aim += o->in_aim;
+		v->total.on_time += o->on_time;
 		v->total.late += o->late;
 		v->total.failed += o->failed;
-		v->total.owed += o->owed;
+		v->total.offered += o->offered;
 		v->total.earned += o->earned;
 		v->total.bound += o->bound;
 		for (uint32_t k = 0; k < CAUSES; k++)
@@ -63,13 +63,13 @@
  *
  * Return: 0 or -ENOMEM.
  */
-int windows_of(const struct world *w, struct windows *out)
+int windows_compute(const struct world *w, struct windows *out)
 {
-	struct bound_reach reach;
+	struct bound_availability reach;
 
 	*out = (struct windows){ .n = count_windows(w) };
 	out->all = calloc(out->n + 1, sizeof(*out->all));
-	if (!out->all || bound_reach(w, &reach)) {
+	if (!out->all || bound_availability(w, &reach)) {
 		windows_free(out);
 		return -ENOMEM;
 	}
@@ -77,17 +77,18 @@
 		out->all[i].from_ns = i * WINDOW_NS;
 	for (uint32_t i = 0; i < w->n_requests; i++) {
 		const struct world_request *r = &w->requests[i];
-		uint32_t at = window_at(w, r->asked_ns);
+		uint32_t at = window_at(w, r->arrival_ns);
 
 		if (at < out->n)
-			add(&out->all[at], &w->classes[r->class], r);
+			add_request(&out->all[at], &w->classes[r->class], r);
 	}
 	for (uint32_t i = 0; i < out->n; i++)
 		out->all[i].bound =
-			bound_of(w, &reach, w->start_ns + out->all[i].from_ns,
-				 WINDOW_NS);
+			bound_earned_value(w, &reach,
+					   w->start_ns + out->all[i].from_ns,
+					   WINDOW_NS);
 	free(reach.spans);
-	sum(out);
+	sum_windows(out);
 	return 0;
 }
 
@@ -112,7 +113,7 @@
  *
  * Return: mean part earned of what was owed there; 1 without windows.
  */
-double windows_worst(const struct windows *v, uint32_t n, bool bound)
+double windows_worst_share(const struct windows *v, uint32_t n, bool bound)
 {
 	double *parts = calloc(v->n + 1, sizeof(*parts));
 	double all = 0;
@@ -121,10 +122,10 @@
 	if (!parts)
 		return 0;
 	for (uint32_t i = 0; i < v->n; i++)
-		if (v->all[i].owed > 0)
+		if (v->all[i].offered > 0)
 			parts[used++] =
 				(bound ? v->all[i].bound : v->all[i].earned) /
-				v->all[i].owed;
+				v->all[i].offered;
 	qsort(parts, used, sizeof(*parts), compare);
 	if (n > used)
 		n = used;
--- a/sim/sim-packets/windows.h
+++ b/sim/sim-packets/windows.h
@@ -24,10 +24,10 @@
 struct window {
 	uint64_t from_ns;
 	uint64_t requests;
-	uint64_t in_aim;
+	uint64_t on_time;
 	uint64_t late;
 	uint64_t failed;
-	double owed;
+	double offered;
 	double earned;
 	double bound;
 	double lost[CAUSES];
@@ -45,8 +45,8 @@
 	struct window total;
 };
 
-int windows_of(const struct world *w, struct windows *out);
+int windows_compute(const struct world *w, struct windows *out);
 void windows_free(struct windows *v);
-double windows_worst(const struct windows *v, uint32_t n, bool bound);
+double windows_worst_share(const struct windows *v, uint32_t n, bool bound);
 
 #endif
--- a/sim/sim-packets/world.c
+++ b/sim/sim-packets/world.c
@@ -5,23 +5,23 @@
 #include <string.h>
 
 /* Clients begin so long after the entries. */
-#define LEAD_NS NS_PER_S
+#define CLIENT_START_DELAY_NS NS_PER_S
 #define PERCENT 100.0
 
 const char *const world_cause_names[CAUSES] = { "in aim",  "cut",    "gone",
 						"refused", "waited", "work",
 						"failed" };
 
-static bool before(const struct event *a, const struct event *b)
+static bool is_earlier(const struct event *a, const struct event *b)
 {
 	return a->at_ns < b->at_ns ||
 	       (a->at_ns == b->at_ns && a->order < b->order);
 }
 
 /* Make something happen after @delay_ns. */
-void world_at(struct world *w, uint64_t delay_ns,
-	      void (*run)(struct world *w, const struct event *e), uint64_t a,
-	      uint64_t b, uint64_t c)
+void world_schedule(struct world *w, uint64_t delay_ns,
+		    void (*run)(struct world *w, const struct event *e),
+		    uint64_t a, uint64_t b, uint64_t c)
 {
 	struct event e = { w->now_ns + delay_ns, w->order++, run, a, b, c };
 	uint32_t i = w->n_events;
@@ -29,12 +29,12 @@
 	if (i == EVENTS_MAX)
 		abort(); /* a mistake of the emulator: events breed */
 	w->n_events++;
-	for (; i && before(&e, &w->events[(i - 1) / 2]); i = (i - 1) / 2)
+	for (; i && is_earlier(&e, &w->events[(i - 1) / 2]); i = (i - 1) / 2)
 		w->events[i] = w->events[(i - 1) / 2];
 	w->events[i] = e;
 }
 
-static struct event pop(struct world *w)
+static struct event pop_event(struct world *w)
 {
 	struct event first = w->events[0];
 	struct event last = w->events[--w->n_events];
@@ -44,9 +44,10 @@
 		uint32_t child = 2 * i + 1;
 
 		if (child + 1 < w->n_events &&
-		    before(&w->events[child + 1], &w->events[child]))
+		    is_earlier(&w->events[child + 1], &w->events[child]))
 			child++;
-		if (child >= w->n_events || before(&last, &w->events[child]))
+		if (child >= w->n_events ||
+		    is_earlier(&last, &w->events[child]))
 			break;
 		w->events[i] = w->events[child];
 		i = child;
@@ -65,7 +66,7 @@
 	uint64_t end_ns = w->now_ns + ns;
 
 	while (w->n_events && w->events[0].at_ns <= end_ns) {
-		struct event e = pop(w);
+		struct event e = pop_event(w);
 
 		w->now_ns = e.at_ns;
 		e.run(w, &e);
@@ -77,7 +78,7 @@
  * world_forget() - what is reported begins now; what rules were broken stays
  * @w: world
  */
-void world_forget(struct world *w)
+void world_reset_report(struct world *w)
 {
 	struct world_report r = w->report;
 
@@ -93,7 +94,7 @@
 		.doubled = r.doubled,
 	};
 	for (uint32_t i = 0; i < w->n_targets; i++)
-		w->targets[i].runs = 0;
+		w->targets[i].requests_run = 0;
 }
 
 uint64_t world_now_ns(const struct world *w)
@@ -107,7 +108,7 @@
  *
  * Return: nanoseconds.
  */
-uint64_t world_next_ns(const struct world *w)
+uint64_t world_next_event_delay_ns(const struct world *w)
 {
 	return w->n_events && w->events[0].at_ns > w->now_ns
 		       ? w->events[0].at_ns - w->now_ns
@@ -115,37 +116,39 @@
 }
 
 /* From 0 to below 1. */
-double world_chance(struct rng *rng)
+double world_random_unit(struct rng *rng)
 {
 	return (double)(rng_next(rng) >> 11) / (double)(1ULL << 53);
 }
 
-static double normal(struct rng *rng)
+static double sample_normal(struct rng *rng)
 {
-	double a = 1 - world_chance(rng), b = world_chance(rng);
+	double a = 1 - world_random_unit(rng), b = world_random_unit(rng);
 
 	return sqrt(-2 * log(a)) * cos(2 * M_PI * b);
 }
 
-uint64_t world_draw(struct rng *rng, const struct site_spread *s)
+uint64_t world_sample(struct rng *rng, const struct site_spread *s)
 {
 	double sigma = s->sigma_percent / PERCENT;
-	double drawn =
-		(double)s->mean * exp(sigma * normal(rng) - sigma * sigma / 2);
+	double drawn = (double)s->mean *
+		       exp(sigma * sample_normal(rng) - sigma * sigma / 2);
 	uint64_t v = drawn < 1 ? 1 : (uint64_t)drawn;
 
-	return s->most && v > s->most ? s->most : v;
+	return s->max && v > s->max ? s->max : v;
 }
 
-bool world_cut(const struct world *w, uint32_t zone_a, uint32_t zone_b)
+bool world_is_cut(const struct world *w, uint32_t zone_a, uint32_t zone_b)
 {
 	return zone_a != zone_b && (w->cut_until_ns[zone_a] > w->now_ns ||
 				    w->cut_until_ns[zone_b] > w->now_ns);
 }
 
-uint64_t world_way_ns(const struct world *w, uint32_t zone_a, uint32_t zone_b)
+uint64_t world_one_way_ns(const struct world *w, uint32_t zone_a,
+			  uint32_t zone_b)
 {
-	return zone_a == zone_b ? w->conf.site.near_ns : w->conf.site.far_ns;
+	return zone_a == zone_b ? w->conf.site.same_dc_delay_ns
+				: w->conf.site.other_dc_delay_ns;
 }
 
 uint64_t route_vip(uint32_t route)
@@ -154,49 +157,53 @@
 }
 
 /* Beyond the kinds of request: a route that comes and goes. */
-uint32_t probe_route(const struct world *w)
+uint32_t extra_route_index(const struct world *w)
 {
 	return w->conf.site.n_classes;
 }
 
-static void *grown(void *list, uint32_t n, uint32_t *room, size_t size)
+static void *grow_list(void *list, uint32_t n, uint32_t *capacity, size_t size)
 {
 	void *more;
 
-	if (n < *room)
+	if (n < *capacity)
 		return list;
-	*room = *room ? 2 * *room : 256;
-	more = realloc(list, *room * size);
+	*capacity = *capacity ? 2 * *capacity : 256;
+	more = realloc(list, *capacity * size);
 	if (!more)
 		abort();
 	return more;
 }
 
 /* A request ended. */
-void world_note(struct world *w, const struct world_request *r)
+void world_record_request(struct world *w, const struct world_request *r)
 {
-	w->requests = grown(w->requests, w->n_requests, &w->requests_room,
-			    sizeof(*w->requests));
+	w->requests = grow_list(w->requests, w->n_requests,
+				&w->requests_capacity, sizeof(*w->requests));
 	w->requests[w->n_requests++] = *r;
 }
 
-void world_mark_entry(struct world *w, uint32_t entry, bool up)
+void world_record_entry_state(struct world *w, uint32_t entry, bool up)
 {
-	w->runs = grown(w->runs, w->n_runs, &w->runs_room, sizeof(*w->runs));
-	w->runs[w->n_runs++] = (struct entry_mark){ w->now_ns, entry, up };
+	w->entry_changes = grow_list(w->entry_changes, w->n_entry_changes,
+				     &w->entry_changes_capacity,
+				     sizeof(*w->entry_changes));
+	w->entry_changes[w->n_entry_changes++] =
+		(struct entry_change){ w->now_ns, entry, up };
 }
 
-void world_mark_capacity(struct world *w, uint32_t service)
+void world_record_slots(struct world *w, uint32_t service)
 {
 	uint32_t slots = 0;
 
 	for (uint32_t i = 0; i < w->n_targets; i++)
 		if (w->targets[i].service == service && w->targets[i].alive)
-			slots += w->targets[i].news.slots;
-	w->capacity = grown(w->capacity, w->n_capacity, &w->capacity_room,
-			    sizeof(*w->capacity));
-	w->capacity[w->n_capacity++] =
-		(struct capacity_mark){ w->now_ns, service, slots };
+			slots += w->targets[i].advertised.slots;
+	w->slot_changes =
+		grow_list(w->slot_changes, w->n_slot_changes,
+			  &w->slot_changes_capacity, sizeof(*w->slot_changes));
+	w->slot_changes[w->n_slot_changes++] =
+		(struct slot_change){ w->now_ns, service, slots };
 }
 
 static void make_targets(struct world *w)
@@ -218,7 +225,7 @@
 			w->entries[w->n_entries].zone = z;
 			world_start_entry(w, w->n_entries++);
 		}
-	world_at(w, 0, router_probe, 0, 0, 0);
+	world_schedule(w, 0, router_probe, 0, 0, 0);
 }
 
 /* What only tests the configuration looks like the second kind of request. */
@@ -231,10 +238,10 @@
 	w->classes[s->n_classes].kind = ROUTE_REPORT;
 }
 
-static void make_letters(struct world *w)
+static void init_hellos(struct world *w)
 {
-	for (uint32_t i = 0; i < LETTERS_MAX; i++)
-		w->letters[i].next = i + 1;
+	for (uint32_t i = 0; i < HELLOS_IN_FLIGHT_MAX; i++)
+		w->hellos_in_flight[i].next = i + 1;
 }
 
 /**
@@ -256,17 +263,17 @@
 	}
 	w->conf = *conf;
 	if (!w->conf.driver.start)
-		w->conf.driver = entries_emulated();
+		w->conf.driver = emulated_entry_driver();
 	w->rng.state = hash_u64(conf->seed, 1) | 1;
-	w->ask_rng.state = hash_u64(conf->seed, 2) | 1;
+	w->arrival_rng.state = hash_u64(conf->seed, 2) | 1;
 	w->now_ns = 1000 * NS_PER_S;
 	w->epoch = 1;
 	make_classes(w);
-	make_letters(w);
-	store_routes(w);
+	init_hellos(w);
+	store_publish_routes(w);
 	make_targets(w);
 	make_entries(w);
-	world_run(w, LEAD_NS);
+	world_run(w, CLIENT_START_DELAY_NS);
 	w->start_ns = w->now_ns;
 	arrivals_start(w);
 	return w;
@@ -280,11 +287,11 @@
 		node_free(w->entries[i].node);
 	for (uint32_t i = 0; i < w->n_targets; i++)
 		free(w->targets[i].flows);
-	free(w->old_keys);
+	free(w->stale_keys);
 	free(w->copied_keys);
 	free(w->requests);
-	free(w->capacity);
-	free(w->runs);
+	free(w->slot_changes);
+	free(w->entry_changes);
 	free(w->events);
 	free(w);
 }
@@ -304,10 +311,10 @@
 
 		if (t->service != SERVICE_MAIN)
 			continue;
-		sum += t->runs;
+		sum += t->requests_run;
 		n++;
-		if (t->runs > most)
-			most = t->runs;
+		if (t->requests_run > most)
+			most = t->requests_run;
 	}
 	out->imbalance = sum ? (double)most * (double)n / (double)sum : 0;
 }
@@ -337,17 +344,17 @@
 	       r->overrun + r->stale + r->doubled;
 }
 
-uint32_t world_entries(const struct world *w)
+uint32_t world_entry_count(const struct world *w)
 {
 	return w->n_entries;
 }
 
-uint32_t world_targets(const struct world *w)
+uint32_t world_target_count(const struct world *w)
 {
 	return w->n_targets;
 }
 
-uint32_t world_ready(struct world *w)
+uint32_t world_ready_count(struct world *w)
 {
 	uint32_t ready = 0;
 
--- a/sim/sim-packets/world.h
+++ b/sim/sim-packets/world.h
@@ -15,13 +15,13 @@
 #define USERS_MAX 8192
 #define STORE_KEYS_MAX 2048
 
-#define STORE_NS (4 * NS_PER_MS)
+#define STORE_ANSWER_NS (4 * NS_PER_MS)
 /* After a disturbance what it touched may be wrong for this long. */
 #define SETTLE_NS (4 * NS_PER_S)
 /* Longest time until a publication is in force. */
-#define FORCE_NS (3 * NS_PER_S)
+#define PUBLISH_MAX_NS (3 * NS_PER_S)
 /* The same of an evacuation, with a store that is well. */
-#define EVACUATE_NS (2 * NS_PER_S)
+#define EVACUATE_MAX_NS (2 * NS_PER_S)
 /* What a cold target may get in any second: its rate so many times, and more. */
 #define COLD_OVERRUN 1.5
 #define COLD_SLACK 5.0
@@ -67,9 +67,9 @@
 	void (*stop)(void *ctx, struct world *w, uint32_t entry);
 	void (*freeze)(void *ctx, struct world *w, uint32_t entry, bool frozen);
 	bool (*ready)(void *ctx, struct world *w, uint32_t entry);
-	void (*packet)(void *ctx, struct world *w, uint32_t entry,
-		       const struct sim_packet *k);
-	void (*target)(void *ctx, struct world *w, uint32_t target);
+	void (*deliver)(void *ctx, struct world *w, uint32_t entry,
+			const struct sim_packet *k);
+	void (*target_changed)(void *ctx, struct world *w, uint32_t target);
 };
 
 /**
@@ -101,10 +101,10 @@
  * @TARGET_HANGS: takes them and does not answer
  * @TARGET_CRAWLS: runs them much slower
  */
-enum world_failing { TARGET_WORKS, TARGET_FAILS, TARGET_HANGS, TARGET_CRAWLS };
+enum target_mode { TARGET_WORKS, TARGET_FAILS, TARGET_HANGS, TARGET_SLOW };
 
 /**
- * enum world_foreign - an entry that no target wrote
+ * enum record_defect - an entry that no target wrote
  * @FOREIGN_NONE: it is a target's
  * @FOREIGN_BYTES: not readable
  * @FOREIGN_MISSING: a field is missing
@@ -113,7 +113,7 @@
  * @FOREIGN_SERVICE: a service that no configuration names
  * @FOREIGN_UNBORN: all but the start of its process
  */
-enum world_foreign {
+enum record_defect {
 	FOREIGN_NONE,
 	FOREIGN_BYTES,
 	FOREIGN_MISSING,
@@ -149,7 +149,7 @@
  */
 struct world_report {
 	uint64_t requests;
-	uint64_t in_aim;
+	uint64_t on_time;
 	uint64_t late;
 	uint64_t failed;
 	uint64_t misrouted;
@@ -159,11 +159,11 @@
 	uint64_t overrun;
 	uint64_t stale;
 	uint64_t doubled;
-	uint64_t swamped;
+	uint64_t queue_full;
 	uint64_t probes;
 	uint64_t store_calls;
-	uint64_t far_bytes;
-	double owed;
+	uint64_t cross_dc_bytes;
+	double offered;
 	double earned;
 	double imbalance;
 };
@@ -201,8 +201,8 @@
  * @cause: enum world_cause
  */
 struct world_request {
-	uint64_t asked_ns;
-	uint64_t took_ns;
+	uint64_t arrival_ns;
+	uint64_t latency_ns;
 	uint64_t work_ns;
 	uint8_t zone;
 	uint8_t class;
@@ -212,14 +212,14 @@
 struct world *world_new(const struct world_conf *conf);
 void world_free(struct world *w);
 void world_run(struct world *w, uint64_t ns);
-void world_forget(struct world *w);
+void world_reset_report(struct world *w);
 uint64_t world_now_ns(const struct world *w);
-uint64_t world_next_ns(const struct world *w);
+uint64_t world_next_event_delay_ns(const struct world *w);
 void world_report(const struct world *w, struct world_report *out);
 uint64_t world_broken_rules(const struct world_report *r);
-uint32_t world_entries(const struct world *w);
-uint32_t world_targets(const struct world *w);
-uint32_t world_ready(struct world *w);
+uint32_t world_entry_count(const struct world *w);
+uint32_t world_target_count(const struct world *w);
+uint32_t world_ready_count(struct world *w);
 const struct world_request *world_requests(const struct world *w, uint32_t *n);
 
 /* Faults and planned work; each takes effect at once. */
@@ -229,25 +229,26 @@
 void world_stop_entry(struct world *w, uint32_t entry);
 void world_freeze_entry(struct world *w, uint32_t entry, uint64_t ns);
 void world_cut_zone(struct world *w, uint32_t zone, uint64_t ns);
-void world_store(struct world *w, uint32_t entry, enum store_mode mode,
-		 uint64_t ns);
-void world_store_slow(struct world *w, uint64_t answer_ns, uint64_t ns);
+void world_set_store_mode(struct world *w, uint32_t entry, enum store_mode mode,
+			  uint64_t ns);
+void world_store_slow(struct world *w, uint64_t store_answer_ns, uint64_t ns);
 void world_store_down(struct world *w, uint64_t ns, bool lapse);
-void world_store_copied(struct world *w);
-void world_store_restored(struct world *w, uint64_t ns);
-void world_kill_target(struct world *w, uint32_t target, bool dark);
-void world_fail_target(struct world *w, uint32_t target, enum world_failing how,
+void world_copy_store(struct world *w);
+void world_restore_store(struct world *w, uint64_t ns);
+void world_kill_target(struct world *w, uint32_t target, bool machine_down);
+void world_fail_target(struct world *w, uint32_t target, enum target_mode mode,
 		       uint64_t ns);
 void world_restart_target(struct world *w, uint32_t target, uint64_t down_ns);
-void world_late_entry(struct world *w, uint32_t target, uint64_t late_ns);
-void world_foreign_entry(struct world *w, enum world_foreign what,
-			 uint32_t target, bool under_its_key);
+void world_delay_record(struct world *w, uint32_t target, uint64_t late_ns);
+void world_write_foreign_record(struct world *w, enum record_defect defect,
+				uint32_t target, bool under_its_key);
 void world_release_target(struct world *w, uint32_t target);
 void world_reuse_address(struct world *w, uint32_t target);
 void world_evacuate(struct world *w, uint32_t zone, bool on);
 void world_add_route(struct world *w);
 void world_drop_route(struct world *w);
-void world_load(struct world *w, uint32_t zone, double factor, uint64_t ns);
+void world_scale_load(struct world *w, uint32_t zone, double factor,
+		      uint64_t ns);
 
 /* The store answers, is slow, refuses half, is silent to half, is down. */
 #define RECOVERY_CONDITIONS 5
@@ -261,9 +262,9 @@
  *	newest revision
  */
 struct recovery {
-	uint64_t first_ns;
-	uint64_t each_ns[RECOVERY_ENTRIES_MAX];
-	uint64_t agree_ns;
+	uint64_t first_ready_ns;
+	uint64_t ready_ns[RECOVERY_ENTRIES_MAX];
+	uint64_t all_agree_ns;
 };
 
 void recovery_run(uint64_t seed, uint32_t entries, uint32_t condition,
@@ -274,7 +275,7 @@
 #define EVACUATION_CONDITIONS 5
 
 void evacuation_run(uint64_t seed, uint32_t entries, uint32_t condition,
-		    uint64_t *each_ns);
+		    uint64_t *in_force_ns);
 int evacuation_table(uint64_t first_seed, uint32_t seeds, uint32_t entries);
 
 /**
@@ -289,7 +290,7 @@
 	const char *name;
 	const char *help;
 	void (*apply)(struct world *w);
-	double served;
+	double served_min;
 };
 
 extern const struct world_fault world_faults[];
--- a/sim/sim-packets/world_state.h
+++ b/sim/sim-packets/world_state.h
@@ -33,9 +33,9 @@
 	uint64_t at_ns;
 	uint64_t order;
 	void (*run)(struct world *w, const struct event *e);
-	uint64_t a;
-	uint64_t b;
-	uint64_t c;
+	uint64_t arg0;
+	uint64_t arg1;
+	uint64_t arg2;
 };
 
 struct sim_entry {
@@ -44,17 +44,17 @@
 	uint64_t boot;
 	bool up;
 	bool frozen;
-	uint64_t ran_ns;
-	uint8_t missed;
+	uint64_t last_tick_ns;
+	uint8_t missed_probes;
 	uint64_t disturbed_ns;
-	enum store_mode store;
-	uint64_t store_until_ns;
-	uint64_t list_due_ns;
+	enum store_mode store_mode;
+	uint64_t store_mode_until_ns;
+	uint64_t list_answer_ns;
 	bool watching;
 	uint64_t watch_after;
 	uint64_t watch_epoch;
 	uint64_t link_free_ns;
-	bool pacing;
+	bool pace_scheduled;
 };
 
 /**
@@ -64,8 +64,8 @@
  * @request_bytes: size
  * @answer_bytes: size of its answer
  */
-struct sim_ask {
-	uint64_t asked_ns;
+struct request_spec {
+	uint64_t arrival_ns;
 	uint64_t work_ns;
 	uint32_t request_bytes;
 	uint32_t answer_bytes;
@@ -75,7 +75,7 @@
 struct sim_request {
 	uint32_t user;
 	uint16_t port;
-	uint64_t number;
+	uint64_t request_number;
 	uint64_t work_ns;
 };
 
@@ -91,10 +91,10 @@
 struct sim_flow {
 	uint32_t user;
 	uint16_t port;
-	uint64_t number;
-	uint64_t got[SEGMENTS_MAX / 64];
-	uint32_t n_got;
-	bool done;
+	uint64_t request_number;
+	uint64_t received[SEGMENTS_MAX / 64];
+	uint32_t n_received;
+	bool is_complete;
 };
 
 /**
@@ -106,27 +106,27 @@
 enum sim_answer { ANSWER_DONE, ANSWER_REFUSED, ANSWER_FAILED };
 
 struct sim_target {
-	struct target_advertisement news;
+	struct target_advertisement advertised;
 	uint32_t process;
 	uint64_t restarted_ns;
 	uint64_t cold_until_ns;
 	uint32_t service;
 	uint32_t zone;
 	bool alive;
-	bool dark;
-	uint8_t failing;
-	uint64_t failing_until_ns;
-	uint64_t left_ns;
+	bool machine_down;
+	uint8_t mode;
+	uint64_t mode_until_ns;
+	uint64_t leaving_since_ns;
 	uint64_t disturbed_ns;
 	uint64_t opened_ns[COLD_WINDOW];
 	uint32_t n_opened;
 	struct sim_flow *flows;
 	uint32_t n_flows;
-	uint32_t room;
+	uint32_t flows_capacity;
 	uint32_t busy;
 	struct sim_request queue[QUEUE_MAX];
 	uint32_t n_queue;
-	uint64_t runs;
+	uint64_t requests_run;
 };
 
 enum user_state { USER_IDLE, USER_OPENING, USER_OPEN };
@@ -172,37 +172,37 @@
 	uint32_t target;
 	uint32_t process;
 	uint64_t opened_ns;
-	bool opened_in_force;
+	bool opened_with_extra_route;
 	uint64_t used_ns;
-	struct sim_ask pending[PENDING_MAX];
+	struct request_spec pending[PENDING_MAX];
 	uint32_t n_pending;
-	bool waiting;
-	uint64_t number;
-	struct sim_ask ask;
+	bool has_request;
+	uint64_t request_number;
+	struct request_spec spec;
 	uint32_t attempts;
-	uint32_t ran;
-	uint32_t copies;
-	uint32_t base;
+	uint32_t runs;
+	uint32_t syn_copies;
+	uint32_t request_seq;
 	uint32_t segments;
 	uint32_t sent;
 	uint32_t acked;
 	uint32_t ack;
-	bool lost;
-	bool gone;
-	bool refused;
-	bool failed;
+	bool packet_lost;
+	bool target_gone;
+	bool was_refused;
+	bool has_failed;
 };
 
 /* What the ports of an entry's node get passed back. */
 struct port_ctx {
 	struct world *w;
-	struct sim_entry *e;
+	struct sim_entry *entry;
 };
 
 /* A target's entry and a configuration, as values of the store. */
 struct target_value {
-	struct target_advertisement news;
-	enum world_foreign foreign;
+	struct target_advertisement advertised;
+	enum record_defect foreign;
 	char service[SITE_NAME_BYTES];
 	char zone[SITE_NAME_BYTES];
 };
@@ -212,7 +212,7 @@
 	uint8_t kind;
 	uint8_t priority;
 	uint32_t timeout_ms;
-	uint32_t aim_ms;
+	uint32_t objective_ms;
 };
 
 struct routes_value {
@@ -231,18 +231,18 @@
 };
 
 /* A heartbeat on its way; an event carries its number. */
-struct letter {
+struct hello_in_flight {
 	struct hello hello;
 	uint32_t next;
 };
 
-#define LETTERS_MAX 8192
+#define HELLOS_IN_FLIGHT_MAX 8192
 
 /* An entry's connection attempt. */
 struct sim_attempt {
 	uint32_t entry;
-	struct incarnation who;
-	uint64_t since_ns;
+	struct incarnation incarnation;
+	uint64_t start_ns;
 };
 
 #define ATTEMPTS_MAX 65536
@@ -253,7 +253,7 @@
  * @service: service
  * @slots: how many
  */
-struct capacity_mark {
+struct slot_change {
 	uint64_t at_ns;
 	uint32_t service;
 	uint32_t slots;
@@ -265,7 +265,7 @@
  * @entry: entry
  * @up: whether
  */
-struct entry_mark {
+struct entry_change {
 	uint64_t at_ns;
 	uint32_t entry;
 	bool up;
@@ -275,7 +275,7 @@
 	struct world_conf conf;
 	struct site_class classes[CLASSES_MAX + 1];
 	struct rng rng;
-	struct rng ask_rng;
+	struct rng arrival_rng;
 	uint64_t now_ns;
 	uint64_t start_ns;
 	uint64_t order;
@@ -287,16 +287,16 @@
 	uint32_t n_targets;
 	struct sim_user users[USERS_MAX];
 	uint32_t n_users;
-	uint32_t fresh_next[ZONES_MAX][CLASSES_MAX];
-	double load[ZONES_MAX];
+	uint32_t next_idle_user[ZONES_MAX][CLASSES_MAX];
+	double load_factor[ZONES_MAX];
 	uint64_t load_until_ns[ZONES_MAX];
 	struct store_key keys[STORE_KEYS_MAX];
 	uint32_t n_keys;
-	struct store_key *old_keys;
-	uint32_t n_old_keys;
-	uint64_t old_ns;
-	uint64_t old_revision;
-	uint64_t old_epoch;
+	struct store_key *stale_keys;
+	uint32_t n_stale_keys;
+	uint64_t stale_copy_ns;
+	uint64_t stale_revision;
+	uint64_t stale_epoch;
 	struct store_key *copied_keys;
 	uint32_t n_copied_keys;
 	uint64_t copied_revision;
@@ -306,9 +306,9 @@
 	bool extra_route;
 	bool evacuated[ZONES_MAX];
 	uint64_t evacuated_ns[ZONES_MAX];
-	uint64_t extra_ns;
-	uint64_t dropped_ns;
-	uint64_t store_down_ns;
+	uint64_t extra_route_changed_ns;
+	uint64_t extra_route_dropped_ns;
+	uint64_t store_down_until_ns;
 	uint64_t store_slow_ns;
 	uint64_t store_slow_until_ns;
 	uint64_t store_disturbed_ns;
@@ -316,46 +316,48 @@
 	uint64_t next_id;
 	uint64_t next_number;
 	struct port_ctx contexts[ENTRIES_MAX];
-	struct letter letters[LETTERS_MAX];
-	uint32_t spare_letter;
+	struct hello_in_flight hellos_in_flight[HELLOS_IN_FLIGHT_MAX];
+	uint32_t free_hello;
 	struct sim_attempt attempts[ATTEMPTS_MAX];
 	uint32_t next_attempt;
 	struct world_request *requests;
 	uint32_t n_requests;
-	uint32_t requests_room;
-	struct capacity_mark *capacity;
-	uint32_t n_capacity;
-	uint32_t capacity_room;
-	struct entry_mark *runs;
-	uint32_t n_runs;
-	uint32_t runs_room;
+	uint32_t requests_capacity;
+	struct slot_change *slot_changes;
+	uint32_t n_slot_changes;
+	uint32_t slot_changes_capacity;
+	struct entry_change *entry_changes;
+	uint32_t n_entry_changes;
+	uint32_t entry_changes_capacity;
 	struct world_report report;
 };
 
-void world_at(struct world *w, uint64_t delay_ns,
-	      void (*run)(struct world *w, const struct event *e), uint64_t a,
-	      uint64_t b, uint64_t c);
-double world_chance(struct rng *rng);
-uint64_t world_draw(struct rng *rng, const struct site_spread *s);
-bool world_cut(const struct world *w, uint32_t zone_a, uint32_t zone_b);
-uint64_t world_way_ns(const struct world *w, uint32_t zone_a, uint32_t zone_b);
+void world_schedule(struct world *w, uint64_t delay_ns,
+		    void (*run)(struct world *w, const struct event *e),
+		    uint64_t a, uint64_t b, uint64_t c);
+double world_random_unit(struct rng *rng);
+uint64_t world_sample(struct rng *rng, const struct site_spread *s);
+bool world_is_cut(const struct world *w, uint32_t zone_a, uint32_t zone_b);
+uint64_t world_one_way_ns(const struct world *w, uint32_t zone_a,
+			  uint32_t zone_b);
 uint64_t route_vip(uint32_t route);
-uint32_t probe_route(const struct world *w);
-void world_note(struct world *w, const struct world_request *r);
-void world_mark_entry(struct world *w, uint32_t entry, bool up);
-void world_mark_capacity(struct world *w, uint32_t service);
+uint32_t extra_route_index(const struct world *w);
+void world_record_request(struct world *w, const struct world_request *r);
+void world_record_entry_state(struct world *w, uint32_t entry, bool up);
+void world_record_slots(struct world *w, uint32_t service);
 
 /* store.c */
-void store_routes(struct world *w);
-void store_target(struct world *w, struct sim_target *t);
-void store_value(const struct world *w, const struct sim_target *t,
-		 struct target_value *v);
-void store_foreign(struct world *w, uint64_t id, const struct target_value *v);
-void store_delete(struct world *w, const struct sim_target *t);
-void store_evacuate(struct world *w, uint32_t zone, bool on);
-void store_copy(struct world *w);
-void store_restore(struct world *w);
-void store_rewrite(struct world *w);
+void store_publish_routes(struct world *w);
+void store_publish_target(struct world *w, struct sim_target *t);
+void store_target_value(const struct world *w, const struct sim_target *t,
+			struct target_value *v);
+void store_write_target(struct world *w, uint64_t id,
+			const struct target_value *v);
+void store_delete_target(struct world *w, const struct sim_target *t);
+void store_set_evacuation(struct world *w, uint32_t zone, bool on);
+void store_save_copy(struct world *w);
+void store_restore_copy(struct world *w);
+void store_republish_lost(struct world *w);
 enum store_mode store_mode_of(const struct world *w, uint32_t entry);
 void store_list(void *ctx, const char *after_key, bool exact);
 void store_watch(void *ctx, uint64_t after, uint64_t wait_ns);
@@ -363,38 +365,39 @@
 		 struct decoded_document *out, const char **problem);
 
 /* entries.c */
-struct entry_driver entries_emulated(void);
+struct entry_driver emulated_entry_driver(void);
 
 /* router.c */
 void router_probe(struct world *w, const struct event *e);
-uint32_t router_pick(struct world *w, const struct sim_user *u);
+uint32_t router_select(struct world *w, const struct sim_user *u);
 
 /* targets.c */
 uint32_t targets_add(struct world *w, uint32_t service, uint32_t zone,
 		     uint64_t addr);
-void targets_packet(struct world *w, uint32_t target, uint32_t entry,
-		    const struct sim_packet *k);
-void targets_cold(struct world *w, uint32_t target);
-void targets_told(struct world *w, uint32_t target);
-uint32_t targets_at(const struct world *w, uint64_t addr);
-void targets_end(struct world *w, uint32_t target, bool dark);
+void targets_receive(struct world *w, uint32_t target, uint32_t entry,
+		     const struct sim_packet *k);
+void targets_start_cold(struct world *w, uint32_t target);
+void targets_report_change(struct world *w, uint32_t target);
+uint32_t targets_find_by_addr(const struct world *w, uint64_t addr);
+void targets_end(struct world *w, uint32_t target, bool machine_down);
 void targets_clear(struct sim_target *t);
 
 /* arrivals.c */
 void arrivals_start(struct world *w);
-bool arrivals_next(struct world *w, uint32_t user);
-void arrivals_again(struct world *w, uint32_t user);
+bool arrivals_start_pending(struct world *w, uint32_t user);
+void arrivals_schedule_test_user(struct world *w, uint32_t user);
 
 /* users.c */
-void users_ask(struct world *w, uint32_t user, const struct sim_ask *ask);
+void users_start_request(struct world *w, uint32_t user,
+			 const struct request_spec *spec);
 void users_opened(struct world *w, uint32_t user, uint16_t port,
 		  uint32_t target, uint32_t cookie);
-void users_acked(struct world *w, uint32_t user, uint16_t port, uint64_t number,
-		 uint32_t acked);
+void users_acked(struct world *w, uint32_t user, uint16_t port,
+		 uint64_t request_number, uint32_t acked);
 void users_answered(struct world *w, uint32_t user, uint16_t port,
-		    uint64_t number, enum sim_answer answer);
+		    uint64_t request_number, enum sim_answer answer);
 void users_reset(struct world *w, const struct flow_key *flow, uint32_t entry);
-void users_cut(struct world *w, uint32_t user, uint16_t port);
+void users_flow_unknown(struct world *w, uint32_t user, uint16_t port);
 struct flow_key users_flow(const struct world *w, uint32_t user, uint16_t port);
 
 #endif
--- a/sim/sim-soak/main.c
+++ b/sim/sim-soak/main.c
@@ -199,7 +199,7 @@
 	double served;
 
 	world_report(w, &r);
-	served = r.requests ? (double)(r.in_aim + r.late) / (double)r.requests
+	served = r.requests ? (double)(r.on_time + r.late) / (double)r.requests
 			    : 0;
 	printf("\n  requests %llu served %.4f misrouted %llu broken %llu late "
 	       "drain %llu evacuated %llu overrun %llu stale %llu doubled "
@@ -212,8 +212,8 @@
 	return !world_broken_rules(&r) && served >= SERVED_LEAST;
 }
 
-static bool play(const char *program, const char *dir, uint64_t seed,
-		 const struct soak_plan *plan)
+static bool run_fault(const char *program, const char *dir, uint64_t seed,
+		      const struct soak_plan *plan)
 {
 	static struct soak s; /* large for a stack */
 	struct rng rng = { hash_u64(seed, 2) | 1 };
@@ -221,7 +221,7 @@
 	struct world_conf conf = { .seed = seed };
 	bool kept;
 
-	site_plain(&conf.site, &size);
+	site_default(&conf.site, &size);
 	prepare(&s, program, dir);
 	conf.driver = processes_driver(&s);
 	s.world = world_new(&conf);
@@ -314,8 +314,8 @@
 		plan = (struct soak_plan){ (uint32_t)a->names->count,
 					   a->names->sval };
 	for (uint32_t i = 0; i < seeds; i++)
-		failed += !play(a->program->sval[0], a->dir->sval[0], first + i,
-				&plan);
+		failed += !run_fault(a->program->sval[0], a->dir->sval[0],
+				     first + i, &plan);
 	printf("%u passed, %u failed\n", seeds - failed, failed);
 	return failed ? EXIT_BROKEN : EXIT_OK;
 }
--- a/sim/sim-soak/publish.c
+++ b/sim/sim-soak/publish.c
@@ -57,27 +57,28 @@
 
 static void put_target(GString *out, const struct target_value *v)
 {
-	const char *state = v->news.leaving ? "draining" : "ready";
-	uint32_t ip = ADDR_IP(v->news.addr);
+	const char *state = v->advertised.leaving ? "draining" : "ready";
+	uint32_t ip = ADDR_IP(v->advertised.addr);
 	GString *json = g_string_new("{");
 
 	if (v->foreign != FOREIGN_MISSING)
 		g_string_append_printf(json, "\"address\":\"%u.%u.%u.%u:%u\",",
 				       ip >> 24, ip >> 16 & 255, ip >> 8 & 255,
-				       ip & 255, ADDR_PORT(v->news.addr));
+				       ip & 255, ADDR_PORT(v->advertised.addr));
 	if (v->foreign != FOREIGN_UNBORN)
-		g_string_append_printf(json, "\"born\":%llu,",
-				       (unsigned long long)v->news.started_ms);
+		g_string_append_printf(
+			json, "\"born\":%llu,",
+			(unsigned long long)v->advertised.started_ms);
 	g_string_append_printf(
 		json,
 		"\"service\":\"%s\",\"zone\":\"%s\",\"version\":\"v1\","
 		"\"slots\":%s%u%s,\"state\":\"%s\",\"cold-remaining-ms\":0,"
 		"\"sequence\":%llu%s",
 		v->foreign == FOREIGN_SERVICE ? "none" : v->service, v->zone,
-		v->foreign == FOREIGN_TYPE ? "\"" : "", v->news.slots,
+		v->foreign == FOREIGN_TYPE ? "\"" : "", v->advertised.slots,
 		v->foreign == FOREIGN_TYPE ? "\"" : "",
 		v->foreign == FOREIGN_STATE ? "paused" : state,
-		(unsigned long long)v->news.sequence,
+		(unsigned long long)v->advertised.sequence,
 		v->foreign == FOREIGN_BYTES ? "" : "}");
 	put_value(out, json->str);
 	g_string_free(json, TRUE);
--- a/sim/sim-soak/sockets.c
+++ b/sim/sim-soak/sockets.c
@@ -149,7 +149,7 @@
 static void to_target(struct soak *s, const struct soak_address *a,
 		      const uint8_t *data, uint32_t size_bytes, uint32_t entry)
 {
-	uint32_t target = targets_at(s->world, a->addr);
+	uint32_t target = targets_find_by_addr(s->world, a->addr);
 	const struct sim_target *t = &s->world->targets[target];
 	uint64_t id = 0;
 	struct sim_packet sim;
@@ -157,7 +157,7 @@
 
 	for (uint32_t i = 0; i < ENVELOPE_BYTES; i++)
 		id = id << 8 | data[i];
-	if (id != t->news.id ||
+	if (id != t->advertised.id ||
 	    users_read_packet(data + ENVELOPE_BYTES,
 			      size_bytes - ENVELOPE_BYTES, &k))
 		return;
@@ -174,7 +174,7 @@
 		s->world->report.misrouted++;
 	sim.port = ADDR_PORT(
 		flow_at(s, sim.user, k.flow.caller, k.flow.vip).caller);
-	targets_packet(s->world, target, entry, &sim);
+	targets_receive(s->world, target, entry, &sim);
 }
 
 static void on_target(uv_poll_t *poll, int status, int events)
@@ -262,14 +262,14 @@
 void sockets_target(struct soak *s, uint32_t target)
 {
 	const struct sim_target *t = &s->world->targets[target];
-	struct soak_address *a = address_of(s, t->news.addr);
+	struct soak_address *a = address_of(s, t->advertised.addr);
 
 	stop_answering(a);
 	if (t->alive) {
 		a->probes_fd = bound(SOCK_STREAM, a->addr);
 		if (a->probes_fd >= 0 && listen(a->probes_fd, 128))
 			perror("listen");
-	} else if (t->dark) {
+	} else if (t->machine_down) {
 		go_dark(a);
 	}
 }
--- a/test/packet_cold_test.c
+++ b/test/packet_cold_test.c
@@ -195,7 +195,7 @@
 			struct world_report r;
 			struct world *w;
 
-			site_plain(&conf.site, &size);
+			site_default(&conf.site, &size);
 			conf.site.services[0].cold_ns = 6 * NS_PER_S;
 			conf.site.services[0].cold_per_s = PER_S;
 			w = world_new(&conf);
--- a/test/packet_link_test.c
+++ b/test/packet_link_test.c
@@ -32,12 +32,12 @@
 		2,
 	};
 
-	site_plain(s, &size);
+	site_default(s, &size);
 	s->classes[s->n_classes++] = upload;
 	for (uint32_t z = 0; z < s->n_zones; z++)
 		s->zones[z].per_s[UPLOAD] = 3;
 	s->link_bytes_per_s = LINK_BYTES_PER_S;
-	s->link_told = true;
+	s->link_is_known = true;
 }
 
 static struct world *run_world(uint64_t seed)
@@ -63,7 +63,8 @@
  * Percentile of the answer times of a class; UINT64_MAX when that many were not
  * answered.
  */
-static uint64_t took_ns(const struct world *w, uint8_t class, uint32_t percent)
+static uint64_t latency_ns(const struct world *w, uint8_t class,
+			   uint32_t percent)
 {
 	uint32_t n, of = 0;
 	const struct world_request *r = world_requests(w, &n);
@@ -72,7 +73,8 @@
 
 	for (uint32_t i = 0; i < n; i++)
 		if (r[i].class == class)
-			took[of++] = r[i].took_ns ? r[i].took_ns : UINT64_MAX;
+			took[of++] =
+				r[i].latency_ns ? r[i].latency_ns : UINT64_MAX;
 	assert_int_not_equal(of, 0);
 	qsort(took, of, sizeof(*took), by_time);
 	at = took[(uint64_t)of * percent / PERCENT];
@@ -93,9 +95,9 @@
 	for (uint64_t seed = 1; seed <= SEEDS; seed++) {
 		struct world *w = run_world(seed);
 
-		assert_in_range(took_ns(w, UPLOAD, 75), 1, 1200 * NS_PER_MS);
-		assert_in_range(took_ns(w, FEED, 99), 1, 500 * NS_PER_MS);
-		assert_in_range(took_ns(w, REPORT, 99), 1, 500 * NS_PER_MS);
+		assert_in_range(latency_ns(w, UPLOAD, 75), 1, 1200 * NS_PER_MS);
+		assert_in_range(latency_ns(w, FEED, 99), 1, 500 * NS_PER_MS);
+		assert_in_range(latency_ns(w, REPORT, 99), 1, 500 * NS_PER_MS);
 		world_free(w);
 	}
 }
--- a/test/packet_load_test.c
+++ b/test/packet_load_test.c
@@ -28,7 +28,7 @@
 		struct windows windows;
 		struct outcome out;
 
-		assert_int_equal(experiment_play(&x, 0, seed, &out, &windows),
+		assert_int_equal(experiment_run(&x, 0, seed, &out, &windows),
 				 0);
 		windows_free(&windows);
 		assert_int_equal(out.rules, 0);
--- a/test/packet_restore_test.c
+++ b/test/packet_restore_test.c
@@ -5,26 +5,26 @@
 #include "world_bed.h"
 
 /* Guards against late drains and late configurations after a restored store. */
-static void test_restored_store(void **state)
+static void restored_store_keeps_rules_and_serves_requests(void **state)
 {
 	(void)state;
 	for (uint32_t i = 0; i < n_world_faults; i++)
 		for (uint64_t seed = 1; seed <= WORLD_SEEDS; seed++)
 			if (restores_store(&world_faults[i]))
-				world_bed_play(&world_faults[i], seed, false);
+				world_bed_run(&world_faults[i], seed, false);
 }
 
-static void test_restored_store_with_flows_that_move(void **state)
+static void restored_store_keeps_rules_when_routers_move_flows(void **state)
 {
 	(void)state;
 	for (uint32_t i = 0; i < n_world_faults; i++)
 		if (restores_store(&world_faults[i]))
-			world_bed_play(&world_faults[i], WORLD_SEED_MOVES,
-				       true);
+			world_bed_run(&world_faults[i], WORLD_SEED_REMAINDER,
+				      true);
 }
 
 /* Before and after each other fault. */
-static void test_restored_store_with_other_faults(void **state)
+static void restored_store_keeps_rules_with_other_faults(void **state)
 {
 	const struct world_fault *restored = world_fault_find("store_restored");
 
@@ -32,17 +32,19 @@
 	for (uint32_t i = 0; i < n_world_faults; i++) {
 		if (restores_store(&world_faults[i]))
 			continue;
-		world_bed_pair(restored, &world_faults[i], 200 + i, i % 2);
-		world_bed_pair(&world_faults[i], restored, 300 + i, i % 2);
+		world_bed_run_pair(restored, &world_faults[i], 200 + i, i % 2);
+		world_bed_run_pair(&world_faults[i], restored, 300 + i, i % 2);
 	}
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_restored_store),
-		cmocka_unit_test(test_restored_store_with_flows_that_move),
-		cmocka_unit_test(test_restored_store_with_other_faults),
+		cmocka_unit_test(
+			restored_store_keeps_rules_and_serves_requests),
+		cmocka_unit_test(
+			restored_store_keeps_rules_when_routers_move_flows),
+		cmocka_unit_test(restored_store_keeps_rules_with_other_faults),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/packet_slow_test.c
+++ b/test/packet_slow_test.c
@@ -7,39 +7,40 @@
  */
 #include "world_bed.h"
 
-static void test_slow_targets(void **state)
+static void requests_meet_deadlines_with_slow_targets(void **state)
 {
 	const struct world_fault *f = world_fault_find("targets_crawl");
 
 	(void)state;
 	for (uint64_t seed = 1; seed <= WORLD_SEEDS; seed++)
-		world_bed_play(f, seed, false);
+		world_bed_run(f, seed, false);
 }
 
 /* Of the first hundred seeds those that show it. */
-static void test_slow_targets_at_their_worst(void **state)
+static void requests_meet_deadlines_at_worst_seeds(void **state)
 {
 	static const uint64_t seeds[] = { 8, 16, 25, 75 };
 	const struct world_fault *f = world_fault_find("targets_crawl");
 
 	(void)state;
 	for (size_t i = 0; i < sizeof(seeds) / sizeof(seeds[0]); i++)
-		world_bed_play(f, seeds[i], false);
+		world_bed_run(f, seeds[i], false);
 }
 
-static void test_slow_targets_with_flows_that_move(void **state)
+static void requests_meet_deadlines_when_routers_move_flows(void **state)
 {
 	(void)state;
-	world_bed_play(world_fault_find("targets_crawl"), WORLD_SEED_MOVES,
-		       true);
+	world_bed_run(world_fault_find("targets_crawl"), WORLD_SEED_REMAINDER,
+		      true);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_slow_targets),
-		cmocka_unit_test(test_slow_targets_at_their_worst),
-		cmocka_unit_test(test_slow_targets_with_flows_that_move),
+		cmocka_unit_test(requests_meet_deadlines_with_slow_targets),
+		cmocka_unit_test(requests_meet_deadlines_at_worst_seeds),
+		cmocka_unit_test(
+			requests_meet_deadlines_when_routers_move_flows),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/packet_world_test.c
+++ b/test/packet_world_test.c
@@ -4,14 +4,14 @@
  */
 #include "world_bed.h"
 
-static void test_every_fault(void **state)
+static void every_fault_keeps_rules_and_serves_requests(void **state)
 {
 	(void)state;
 	for (uint32_t i = 0; i < n_world_faults; i++)
 		for (uint64_t seed = 1; seed <= WORLD_SEEDS; seed++)
-			if (!slow_targets(&world_faults[i]) &&
+			if (!has_slow_targets(&world_faults[i]) &&
 			    !restores_store(&world_faults[i]))
-				world_bed_play(&world_faults[i], seed, false);
+				world_bed_run(&world_faults[i], seed, false);
 }
 
 /*
@@ -19,18 +19,18 @@
  * remainder, so that nearly all reach another entry than before. Cause: an
  * entry that had not seen a flow could not carry it.
  */
-static void test_every_fault_with_flows_that_move(void **state)
+static void rules_hold_when_routers_move_flows(void **state)
 {
 	(void)state;
 	for (uint32_t i = 0; i < n_world_faults; i++)
-		if (!slow_targets(&world_faults[i]) &&
+		if (!has_slow_targets(&world_faults[i]) &&
 		    !restores_store(&world_faults[i]))
-			world_bed_play(&world_faults[i], WORLD_SEED_MOVES,
-				       true);
+			world_bed_run(&world_faults[i], WORLD_SEED_REMAINDER,
+				      true);
 }
 
 /* Two at a time, the second while the first lasts. */
-static void test_pairs_of_faults(void **state)
+static void rules_hold_under_two_overlapping_faults(void **state)
 {
 	uint32_t n = 0;
 
@@ -38,8 +38,9 @@
 	while (n < n_world_faults && !restores_store(&world_faults[n]))
 		n++;
 	for (uint32_t i = 0; i < n; i++)
-		world_bed_pair(&world_faults[i], &world_faults[(i * 7 + 3) % n],
-			       100 + i, i % 2);
+		world_bed_run_pair(&world_faults[i],
+				   &world_faults[(i * 7 + 3) % n], 100 + i,
+				   i % 2);
 }
 
 /*
@@ -48,7 +49,7 @@
  * Cause: each further wait of a young process is one of all clients. While the
  * store is down (the last condition, for 1.4 s after the start) nobody can.
  */
-static void test_all_serve_soon_after_all_lost_power(void **state)
+static void entries_serve_soon_after_common_power_loss(void **state)
 {
 	static const uint64_t ready_ms[RECOVERY_CONDITIONS] = { 60, 300, 120,
 								120, 1700 };
@@ -59,9 +60,10 @@
 		for (uint64_t seed = 1; seed <= WORLD_SEEDS; seed++) {
 			recovery_run(seed, 3, c, &r);
 			for (uint32_t i = 0; i < 9; i++)
-				assert_in_range(r.each_ns[i], 1,
+				assert_in_range(r.ready_ns[i], 1,
 						ready_ms[c] * NS_PER_MS);
-			assert_in_range(r.agree_ns, 1, ready_ms[c] * NS_PER_MS);
+			assert_in_range(r.all_agree_ns, 1,
+					ready_ms[c] * NS_PER_MS);
 		}
 }
 
@@ -71,7 +73,7 @@
  * pause on its way adds to the next. While the store is slow, or refuses every
  * other entry, the platform's own bound holds.
  */
-static void test_evacuation_is_soon_in_force(void **state)
+static void evacuation_takes_effect_within_limit(void **state)
 {
 	static const uint64_t most_ms[EVACUATION_CONDITIONS] = { 2000, 2000,
 								 2000, 5000,
@@ -89,7 +91,7 @@
 		}
 }
 
-static void test_a_run_repeats(void **state)
+static void same_seed_repeats_the_run(void **state)
 {
 	struct world_report one, other;
 
@@ -102,12 +104,12 @@
 		world_free(w);
 	}
 	assert_int_equal(one.requests, other.requests);
-	assert_int_equal(one.in_aim, other.in_aim);
+	assert_int_equal(one.on_time, other.on_time);
 	assert_int_equal(one.store_calls, other.store_calls);
 }
 
 /* One VM of a data centre reads: 9 entries, a watch of 2 s each of 3. */
-static void test_few_read_the_store(void **state)
+static void one_entry_per_data_centre_reads_the_store(void **state)
 {
 	struct world *w = world_bed_new(6, false);
 	struct world_report before, after;
@@ -124,13 +126,13 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_every_fault),
-		cmocka_unit_test(test_every_fault_with_flows_that_move),
-		cmocka_unit_test(test_pairs_of_faults),
-		cmocka_unit_test(test_all_serve_soon_after_all_lost_power),
-		cmocka_unit_test(test_evacuation_is_soon_in_force),
-		cmocka_unit_test(test_a_run_repeats),
-		cmocka_unit_test(test_few_read_the_store),
+		cmocka_unit_test(every_fault_keeps_rules_and_serves_requests),
+		cmocka_unit_test(rules_hold_when_routers_move_flows),
+		cmocka_unit_test(rules_hold_under_two_overlapping_faults),
+		cmocka_unit_test(entries_serve_soon_after_common_power_loss),
+		cmocka_unit_test(evacuation_takes_effect_within_limit),
+		cmocka_unit_test(same_seed_repeats_the_run),
+		cmocka_unit_test(one_entry_per_data_centre_reads_the_store),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/pair_prop.cc
+++ b/test/pair_prop.cc
@@ -75,7 +75,7 @@
 		       f->now_ns >= f->node[i].paused_deadline_ns;
 	}
 
-	bool fit(uint32_t i) const
+	bool has_valid_lease(uint32_t i) const
 	{
 		return member_has_majority(f->node[i].m) &&
 		       member_lease_valid(f->node[i].m, f->now_ns);
@@ -83,7 +83,7 @@
 
 	void join(uint32_t i)
 	{
-		if (!fit(i))
+		if (!has_valid_lease(i))
 			join_ns[i] = UINT64_MAX;
 		else if (join_ns[i] == UINT64_MAX)
 			join_ns[i] = f->now_ns + kSettleNs;
@@ -93,7 +93,7 @@
 		member_join(f->node[i].m, f->now_ns);
 	}
 
-	void follow(uint32_t i)
+	void update_ring(uint32_t i)
 	{
 		const struct member *all;
 		std::vector<uint64_t> live;
@@ -117,10 +117,11 @@
 		return runs(i) && joined[i] && !leaving[i] &&
 		       ring_current_pair(ring[i], bucket).owner ==
 			       fleet_vm(i) &&
-		       fit(i) && ring_is_settled(ring[i], bucket, f->now_ns);
+		       has_valid_lease(i) &&
+		       ring_is_settled(ring[i], bucket, f->now_ns);
 	}
 
-	void check(uint32_t bucket) const
+	void check_claims(uint32_t bucket) const
 	{
 		ring_pair first = { ADDR_NONE, ADDR_NONE };
 
@@ -143,13 +144,13 @@
 		for (uint64_t t = 0; t < for_ns; t += kStepNs) {
 			fleet_run(f, kStepNs);
 			for (uint32_t i = 0; i < f->n; i++)
-				follow(i);
+				update_ring(i);
 			for (uint32_t b = 0; b < kBuckets; b++)
-				check(b);
+				check_claims(b);
 		}
 	}
 
-	void fault()
+	void inject_fault()
 	{
 		uint32_t i = *rc::gen::inRange<uint32_t>(0, f->n);
 
@@ -186,17 +187,19 @@
 	 * of them own a bucket, each by its own view. Cause: pairs without a
 	 * common member, held by entries that may both claim.
 	 */
-	bool ok = rc::check("entries that may claim share a member", [] {
-		Entries e(*rc::gen::inRange<uint32_t>(2, 9),
-			  *rc::gen::inRange<uint64_t>(1, 1000000));
-
-		e.run(4 * NS_PER_S);
-		for (int n = *rc::gen::inRange(1, 8); n--;) {
-			e.fault();
-			e.run(*rc::gen::inRange<uint64_t>(0, 1500) * NS_PER_MS);
-		}
-		e.run(4 * NS_PER_S);
-	});
+	bool ok =
+		rc::check("entries that may claim a bucket share a member", [] {
+			Entries e(*rc::gen::inRange<uint32_t>(2, 9),
+				  *rc::gen::inRange<uint64_t>(1, 1000000));
+
+			e.run(4 * NS_PER_S);
+			for (int n = *rc::gen::inRange(1, 8); n--;) {
+				e.inject_fault();
+				e.run(*rc::gen::inRange<uint64_t>(0, 1500) *
+				      NS_PER_MS);
+			}
+			e.run(4 * NS_PER_S);
+		});
 
 	return ok ? EXIT_SUCCESS : EXIT_FAILURE;
 }
--- a/test/promise_prop.cc
+++ b/test/promise_prop.cc
@@ -70,7 +70,7 @@
 		   << s.b;
 }
 
-rc::Gen<step> steps_of(uint32_t from, uint32_t to)
+rc::Gen<step> step_between(uint32_t from, uint32_t to)
 {
 	return rc::gen::build<step>(
 		rc::gen::set(&step::at_ms,
@@ -80,14 +80,14 @@
 		rc::gen::set(&step::b, rc::gen::inRange<uint32_t>(0, 35)));
 }
 
-schedule draw(uint32_t from, uint32_t to)
+schedule draw_schedule(uint32_t from, uint32_t to)
 {
 	schedule s;
 
 	s.seed = *rc::gen::inRange<uint32_t>(1, 1 << 30).as("seed");
 	s.steps = *rc::gen::resize(STEPS_MAX,
 				   rc::gen::container<std::vector<step>>(
-					   steps_of(from, to)))
+					   step_between(from, to)))
 			   .as("steps");
 	return s;
 }
@@ -132,7 +132,7 @@
 }
 
 /* Two entries and a target of each service always stay. */
-void apply(struct testbed *f, const step &s)
+void schedule_step(struct testbed *f, const step &s)
 {
 	const uint32_t node = s.a % (NODES - 2);
 	const uint32_t other = node + 1 + s.b % (NODES - 1 - node);
@@ -171,7 +171,7 @@
 			   t.end_b);
 }
 
-struct testbed_verdict play(const schedule &s)
+struct testbed_verdict run_schedule(const schedule &s)
 {
 	struct testbed_plan plan = {};
 
@@ -186,7 +186,7 @@
 	struct testbed *f = testbed_new(&plan);
 
 	for (const step &each : s.steps)
-		apply(f, each);
+		schedule_step(f, each);
 	testbed_run(f, BEGIN_NS + OBSERVE_NS);
 	const struct testbed_verdict v = testbed_finish(f);
 
@@ -202,48 +202,52 @@
 	bool good = true;
 
 	good &= rc::check("an open feed survives planned changes", [] {
-		const auto v = play(draw(0, PLANNED_KINDS));
+		const auto v = run_schedule(draw_schedule(0, PLANNED_KINDS));
 
 		RC_ASSERT(v.broken == 0u);
 		RC_ASSERT(v.stalled == 0u);
 	});
-	good &= rc::check("a request reaches no other service", [] {
-		const auto v = play(draw(0, KINDS));
+	good &= rc::check("a request reaches only targets of its service", [] {
+		const auto v = run_schedule(draw_schedule(0, KINDS));
 
 		RC_ASSERT(v.misrouted == 0u);
 	});
-	good &= rc::check("late and crossed answers find their caller", [] {
-		const auto v = play(draw(DUPLICATE, LOSSLESS_KINDS));
+	good &= rc::check(
+		"delayed and mismatched answers reach their caller", [] {
+			const auto v = run_schedule(
+				draw_schedule(DUPLICATE, LOSSLESS_KINDS));
 
-		RC_ASSERT(v.misrouted == 0u);
-		RC_ASSERT(v.lost + v.cut + v.unknown + v.refused == 0u);
-	});
-	good &= rc::check("told not run, it was not run", [] {
-		const auto v = play(draw(0, KINDS));
+			RC_ASSERT(v.misrouted == 0u);
+			RC_ASSERT(v.lost + v.cut + v.unknown + v.refused == 0u);
+		});
+	good &= rc::check("a request reported as not run did not run", [] {
+		const auto v = run_schedule(draw_schedule(0, KINDS));
 
 		RC_ASSERT(v.false_not_run == 0u);
 	});
-	good &= rc::check("not idempotent, it runs at most once", [] {
-		auto s = draw(0, KINDS);
+	good &= rc::check("a non-idempotent request runs at most once", [] {
+		auto s = draw_schedule(0, KINDS);
 
 		s.steps.push_back({ 0, SPLIT, s.seed % 64, 35 });
-		const auto v = play(s);
+		const auto v = run_schedule(s);
 
 		RC_ASSERT(v.doubled == 0u);
 	});
 	good &= rc::check("a draining target gets no new work after 3 s", [] {
-		auto s = draw(0, KINDS);
+		auto s = draw_schedule(0, KINDS);
 
 		s.steps.push_back({ 0, DRAIN, 0, 20 });
 		s.steps.push_back({ 0, DRAIN, 0, 21 });
-		const auto v = play(s);
+		const auto v = run_schedule(s);
 
 		RC_ASSERT(v.late_work == 0u);
 	});
-	good &= rc::check("a planned stop cuts nothing in progress", [] {
-		const auto v = play(draw(0, PLANNED_KINDS));
+	good &= rc::check(
+		"a planned stop interrupts no request in progress", [] {
+			const auto v =
+				run_schedule(draw_schedule(0, PLANNED_KINDS));
 
-		RC_ASSERT(v.lost + v.cut + v.unknown == 0u);
-	});
+			RC_ASSERT(v.lost + v.cut + v.unknown == 0u);
+		});
 	return good ? EXIT_SUCCESS : EXIT_FAILURE;
 }
