--- a/test/restore_prop.cc
+++ b/test/restore_prop.cc
@@ -20,7 +20,7 @@
 {
 
 constexpr uint64_t KEEP_NS = 60 * NS_PER_S;
-constexpr uint64_t CARRY_NS = 2 * NS_PER_S;
+constexpr uint64_t RETAIN_NS = 2 * NS_PER_S;
 constexpr uint64_t STEP_NS = NS_PER_S / 2;
 constexpr unsigned ENTRIES = 3;
 /* Key 0 is the configuration; the last one has contents without an order. */
@@ -59,9 +59,9 @@
 struct Entry {
 	documents *docs = nullptr;
 	uint64_t in_force = 0;
-	uint64_t taken = 0;
-	std::map<std::string, uint64_t> shown;
-	bool fell = false;
+	uint64_t relayed_digest = 0;
+	std::map<std::string, uint64_t> in_force_by_key;
+	bool went_back = false;
 
 	Entry();
 	~Entry()
@@ -85,11 +85,11 @@
 	uint64_t number = number_of(d);
 
 	if (d->key == key_name(0)) {
-		e->fell = e->fell || number < e->in_force;
+		e->went_back = e->went_back || number < e->in_force;
 		e->in_force = number;
 	}
 	if (number)
-		e->shown[d->key] = number;
+		e->in_force_by_key[d->key] = number;
 	return true;
 }
 
@@ -97,10 +97,10 @@
 int compare(void *ctx, const document *d)
 {
 	auto *e = static_cast<Entry *>(ctx);
-	auto known = e->shown.find(d->key);
+	auto known = e->in_force_by_key.find(d->key);
 	uint64_t number = number_of(d);
 
-	if (d->key == key_name(KEYS - 1) || known == e->shown.end())
+	if (d->key == key_name(KEYS - 1) || known == e->in_force_by_key.end())
 		return 0;
 	return (number > known->second) - (number < known->second);
 }
@@ -108,7 +108,7 @@
 Entry::Entry()
 {
 	docs = documents_new({ this, on_change, compare },
-			     { KEEP_NS, CARRY_NS });
+			     { KEEP_NS, RETAIN_NS });
 }
 
 struct World {
@@ -118,7 +118,7 @@
 	uint64_t number = 0;
 	uint64_t now_ns = 100 * NS_PER_S;
 	std::unique_ptr<Entry> entries[ENTRIES];
-	bool fell = false; /* a configuration went back */
+	bool went_back = false; /* a configuration went back */
 
 	World()
 	{
@@ -156,7 +156,7 @@
 		}
 	}
 
-	void put(Entry &e, unsigned key, document_origin origin)
+	void put_from_store(Entry &e, unsigned key, document_origin origin)
 	{
 		const Value &v = store.keys[key];
 		std::string text = std::to_string(v.number);
@@ -181,7 +181,7 @@
 		documents_list_begin(e.docs);
 		for (const auto &k : store.keys)
 			if (!k.second.deleted)
-				put(e, k.first, DOCUMENT_LISTED);
+				put_from_store(e, k.first, DOCUMENT_LISTED);
 		documents_list_end(e.docs, at, at, now_ns);
 		documents_advance_synced(e.docs, at, now_ns);
 	}
@@ -198,55 +198,55 @@
 		}
 		for (const auto &k : store.keys)
 			if (k.second.revision > known.revision)
-				put(e, k.first, DOCUMENT_CHANGED);
+				put_from_store(e, k.first, DOCUMENT_CHANGED);
 		documents_advance_synced(e.docs, at, now_ns);
 	}
 
-	bool ahead(const Entry &e, const Entry &peer)
+	bool is_ahead(const Entry &e, const Entry &peer)
 	{
 		position own = documents_newest(e.docs);
 		position its = documents_newest(peer.docs);
-		uint64_t carried = documents_retained_digest(peer.docs);
+		uint64_t retained = documents_retained_digest(peer.docs);
 
 		if (!documents_synced(peer.docs).revision)
 			return false;
 		if (position_after(its, own))
 			return true;
-		return its.epoch == own.epoch && carried &&
-		       carried != documents_retained_digest(e.docs) &&
-		       carried != e.taken;
+		return its.epoch == own.epoch && retained &&
+		       retained != documents_retained_digest(e.docs) &&
+		       retained != e.relayed_digest;
 	}
 
-	void hand(Entry &e, const document *d, document_origin origin)
+	void put_relayed(Entry &e, const document *d, document_origin origin)
 	{
 		documents_put(e.docs, d, origin, now_ns);
 	}
 
 	/* A heartbeat of @peer, and what @e asks it for. */
-	void hear(Entry &e, const Entry &peer)
+	void receive_heartbeat(Entry &e, const Entry &peer)
 	{
 		position after = documents_synced(e.docs);
 		position through = documents_synced(peer.docs);
-		bool whole = documents_peer_needs_full(peer.docs, after);
+		bool is_full = documents_peer_needs_full(peer.docs, after);
 
 		if (through.revision)
 			documents_lower_epoch_start(
 				e.docs, through.epoch,
 				documents_epoch_start_ns(peer.docs));
-		if (!ahead(e, peer) || through.epoch < after.epoch)
+		if (!is_ahead(e, peer) || through.epoch < after.epoch)
 			return;
-		e.taken = documents_retained_digest(peer.docs);
-		if (whole)
+		e.relayed_digest = documents_retained_digest(peer.docs);
+		if (is_full)
 			documents_list_begin(e.docs);
 		for (uint32_t i = 0; i < documents_count(peer.docs); i++) {
 			const document *d = documents_at(peer.docs, i);
 
-			if (whole)
-				hand(e, d, DOCUMENT_LISTED);
+			if (is_full)
+				put_relayed(e, d, DOCUMENT_LISTED);
 			else if (documents_peer_lacks(peer.docs, after, d))
-				hand(e, d, DOCUMENT_CHANGED);
+				put_relayed(e, d, DOCUMENT_CHANGED);
 		}
-		if (whole)
+		if (is_full)
 			documents_list_end(e.docs, through,
 					   documents_floor(peer.docs), now_ns);
 		documents_advance_synced(e.docs, through, now_ns);
@@ -255,11 +255,11 @@
 
 	void start(unsigned i)
 	{
-		fell = fell || entries[i]->fell;
+		went_back = went_back || entries[i]->went_back;
 		entries[i] = std::make_unique<Entry>();
 	}
 
-	void pass(uint64_t ns)
+	void advance_time(uint64_t ns)
 	{
 		for (uint64_t end_ns = now_ns + ns; now_ns < end_ns;) {
 			now_ns += STEP_NS;
@@ -268,13 +268,13 @@
 		}
 	}
 
-	void all_hear()
+	void exchange_heartbeats()
 	{
 		for (unsigned round = 0; round < ENTRIES; round++)
 			for (auto &e : entries)
 				for (auto &peer : entries)
 					if (e != peer)
-						hear(*e, *peer);
+						receive_heartbeat(*e, *peer);
 	}
 };
 
@@ -286,8 +286,8 @@
 	REWRITE,
 	LIST,
 	READ,
-	HEAR,
-	PASS,
+	HEARTBEAT,
+	WAIT,
 	START,
 	OPS
 };
@@ -300,15 +300,15 @@
 
 std::ostream &operator<<(std::ostream &out, const Step &s)
 {
-	static const char *const names[OPS] = { "write",   "delete",  "copy",
-						"restore", "rewrite", "list",
-						"read",	   "hear",    "pass",
+	static const char *const names[OPS] = { "write",   "delete",	"copy",
+						"restore", "rewrite",	"list",
+						"read",	   "heartbeat", "wait",
 						"start" };
 
 	return out << names[s.op] << ' ' << s.a << ' ' << s.b;
 }
 
-void play(World &w, const Step &s)
+void apply_step(World &w, const Step &s)
 {
 	Entry &e = *w.entries[s.a % ENTRIES];
 
@@ -335,12 +335,12 @@
 	case READ:
 		w.read(e);
 		break;
-	case HEAR:
+	case HEARTBEAT:
 		if (s.a % ENTRIES != s.b % ENTRIES)
-			w.hear(e, *w.entries[s.b % ENTRIES]);
+			w.receive_heartbeat(e, *w.entries[s.b % ENTRIES]);
 		break;
-	case PASS:
-		w.pass(STEP_NS);
+	case WAIT:
+		w.advance_time(STEP_NS);
 		break;
 	case START:
 		w.start(s.a % ENTRIES);
@@ -361,7 +361,7 @@
 	return out;
 }
 
-std::map<std::string, uint64_t> truth(const World &w)
+std::map<std::string, uint64_t> expected_state(const World &w)
 {
 	std::map<std::string, uint64_t> out;
 
@@ -384,39 +384,39 @@
 }
 
 /* One of them reads in the end; the others have it from peers alone. */
-bool agree(const std::vector<Step> &plan, unsigned reader)
+bool all_agree(const std::vector<Step> &plan, unsigned reader)
 {
 	bool agreed = true;
 	World w;
 
 	for (const Step &s : plan)
-		play(w, s);
+		apply_step(w, s);
 	w.rewrite();
 	w.read(*w.entries[reader]);
-	w.all_hear();
-	w.pass(2 * CARRY_NS);
+	w.exchange_heartbeats();
+	w.advance_time(2 * RETAIN_NS);
 	w.read(*w.entries[reader]);
-	w.all_hear();
+	w.exchange_heartbeats();
 	for (const auto &e : w.entries)
-		w.fell = w.fell || e->fell;
+		w.went_back = w.went_back || e->went_back;
 	for (const auto &e : w.entries)
-		agreed = agreed && state(e->docs) == truth(w) &&
+		agreed = agreed && state(e->docs) == expected_state(w) &&
 			 !documents_retained_digest(e->docs);
-	return agreed && !w.fell;
+	return agreed && !w.went_back;
 }
 
-bool agree_after_restores()
+bool all_agree_after_restores()
 {
-	return rc::check("all agree with what was written last", [] {
+	return rc::check("all entries agree with the last write", [] {
 		const auto plan = *steps();
 		const auto reader = *rc::gen::inRange<unsigned>(0, ENTRIES);
 
-		RC_ASSERT(agree(plan, reader));
+		RC_ASSERT(all_agree(plan, reader));
 	});
 }
 
 /* Each line guards against the failure that it is the shortest way to. */
-bool agree_where_they_did_not()
+bool known_failures_stay_fixed()
 {
 	static const struct {
 		const char *failure;
@@ -434,7 +434,7 @@
 		    { LIST, 0, 0 },
 		    { DELETE, 1, 0 } },
 		  2 },
-		{ "what the copy had less of is carried for good",
+		{ "what the copy had less of is retained for good",
 		  { { WRITE, 5, 0 },
 		    { COPY, 0, 0 },
 		    { WRITE, 1, 0 },
@@ -457,7 +457,7 @@
 	bool ok = true;
 
 	for (const auto &k : known) {
-		if (agree(k.plan, k.reader))
+		if (all_agree(k.plan, k.reader))
 			continue;
 		fprintf(stderr, "%s\n", k.failure);
 		ok = false;
@@ -469,7 +469,7 @@
 
 int main()
 {
-	bool ok = agree_where_they_did_not();
+	bool ok = known_failures_stay_fixed();
 
-	return agree_after_restores() && ok ? 0 : 1;
+	return all_agree_after_restores() && ok ? 0 : 1;
 }
--- a/test/world_bed.h
+++ b/test/world_bed.h
@@ -13,18 +13,18 @@
 
 #define WORLD_SEEDS 3
 /* Of the runs with routers that place flows by remainder. */
-#define WORLD_SEED_MOVES 11
+#define WORLD_SEED_REMAINDER 11
 #define WORLD_WARM_UP_NS (5 * NS_PER_S)
 #define WORLD_AFTER_NS (12 * NS_PER_S)
 
-static inline struct world *world_bed_new(uint64_t seed, bool mod)
+static inline struct world *world_bed_new(uint64_t seed, bool by_remainder)
 {
 	struct site_size size = { 3, 3, 5, 90, 90, 25 };
 	struct world_conf conf = { .seed = seed };
 	struct world *w;
 
-	site_plain(&conf.site, &size);
-	conf.site.mod = mod;
+	site_default(&conf.site, &size);
+	conf.site.by_remainder = by_remainder;
 	w = world_new(&conf);
 	assert_non_null(w);
 	return w;
@@ -33,8 +33,8 @@
 #define WORLD_RULES_BYTES 256
 
 /* What must never happen, how often it did, as text. */
-static inline const char *world_bed_rules(const struct world_report *r,
-					  char out[WORLD_RULES_BYTES])
+static inline const char *world_bed_rules_text(const struct world_report *r,
+					       char out[WORLD_RULES_BYTES])
 {
 	snprintf(out, WORLD_RULES_BYTES,
 		 "misrouted %llu, broken %llu, late drain %llu, evacuated "
@@ -48,10 +48,10 @@
 	return out;
 }
 
-static inline void world_bed_play(const struct world_fault *f, uint64_t seed,
-				  bool mod)
+static inline void world_bed_run(const struct world_fault *f, uint64_t seed,
+				 bool by_remainder)
 {
-	struct world *w = world_bed_new(seed, mod);
+	struct world *w = world_bed_new(seed, by_remainder);
 	char rules[WORLD_RULES_BYTES];
 	struct world_report r;
 	double served;
@@ -60,22 +60,22 @@
 	f->apply(w);
 	world_run(w, WORLD_AFTER_NS);
 	world_report(w, &r);
-	served = (double)(r.in_aim + r.late) / (double)r.requests;
-	if (world_broken_rules(&r) || served < f->served)
+	served = (double)(r.on_time + r.late) / (double)r.requests;
+	if (world_broken_rules(&r) || served < f->served_min)
 		fail_msg("%s, seed %llu: served %.4f of %llu, %s", f->name,
 			 (unsigned long long)seed, served,
 			 (unsigned long long)r.requests,
-			 world_bed_rules(&r, rules));
-	assert_int_equal(world_ready(w), world_entries(w));
+			 world_bed_rules_text(&r, rules));
+	assert_int_equal(world_ready_count(w), world_entry_count(w));
 	world_free(w);
 }
 
 /* The second while the first lasts: rules hold, whatever is served. */
-static inline void world_bed_pair(const struct world_fault *first,
-				  const struct world_fault *second,
-				  uint64_t seed, bool mod)
+static inline void world_bed_run_pair(const struct world_fault *first,
+				      const struct world_fault *second,
+				      uint64_t seed, bool by_remainder)
 {
-	struct world *w = world_bed_new(seed, mod);
+	struct world *w = world_bed_new(seed, by_remainder);
 	char rules[WORLD_RULES_BYTES];
 	struct world_report r;
 
@@ -87,12 +87,12 @@
 	world_report(w, &r);
 	if (world_broken_rules(&r))
 		fail_msg("%s then %s: %s", first->name, second->name,
-			 world_bed_rules(&r, rules));
+			 world_bed_rules_text(&r, rules));
 	world_free(w);
 }
 
 /* packet_slow_test has it, at the same seeds. */
-static inline bool slow_targets(const struct world_fault *f)
+static inline bool has_slow_targets(const struct world_fault *f)
 {
 	return !strcmp(f->name, "targets_crawl");
 }
