--- a/sim/sim-packets/arrivals.c
+++ b/sim/sim-packets/arrivals.c
@@ -1,11 +1,11 @@
-/* When clients ask, and who of them does. */
+/* Arrival of requests, and the users that send them. */
 #include "world_state.h"
 
 #include <math.h>
 
 #define USER_IP 1
 #define FIRST_PORT 1000
-/* Clients that only test the configuration ask this often. */
+/* Mean time between requests of a user on the extra route. */
 #define PROBE_NS (100 * NS_PER_MS)
 #define TRIES_TO_FIND_IDLE 8
 
@@ -41,7 +41,7 @@
 	return i;
 }
 
-/* Users with a long flow stand first, data centre by data centre. */
+/* Users with a flow that stays open come first, ordered by data centre. */
 static uint32_t first_user(const struct world *w, uint32_t zone)
 {
 	uint32_t first = 0;
@@ -65,7 +65,7 @@
 	return user;
 }
 
-/* One that is idle, or a new one. */
+/* Return: an idle user of the class, or a new one. */
 static uint32_t select_idle_user(struct world *w, uint32_t zone, uint32_t class)
 {
 	uint32_t *next = &w->next_idle_user[zone][class];
@@ -130,7 +130,7 @@
 	start_or_queue(w, (uint32_t)e->arg0, &spec);
 }
 
-/* A user that only tests the configuration asks again. */
+/* Schedule the next request of a user on the extra route. */
 void arrivals_schedule_test_user(struct world *w, uint32_t user)
 {
 	double part = 0.5 + world_random_unit(&w->rng);
@@ -139,7 +139,7 @@
 		       0, 0);
 }
 
-/* Return: whether a request waited for this user. */
+/* Start a user's next pending request. Return: whether there was one. */
 bool arrivals_start_pending(struct world *w, uint32_t user)
 {
 	struct sim_user *u = &w->users[user];
@@ -154,8 +154,8 @@
 	return true;
 }
 
-/* Feeders of every data centre, then a user each that tests the configuration;
- * users of other kinds come as they are needed. */
+/* Create the users with a flow that stays open, then a user of the extra route
+ * in each data centre. Users of other classes are created when needed. */
 void arrivals_start(struct world *w)
 {
 	const struct site *s = &w->conf.site;
--- a/sim/sim-packets/bound.c
+++ b/sim/sim-packets/bound.c
@@ -1,28 +1,31 @@
 /*
- * An upper bound, proved by leaving out what can only make it worse. A request
- * asked in a window is answered in time only if (1) one of the packets that its
- * client sends at fixed times meets a running entry early enough for its own
- * work to end in time, and (2) its work is done between the window's begin and
- * the latest target latency after its end, in the slots of living targets then.
- * Of those that (1) allows, the ones of most worth for their work are taken
- * until the slots' time is used up (a fractional knapsack, the best that any
- * choice can do); all others count as answered late if (1) allows that. Left
- * out: queues, who is sent where, cold targets, two requests on one flow.
+ * Upper bound of the value that any assignment of requests could earn, derived
+ * by relaxation. A request that arrives in a window is answered on time only if
+ * (1) one of the packets that its client sends at fixed times reaches a running
+ * entry early enough for its work to end within the objective, and (2) its work
+ * is done between the start of the window and the longest objective after its
+ * end, in the slots of the targets that live then. Of the requests that meet
+ * (1), those of the highest value per work are chosen until the slot time is
+ * used up (a fractional knapsack, optimal for any choice); all others count as
+ * answered late if (1) allows that. Queues, the selection of targets, cold
+ * targets and two requests on one flow are ignored, which can only raise the
+ * bound.
  */
 #include "bound.h"
 
 #include <errno.h>
 #include <stdlib.h>
 
-/* When a client sends something for a request, after it was asked: packets and
- * their repeats, or opening packets, their copies and those of later tries. */
+/* Times after the arrival of a request at which its client may send a packet:
+ * segments and their retransmissions, or SYNs, their copies and those of later
+ * attempts. */
 static const uint64_t send_times_ms[] = { 0,	200,  600,  1400, 1600, 2000,
 					  2800, 3000, 3400, 4200, 4600, 5600 };
 
 /**
- * struct wish - a request that could be answered in time
- * @work_ns: its work
- * @gain: worth of that above being answered late
+ * struct candidate - a request that could be answered on time
+ * @work_ns: its service time
+ * @gain: its value on time, less its value when late
  */
 struct candidate {
 	uint64_t work_ns;
@@ -30,14 +33,14 @@
 };
 
 /**
- * bound_reach() - when entries ran
- * @w: world, after its run
- * @out: filled; free its @spans
+ * bound_availability() - determine when at least one entry ran
+ * @w: emulator, after its run
+ * @out: receives the intervals; the caller frees @out->spans
  *
- * A data centre without an entry that runs has its packets sent to others, so
- * any entry will do.
+ * Routers send the packets of a data centre without a running entry to another
+ * data centre, so that any running entry counts.
  *
- * Return: 0 or -ENOMEM.
+ * Return: 0, or -ENOMEM.
  */
 int bound_availability(const struct world *w, struct bound_availability *out)
 {
@@ -77,7 +80,7 @@
 	return low && reach->spans[low - 1].any;
 }
 
-/* Return: when the first packet that meets an entry does, or 0. */
+/* Return: when the first packet reaches a running entry; 0 if none does. */
 static uint64_t first_arrival_ns(const struct world *w,
 				 const struct bound_availability *reach,
 				 const struct world_request *r)
@@ -93,7 +96,8 @@
 	return 0;
 }
 
-/* From the entry to the nearest target, through its work, to the client. */
+/* Least latency: from the entry to a target of the same data centre, service
+ * time, back to the client. */
 static uint64_t earliest_latency_ns(const struct world *w,
 				    const struct bound_availability *reach,
 				    const struct world_request *r)
@@ -185,13 +189,13 @@
 }
 
 /**
- * bound_of() - the most that requests asked within a window could earn
- * @w: world, after its run
- * @reach: bound_reach() of it
- * @from_ns: begin of the window
- * @ns: its length
+ * bound_earned_value() - upper bound of the value of a window's requests
+ * @w: emulator, after its run
+ * @availability: intervals of bound_availability()
+ * @from_ns: start of the window
+ * @ns: length of the window
  *
- * Return: worth.
+ * Return: sum of values; 0 without memory.
  */
 double bound_earned_value(const struct world *w,
 			  const struct bound_availability *reach,
--- a/sim/sim-packets/bound.h
+++ b/sim/sim-packets/bound.h
@@ -1,13 +1,13 @@
-/* The most that any fleet of entries could earn. */
+/* Upper bound of the value that the entries could earn in a run. */
 #ifndef SIM_PACKETS_BOUND_H
 #define SIM_PACKETS_BOUND_H
 
 #include "world_state.h"
 
 /**
- * struct bound_span - whether any entry runs from a time on
- * @from_ns: when
- * @any: whether
+ * struct bound_span - interval of a run
+ * @from_ns: its start; it lasts until the next one
+ * @any: at least one entry runs
  */
 struct bound_span {
 	uint64_t from_ns;
@@ -15,9 +15,9 @@
 };
 
 /**
- * struct bound_reach - those of a run, in order
- * @spans: of them
- * @n: how many
+ * struct bound_availability - when at least one entry ran
+ * @spans: intervals of a run, in order; owned by the caller
+ * @n: number of @spans
  */
 struct bound_availability {
 	struct bound_span *spans;
--- a/sim/sim-packets/entries.c
+++ b/sim/sim-packets/entries.c
@@ -1,4 +1,4 @@
-/* Entries: the real decisions, behind ports that lead into the emulator. */
+/* Entries: the real node, with ports that lead into the emulator. */
 #include "world_state.h"
 
 #include <stdio.h>
@@ -7,16 +7,16 @@
 
 #define TICK_NS (20 * NS_PER_MS)
 #define HEADER_BYTES 32
-/* Of the envelope, IP and UDP. */
+/* Encapsulation, with IP and UDP headers. */
 #define ENCAPSULATION_BYTES 36
-/* A link keeps what it carries within this time, and loses the rest. */
+/* A link queues packets for up to this time and drops further ones. */
 #define LINK_QUEUE_NS (50 * NS_PER_MS)
-/* Of a connection's first packet. */
+/* Size of a SYN. */
 #define SYN_BYTES 60
-/* A heartbeat among a few others, with IP and UDP. */
+/* Size of a heartbeat with IP and UDP headers. */
 #define HELLO_BYTES 150
 #define PEER_TIMEOUT_NS (800 * NS_PER_MS)
-/* An event carries a position as one number. */
+/* A position is packed into one argument of an event, epoch above revision. */
 #define EPOCH_SHIFT 48
 
 static uint64_t entry_addr(uint32_t i)
@@ -51,8 +51,8 @@
 }
 
 /*
- * A datagram is handed to an entry's link. Return: time until it has left the
- * link; UINT64_MAX when it is lost, since too much is before it.
+ * Queue a datagram on an entry's link. Return: time until it has left the link;
+ * UINT64_MAX if it is dropped because the queue is full.
  */
 static uint64_t link_delay_ns(struct world *w, struct sim_entry *e,
 			      uint32_t bytes)
@@ -74,7 +74,7 @@
 	uint32_t i = w->free_hello;
 
 	if (i == HELLOS_IN_FLIGHT_MAX)
-		abort(); /* a mistake of the emulator */
+		abort(); /* bug in the emulator */
 	w->free_hello = w->hellos_in_flight[i].next;
 	w->hellos_in_flight[i].hello = *h;
 	return i;
@@ -170,7 +170,7 @@
 		       after.epoch << EPOCH_SHIFT | after.revision);
 }
 
-/* A connection attempt under way; an event carries its number. */
+/* Record a connection attempt. Return: its index, for an event. */
 static uint32_t attempt_alloc(struct world *w, uint32_t entry,
 			      const struct target *t)
 {
@@ -210,7 +210,7 @@
 	c->w->report.probes++;
 	if (!lost)
 		way_ns += link;
-	/* Silent at first; a late answer is heard all the same. */
+	/* The attempt times out first; a late answer is reported too. */
 	if (lost || way_ns > wait_ns)
 		world_schedule(c->w, wait_ns, on_probed, number, PROBE_SILENT,
 			       0);
@@ -241,7 +241,7 @@
 	targets_receive(w, (uint32_t)e->arg0, (uint32_t)e->arg1, &k);
 }
 
-/* The intended target alone takes the packet, whoever has its address now. */
+/* A packet is dropped if another target has the intended one's address now. */
 static void send_to_target(struct world *w, struct sim_entry *e,
 			   const struct target *t, const struct sim_packet *k)
 {
@@ -297,7 +297,7 @@
 		       on_pacing_due, (uint64_t)(e - w->entries), e->boot, 0);
 }
 
-/* As the process does it: at once, or when the link has room. */
+/* Forward a packet at once or when the link has capacity, as cb-packet does. */
 static void forward(struct world *w, struct sim_entry *e,
 		    const struct target *t, const struct sim_packet *k)
 {
@@ -335,7 +335,7 @@
 		forward(c->w, c->entry, f->target, &k);
 }
 
-/* A packet that has waited; which one it was, its flow's end knows. */
+/* Send a queued packet. Its sequence number tells the target which one it is. */
 static void send_queued(void *ctx, const struct flow_state *f,
 			const uint8_t *bytes, uint32_t n_bytes)
 {
@@ -503,7 +503,7 @@
 	return is_running(e) && e->node->ready;
 }
 
-/* The emulator's own entries. */
+/* Driver that runs the entries inside the emulator. */
 struct entry_driver emulated_entry_driver(void)
 {
 	return (struct entry_driver){ NULL,   start, end,    stop,
--- a/sim/sim-packets/evacuation.c
+++ b/sim/sim-packets/evacuation.c
@@ -1,6 +1,6 @@
 /*
- * How long an evacuation takes to be in force at every entry, from the store's
- * answer to the operator, over many seeds, sizes and states of the store.
+ * Time from the store's answer to the operator until an evacuation is in force
+ * at every entry, over many seeds, sizes and states of the store.
  */
 #include "world_state.h"
 
@@ -11,7 +11,7 @@
 #define STEP_NS (2 * NS_PER_MS)
 #define GIVE_UP_NS (20 * NS_PER_S)
 #define ZONES 3
-/* Of each service in each data centre. */
+/* Targets of the first service in each data centre. */
 #define TARGETS 60
 #define CHURN_NS (10 * NS_PER_MS)
 #define STORM_NS (330 * NS_PER_MS)
@@ -30,7 +30,7 @@
 	world_schedule(w, CHURN_NS, on_churn, 0, 0, 0);
 }
 
-/* Targets publish themselves, a hundred times a second. */
+/* A target publishes its record a hundred times a second. */
 static void churn(struct world *w)
 {
 	world_schedule(w, 0, on_churn, 0, 0, 0);
@@ -78,11 +78,12 @@
 }
 
 /**
- * evacuation_run() - a data centre is evacuated, once
- * @seed: of all chance
- * @entries: in each of three data centres
- * @condition: index of what goes on meanwhile
- * @in_force_ns: set to the time at each entry; 0 where it did not come to it
+ * evacuation_run() - emulate the evacuation of one data centre
+ * @seed: of the random numbers
+ * @entries: number in each of three data centres
+ * @condition: other activity, below EVACUATION_CONDITIONS
+ * @in_force_ns: receives the time until the evacuation was in force, for each
+ *	of the 3 * @entries entries; 0 where it was not
  */
 void evacuation_run(uint64_t seed, uint32_t entries, uint32_t condition,
 		    uint64_t *in_force_ns)
@@ -100,7 +101,7 @@
 	if (!w)
 		return;
 	conditions[condition].apply(w);
-	/* At any moment of a watch. */
+	/* Start at a random point of a watch. */
 	world_run(w, WARM_UP_NS + rng_next(&w->rng) % NS_PER_S);
 	world_evacuate(w, 0, true);
 	from_ns = w->now_ns;
@@ -133,12 +134,13 @@
 }
 
 /**
- * evacuation_table() - play and print all conditions
- * @first_seed: seed of the first run
+ * evacuation_table() - run and print all conditions
+ * @first_seed: seed of the first run; later ones count up
  * @seeds: runs of each condition
- * @entries: in each of three data centres
+ * @entries: number in each of three data centres
  *
- * Return: at how many entries it did not come in force, or -1 without memory.
+ * Return: number of entries at which an evacuation did not come into force, or
+ * -1 without memory.
  */
 int evacuation_table(uint64_t first_seed, uint32_t seeds, uint32_t entries)
 {
--- a/sim/sim-packets/fault_table.c
+++ b/sim/sim-packets/fault_table.c
@@ -1,4 +1,4 @@
-/* Every fault by name, for tests and experiments. */
+/* Table of all faults by name, for tests and experiments. */
 #include "world_state.h"
 
 #include <string.h>
@@ -85,7 +85,8 @@
 		world_kill_target(w, any_target(w), true);
 }
 
-/* One of each data centre: the first, so that no two faults differ in it. */
+/* Affect the first target of each data centre, so that all faults of this kind
+ * strike the same targets. */
 static void fail_targets(struct world *w, enum target_mode mode)
 {
 	for (uint32_t z = 0; z < w->conf.site.n_zones; z++)
@@ -130,7 +131,7 @@
 		world_restart_target(w, any_target(w), 300 * NS_PER_MS);
 }
 
-/* Faster than anything notices; the entry alone tells. */
+/* Too fast for probes and connections to notice; only the record tells. */
 static void restart_targets_at_once(struct world *w)
 {
 	for (uint32_t i = 0; i < 3; i++)
@@ -165,7 +166,7 @@
 	restart_targets(w);
 }
 
-/* Cut off, started again meanwhile, published once the cut is over. */
+/* Targets restart during the partition and are published after it. */
 static void restart_targets_cut(struct world *w)
 {
 	uint32_t zone = (uint32_t)(rng_next(&w->rng) % w->conf.site.n_zones);
@@ -256,7 +257,7 @@
 	evacuate_for(w, any_zone(w), 8 * NS_PER_S);
 }
 
-/* Taken back before it is in force anywhere, and begun again. */
+/* Cancelled before it is in force anywhere, and started again. */
 static void evacuate_twice(struct world *w)
 {
 	uint32_t zone = any_zone(w);
@@ -290,7 +291,7 @@
 	world_store_down(w, e->arg0, e->arg1);
 }
 
-/* Some entries know of it, and nobody can ask. */
+/* Some entries know of the evacuation; the others can't read the store. */
 static void evacuate_store_down(struct world *w)
 {
 	evacuate(w);
@@ -369,7 +370,8 @@
 		world_schedule(w, i * 300 * NS_PER_MS, on_change, i, 0, 0);
 }
 
-/* What the store loses: changes of the configuration, a target that leaves. */
+/* The restored store has lost these changes of the configuration, and the leave
+ * of a target. */
 #define LOST_CHANGES 5
 #define LOST_GAP_NS (200 * NS_PER_MS)
 #define STORE_DOWN_NS NS_PER_S
@@ -379,7 +381,7 @@
 	world_restore_store(w, e->arg0);
 }
 
-/* Once all has settled a target leaves and a route is dropped. */
+/* After things have settled a target leaves and a route is dropped. */
 static void on_release_and_drop(struct world *w, const struct event *e)
 {
 	(void)e;
@@ -387,7 +389,7 @@
 	world_drop_route(w);
 }
 
-/* Return: when the store is back, from now on. */
+/* Return: time from now until the store is restored. */
 static uint64_t schedule_restore(struct world *w)
 {
 	uint64_t down_after_ns = LOST_CHANGES * LOST_GAP_NS;
@@ -409,7 +411,7 @@
 		       on_release_and_drop, 0, 0, 0);
 }
 
-/* The others are turned away, and hear of it from those. */
+/* The store refuses the other entries, which learn of the restore from peers. */
 static void store_restored_few_see(struct world *w)
 {
 	uint64_t restored_ns = schedule_restore(w);
@@ -440,7 +442,7 @@
 	kill_entries(w);
 }
 
-/* All list the store when it goes away. */
+/* All entries list the store when it becomes unavailable. */
 static void store_restored_mid_listing(struct world *w)
 {
 	world_schedule(w, LOST_CHANGES * LOST_GAP_NS - 650 * NS_PER_MS,
@@ -448,7 +450,7 @@
 	store_restored(w);
 }
 
-/* All start when it has come back, before anything is written again. */
+/* All entries start after the restore, before lost values are written again. */
 static void store_restored_and_kill_entries(struct world *w)
 {
 	world_schedule(
@@ -475,14 +477,14 @@
 	release(w);
 }
 
-/* The store loses that it was begun. */
+/* The restored store has lost the start of the evacuation. */
 static void store_restored_and_evacuate(struct world *w)
 {
 	store_restored(w);
 	evacuate_for(w, any_zone(w), 11 * NS_PER_S);
 }
 
-/* The store loses that it is over. */
+/* The restored store has lost the end of the evacuation. */
 static void store_restored_evacuation_over(struct world *w)
 {
 	uint32_t zone = any_zone(w);
@@ -502,20 +504,24 @@
 	(void)w;
 }
 
-/* Least parts served: the worst of 20 seeds, less room for another seed, not
- * for another fault. */
+/* The least parts served are the worst of 20 seeds, less a margin for other
+ * seeds, which is too small for other faults. */
 const struct world_fault world_faults[] = {
-	{ "none", "a calm day", no_fault, 0.999 },
-	{ "kill_entry", "a process is killed", kill_entry, 0.995 },
-	{ "kill_entries", "all are killed at once", kill_entries, 0.99 },
-	{ "kill_entries_store_down", "all are killed, the store is down",
+	{ "none", "no fault", no_fault, 0.999 },
+	{ "kill_entry", "an entry's process is killed", kill_entry, 0.995 },
+	{ "kill_entries", "all entries are killed at once", kill_entries,
+	  0.99 },
+	{ "kill_entries_store_down",
+	  "all entries are killed while the store is down",
 	  kill_entries_store_down, 0.93 },
-	{ "stop_entry", "a planned stop", stop_entry, 0.999 },
-	{ "roll", "every entry is stopped and started", roll, 0.995 },
-	{ "freeze", "an entry stands still for 3 s", freeze, 0.995 },
-	{ "freeze_half", "half of them for 2 s", freeze_half, 0.97 },
-	{ "cut_zone", "a data centre is cut off for 5 s", cut_zone, 0.995 },
-	{ "cut_zone_during_roll", "and every entry is stopped and started",
+	{ "stop_entry", "planned stop of an entry", stop_entry, 0.999 },
+	{ "roll", "every entry is stopped and restarted in turn", roll, 0.995 },
+	{ "freeze", "an entry does not run for 3 s", freeze, 0.995 },
+	{ "freeze_half", "half of the entries do not run for 2 s", freeze_half,
+	  0.97 },
+	{ "cut_zone", "a data centre is partitioned for 5 s", cut_zone, 0.995 },
+	{ "cut_zone_during_roll",
+	  "a data centre is partitioned during a rolling restart",
 	  cut_zone_during_roll, 0.995 },
 	{ "kill_target", "a target's process ends", kill_target, 0.995 },
 	{ "darken_targets", "three targets lose power", darken_targets, 0.995 },
@@ -525,82 +531,100 @@
 	  0.99 },
 	{ "targets_crawl", "three targets are seven times slower",
 	  targets_crawl, 0.999 },
-	{ "reuse", "three die, other services get their addresses", reuse,
-	  0.995 },
-	{ "reuse_store_down", "and the store is down", reuse_store_down,
-	  0.995 },
+	{ "reuse", "three targets die, other services get their addresses",
+	  reuse, 0.995 },
+	{ "reuse_store_down", "the same while the store is down",
+	  reuse_store_down, 0.995 },
 	{ "release", "every target is replaced", release, 0.995 },
-	{ "release_and_roll", "and every entry stopped and started",
-	  release_and_roll, 0.995 },
-	{ "restart_targets", "three start again under their id, in 0.3 s",
+	{ "release_and_roll",
+	  "every target is replaced during a rolling restart", release_and_roll,
+	  0.995 },
+	{ "restart_targets", "three targets restart under their id in 0.3 s",
 	  restart_targets, 0.995 },
-	{ "restart_targets_at_once", "in a millisecond",
+	{ "restart_targets_at_once",
+	  "three targets restart under their id in 1 ms",
 	  restart_targets_at_once, 0.995 },
-	{ "restart_targets_twice", "twice in half a second",
-	  restart_targets_twice, 0.995 },
-	{ "restart_targets_store_down", "and the store is down",
+	{ "restart_targets_twice",
+	  "three targets restart twice in half a second", restart_targets_twice,
+	  0.995 },
+	{ "restart_targets_store_down",
+	  "three targets restart while the store is down",
 	  restart_targets_store_down, 0.995 },
-	{ "restart_targets_and_roll", "and every entry stopped and started",
+	{ "restart_targets_and_roll",
+	  "three targets restart during a rolling restart",
 	  restart_targets_and_roll, 0.995 },
-	{ "restart_targets_cut", "all of a data centre, while it is cut off",
+	{ "restart_targets_cut",
+	  "all targets of a partitioned data centre restart",
 	  restart_targets_cut, 0.97 },
-	{ "restart_most_targets", "two of three, in 1 s", restart_most_targets,
-	  0.95 },
-	{ "late_entries", "entries are written late, over later ones",
+	{ "restart_most_targets", "two of three targets restart in 1 s",
+	  restart_most_targets, 0.95 },
+	{ "late_entries", "delayed writes of records replace newer ones",
 	  late_entries, 0.995 },
-	{ "foreign_entries", "somebody else writes among targets' entries",
+	{ "foreign_entries", "invalid records under keys of their own",
 	  foreign_entries, 0.999 },
-	{ "foreign_entries_in_place", "and in place of targets' entries",
+	{ "foreign_entries_in_place",
+	  "invalid records in place of those of targets",
 	  foreign_entries_in_place, 0.995 },
-	{ "evacuate", "a data centre is evacuated and taken back", evacuate,
+	{ "evacuate", "a data centre is evacuated and used again", evacuate,
 	  0.995 },
-	{ "evacuate_twice", "evacuated, taken back and evacuated at once",
+	{ "evacuate_twice", "an evacuation is cancelled and started again",
 	  evacuate_twice, 0.995 },
-	{ "evacuate_and_roll", "and every entry stopped and started",
+	{ "evacuate_and_roll", "evacuation during a rolling restart",
 	  evacuate_and_roll, 0.99 },
-	{ "evacuate_and_release", "and every target replaced",
+	{ "evacuate_and_release", "evacuation while every target is replaced",
 	  evacuate_and_release, 0.99 },
-	{ "evacuate_and_kill_entries", "and all entries are killed at once",
-	  evacuate_and_kill_entries, 0.98 },
-	{ "evacuate_store_down", "and the store is down", evacuate_store_down,
-	  0.99 },
-	{ "evacuate_store_refuses_half", "every other entry is refused",
+	{ "evacuate_and_kill_entries",
+	  "evacuation while all entries are killed", evacuate_and_kill_entries,
+	  0.98 },
+	{ "evacuate_store_down", "evacuation, then the store is down",
+	  evacuate_store_down, 0.99 },
+	{ "evacuate_store_refuses_half",
+	  "evacuation, every other entry is refused",
 	  evacuate_store_refuses_half, 0.99 },
-	{ "evacuate_other_zone_cut", "and another is cut off",
+	{ "evacuate_other_zone_cut",
+	  "evacuation while another one is partitioned",
 	  evacuate_other_zone_cut, 0.98 },
-	{ "evacuate_in_burst", "while three times as much is asked",
+	{ "evacuate_in_burst", "evacuation at three times the load",
 	  evacuate_in_burst, 0.9 },
 	{ "store_down", "the store is down for 5 s", store_down, 0.999 },
-	{ "store_lapse", "and all entries of targets run out", store_lapse,
-	  0.999 },
-	{ "lapse_then_cut", "a data centre is cut off before they are back",
+	{ "store_lapse", "the same, and the records of all targets expire",
+	  store_lapse, 0.999 },
+	{ "lapse_then_cut", "records expire, then a data centre is partitioned",
 	  lapse_then_cut, 0.995 },
-	{ "store_refuses_half", "every other entry is refused, a route comes",
-	  store_refuses_half, 0.999 },
-	{ "store_silent_release", "every other is not answered, targets go",
+	{ "store_refuses_half",
+	  "every other entry is refused, a route is added", store_refuses_half,
+	  0.999 },
+	{ "store_silent_release",
+	  "every other entry gets no answer, targets leave",
 	  store_silent_release, 0.995 },
 	{ "storm", "twelve configurations in 4 s", storm, 0.999 },
 	{ "add_route", "a route is added", add_route, 0.999 },
-	{ "store_restored", "the store comes back from an older copy",
+	{ "store_restored", "the store is restored from an older copy",
 	  store_restored, 0.995 },
-	{ "store_restored_few_see", "and turns most entries away",
+	{ "store_restored_few_see", "the restored store refuses most entries",
 	  store_restored_few_see, 0.995 },
-	{ "store_restored_twice", "and once more at once", store_restored_twice,
-	  0.995 },
-	{ "store_restored_mid_listing", "while all entries list it",
+	{ "store_restored_twice", "the store is restored twice in a row",
+	  store_restored_twice, 0.995 },
+	{ "store_restored_mid_listing",
+	  "restore while all entries list the store",
 	  store_restored_mid_listing, 0.93 },
-	{ "store_restored_and_kill_entries", "and all entries start then",
+	{ "store_restored_and_kill_entries",
+	  "restore, and all entries restart after it",
 	  store_restored_and_kill_entries, 0.93 },
-	{ "store_restored_and_roll", "and every entry is stopped and started",
+	{ "store_restored_and_roll", "restore during a rolling restart",
 	  store_restored_and_roll, 0.99 },
-	{ "store_restored_and_cut", "and a data centre is cut off",
-	  store_restored_and_cut, 0.99 },
-	{ "store_restored_and_release", "and every target is replaced",
-	  store_restored_and_release, 0.99 },
-	{ "store_restored_and_evacuate", "and has lost an evacuation",
+	{ "store_restored_and_cut",
+	  "restore while a data centre is partitioned", store_restored_and_cut,
+	  0.99 },
+	{ "store_restored_and_release",
+	  "restore while every target is replaced", store_restored_and_release,
+	  0.99 },
+	{ "store_restored_and_evacuate",
+	  "the restored store has lost an evacuation",
 	  store_restored_and_evacuate, 0.99 },
-	{ "store_restored_evacuation_over", "and has lost the end of one",
-	  store_restored_evacuation_over, 0.99 },
+	{ "store_restored_evacuation_over",
+	  "the restored store has lost its end", store_restored_evacuation_over,
+	  0.99 },
 };
 
 const uint32_t n_world_faults = sizeof(world_faults) / sizeof(world_faults[0]);
--- a/sim/sim-packets/faults.c
+++ b/sim/sim-packets/faults.c
@@ -1,15 +1,15 @@
-/* Faults and planned work, but those of targets. */
+/* Faults and planned work, except those of targets. */
 #include "world_state.h"
 
-/* A process is started again after this, and up to as long again. */
+/* A process restarts after this time, plus a random time of up to as long. */
 #define RESTART_NS (100 * NS_PER_MS)
-/* What the store lost is written again so long after its return. */
+/* Lost values are written again this long after the store is restored. */
 #define REWRITE_NS (600 * NS_PER_MS)
 
 /**
  * world_start_entry() - start an entry's process
- * @w: world
- * @entry: entry
+ * @w: emulator
+ * @entry: index of the entry
  */
 void world_start_entry(struct world *w, uint32_t entry)
 {
@@ -29,10 +29,10 @@
 }
 
 /**
- * world_kill_entry() - an entry's process ends and starts again
- * @w: world
- * @entry: entry
- * @down_ns: time in between
+ * world_kill_entry() - kill an entry's process, which then restarts
+ * @w: emulator
+ * @entry: index of the entry
+ * @down_ns: time until the restart, to which a random delay is added
  */
 void world_kill_entry(struct world *w, uint32_t entry, uint64_t down_ns)
 {
@@ -43,9 +43,9 @@
 }
 
 /**
- * world_entry_ended() - an entry's process ended by itself
- * @w: world
- * @entry: entry
+ * world_entry_ended() - record that an entry's process exited, and restart it
+ * @w: emulator
+ * @entry: index of the entry
  */
 void world_entry_ended(struct world *w, uint32_t entry)
 {
@@ -56,9 +56,10 @@
 }
 
 /**
- * world_stop_entry() - a planned stop; the process starts again afterwards
- * @w: world
- * @entry: entry
+ * world_stop_entry() - shut an entry down gracefully; its process restarts
+ *	after its exit
+ * @w: emulator
+ * @entry: index of the entry
  */
 void world_stop_entry(struct world *w, uint32_t entry)
 {
@@ -72,10 +73,10 @@
 }
 
 /**
- * world_freeze_entry() - an entry stands still
- * @w: world
- * @entry: entry
- * @ns: how long
+ * world_freeze_entry() - suspend an entry's process
+ * @w: emulator
+ * @entry: index of the entry
+ * @ns: time until it is resumed
  */
 void world_freeze_entry(struct world *w, uint32_t entry, uint64_t ns)
 {
@@ -95,10 +96,10 @@
 }
 
 /**
- * world_cut_zone() - a data centre is cut off from the others and the store
- * @w: world
- * @zone: data centre; its clients still reach it
- * @ns: how long
+ * world_cut_zone() - partition a data centre from the others and the store
+ * @w: emulator
+ * @zone: index of the data centre; its clients still reach it
+ * @ns: duration
  */
 void world_cut_zone(struct world *w, uint32_t zone, uint64_t ns)
 {
@@ -107,11 +108,11 @@
 }
 
 /**
- * world_store() - the store turns one entry away
- * @w: world
- * @entry: entry
- * @mode: how
- * @ns: how long
+ * world_set_store_mode() - change how the store handles one entry's calls
+ * @w: emulator
+ * @entry: index of the entry
+ * @mode: how they are handled
+ * @ns: duration
  */
 void world_set_store_mode(struct world *w, uint32_t entry, enum store_mode mode,
 			  uint64_t ns)
@@ -137,10 +138,10 @@
 }
 
 /**
- * world_store_slow() - the store answers late
- * @w: world
- * @answer_ns: time until an answer
- * @ns: how long
+ * world_store_slow() - slow down all answers of the store
+ * @w: emulator
+ * @store_answer_ns: time until an answer
+ * @ns: duration
  */
 void world_store_slow(struct world *w, uint64_t store_answer_ns, uint64_t ns)
 {
@@ -150,11 +151,11 @@
 }
 
 /**
- * world_store_down() - the store answers nobody
- * @w: world
- * @ns: how long
- * @lapse: every target's entry runs out meanwhile and is renewed up to 1.5 s
- *	after its return
+ * world_store_down() - make the store unavailable to all
+ * @w: emulator
+ * @ns: duration
+ * @lapse: the records of all targets expire meanwhile, and are renewed 1.5 s
+ *	after the store is available again
  */
 void world_store_down(struct world *w, uint64_t ns, bool lapse)
 {
@@ -172,7 +173,7 @@
 	store_restore_copy(w);
 }
 
-/* Whoever finds the store away writes once it is back. */
+/* Writers wait until the store is available again. */
 static void on_rewrite(struct world *w, const struct event *e)
 {
 	(void)e;
@@ -185,12 +186,12 @@
 }
 
 /**
- * world_store_restored() - the store is away and comes back from the copy that
- *	world_store_copied() made
- * @w: world
- * @ns: how long it is away
+ * world_restore_store() - make the store unavailable, then restore it from the
+ *	copy of world_copy_store()
+ * @w: emulator
+ * @ns: time for which it is unavailable
  *
- * What was written since the copy is written again REWRITE_NS after that.
+ * Values written since the copy are written again REWRITE_NS after the restore.
  */
 void world_restore_store(struct world *w, uint64_t ns)
 {
@@ -200,8 +201,8 @@
 }
 
 /**
- * world_store_copied() - the store is copied
- * @w: world
+ * world_copy_store() - copy the store for a later world_restore_store()
+ * @w: emulator
  */
 void world_copy_store(struct world *w)
 {
@@ -209,10 +210,10 @@
 }
 
 /**
- * world_evacuate() - publish that a data centre's targets are to get nothing
- * @w: world
- * @zone: data centre
- * @on: or that they may get flows again
+ * world_evacuate() - publish the evacuation of a data centre, or its end
+ * @w: emulator
+ * @zone: index of the data centre
+ * @on: true while its targets are to get no new flows
  */
 void world_evacuate(struct world *w, uint32_t zone, bool on)
 {
@@ -222,8 +223,8 @@
 }
 
 /**
- * world_add_route() - publish a configuration with one route more
- * @w: world
+ * world_add_route() - publish a configuration with the extra route
+ * @w: emulator
  */
 void world_add_route(struct world *w)
 {
@@ -233,8 +234,8 @@
 }
 
 /**
- * world_drop_route() - publish a configuration without that route
- * @w: world
+ * world_drop_route() - publish a configuration without the extra route
+ * @w: emulator
  */
 void world_drop_route(struct world *w)
 {
@@ -245,11 +246,11 @@
 }
 
 /**
- * world_load() - clients of a data centre ask more, or less
- * @w: world
- * @zone: data centre
- * @factor: times as much
- * @ns: how long
+ * world_scale_load() - scale the request rates of a data centre
+ * @w: emulator
+ * @zone: index of the data centre
+ * @factor: multiplier of the rates
+ * @ns: duration
  */
 void world_scale_load(struct world *w, uint32_t zone, double factor,
 		      uint64_t ns)
--- a/sim/sim-packets/main.c
+++ b/sim/sim-packets/main.c
@@ -1,6 +1,6 @@
 /*
- * sim-packets: runs a deployment for opaque flows on a fake clock, with faults,
- * and prints what clients and targets saw.
+ * sim-packets: emulates a deployment for opaque flows on a simulated clock, with
+ * faults, and prints what clients and targets observed.
  */
 #include "world.h"
 
@@ -13,7 +13,7 @@
 
 enum exit_code { EXIT_OK, EXIT_BROKEN, EXIT_USAGE };
 
-/* Arguments; end stands last, as argtable wants it. */
+/* Command line arguments; argtable requires end to be the last. */
 struct args {
 	struct arg_int *seeds;
 	struct arg_int *first_seed;
@@ -35,29 +35,34 @@
 static struct args args_new(void)
 {
 	return (struct args){
-		.seeds = arg_int0(NULL, "seeds", "N", "runs a fault (1)"),
-		.first_seed = arg_int0(NULL, "first-seed", "N", "(1)"),
+		.seeds = arg_int0(NULL, "seeds", "N", "runs of each fault (1)"),
+		.first_seed = arg_int0(NULL, "first-seed", "N",
+				       "seed of the first run (1)"),
 		.seconds = arg_int0(NULL, "seconds", "N",
-				    "time after the fault (12)"),
+				    "duration after the fault (12)"),
 		.entries = arg_int0(NULL, "entries", "N",
-				    "in each of 3 data centres (3)"),
-		.targets = arg_int0(NULL, "targets", "N", "in each (5)"),
+				    "entries per data centre (3)"),
+		.targets = arg_int0(NULL, "targets", "N",
+				    "targets per data centre (5)"),
 		.users = arg_int0(NULL, "users", "N",
-				  "clients with a long flow, in each (90)"),
-		.feeds = arg_int0(NULL, "feeds", "N",
-				  "requests on those, a second in each (90)"),
-		.reports =
-			arg_int0(NULL, "reports", "N", "a second in each (25)"),
+				  "users with a feed, per data centre (90)"),
+		.feeds = arg_int0(
+			NULL, "feeds", "N",
+			"feed requests a second, per data centre (90)"),
+		.reports = arg_int0(NULL, "reports", "N",
+				    "reports a second, per data centre (25)"),
 		.faults = arg_strn(NULL, "fault", "NAME", 0, 64,
-				   "one of --list; all without it"),
+				   "fault of --list; default: all"),
 		.recovery = arg_lit0(NULL, "recovery",
-				     "times until all serve again after all "
-				     "lost power"),
-		.evacuation = arg_lit0(NULL, "evacuation",
-				       "times until an evacuation is in force"),
-		.json = arg_lit0(NULL, "json", "a line of JSON a run"),
-		.list = arg_lit0(NULL, "list", "name the faults and stop"),
-		.help = arg_lit0(NULL, "help", "print this and stop"),
+				     "print recovery times after a power "
+				     "loss of all entries"),
+		.evacuation =
+			arg_lit0(NULL, "evacuation",
+				 "print times until evacuations are in force"),
+		.json = arg_lit0(NULL, "json",
+				 "print one line of JSON per run"),
+		.list = arg_lit0(NULL, "list", "list the faults and exit"),
+		.help = arg_lit0(NULL, "help", "print this help and exit"),
 		.end = arg_end(8),
 	};
 }
@@ -89,7 +94,7 @@
 	       (unsigned long long)r->store_calls, r->imbalance);
 }
 
-/* Return: how often a rule was broken. */
+/* Return: number of broken rules. */
 static uint64_t run_fault(const struct args *a, const struct world_fault *f,
 			  uint64_t seed)
 {
--- a/sim/sim-packets/recovery.c
+++ b/sim/sim-packets/recovery.c
@@ -1,6 +1,6 @@
 /*
- * How long a deployment takes to serve again after all entries failures power, over
- * many seeds and with the store in several states.
+ * Recovery time of a deployment after a power loss of all entries, over many
+ * seeds and with the store in several states.
  */
 #include "world_state.h"
 
@@ -18,7 +18,7 @@
 	(void)w;
 }
 
-/* Fifty times its usual 4 ms. */
+/* Fifty times its normal 4 ms. */
 static void slow(struct world *w)
 {
 	world_store_slow(w, 200 * NS_PER_MS, GIVE_UP_NS);
@@ -64,7 +64,7 @@
 	return true;
 }
 
-/* Return: the earliest start, 0 before it; when all run, *last is set. */
+/* Return: the earliest start, 0 before it. *last_ns is set when all run. */
 static uint64_t record_starts(const struct world *w,
 			      uint64_t started_ns[ENTRIES], uint64_t *last_ns)
 {
@@ -102,11 +102,11 @@
 }
 
 /**
- * recovery_run() - all entries lose power, once
- * @seed: of all chance
- * @entries: in each of three data centres
- * @condition: index of the store's state
- * @r: filled
+ * recovery_run() - emulate one power loss of all entries
+ * @seed: of the random numbers
+ * @entries: number in each of three data centres
+ * @condition: state of the store, below RECOVERY_CONDITIONS
+ * @r: receives the recovery times; all 0 without memory
  */
 void recovery_run(uint64_t seed, uint32_t entries, uint32_t condition,
 		  struct recovery *r)
@@ -146,7 +146,7 @@
 	return (x > y) - (x < y);
 }
 
-/* p50, p99 and the longest, in milliseconds. */
+/* Print median, 99th percentile and maximum in milliseconds. */
 static void print(uint64_t *ns, uint32_t n)
 {
 	qsort(ns, n, sizeof(*ns), compare);
@@ -157,12 +157,12 @@
 }
 
 /**
- * recovery_table() - play and print all conditions
- * @first_seed: seed of the first run
+ * recovery_table() - run and print all conditions
+ * @first_seed: seed of the first run; later ones count up
  * @seeds: runs of each condition
- * @entries: in each of three data centres
+ * @entries: number in each of three data centres
  *
- * Return: how many runs did not recover, or -1 without memory.
+ * Return: number of runs that did not recover, or -1 without memory.
  */
 int recovery_table(uint64_t first_seed, uint32_t seeds, uint32_t entries)
 {
--- a/sim/sim-packets/restarts.c
+++ b/sim/sim-packets/restarts.c
@@ -1,4 +1,4 @@
-/* Targets that start again under their id, and entries that no target wrote. */
+/* Restarts of targets under the same id, and records that no target wrote. */
 #include "world_state.h"
 
 static void on_publish(struct world *w, const struct event *e)
@@ -32,11 +32,11 @@
 }
 
 /**
- * world_restart_target() - a target's process ends, and another starts under
- *	its id and address, with nothing of before
- * @w: world
- * @target: target
- * @down_ns: time in between
+ * world_restart_target() - end a target's process and start another one under
+ *	the same id and address, without any state of the old one
+ * @w: emulator
+ * @target: index of the target; nothing happens when it is dead or leaving
+ * @down_ns: time between end and start
  */
 void world_restart_target(struct world *w, uint32_t target, uint64_t down_ns)
 {
@@ -63,11 +63,12 @@
 }
 
 /**
- * world_late_entry() - what a target writes now is done later, after what it, or
- *	its next process, writes in between
- * @w: world
- * @target: target
- * @late_ns: how much later
+ * world_delay_record() - delay a write of a target's record
+ * @w: emulator
+ * @target: index of the target
+ * @late_ns: delay
+ *
+ * The write overwrites what the target, or its next process, writes meanwhile.
  */
 void world_delay_record(struct world *w, uint32_t target, uint64_t late_ns)
 {
@@ -78,12 +79,12 @@
 }
 
 /**
- * world_foreign_entry() - somebody else writes where targets publish themselves
- * @w: world
- * @what: what is wrong with it
- * @target: target that it copies otherwise
- * @under_its_key: in place of that target's own, which writes again a second
- *	later; else under a key of its own
+ * world_write_foreign_record() - write an invalid record of a target
+ * @w: emulator
+ * @defect: what is wrong with it
+ * @target: index of the target whose other fields it has
+ * @under_its_key: overwrite that target's record, which the target writes
+ *	again a second later; otherwise use a new key
  */
 void world_write_foreign_record(struct world *w, enum record_defect defect,
 				uint32_t target, bool under_its_key)
@@ -93,7 +94,7 @@
 
 	store_target_value(w, t, &v);
 	v.foreign = defect;
-	/* Later than the target itself, so that it would win if it counted. */
+	/* Newer than the target's own record, so that it would win if accepted. */
 	v.advertised.started_ms = w->now_ns / NS_PER_MS;
 	v.advertised.sequence += 100;
 	if (defect == FOREIGN_UNBORN)
--- a/sim/sim-packets/router.c
+++ b/sim/sim-packets/router.c
@@ -1,10 +1,10 @@
-/* The platform's routers: which entry gets a client's packets. */
+/* The platform's routers, which select the entry for a client's packets. */
 #include "world_state.h"
 
 #define READY_NS (500 * NS_PER_MS)
 #define MISSES 2
 
-/* The platform asks every entry whether it is ready. */
+/* Periodic readiness check of all entries. */
 void router_probe(struct world *w, const struct event *e)
 {
 	(void)e;
@@ -28,7 +28,7 @@
 	       (all || e->missed_probes < MISSES);
 }
 
-/* By remainder: nearly all flows move when an entry comes or goes. */
+/* Select by remainder: most flows move when an entry starts or stops. */
 static uint32_t select_by_remainder(const struct world *w, uint64_t flow,
 				    uint32_t zone, bool all)
 {
@@ -41,7 +41,7 @@
 	return n ? in[flow % n] : UINT32_MAX;
 }
 
-/* Steady: only the flows of an entry that comes or goes move. */
+/* Rendezvous hashing: only flows of the entry that starts or stops move. */
 static uint32_t select_by_hash(const struct world *w, uint64_t flow,
 			       uint32_t zone, bool all)
 {
@@ -67,7 +67,11 @@
 		       : select_by_hash(w, flow, zone, all);
 }
 
-/* Entry that the routers hand a client's packets to. */
+/*
+ * Entry for a user's packets, UINT32_MAX for none. Entries that failed MISSES
+ * readiness checks are left out, unless more than half of the data centre's
+ * entries did. With none left, packets go to another data centre.
+ */
 uint32_t router_select(struct world *w, const struct sim_user *u)
 {
 	struct flow_key key = { ADDR(u->ip, u->port), route_vip(u->class) };
--- a/sim/sim-packets/site.c
+++ b/sim/sim-packets/site.c
@@ -36,9 +36,12 @@
 }
 
 /**
- * site_plain() - the deployment of the tests: feeds and reports of one service
- * @s: filled
- * @size: how large
+ * site_default() - describe the deployment that the tests use
+ * @s: receives the description
+ * @size: number of data centres, entries and targets, and rates
+ *
+ * Clients send feeds and reports to one service. A second service has one
+ * target in each data centre and gets no requests.
  */
 void site_default(struct site *s, const struct site_size *size)
 {
--- a/sim/sim-packets/site.h
+++ b/sim/sim-packets/site.h
@@ -1,6 +1,6 @@
 /*
- * A deployment to emulate: data centres, services, what clients ask of them.
- * Figures only; what happens to it is in world.h.
+ * Description of a deployment to emulate: data centres, services and the
+ * requests of clients. world.h has the faults that happen to it.
  */
 #ifndef SIM_PACKETS_SITE_H
 #define SIM_PACKETS_SITE_H
@@ -13,16 +13,16 @@
 #define SITE_NAME_BYTES 32
 
 /**
- * struct site_service - a service
- * @name: its name
- * @slots: requests that a target runs at once
- * @queue: requests that wait there; it refuses more
- * @connections: flows that a target holds; it does not answer more
- * @cold_ns: a target is slow for so long after its start
- * @cold_percent: it takes so much longer then
- * @cold_per_s: new flows a second that it bears then; 0 for any
- * @idle_close_ns: a target closes a flow that was idle for so long
- * @targets: how many, by data centre
+ * struct site_service - a service and its targets
+ * @name: name in the configuration
+ * @slots: requests that a target runs concurrently
+ * @queue: requests that wait at a target; it refuses more
+ * @connections: flows that a target keeps open; it ignores further SYNs
+ * @cold_ns: time after the start of a target during which it is cold
+ * @cold_percent: service time of a cold target, of that of a warm one
+ * @cold_per_s: new flows a second that a cold target can take; 0 for no limit
+ * @idle_close_ns: idle time after which a target closes a flow
+ * @targets: number of targets, by data centre
  */
 struct site_service {
 	char name[SITE_NAME_BYTES];
@@ -37,10 +37,10 @@
 };
 
 /**
- * struct site_spread - a quantity with a log-normal distribution
- * @mean: its mean
- * @sigma_percent: standard deviation of its logarithm, in hundredths
- * @most: larger ones are cut to this; 0 for none
+ * struct site_spread - log-normal distribution of a quantity
+ * @mean: mean, in the unit of the quantity
+ * @sigma_percent: standard deviation of the logarithm, in hundredths
+ * @max: upper bound of drawn values; 0 for none
  */
 struct site_spread {
 	uint64_t mean;
@@ -49,19 +49,19 @@
 };
 
 /**
- * struct site_class - a kind of request, with a route of its own
- * @name: its name
- * @service: number of the service that it goes to
+ * struct site_class - a class of requests, which has its own route
+ * @name: name of the class
+ * @service: index of the service that the route leads to
  * @kind: enum route_kind
  * @priority: 0 is served first
- * @work_ns: time that a target works on one
- * @request_bytes: sent by the client
- * @answer_bytes: sent by the target
- * @aim_ns: target latency
- * @deadline_ns: the client gives up
- * @worth: of one that is answered within @aim_ns
- * @late_worth: of one that is answered later
- * @retries: tries after the first
+ * @work_ns: service time at a warm target
+ * @request_bytes: size of a request
+ * @answer_bytes: size of an answer
+ * @objective_ns: latency objective
+ * @deadline_ns: time after which the client gives up
+ * @value: of a request that is answered within @objective_ns
+ * @late_value: of a request that is answered later
+ * @retries: attempts after the first
  */
 struct site_class {
 	char name[SITE_NAME_BYTES];
@@ -80,13 +80,13 @@
 
 /**
  * struct site_zone - a data centre
- * @name: its name
- * @entries: entries in it
- * @users: of its clients, each keeps at most one long flow
+ * @name: name of the data centre
+ * @entries: number of entries
+ * @users: clients' users with a flow that stays open
  * @per_s: requests a second, by class
- * @swing: part by which that rate rises and falls
- * @wave_ns: period of it
- * @phase: part of the period that has passed at the start
+ * @amplitude: of the sine wave that the rates follow, as a part of the rate
+ * @period_ns: period of that wave; 0 for constant rates
+ * @phase: phase of the wave at the start, as a part of the period
  */
 struct site_zone {
 	char name[SITE_NAME_BYTES];
@@ -100,20 +100,20 @@
 
 /**
  * struct site - a deployment
- * @name: its name
- * @n_zones: how many of @zones
+ * @name: name in reports
+ * @n_zones: number of @zones in use
  * @zones: data centres
- * @n_services: how many of @services
- * @services: services; the first is the one that faults strike
- * @n_classes: how many of @classes
- * @classes: kinds of request
- * @near_ns: one way within a data centre
- * @far_ns: one way between two
- * @client_ns: one way to a client
- * @link_bytes_per_s: what an entry's link carries on the way out; 0 for all
- * @link_told: the entries know it
- * @mod: routers place flows by remainder: nearly all move when an entry comes
- *	or goes
+ * @n_services: number of @services in use
+ * @services: services; faults of targets apply to the first
+ * @n_classes: number of @classes in use
+ * @classes: classes of requests
+ * @same_dc_delay_ns: one-way delay within a data centre
+ * @other_dc_delay_ns: one-way delay between data centres
+ * @client_delay_ns: one-way delay to and from clients
+ * @link_bytes_per_s: outgoing rate of an entry's link; 0 for no limit
+ * @link_is_known: the entries know that rate
+ * @by_remainder: routers select an entry by the remainder of the flow's hash,
+ *	so that most flows change entry when an entry starts or stops
  */
 struct site {
 	char name[SITE_NAME_BYTES];
@@ -132,13 +132,13 @@
 };
 
 /**
- * struct site_size - how large a plain deployment is, in each data centre
- * @zones: data centres
+ * struct site_size - size of the default deployment, per data centre
+ * @zones: number of data centres
  * @entries: entries
  * @targets: targets of the first service
- * @users: clients with a long flow
- * @feeds_per_s: requests on those flows
- * @reports_per_s: requests with a flow of their own
+ * @users: clients' users with a flow that stays open
+ * @feeds_per_s: requests a second on those flows
+ * @reports_per_s: requests a second that open a flow each
  */
 struct site_size {
 	uint32_t zones;
--- a/sim/sim-packets/store.c
+++ b/sim/sim-packets/store.c
@@ -1,4 +1,4 @@
-/* The store that publishes: keys with revisions, listings and watches. */
+/* Emulated store: keys with revisions, listings and watches. */
 #include "world_state.h"
 
 #include <errno.h>
@@ -9,9 +9,9 @@
 #define EVACUATION_PREFIX "evacuated/"
 #define WATCH_NS (SOURCE_WATCH_WAIT_MS * NS_PER_MS)
 #define LIST_TIMEOUT_NS (1500 * NS_PER_MS)
-/* Keys on a page of a listing. */
+/* Keys on one page of a listing. */
 #define PAGE_KEYS 50
-/* Age that an answer may have which need not be of this moment. */
+/* Age that an answer to a call may have which allows stale answers. */
 #define STALE_COPY_NS (2 * NS_PER_S)
 
 static struct store_key *find_or_add_key(struct world *w, const char *name)
@@ -22,14 +22,14 @@
 		if (!strcmp(w->keys[i].d.key, name))
 			return &w->keys[i];
 	if (w->n_keys == STORE_KEYS_MAX)
-		abort(); /* a mistake of the emulator */
+		abort(); /* bug in the emulator */
 	k = &w->keys[w->n_keys++];
 	snprintf(k->d.key, sizeof(k->d.key), "%s", name);
 	k->d.deleted = true;
 	return k;
 }
 
-/* Answers that need not be of this moment show the store as it was then. */
+/* Update the copy that is the source of stale answers. */
 static void update_old_copy(struct world *w)
 {
 	if (w->now_ns < w->stale_copy_ns + STALE_COPY_NS && w->stale_keys)
@@ -51,7 +51,7 @@
 	       w->cut_until_ns[e->zone] <= w->now_ns;
 }
 
-/* What the store does with an entry's calls now. */
+/* How the store handles an entry's calls now. */
 enum store_mode store_mode_of(const struct world *w, uint32_t entry)
 {
 	const struct sim_entry *e = &w->entries[entry];
@@ -78,7 +78,7 @@
 	return to;
 }
 
-/* The copy that the store may come back from. */
+/* Make the copy that store_restore_copy() restores. */
 void store_save_copy(struct world *w)
 {
 	w->copied_keys = copy_keys(w->copied_keys, w->keys, w->n_keys);
@@ -87,8 +87,8 @@
 }
 
 /*
- * The store is as it was when it was copied: what was written since is gone, and
- * its revisions are given out again.
+ * Restore the store from its copy under a new epoch. Values written since the
+ * copy are lost, and their revisions are assigned again.
  */
 void store_restore_copy(struct world *w)
 {
@@ -101,7 +101,7 @@
 	w->epoch++;
 }
 
-/* Hand an entry a page of the store, as it is or as it was a while ago. */
+/* Answer an entry's call with a page of the store, or of the stale copy. */
 static void answer_page(struct world *w, uint32_t entry, uint32_t from,
 			bool old)
 {
@@ -129,7 +129,7 @@
 	node_answer_end(e->node, SOURCE_OK, &head, w->now_ns);
 }
 
-/* Hand an entry what came after a revision; its process may be new by now. */
+/* Answer an entry's watch with the changes after a revision. */
 static void answer_watch(struct world *w, uint32_t entry, uint64_t after,
 			 enum source_outcome outcome)
 {
@@ -156,7 +156,8 @@
 	return e->up && !e->frozen && e->boot == boot;
 }
 
-/* How a page is answered; an event carries it beside the first key's index. */
+/* How a listing is answered; packed into an event's argument with the index of
+ * the first key. */
 enum list_outcome { LIST_EXACT, LIST_STALE, LIST_FAILED, LIST_OUTCOMES };
 
 static void on_listed(struct world *w, const struct event *e)
@@ -173,14 +174,14 @@
 			    e->arg2 % LIST_OUTCOMES == LIST_STALE);
 }
 
-/* How the store answers a watch: it has no history after what it has not. */
+/* Outcome of a watch. The store has no history after its newest revision. */
 static enum source_outcome watch_outcome(const struct world *w, uint32_t entry)
 {
 	const struct sim_entry *s = &w->entries[entry];
 
 	if (store_mode_of(w, entry) != STORE_ANSWERS ||
 	    s->watch_epoch != w->epoch)
-		return SOURCE_FAILED; /* its connection did not live through */
+		return SOURCE_FAILED; /* its connection was lost */
 	return s->watch_after > w->revision ? SOURCE_GONE : SOURCE_OK;
 }
 
@@ -314,7 +315,7 @@
 	return !evacuation_key(w, zone)->d.deleted;
 }
 
-/* The operator evacuates a data centre, or takes it back. */
+/* Write the evacuation of a data centre, or delete it. */
 void store_set_evacuation(struct world *w, uint32_t zone, bool on)
 {
 	struct store_key *k = evacuation_key(w, zone);
@@ -330,7 +331,7 @@
 	snprintf(out, n, "target/%llu", (unsigned long long)id);
 }
 
-/* An entry as it was made up, whoever wrote it. */
+/* Write a record of a target, valid or not. */
 void store_write_target(struct world *w, uint64_t id,
 			const struct target_value *v)
 {
@@ -340,7 +341,7 @@
 	write_key(w, find_or_add_key(w, key), v, sizeof(*v));
 }
 
-/* What a target says of itself. */
+/* Fill in the record that a target publishes. */
 void store_target_value(const struct world *w, const struct sim_target *t,
 			struct target_value *v)
 {
@@ -350,7 +351,7 @@
 	memcpy(v->zone, w->conf.site.zones[t->zone].name, sizeof(v->zone));
 }
 
-/* A target publishes itself. */
+/* Publish a target's record. */
 void store_publish_target(struct world *w, struct sim_target *t)
 {
 	struct target_value v;
@@ -375,7 +376,7 @@
 		write_key(w, k, NULL, 0);
 }
 
-/* Whether the store has a target's entry as the target last wrote it. */
+/* Whether the store has the target's newest record. */
 static bool has_current_target(struct world *w, const struct sim_target *t)
 {
 	const struct target_value *v;
@@ -390,7 +391,7 @@
 	       v->advertised.started_ms == t->advertised.started_ms;
 }
 
-/* The operator and the targets write again what the store has lost. */
+/* Write again what the store lost, as the operator and the targets do. */
 void store_republish_lost(struct world *w)
 {
 	const struct store_key *routes = find_or_add_key(w, "routes");
@@ -410,8 +411,8 @@
 }
 
 /*
- * Of the routes the last one comes and goes. Kinds and services are the site's,
- * which a decoder, being without state, takes from the value.
+ * Decode a configuration. The decoder has no state, so that kinds and services
+ * of the site are part of the value. The last route is the extra one, if any.
  */
 static int decode_routes(const struct routes_value *v, struct directory *names,
 			 struct decoded_document *out)
--- a/sim/sim-packets/targets.c
+++ b/sim/sim-packets/targets.c
@@ -1,11 +1,11 @@
-/* Targets: slots and a short queue, flows of their own, drain and death. */
+/* Targets: slots, a bounded queue, open flows, draining and failures. */
 #include "world_state.h"
 
 #include <stdlib.h>
 #include <string.h>
 
 #define DRAIN_NS (4 * NS_PER_S)
-/* An error is soon told; who crawls takes this many times as long. */
+/* An error takes ERROR_NS; a slow target takes CRAWL_FACTOR times as long. */
 #define ERROR_NS (5 * NS_PER_MS)
 #define CRAWL_FACTOR 7
 #define PERCENT 100
@@ -32,7 +32,7 @@
 		store_publish_target(w, t);
 }
 
-/* A target starts: slow for a while, and says so. */
+/* Mark a target as cold, and publish its record again when it is warm. */
 void targets_start_cold(struct world *w, uint32_t target)
 {
 	struct sim_target *t = &w->targets[target];
@@ -50,7 +50,7 @@
 	const struct site_service *s = &w->conf.site.services[service];
 
 	if (i == TARGETS_MAX)
-		abort(); /* a mistake of the emulator */
+		abort(); /* bug in the emulator */
 	w->n_targets++;
 	*t = (struct sim_target){
 		.service = service,
@@ -63,24 +63,24 @@
 			.started_ms = w->now_ns / NS_PER_MS,
 		},
 	};
-	if (w->start_ns) /* the first ones have run for long */
+	if (w->start_ns) /* the initial targets are warm */
 		targets_start_cold(w, i);
 	store_publish_target(w, t);
 	targets_report_change(w, i);
 	return i;
 }
 
-/* Target that has an address now. */
+/* Index of the target that currently has an address. */
 uint32_t targets_find_by_addr(const struct world *w, uint64_t addr)
 {
 	uint32_t i = ADDR_IP(addr) - TARGET_IP;
 
-	/* Who came later may have an earlier one's. */
+	/* A later target may have taken over the address of an earlier one. */
 	for (uint32_t k = w->n_targets; k-- > i + 1;)
 		if (w->targets[k].advertised.addr == addr)
 			return k;
 	if (i >= w->n_targets)
-		abort(); /* a mistake of the emulator */
+		abort(); /* bug in the emulator */
 	return i;
 }
 
@@ -122,7 +122,7 @@
 		*f = t->flows[--t->n_flows];
 }
 
-/* A process ended: the next one holds and knows nothing. */
+/* Drop the state of a process that ended. */
 void targets_clear(struct sim_target *t)
 {
 	t->n_flows = 0;
@@ -162,7 +162,7 @@
 	users_flow_unknown(w, (uint32_t)(e->arg0 >> 16), (uint16_t)e->arg0);
 }
 
-/* One that drains closes each flow after its next answer. */
+/* A draining target closes each flow after its next answer. */
 static void on_closed(struct world *w, const struct event *e)
 {
 	struct sim_user *u = &w->users[e->arg0 >> 16];
@@ -252,7 +252,7 @@
 		     (uint32_t)e->arg1, (uint32_t)e->arg2);
 }
 
-/* A target takes a flow: in no second more than it bears while it is cold. */
+/* Count a new flow, and check the rate limit of a cold target. */
 static void check_cold_rate(struct world *w, struct sim_target *t)
 {
 	double per_s = service_of(w, t)->cold_per_s;
@@ -262,7 +262,7 @@
 	t->opened_ns[t->n_opened++ % COLD_WINDOW] = w->now_ns;
 	if (per_s <= 0 || w->now_ns >= t->cold_until_ns)
 		return;
-	/* Of a start under an id that it had entries hear as of any news. */
+	/* Entries learn of a restart under a known id only by its publication. */
 	if (t->restarted_ns && w->now_ns < t->restarted_ns + EVACUATE_MAX_NS)
 		return;
 	for (uint32_t i = 0; i < COLD_WINDOW && i < t->n_opened; i++)
@@ -272,7 +272,7 @@
 	w->report.overrun += within > most;
 }
 
-/* A SYN arrived: what it should not have done is counted. */
+/* Check the rules for a flow that opens at a target. */
 static void check_rules(struct world *w, const struct sim_target *t,
 			uint32_t entry, const struct sim_user *u)
 {
@@ -309,14 +309,14 @@
 	return n;
 }
 
-/* A packet of a request; the last one that was missing hands it on. */
+/* Handle a segment; the last missing one completes the request. */
 static void receive_segment(struct world *w, uint32_t target,
 			    struct sim_flow *f, const struct sim_packet *k)
 {
 	const struct sim_user *u = &w->users[k->user];
 	uint32_t i = (k->seq - u->request_seq) / SEGMENT_BYTES;
 
-	/* Of a flow that the user has left: what it carried ended there. */
+	/* The user has abandoned this flow, and its request ended with it. */
 	if (u->port != k->port)
 		return;
 	if (f->request_number != u->request_number)
@@ -340,7 +340,7 @@
 					      u->spec.work_ns });
 }
 
-/* A client's packet arrives at a target. */
+/* Handle a client's packet. */
 void targets_receive(struct world *w, uint32_t target, uint32_t entry,
 		     const struct sim_packet *k)
 {
@@ -367,7 +367,7 @@
 	}
 }
 
-/* A target's process ends; @dark: with its machine. */
+/* End a target's process, and with @dark its machine too. */
 void targets_end(struct world *w, uint32_t target, bool machine_down)
 {
 	struct sim_target *t = &w->targets[target];
@@ -403,7 +403,7 @@
 	return n;
 }
 
-/* Nobody replaces the dead here: half of a service has to be left. */
+/* Killed targets aren't replaced, so half of a service has to survive. */
 static bool may_kill(const struct world *w, uint32_t target)
 {
 	uint32_t alive = 0;
@@ -416,9 +416,9 @@
 }
 
 /**
- * world_release_target() - replace a target: a new one starts, it drains
- * @w: world
- * @target: target
+ * world_release_target() - start a replacement of a target and drain it
+ * @w: emulator
+ * @target: index of the target; nothing happens when it is dead or leaving
  */
 void world_release_target(struct world *w, uint32_t target)
 {
@@ -426,7 +426,7 @@
 
 	if (!t->alive || t->leaving_since_ns)
 		return;
-	/* A target leaves once the store has taken its word for it. */
+	/* A target leaves only after the store has accepted its record. */
 	if (w->now_ns < w->store_down_until_ns) {
 		world_schedule(w, w->store_down_until_ns - w->now_ns,
 			       on_release, target, 0, 0);
@@ -446,10 +446,10 @@
 }
 
 /**
- * world_kill_target() - a target ends without a word
- * @w: world
- * @target: target
- * @dark: its machine goes too, so that connections to it hang
+ * world_kill_target() - end a target without draining it
+ * @w: emulator
+ * @target: index of the target; spared if too few of its service are left
+ * @machine_down: its machine fails too, so that connections to it time out
  */
 void world_kill_target(struct world *w, uint32_t target, bool machine_down)
 {
@@ -460,11 +460,12 @@
 }
 
 /**
- * world_fail_target() - a target opens flows and fails their requests
- * @w: world
- * @target: target
- * @how: how
- * @ns: how long
+ * world_fail_target() - make a target open flows but fail, ignore or slow down
+ *	their requests
+ * @w: emulator
+ * @target: index of the target
+ * @mode: what happens to the requests
+ * @ns: duration
  */
 void world_fail_target(struct world *w, uint32_t target, enum target_mode mode,
 		       uint64_t ns)
@@ -481,9 +482,10 @@
 }
 
 /**
- * world_reuse_address() - a target dies, its address goes to another service
- * @w: world
- * @target: target
+ * world_reuse_address() - kill a target and give its address to a target of
+ *	another service
+ * @w: emulator
+ * @target: index of the target; spared if too few of its service are left
  */
 void world_reuse_address(struct world *w, uint32_t target)
 {
--- a/sim/sim-packets/users.c
+++ b/sim/sim-packets/users.c
@@ -1,6 +1,6 @@
 /*
- * A user's flow as its end of it sees it: opening packet and copies, requests
- * in packets with a window and repeats, answers, tries within a deadline.
+ * Client side of a flow: SYN and its retransmissions, requests in segments with
+ * a window and retransmissions, answers, and retries until the deadline.
  */
 #include "world_state.h"
 
@@ -8,7 +8,7 @@
 #define SYN_GIVE_UP_NS (1400 * NS_PER_MS)
 #define REPEAT_NS (200 * NS_PER_MS)
 #define REPEAT_MAX_NS (1600 * NS_PER_MS)
-/* An answer without the content that was asked for is small. */
+/* Size of an answer that carries an error. */
 #define ERROR_BYTES 200
 #define ACK_PACKETS 2
 
@@ -40,7 +40,7 @@
 	};
 	uint32_t entry = (uint32_t)(e->arg1 >> 32);
 
-	/* A flow that was given up sends nothing more. */
+	/* Packets of an abandoned flow are not sent. */
 	if (w->users[k.user].port == k.port)
 		w->conf.driver.deliver(w->conf.driver.ctx, w, entry, &k);
 }
@@ -159,7 +159,7 @@
 		finish_request(w, (uint32_t)e->arg0, false);
 }
 
-/* What is missing at the target is sent again, ever later. */
+/* Retransmit unacknowledged segments, with exponential backoff. */
 static void on_repeat(struct world *w, const struct event *e)
 {
 	uint32_t user = (uint32_t)e->arg0;
@@ -209,7 +209,7 @@
 		start_attempt(w, (uint32_t)e->arg0);
 }
 
-/* Each try is a new flow from a new port. */
+/* Start the next attempt on a new flow with a new source port. */
 static void start_attempt(struct world *w, uint32_t user)
 {
 	struct sim_user *u = &w->users[user];
@@ -231,7 +231,7 @@
 	world_schedule(w, SYN_GIVE_UP_NS, on_give_up, user, u->port, 0);
 }
 
-/* A flow that the target closed meanwhile is no use. */
+/* Whether a request can use the open flow: the target closes idle ones. */
 static bool flow_is_usable(const struct world *w, const struct sim_user *u)
 {
 	const struct site_service *s =
@@ -241,7 +241,7 @@
 	       w->now_ns - u->used_ns < s->idle_close_ns;
 }
 
-/* A new request. */
+/* Start a request on the open flow, or on a new one. */
 void users_start_request(struct world *w, uint32_t user,
 			 const struct request_spec *spec)
 {
@@ -266,7 +266,7 @@
 	}
 }
 
-/* A target's answer to a SYN. */
+/* Handle a target's answer to a SYN. */
 void users_opened(struct world *w, uint32_t user, uint16_t port,
 		  uint32_t target, uint32_t cookie)
 {
@@ -285,7 +285,7 @@
 		send_request(w, user);
 }
 
-/* A target has the first @acked packets of a request. */
+/* A target acknowledged the first @acked packets of a request. */
 void users_acked(struct world *w, uint32_t user, uint16_t port,
 		 uint64_t request_number, uint32_t acked)
 {
@@ -298,7 +298,7 @@
 	send_window(w, user);
 }
 
-/* Every second packet of an answer is acknowledged, and the last. */
+/* Acknowledge every second packet of an answer, and the last. */
 static void acknowledge(struct world *w, uint32_t user, uint32_t bytes)
 {
 	struct sim_user *u = &w->users[user];
@@ -314,7 +314,8 @@
 	}
 }
 
-/* What may run twice, or did not run, is asked again. */
+/* Handle an answer. A request that was refused, or that failed and is
+ * idempotent, is retried. */
 void users_answered(struct world *w, uint32_t user, uint16_t port,
 		    uint64_t request_number, enum sim_answer answer)
 {
@@ -336,7 +337,7 @@
 		start_attempt(w, user);
 }
 
-/* A request that may have run is not repeated unless it may run twice. */
+/* A request that may have run is retried only if it is idempotent. */
 static void handle_lost_flow(struct world *w, uint32_t user)
 {
 	struct sim_user *u = &w->users[user];
@@ -352,7 +353,7 @@
 		start_attempt(w, user);
 }
 
-/* A target does not know the flow. */
+/* A target answered that it doesn't know the flow. */
 void users_flow_unknown(struct world *w, uint32_t user, uint16_t port)
 {
 	struct sim_user *u = &w->users[user];
@@ -363,7 +364,7 @@
 	}
 }
 
-/* Whether a flow was reset that its target would have served on. */
+/* Whether an entry reset a flow that its target would have served. */
 static bool was_wrongly_reset(const struct world *w, const struct sim_user *u,
 			      const struct sim_entry *e)
 {
@@ -371,7 +372,7 @@
 
 	if (u->state != USER_OPEN || u->target == NO_TARGET)
 		return false;
-	/* Also when the route has been added again since. */
+	/* A reset is right if the route was dropped since, even if it is back. */
 	if (u->class == extra_route_index(w) &&
 	    (!w->extra_route || !u->opened_with_extra_route ||
 	     w->extra_route_dropped_ns >= u->opened_ns))
@@ -384,7 +385,7 @@
 	       w->cut_until_ns[t->zone] + SETTLE_NS < w->now_ns;
 }
 
-/* Whether an entry denied a route that is in force. */
+/* Whether an entry denied a flow of a route that is in force. */
 static bool was_wrongly_denied(const struct world *w, const struct sim_user *u,
 			       const struct sim_entry *e)
 {
@@ -395,7 +396,7 @@
 	       w->now_ns > w->store_disturbed_ns + SETTLE_NS;
 }
 
-/* An entry reset a flow: while its target serves it must not. */
+/* Handle an entry's reset, and count it if the target still serves the flow. */
 void users_reset(struct world *w, const struct flow_key *flow, uint32_t entry)
 {
 	uint32_t user = ADDR_IP(flow->caller) - w->users[0].ip;
--- a/sim/sim-packets/windows.c
+++ b/sim/sim-packets/windows.c
@@ -5,7 +5,7 @@
 #include <errno.h>
 #include <stdlib.h>
 
-/* Return: number of the window, UINT32_MAX for none. */
+/* Return: index of the window; UINT32_MAX before the first. */
 static uint32_t window_at(const struct world *w, uint64_t arrival_ns)
 {
 	return arrival_ns < w->start_ns
@@ -13,7 +13,7 @@
 		       : (uint32_t)((arrival_ns - w->start_ns) / WINDOW_NS);
 }
 
-/* Requests of the last window may not have ended: it is left out. */
+/* The last, incomplete window is left out: its requests may not have ended. */
 static uint32_t count_windows(const struct world *w)
 {
 	return (uint32_t)((w->now_ns - w->start_ns) / WINDOW_NS);
@@ -57,11 +57,11 @@
 }
 
 /**
- * windows_of() - what a run earned
- * @w: world, after its run
- * @out: filled; windows_free() frees it
+ * windows_compute() - sum up a run by windows
+ * @w: emulator, after its run
+ * @out: receives the windows; free them with windows_free()
  *
- * Return: 0 or -ENOMEM.
+ * Return: 0, or -ENOMEM.
  */
 int windows_compute(const struct world *w, struct windows *out)
 {
@@ -106,12 +106,13 @@
 }
 
 /**
- * windows_worst() - the worst windows
- * @v: run
- * @n: how many of them
- * @bound: of the bound instead of what was earned
+ * windows_worst_share() - mean earned share of the worst windows
+ * @v: windows of a run
+ * @n: number of windows to average
+ * @bound: use the upper bound instead of the earned value
  *
- * Return: mean part earned of what was owed there; 1 without windows.
+ * Return: mean of earned over offered value; 1 without windows, 0 without
+ * memory.
  */
 double windows_worst_share(const struct windows *v, uint32_t n, bool bound)
 {
--- a/sim/sim-packets/windows.h
+++ b/sim/sim-packets/windows.h
@@ -1,6 +1,6 @@
 /*
- * What a run earned by windows of time, beside an upper bound of what any fleet
- * of entries could have earned there.
+ * Value earned in each time window of a run, with an upper bound of what any
+ * assignment could have earned in it.
  */
 #ifndef SIM_PACKETS_WINDOWS_H
 #define SIM_PACKETS_WINDOWS_H
@@ -10,16 +10,16 @@
 #define WINDOW_NS (2 * NS_PER_S)
 
 /**
- * struct window - requests asked within one window
- * @from_ns: its begin, since clients began
- * @requests: how many
- * @in_aim: of them, answered in time
+ * struct window - requests that arrived within one window
+ * @from_ns: start of the window, relative to that of the clients
+ * @requests: number of requests
+ * @on_time: answered within the latency objective
  * @late: answered later
  * @failed: not answered
- * @owed: worth of all, each answered in time
- * @earned: worth of what was answered
- * @bound: no fleet of entries could have earned more
- * @lost: worth that was not earned, by enum world_cause
+ * @offered: sum of the values of all requests
+ * @earned: sum of the values of the answered requests
+ * @bound: upper bound of @earned
+ * @lost: value not earned, by enum world_cause
  */
 struct window {
 	uint64_t from_ns;
@@ -34,10 +34,10 @@
 };
 
 /**
- * struct windows - a run
- * @n: windows
- * @all: those, in order
- * @total: their sum
+ * struct windows - all windows of a run
+ * @n: number of windows
+ * @all: the windows, in order; freed by windows_free()
+ * @total: sum over the windows
  */
 struct windows {
 	uint32_t n;
--- a/sim/sim-packets/world.c
+++ b/sim/sim-packets/world.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Clients begin so long after the entries. */
+/* Clients start this long after the entries. */
 #define CLIENT_START_DELAY_NS NS_PER_S
 #define PERCENT 100.0
 
@@ -18,7 +18,7 @@
 	       (a->at_ns == b->at_ns && a->order < b->order);
 }
 
-/* Make something happen after @delay_ns. */
+/* Schedule an event @delay_ns from now. */
 void world_schedule(struct world *w, uint64_t delay_ns,
 		    void (*run)(struct world *w, const struct event *e),
 		    uint64_t a, uint64_t b, uint64_t c)
@@ -27,7 +27,7 @@
 	uint32_t i = w->n_events;
 
 	if (i == EVENTS_MAX)
-		abort(); /* a mistake of the emulator: events breed */
+		abort(); /* bug in the emulator: unbounded events */
 	w->n_events++;
 	for (; i && is_earlier(&e, &w->events[(i - 1) / 2]); i = (i - 1) / 2)
 		w->events[i] = w->events[(i - 1) / 2];
@@ -57,9 +57,9 @@
 }
 
 /**
- * world_run() - let time pass
- * @w: world
- * @ns: how much
+ * world_run() - advance the simulated clock
+ * @w: emulator
+ * @ns: by how much
  */
 void world_run(struct world *w, uint64_t ns)
 {
@@ -75,8 +75,9 @@
 }
 
 /**
- * world_forget() - what is reported begins now; what rules were broken stays
- * @w: world
+ * world_reset_report() - restart the totals, but keep the counts of broken
+ *	rules
+ * @w: emulator
  */
 void world_reset_report(struct world *w)
 {
@@ -103,10 +104,10 @@
 }
 
 /**
- * world_next_ns() - time until the next event
- * @w: world
+ * world_next_event_delay_ns() - time until the next event is due
+ * @w: emulator
  *
- * Return: nanoseconds.
+ * Return: nanoseconds; 0 when an event is due or none is left.
  */
 uint64_t world_next_event_delay_ns(const struct world *w)
 {
@@ -115,7 +116,7 @@
 		       : 0;
 }
 
-/* From 0 to below 1. */
+/* Return: uniformly distributed number from 0 to below 1. */
 double world_random_unit(struct rng *rng)
 {
 	return (double)(rng_next(rng) >> 11) / (double)(1ULL << 53);
@@ -156,7 +157,8 @@
 	return ADDR(0xc6120001, 1000 + route);
 }
 
-/* Beyond the kinds of request: a route that comes and goes. */
+/* Index of the route that tests of the configuration add and drop. It follows
+ * the routes of the site's classes. */
 uint32_t extra_route_index(const struct world *w)
 {
 	return w->conf.site.n_classes;
@@ -175,7 +177,6 @@
 	return more;
 }
 
-/* A request ended. */
 void world_record_request(struct world *w, const struct world_request *r)
 {
 	w->requests = grow_list(w->requests, w->n_requests,
@@ -228,7 +229,7 @@
 	world_schedule(w, 0, router_probe, 0, 0, 0);
 }
 
-/* What only tests the configuration looks like the second kind of request. */
+/* Requests on the extra route are like those of the second class. */
 static void make_classes(struct world *w)
 {
 	const struct site *s = &w->conf.site;
@@ -245,10 +246,13 @@
 }
 
 /**
- * world_new() - a deployment that starts now; clients come a second later
- * @conf: what to emulate
+ * world_new() - create an emulator and start its entries
+ * @conf: configuration; copied
  *
- * Return: world, or NULL without memory.
+ * Clients start CLIENT_START_DELAY_NS after the entries; that time has passed
+ * when this returns.
+ *
+ * Return: emulator, freed with world_free(); NULL without memory.
  */
 struct world *world_new(const struct world_conf *conf)
 {
@@ -297,9 +301,9 @@
 }
 
 /**
- * world_report() - what clients and targets saw so far
- * @w: world
- * @out: filled
+ * world_report() - read the totals so far
+ * @w: emulator
+ * @out: receives the totals
  */
 void world_report(const struct world *w, struct world_report *out)
 {
@@ -320,11 +324,11 @@
 }
 
 /**
- * world_requests() - every request that ended, in the order of its end
- * @w: world
- * @n: set to how many
+ * world_requests() - every request that ended, in order of its end
+ * @w: emulator, which owns the list
+ * @n: receives the number of requests
  *
- * Return: the first of them.
+ * Return: the first request.
  */
 const struct world_request *world_requests(const struct world *w, uint32_t *n)
 {
@@ -333,10 +337,10 @@
 }
 
 /**
- * world_broken_rules() - what must never happen
- * @r: report
+ * world_broken_rules() - count the violations of rules that always hold
+ * @r: totals of a run
  *
- * Return: how often it did.
+ * Return: number of violations.
  */
 uint64_t world_broken_rules(const struct world_report *r)
 {
--- a/sim/sim-packets/world.h
+++ b/sim/sim-packets/world.h
@@ -1,8 +1,9 @@
 /*
- * An emulator of a whole deployment on a fake clock: clients, routers, entries
- * (the real core/packet/node), targets and the store that publishes. A run is a
- * function of its seed, and what clients ask is the same whatever the entries
- * do. Nothing here uses sockets.
+ * Discrete-event emulator of a whole deployment on a simulated clock: clients,
+ * routers, entries (the real core/packet/node), targets and the store that
+ * publishes records of targets and configurations. A run is a function of its
+ * seed, and the requests of the clients don't depend on what the entries do.
+ * No sockets are used.
  */
 #ifndef SIM_PACKETS_WORLD_H
 #define SIM_PACKETS_WORLD_H
@@ -16,28 +17,30 @@
 #define STORE_KEYS_MAX 2048
 
 #define STORE_ANSWER_NS (4 * NS_PER_MS)
-/* After a disturbance what it touched may be wrong for this long. */
+/* Rules aren't checked on what a fault affected until this long after it. */
 #define SETTLE_NS (4 * NS_PER_S)
-/* Longest time until a publication is in force. */
+/* Longest time until a publication is in force at all entries. */
 #define PUBLISH_MAX_NS (3 * NS_PER_S)
-/* The same of an evacuation, with a store that is well. */
+/* The same for an evacuation while the store is available. */
 #define EVACUATE_MAX_NS (2 * NS_PER_S)
-/* What a cold target may get in any second: its rate so many times, and more. */
+/* Limit of new flows to a cold target in any second: its rate times
+ * COLD_OVERRUN, plus COLD_SLACK. */
 #define COLD_OVERRUN 1.5
 #define COLD_SLACK 5.0
-/* Flows that reach a cold target within a second, as far as they are counted. */
+/* Most recent flows of a target that count towards that limit. */
 #define COLD_WINDOW 64
 
 struct world;
 
 /**
- * struct sim_packet - a client's packet on its way
- * @user: who sent it
- * @port: of the flow, as it was then
- * @flags: enum packet_flag
- * @size_bytes: bytes carried
- * @seq: first of them
- * @ack: next byte that the client expects; in a SYN, copies sent before it
+ * struct sim_packet - a client's packet in flight
+ * @user: index of the sender in struct world's users
+ * @port: source port of the flow when the packet was sent
+ * @flags: bits of enum packet_flag
+ * @size_bytes: payload
+ * @seq: sequence number of the first payload byte
+ * @ack: next byte that the client expects; in a SYN, number of copies sent
+ *	before this one
  */
 struct sim_packet {
 	uint32_t user;
@@ -49,16 +52,16 @@
 };
 
 /**
- * struct entry_driver - what runs the entries: the emulator itself, or real
+ * struct entry_driver - runs the entries: inside the emulator, or as real
  *	processes
- * @ctx: passed back
+ * @ctx: passed to every function
  * @start: start the process of an entry
- * @kill: end it without a word
- * @stop: ask it to end
- * @freeze: stop it from running, or let it run again
- * @ready: whether it says that it is ready
- * @packet: hand it a client's packet
- * @target: a target started or ended; may be NULL
+ * @kill: end the process without a shutdown
+ * @stop: request a graceful shutdown
+ * @freeze: suspend the process, or resume it
+ * @ready: whether the entry reports that it is ready
+ * @deliver: deliver a client's packet to an entry
+ * @target_changed: a target's process started or ended; may be NULL
  */
 struct entry_driver {
 	void *ctx;
@@ -73,11 +76,12 @@
 };
 
 /**
- * struct world_conf - what to emulate
- * @seed: of all chance
+ * struct world_conf - configuration of an emulator
+ * @seed: of the random numbers; equal seeds give equal runs
  * @site: the deployment
- * @policy: figures that the entries go by; NULL for policy_default
- * @driver: what runs the entries; the emulator when @driver.start is NULL
+ * @policy: limits and switches of the entries; NULL for policy_default; must
+ *	outlive the emulator
+ * @driver: runs the entries; inside the emulator when @driver.start is NULL
  */
 struct world_conf {
 	uint64_t seed;
@@ -87,31 +91,32 @@
 };
 
 /**
- * enum store_mode - what the store does with an entry's calls
- * @STORE_ANSWERS: answers them
- * @STORE_REFUSES: refuses them at once
- * @STORE_SILENT: does not answer
+ * enum store_mode - how the store handles an entry's calls
+ * @STORE_ANSWERS: it answers them
+ * @STORE_REFUSES: it fails them at once
+ * @STORE_SILENT: they time out
  */
 enum store_mode { STORE_ANSWERS, STORE_REFUSES, STORE_SILENT };
 
 /**
- * enum world_failing - what a target does with requests
+ * enum target_mode - how a target handles requests
  * @TARGET_WORKS: runs them
- * @TARGET_FAILS: answers at once that they failed
- * @TARGET_HANGS: takes them and does not answer
- * @TARGET_CRAWLS: runs them much slower
+ * @TARGET_FAILS: answers at once with an error
+ * @TARGET_HANGS: accepts them and doesn't answer
+ * @TARGET_SLOW: takes several times as long
  */
 enum target_mode { TARGET_WORKS, TARGET_FAILS, TARGET_HANGS, TARGET_SLOW };
 
 /**
- * enum record_defect - an entry that no target wrote
- * @FOREIGN_NONE: it is a target's
- * @FOREIGN_BYTES: not readable
+ * enum record_defect - what is wrong with a record that no target wrote
+ * @FOREIGN_NONE: nothing, a target wrote it
+ * @FOREIGN_BYTES: it can't be decoded
  * @FOREIGN_MISSING: a field is missing
- * @FOREIGN_TYPE: a field is of another type
- * @FOREIGN_STATE: a state that there is not
- * @FOREIGN_SERVICE: a service that no configuration names
- * @FOREIGN_UNBORN: all but the start of its process
+ * @FOREIGN_TYPE: a field has the wrong type
+ * @FOREIGN_STATE: the state is unknown
+ * @FOREIGN_SERVICE: no configuration names the service
+ * @FOREIGN_UNBORN: the start time of the process is missing
+ * @FOREIGN_KINDS: number of values
  */
 enum record_defect {
 	FOREIGN_NONE,
@@ -125,27 +130,29 @@
 };
 
 /**
- * struct world_report - what clients and targets saw
- * @requests: requests asked
- * @in_aim: answered within the target latency
+ * struct world_report - totals that clients and targets observed
+ * @requests: requests that ended
+ * @on_time: answered within the latency objective
  * @late: answered later
  * @failed: not answered
- * @misrouted: flows that a target of a service got that no configuration
- *	allowed
- * @broken: open flows that an entry reset while their target served
- * @late_drain: flows that reached a target long after its leave was published
- * @evacuated: flows that reached a target long after its data centre's
- *	evacuation was published
- * @overrun: flows that reached a cold target beyond what it may get in a second
- * @stale: flows handled as only an older configuration allows
+ * @misrouted: flows that reached a target of a service that no configuration
+ *	allowed for them
+ * @broken: open flows that an entry reset although their target served them
+ * @late_drain: flows that reached a target more than PUBLISH_MAX_NS after it
+ *	published that it leaves
+ * @evacuated: flows that reached a target more than EVACUATE_MAX_NS after the
+ *	evacuation of its data centre was published
+ * @overrun: flows to cold targets above the limit of new flows in a second
+ * @stale: flows that were forwarded or denied by an outdated configuration
  * @doubled: non-idempotent requests that ran twice
- * @swamped: requests that targets refused, since their queues were full
+ * @queue_full: requests that targets refused because their queues were full
  * @probes: connection attempts of entries
  * @store_calls: calls to the store
- * @far_bytes: bytes between data centres
- * @owed: worth of all requests
- * @earned: worth of those that were answered
- * @imbalance: most requests of a target over the mean of its service
+ * @cross_dc_bytes: bytes that entries sent to targets of other data centres
+ * @offered: sum of the values of all requests
+ * @earned: sum of the values of the answered requests
+ * @imbalance: largest number of requests at a target, divided by the mean of
+ *	its service
  */
 struct world_report {
 	uint64_t requests;
@@ -169,14 +176,15 @@
 };
 
 /**
- * enum world_cause - why a request was not answered in time
+ * enum world_cause - why a request wasn't answered within its objective
  * @CAUSE_NONE: it was
- * @CAUSE_CUT: its packets met no entry
- * @CAUSE_GONE: sent to a target that was gone
- * @CAUSE_REFUSED: every try was refused by targets, or reset by entries
- * @CAUSE_WAITED: waited behind others, at the target or on the way there
- * @CAUSE_WORK: its own work took longer than the target latency
- * @CAUSE_FAILED: a target took it and failed
+ * @CAUSE_CUT: a packet reached no running entry
+ * @CAUSE_GONE: it was sent to a target that no longer existed
+ * @CAUSE_REFUSED: targets refused every attempt, or entries reset it
+ * @CAUSE_WAITED: queueing, at the target or on the way there
+ * @CAUSE_WORK: its own work took longer than the objective
+ * @CAUSE_FAILED: a target accepted it and failed
+ * @CAUSES: number of values
  */
 enum world_cause {
 	CAUSE_NONE,
@@ -193,11 +201,11 @@
 
 /**
  * struct world_request - a request that ended
- * @asked_ns: when it was asked
- * @took_ns: until its answer; 0 for none
- * @work_ns: what it takes at a target that is warm
- * @zone: of its client
- * @class: kind of request
+ * @arrival_ns: when the client issued it
+ * @latency_ns: time until its answer; 0 when it failed
+ * @work_ns: service time at a warm target
+ * @zone: data centre of its client
+ * @class: index of its struct site_class
  * @cause: enum world_cause
  */
 struct world_request {
@@ -222,7 +230,7 @@
 uint32_t world_ready_count(struct world *w);
 const struct world_request *world_requests(const struct world *w, uint32_t *n);
 
-/* Faults and planned work; each takes effect at once. */
+/* Faults and planned work. All take effect at once. */
 void world_start_entry(struct world *w, uint32_t entry);
 void world_entry_ended(struct world *w, uint32_t entry);
 void world_kill_entry(struct world *w, uint32_t entry, uint64_t down_ns);
@@ -255,11 +263,11 @@
 #define RECOVERY_ENTRIES_MAX ENTRIES_MAX
 
 /**
- * struct recovery - times of one run, 0 where it did not come to it
- * @first_ns: from the first process's start until the first entry was ready
- * @each_ns: from each process's start until it was ready
- * @agree_ns: from the last process's start until all were ready and knew the
- *	newest revision
+ * struct recovery - recovery times of one run; 0 where nothing recovered
+ * @first_ready_ns: from the first start of a process until an entry was ready
+ * @ready_ns: of each entry, from the start of its process until it was ready
+ * @all_agree_ns: from the last start of a process until all entries were ready
+ *	and had the newest revision
  */
 struct recovery {
 	uint64_t first_ready_ns;
@@ -271,7 +279,8 @@
 		  struct recovery *r);
 int recovery_table(uint64_t first_seed, uint32_t seeds, uint32_t entries);
 
-/* Nothing, targets publish, configurations change, a slow store, half refused. */
+/* No load on the store, targets publish, configurations change, the store is
+ * slow, the store refuses half. */
 #define EVACUATION_CONDITIONS 5
 
 void evacuation_run(uint64_t seed, uint32_t entries, uint32_t condition,
@@ -279,11 +288,11 @@
 int evacuation_table(uint64_t first_seed, uint32_t seeds, uint32_t entries);
 
 /**
- * struct world_fault - a fault or planned work, by name
- * @name: name
- * @help: what happens
- * @apply: make it happen, now
- * @served: least part of the requests that is served all the same, over the
+ * struct world_fault - a named fault or planned operation
+ * @name: identifier on the command line
+ * @help: one line of description
+ * @apply: starts the fault at the emulator's current time
+ * @served_min: least part of the requests that has to be answered during the
  *	12 s that follow
  */
 struct world_fault {
--- a/sim/sim-packets/world_state.h
+++ b/sim/sim-packets/world_state.h
@@ -1,4 +1,4 @@
-/* Insides of the emulator. */
+/* Internal state of the emulator, shared by its source files. */
 #ifndef SIM_PACKETS_WORLD_STATE_H
 #define SIM_PACKETS_WORLD_STATE_H
 
@@ -7,7 +7,7 @@
 #define EVENTS_MAX (1 << 19)
 #define QUEUE_MAX 64
 #define PENDING_MAX 32
-/* Loopback addresses, so that real processes can be driven too. */
+/* Loopback addresses, which real processes can bind too. */
 #define PEER_IP 0x7f030001
 #define PEER_PORT 7720
 #define TARGET_IP 0x7f020001
@@ -15,19 +15,19 @@
 #define NO_TARGET UINT32_MAX
 #define SEGMENT_BYTES 1200
 #define WINDOW_PACKETS 16
-/* The largest request, in packets. */
+/* Packets of the largest request. */
 #define SEGMENTS_MAX 512
 
 enum sim_service { SERVICE_MAIN, SERVICE_OTHER };
 
 /**
- * struct event - something that happens later
- * @at_ns: when
- * @order: of those at one time, the one made first goes first
- * @run: what happens
- * @a: first argument
- * @b: second
- * @c: third
+ * struct event - an entry of the event queue
+ * @at_ns: when it is due
+ * @order: sequence number; orders events that are due at the same time
+ * @run: handler
+ * @arg0: first argument of the handler
+ * @arg1: second argument
+ * @arg2: third argument
  */
 struct event {
 	uint64_t at_ns;
@@ -58,10 +58,10 @@
 };
 
 /**
- * struct sim_ask - a request before it is sent
- * @asked_ns: when it was asked
- * @work_ns: what it takes at a warm target
- * @request_bytes: size
+ * struct request_spec - a request that a client is about to send
+ * @arrival_ns: when the client issued it
+ * @work_ns: service time at a warm target
+ * @request_bytes: size of the request
  * @answer_bytes: size of its answer
  */
 struct request_spec {
@@ -80,13 +80,14 @@
 };
 
 /**
- * struct sim_flow - a flow that a target holds
- * @user: whose
- * @port: its port there
- * @number: request that it took last: a repeated packet is none again
- * @got: packets of that request, by number
- * @n_got: how many
- * @done: it was handed to a slot, the queue, or refused
+ * struct sim_flow - an open flow at a target
+ * @user: index of the client's user
+ * @port: the user's port
+ * @request_number: newest request on this flow; later copies of its packets
+ *	don't count as a new request
+ * @received: bitmap of the received packets of that request
+ * @n_received: number of bits that are set
+ * @is_complete: the request was run, queued or refused
  */
 struct sim_flow {
 	uint32_t user;
@@ -98,7 +99,7 @@
 };
 
 /**
- * enum sim_answer - what a client hears of its request
+ * enum sim_answer - outcome of a request at its target
  * @ANSWER_DONE: it ran
  * @ANSWER_REFUSED: it did not run
  * @ANSWER_FAILED: it ran and failed
@@ -132,35 +133,35 @@
 enum user_state { USER_IDLE, USER_OPENING, USER_OPEN };
 
 /**
- * struct sim_user - a client's user: one flow and one request at a time
+ * struct sim_user - a client's user, with one flow and one request at a time
  * @zone: data centre
- * @ip: its address
- * @class: kind of its requests
- * @state: enum user_state, of its flow
- * @port: of its flow
- * @cookie: what the flow's target returned
- * @target: where the flow is open
- * @process: process of that target
+ * @ip: IPv4 address
+ * @class: index of the struct site_class of its requests
+ * @state: enum user_state of its flow
+ * @port: source port of its flow
+ * @cookie: cookie of the flow's target; 0 until the flow is open
+ * @target: index of the target of the open flow, or NO_TARGET
+ * @process: incarnation count of that target when the flow opened
  * @opened_ns: when the flow opened
- * @opened_in_force: the route that comes and goes was published then
+ * @opened_with_extra_route: the extra route was published at that time
  * @used_ns: last answer on the flow
- * @pending: requests asked that wait for this user
- * @n_pending: how many
- * @waiting: a request is in progress
- * @number: it
- * @ask: it
- * @attempts: tries begun
- * @ran: how often it ran
- * @copies: of the opening packet
- * @base: sequence number of its first byte
- * @segments: packets that it takes
- * @sent: of them, sent once
- * @acked: of them, acknowledged
- * @ack: next byte expected of the target
- * @lost: a packet met no entry
- * @gone: a packet went to a target that was gone
- * @refused: a try ended with a refusal or a reset
- * @failed: a target answered that it failed
+ * @pending: requests that wait for the current one to end
+ * @n_pending: how many of @pending
+ * @has_request: a request is in progress
+ * @request_number: number of that request
+ * @spec: that request
+ * @attempts: attempts so far
+ * @runs: times that a target ran it
+ * @syn_copies: retransmissions of the SYN
+ * @request_seq: sequence number of the request's first byte
+ * @segments: packets of the request
+ * @sent: packets sent at least once
+ * @acked: packets acknowledged, counted from the first
+ * @ack: next byte expected from the target
+ * @packet_lost: a packet reached no running entry
+ * @target_gone: a packet was sent to a target that no longer existed
+ * @was_refused: an attempt ended with a refusal or a reset
+ * @has_failed: a target answered with an error
  */
 struct sim_user {
 	uint32_t zone;
@@ -193,13 +194,13 @@
 	bool has_failed;
 };
 
-/* What the ports of an entry's node get passed back. */
+/* Context of the port functions of an entry's node. */
 struct port_ctx {
 	struct world *w;
 	struct sim_entry *entry;
 };
 
-/* A target's entry and a configuration, as values of the store. */
+/* Values of the store: the record of a target, and a configuration. */
 struct target_value {
 	struct target_advertisement advertised;
 	enum record_defect foreign;
@@ -230,7 +231,8 @@
 	uint8_t value[sizeof(struct routes_value)];
 };
 
-/* A heartbeat on its way; an event carries its number. */
+/* A heartbeat in flight; an event refers to it by its index. Unused ones are
+ * linked by @next. */
 struct hello_in_flight {
 	struct hello hello;
 	uint32_t next;
@@ -238,7 +240,7 @@
 
 #define HELLOS_IN_FLIGHT_MAX 8192
 
-/* An entry's connection attempt. */
+/* A connection attempt of an entry. */
 struct sim_attempt {
 	uint32_t entry;
 	struct incarnation incarnation;
@@ -248,10 +250,10 @@
 #define ATTEMPTS_MAX 65536
 
 /**
- * struct capacity_mark - slots of a service's living targets from a time on
+ * struct slot_change - the slots of a service changed
  * @at_ns: when
- * @service: service
- * @slots: how many
+ * @service: index of the service
+ * @slots: slots of its living targets from then on
  */
 struct slot_change {
 	uint64_t at_ns;
@@ -260,10 +262,10 @@
 };
 
 /**
- * struct entry_mark - whether an entry ran from a time on
+ * struct entry_change - an entry started or stopped running
  * @at_ns: when
- * @entry: entry
- * @up: whether
+ * @entry: index of the entry
+ * @up: whether it runs from then on
  */
 struct entry_change {
 	uint64_t at_ns;
