--- a/sim/sim-experiment/experiment.h
+++ b/sim/sim-experiment/experiment.h
@@ -1,6 +1,6 @@
 /*
- * Described experiments on the emulator: a deployment, what happens to it, and
- * policies side by side on the same seeds.
+ * Experiments on the emulator, described in files: a deployment, the incidents
+ * that affect it, and policies that are compared on the same seeds.
  */
 #ifndef SIM_EXPERIMENT_H
 #define SIM_EXPERIMENT_H
@@ -15,14 +15,15 @@
 #define PATH_BYTES 256
 
 /**
- * struct trouble - something that happens to a deployment
- * @kind: index of trouble_kinds
+ * struct incident - something that happens to a deployment
+ * @kind: index in incident_kinds
  * @at_ns: when, since the warm-up ended
- * @share: part of the things that it strikes
- * @for_ns: how long
- * @gap_ns: time between one thing and the next
- * @factor: how strong
- * @zone: data centre; UINT32_MAX for any, drawn by the seed
+ * @share: part of the targets, entries or clients that it affects
+ * @for_ns: duration
+ * @gap_ns: time between one affected target or entry and the next
+ * @factor: multiplier of the load
+ * @zone: index of the data centre; UINT32_MAX for all, or where the kind needs
+ *	a single one for a random one
  */
 struct incident {
 	uint8_t kind;
@@ -35,10 +36,10 @@
 };
 
 /**
- * struct trouble_kind - a kind of trouble, by name
- * @name: name
- * @help: what it does with the figures of struct trouble
- * @begin: make it happen, now
+ * struct incident_kind - a kind of incident
+ * @name: its name in files
+ * @help: one line on its effect and the fields that it uses
+ * @begin: starts an incident at the emulator's current time
  */
 struct incident_kind {
 	const char *name;
@@ -53,7 +54,7 @@
 /**
  * struct variant - a policy under test
  * @title: its name in the results
- * @policy: its figures
+ * @policy: limits and switches of the entries
  */
 struct variant {
 	char title[TITLE_BYTES];
@@ -61,18 +62,18 @@
 };
 
 /**
- * struct experiment - what to play
- * @title: name
+ * struct experiment - description of an experiment
+ * @title: name in the results
  * @site: deployment
- * @load: times its rates
- * @seeds: runs of each policy
- * @first_seed: seed of the first
- * @warm_up_ns: before the first trouble; not counted
- * @run_ns: what is counted
- * @n_troubles: how many of @troubles
- * @troubles: what happens
- * @n_variants: how many of @variants
- * @variants: policies; the first is what the others are compared with
+ * @load_factor: multiplier of the request rates
+ * @seeds: number of runs of each policy
+ * @first_seed: seed of the first run; later ones count up
+ * @warm_up_ns: time before the incidents, left out of the results
+ * @run_ns: time that counts
+ * @n_incidents: number of @incidents in use
+ * @incidents: what happens to the deployment
+ * @n_variants: number of @variants in use
+ * @variants: policies; the others are compared with the first
  */
 struct experiment {
 	char title[TITLE_BYTES];
@@ -89,19 +90,19 @@
 };
 
 /**
- * struct outcome - what one run earned
- * @earned: part of the worth owed
- * @worst: of the two worst windows, their mean
- * @in_aim: part of the requests answered in time
- * @served: part answered at all
- * @bound: of @earned
- * @bound_worst: of @worst
- * @lost: part of the worth owed, by enum world_cause
- * @swamped: part of the requests that targets refused
- * @far: bytes between data centres a request
- * @probes: connection attempts a request
- * @imbalance: most requests of a target over the mean
- * @rules: how often a rule was broken
+ * struct outcome - results of one run
+ * @earned: earned part of the offered value
+ * @worst: the same for the two worst windows, their mean
+ * @on_time: part of the requests answered within the latency objective
+ * @served: part of the requests answered at all
+ * @bound: upper bound of @earned
+ * @bound_worst: upper bound of @worst
+ * @lost: lost part of the offered value, by enum world_cause
+ * @queue_full: part of the requests that targets refused
+ * @cross_dc_bytes: bytes between data centres per request
+ * @probes: connection attempts of entries per request
+ * @imbalance: largest number of requests at a target, divided by the mean
+ * @rules: number of broken rules
  */
 struct outcome {
 	double earned;
@@ -112,7 +113,7 @@
 	double bound_worst;
 	double lost[CAUSES];
 	double queue_full;
-	double far;
+	double cross_dc_bytes;
 	double probes;
 	double imbalance;
 	uint64_t rules;
@@ -123,7 +124,7 @@
 		    struct mistakes *m);
 int site_read(const char *path, struct site *out, struct mistakes *m);
 
-/* play.c */
+/* run.c */
 int experiment_run(const struct experiment *experiment, uint32_t variant,
 		   uint64_t seed, struct outcome *out, struct windows *windows);
 
--- a/sim/sim-experiment/incidents.c
+++ b/sim/sim-experiment/incidents.c
@@ -1,4 +1,4 @@
-/* What may happen to a deployment, with figures. */
+/* Kinds of incidents. */
 #include "experiment.h"
 
 #include "world_state.h"
@@ -27,7 +27,7 @@
 	       in_zone(t, w->targets[i].zone);
 }
 
-/* So many of those that live, drawn without putting back. */
+/* Apply to a share of the living targets, drawn without replacement. */
 static void apply_to_targets(struct world *w, const struct incident *t,
 			     void (*apply)(struct world *w, uint32_t target,
 					   const struct incident *t))
@@ -176,7 +176,7 @@
 			world_scale_load(w, z, t->factor, t->for_ns);
 }
 
-/* A part of one data centre's clients move on to the next. */
+/* Move a share of one data centre's load to the next data centre. */
 static void shift(struct world *w, const struct incident *t)
 {
 	uint32_t from = zone_of(w, t);
@@ -187,28 +187,36 @@
 }
 
 const struct incident_kind incident_kinds[] = {
-	{ "kill_entries", "share of them end, and start again after for_s",
+	{ "kill_entries", "share of the entries end and restart after for_s",
 	  kill_entries },
-	{ "freeze_entries", "share of them stand still for for_s",
+	{ "freeze_entries", "share of the entries do not run for for_s",
 	  freeze_entries },
-	{ "roll_entries", "share of them are stopped and started, each gap_s",
+	{ "roll_entries", "share of the entries are restarted, one each gap_s",
 	  roll_entries },
-	{ "kill_targets", "share of the first service's end for good",
+	{ "kill_targets", "share of the first service's targets end for good",
 	  kill_targets },
-	{ "darken_targets", "and connections to them hang", darken_targets },
-	{ "restart_targets", "share start again under their id after for_s",
+	{ "darken_targets", "the same, and connections to them time out",
+	  darken_targets },
+	{ "restart_targets",
+	  "share of the targets restart under their id after for_s",
 	  restart_targets },
-	{ "release_targets", "share are replaced, one each gap_s",
+	{ "release_targets",
+	  "share of the targets are replaced, one each gap_s",
 	  release_targets },
-	{ "fail_targets", "share answer with errors for for_s", fail_targets },
-	{ "hang_targets", "share do not answer for for_s", hang_targets },
-	{ "crawl_targets", "share are seven times slower for for_s",
+	{ "fail_targets", "share of the targets answer with errors for for_s",
+	  fail_targets },
+	{ "hang_targets", "share of the targets do not answer for for_s",
+	  hang_targets },
+	{ "crawl_targets",
+	  "share of the targets are seven times slower for for_s",
 	  crawl_targets },
-	{ "cut_zone", "a data centre is cut off for for_s", cut_zone },
-	{ "store_down", "the store answers nobody for for_s", store_down },
-	{ "store_lapse", "and all entries of targets run out", store_lapse },
-	{ "crowd", "clients ask factor times as much for for_s", crowd },
-	{ "shift", "share of a data centre's clients move for for_s", shift },
+	{ "cut_zone", "a data centre is partitioned for for_s", cut_zone },
+	{ "store_down", "the store is unavailable for for_s", store_down },
+	{ "store_lapse", "the same, and the records of all targets expire",
+	  store_lapse },
+	{ "crowd", "clients send factor times the requests for for_s", crowd },
+	{ "shift", "share of a data centre's load moves to the next for for_s",
+	  shift },
 };
 
 const char *const incident_names[] = {
--- a/sim/sim-experiment/main.c
+++ b/sim/sim-experiment/main.c
@@ -1,6 +1,6 @@
 /*
- * sim-experiment: plays described experiments on the emulator, policies side by
- * side on the same seeds, and prints what callers got.
+ * sim-experiment: runs experiments on the emulator, with several policies on the
+ * same seeds, and prints what clients got.
  */
 #include "experiment.h"
 
@@ -10,7 +10,7 @@
 
 enum exit_code { EXIT_OK, EXIT_BROKEN, EXIT_USAGE };
 
-/* Arguments; end stands last, as argtable wants it. */
+/* Command line arguments; argtable requires end to be the last. */
 struct args {
 	struct arg_file *files;
 	struct arg_int *seeds;
@@ -26,12 +26,13 @@
 	return (struct args){
 		.files = arg_filen(NULL, NULL, "FILE", 0, 64, "experiments"),
 		.seeds = arg_int0(NULL, "seeds", "N",
-				  "runs of each policy, not the file's"),
-		.json = arg_lit0(NULL, "json", "a line of JSON a policy"),
+				  "runs of each policy; overrides the file"),
+		.json = arg_lit0(NULL, "json",
+				 "print one line of JSON per policy"),
 		.windows = arg_lit0(NULL, "windows",
-				    "the first seed's windows, for plots"),
-		.list = arg_lit0(NULL, "list", "name the troubles and stop"),
-		.help = arg_lit0(NULL, "help", "print this and stop"),
+				    "print the windows of the first seed"),
+		.list = arg_lit0(NULL, "list", "list the incidents and exit"),
+		.help = arg_lit0(NULL, "help", "print this help and exit"),
 		.end = arg_end(8),
 	};
 }
@@ -94,7 +95,7 @@
 
 static int run_file(const struct args *a, const char *path)
 {
-	static struct experiment experiment; /* large for a stack */
+	static struct experiment experiment; /* too large for the stack */
 	struct mistakes m = { 0 };
 	int code = EXIT_USAGE;
 
--- a/sim/sim-experiment/read.c
+++ b/sim/sim-experiment/read.c
@@ -1,4 +1,4 @@
-/* Reads the description of an experiment. */
+/* Parser of experiment files. */
 #include "experiment.h"
 #include "settings_table.h"
 
@@ -7,7 +7,7 @@
 #include <errno.h>
 #include <glib.h>
 
-/* What is taken apart from the numbers. */
+/* Strings of an experiment file. */
 struct texts {
 	char title[TITLE_BYTES];
 	char site[PATH_BYTES];
@@ -44,7 +44,7 @@
 	{ 0 }
 };
 
-/* A text that may have any characters. */
+/* Parse a string without restrictions on its characters. */
 static void parse_text(struct mistakes *m, struct toml_node *table,
 		       const char *key, char *out, size_t n, bool required)
 {
@@ -55,8 +55,9 @@
 	if (!node || node->kind != TOML_STRING ||
 	    g_strlcpy(out, node->text, n) >= n) {
 		field_add_mistake(m, node ? node : table, "", key,
-				  node ? "is no text, or too long" : "missing",
-				  "a text");
+				  node ? "is not a string, or too long"
+				       : "missing",
+				  "a string");
 		return;
 	}
 	node->taken = 1;
@@ -84,7 +85,7 @@
 	out->zone = find_zone(&experiment->site, texts.data_centre);
 	if (texts.data_centre[0] && out->zone == UINT32_MAX)
 		field_add_mistake(m, t, "trouble", "data_centre",
-				  "is not of this deployment",
+				  "is not in this deployment",
 				  "the name of a data centre");
 }
 
@@ -110,8 +111,9 @@
 	if (!list)
 		return;
 	if (list->kind != TOML_ARRAY || list->n_items > most) {
-		field_add_mistake(m, list, key, "", "is too many, or no list",
-				  "tables of it");
+		field_add_mistake(m, list, key, "",
+				  "is not an array, or too long",
+				  "an array of tables");
 		return;
 	}
 	list->taken = 1;
@@ -150,12 +152,13 @@
 }
 
 /**
- * experiment_read() - read an experiment and its deployment
- * @path: file; the deployment's path in it is as seen from here
- * @out: filled
- * @m: every mistake is added
+ * experiment_read() - parse an experiment and its deployment
+ * @path: file; the path of the deployment in it is relative to the working
+ *	directory
+ * @out: receives the description
+ * @m: every mistake in the files is added
  *
- * Return: 0; -EINVAL when there are mistakes; -ENOENT.
+ * Return: 0; -EINVAL when there are mistakes; -ENOENT without the file.
  */
 int experiment_read(const char *path, struct experiment *out,
 		    struct mistakes *m)
--- a/sim/sim-experiment/read_site.c
+++ b/sim/sim-experiment/read_site.c
@@ -1,4 +1,4 @@
-/* Reads the description of a deployment. */
+/* Parser of deployment files. */
 #include "experiment.h"
 #include "settings_table.h"
 
@@ -10,7 +10,7 @@
 
 static const char *const kinds[] = { "feed", "report", "upload", NULL };
 
-/* Numbers of a class that its struct keeps in parts. */
+/* Fields of a class that struct site_class holds in another form. */
 struct class_text {
 	char name[NAME_MAX_BYTES];
 	char service[NAME_MAX_BYTES];
@@ -102,17 +102,18 @@
 	return n->kind == TOML_DECIMAL ? n->decimal : (double)n->number;
 }
 
-/* A list of numbers; shorter or longer than @n is a mistake. */
+/* Parse a list of exactly @n numbers. */
 static void parse_numbers(struct mistakes *m, struct toml_node *t,
 			  const char *key, uint32_t n, double *out)
 {
 	struct toml_node *list = toml_find(t, key);
 
 	if (!list || list->kind != TOML_ARRAY || list->n_items != n) {
-		field_add_mistake(m, list ? list : t, t->key, key,
-				  list ? "is no list of that length"
-				       : "missing",
-				  "a number each, in their order");
+		field_add_mistake(
+			m, list ? list : t, t->key, key,
+			list ? "is not an array of the required length"
+			     : "missing",
+			"one number each, in order");
 		return;
 	}
 	list->taken = 1;
@@ -128,9 +129,9 @@
 }
 
 /**
- * struct part - a list of tables in the file
- * @key: its name
- * @most: how many there may be
+ * struct part - an array of tables in the file
+ * @key: its key
+ * @most: largest number of tables
  */
 struct part {
 	const char *key;
@@ -146,8 +147,9 @@
 	if (!list || list->kind != TOML_ARRAY || !list->n_items ||
 	    list->n_items > p->most) {
 		field_add_mistake(m, list ? list : root, p->key, "",
-				  list ? "is too many, or no list" : "missing",
-				  "some tables of it");
+				  list ? "is empty, too long, or not an array"
+				       : "missing",
+				  "an array of tables");
 		return NULL;
 	}
 	list->taken = 1;
@@ -202,12 +204,12 @@
 		c->service = find_service(s, text.service);
 		if (c->service == s->n_services)
 			field_add_mistake(m, &all[i], "class", "service",
-					  "is not described",
+					  "is not defined",
 					  "the name of a service");
 		if (!i && c->kind != ROUTE_FEED)
 			field_add_mistake(m, &all[i], "class", "kind",
 					  "is not a feed",
-					  "the feed as the first class");
+					  "a feed as the first class");
 	}
 }
 
@@ -224,7 +226,7 @@
 	}
 }
 
-/* The classes' number is known by now. */
+/* Parse the rates, one for each class; the classes have to be parsed before. */
 static void parse_rates(struct mistakes *m, struct toml_node *root,
 			struct site *s)
 {
@@ -238,12 +240,12 @@
 }
 
 /**
- * site_read() - read a deployment
+ * site_read() - parse a deployment
  * @path: file
- * @out: filled
- * @m: every mistake is added
+ * @out: receives the description
+ * @m: every mistake in the file is added
  *
- * Return: 0; -EINVAL when there are mistakes; -ENOENT.
+ * Return: 0; -EINVAL when there are mistakes; -ENOENT without the file.
  */
 int site_read(const char *path, struct site *out, struct mistakes *m)
 {
--- a/sim/sim-experiment/report.c
+++ b/sim/sim-experiment/report.c
@@ -1,4 +1,4 @@
-/* Results of an experiment: a table, JSON, windows for plots. */
+/* Output of results: a table, JSON, and windows for plots. */
 #include "experiment.h"
 
 #include <gsl/gsl_cdf.h>
@@ -6,12 +6,12 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Two-sided 95 %. */
+/* Quantile of a two-sided 95 % confidence interval. */
 #define QUANTILE 0.975
 
 /**
  * struct figure - a column of the table
- * @name: its heading
+ * @name: heading, and key in JSON
  * @offset: of the double in struct outcome
  */
 struct figure {
@@ -30,7 +30,7 @@
 	FIGURE("in_aim", on_time),
 	FIGURE("served", served),
 	FIGURE("swamped", queue_full),
-	FIGURE("far", far),
+	FIGURE("far", cross_dc_bytes),
 	FIGURE("probes", probes),
 	FIGURE("imbalance", imbalance),
 	FIGURE("bound", bound),
@@ -44,7 +44,7 @@
 };
 
 #define N_FIGURES (sizeof(figures) / sizeof(figures[0]))
-/* Those that are compared with the first policy's. */
+/* The first figures are also printed as differences to the first policy. */
 #define COMPARED 3
 
 static double figure_value(const struct outcome *o, const struct figure *f)
@@ -72,7 +72,7 @@
 	return sum / experiment->seeds;
 }
 
-/* Half the width of the interval of the mean difference, seed by seed. */
+/* Half width of the confidence interval of the mean paired difference. */
 static double interval(const struct experiment *experiment,
 		       const struct outcome *a, const struct outcome *b,
 		       const struct figure *f)
@@ -101,9 +101,9 @@
 }
 
 /**
- * report_table() - print means, and differences to the first policy
- * @x: experiment
- * @all: outcomes, policy by policy
+ * report_table() - print means and differences to the first policy
+ * @experiment: description
+ * @all: results of all runs, ordered by policy
  */
 void report_table(const struct experiment *experiment,
 		  const struct outcome *all)
@@ -143,9 +143,9 @@
 }
 
 /**
- * report_json() - a line a policy
- * @x: experiment
- * @all: outcomes, policy by policy
+ * report_json() - print one line of JSON for each policy
+ * @experiment: description
+ * @all: results of all runs, ordered by policy
  */
 void report_json(const struct experiment *experiment, const struct outcome *all)
 {
@@ -178,10 +178,10 @@
 }
 
 /**
- * report_windows() - a row a window of a run, for plots
- * @x: experiment
- * @variant: number of its policy
- * @v: windows
+ * report_windows() - print one row for each window of a run, for plots
+ * @experiment: description
+ * @variant: index of the policy
+ * @v: windows of the run
  */
 void report_windows(const struct experiment *experiment, uint32_t variant,
 		    const struct windows *v)
--- a/sim/sim-experiment/run.c
+++ b/sim/sim-experiment/run.c
@@ -37,7 +37,7 @@
 		.bound = ratio(t->bound, t->offered),
 		.bound_worst = windows_worst_share(v, WORST_WINDOWS, true),
 		.queue_full = ratio((double)r.queue_full, n),
-		.far = ratio((double)r.cross_dc_bytes, n),
+		.cross_dc_bytes = ratio((double)r.cross_dc_bytes, n),
 		.probes = ratio((double)r.probes, n),
 		.imbalance = r.imbalance,
 		.rules = world_broken_rules(&r),
@@ -47,14 +47,14 @@
 }
 
 /**
- * experiment_play() - one run
- * @x: experiment
- * @variant: number of its policy
- * @seed: of all chance
- * @out: filled
- * @windows: filled; windows_free() frees them
+ * experiment_run() - emulate one run of an experiment
+ * @experiment: description
+ * @variant: index of the policy
+ * @seed: of the random numbers
+ * @out: receives the results
+ * @windows: receives the windows; free them with windows_free()
  *
- * Return: 0 or -ENOMEM.
+ * Return: 0, or -ENOMEM.
  */
 int experiment_run(const struct experiment *experiment, uint32_t variant,
 		   uint64_t seed, struct outcome *out, struct windows *windows)
