--- a/test/packet_restore_test.c
+++ b/test/packet_restore_test.c
@@ -1,10 +1,10 @@
 /*
- * The store comes back from a copy that is some seconds old: its revisions are
- * given out again, and what is written then has to be in force like any other.
+ * The store is restored from a copy that is some seconds old: it assigns the
+ * same revisions again, and what is written then has to come into force too.
  */
 #include "world_bed.h"
 
-/* Guards against late drains and late configurations after a restored store. */
+/* Guards against drains and configurations that are late after a restore. */
 static void restored_store_keeps_rules_and_serves_requests(void **state)
 {
 	(void)state;
@@ -23,7 +23,7 @@
 				      true);
 }
 
-/* Before and after each other fault. */
+/* The restore starts before or after each other fault. */
 static void restored_store_keeps_rules_with_other_faults(void **state)
 {
 	const struct world_fault *restored = world_fault_find("store_restored");
--- a/test/packet_slow_test.c
+++ b/test/packet_slow_test.c
@@ -1,9 +1,9 @@
 /*
- * Symptom: requests pass their deadlines for seconds after some targets turned
- * seven times slower. Sequence: feeds stay open there; a request of long work
- * fills a slot for a second and a half, and those behind it wait too long.
- * Cause: an entry gives a slow target as many requests as the others, since it
- * knows the work of a service's requests, not that of one target.
+ * Guards against requests that miss their deadlines for seconds after some
+ * targets become seven times slower. Feeds stay open at such a target, where a
+ * request of long work occupies a slot for a second and a half and those behind
+ * it wait too long. An entry sends a slow target as many requests as the others,
+ * since it knows the work of a service's requests, not that of one target's.
  */
 #include "world_bed.h"
 
@@ -16,7 +16,7 @@
 		world_bed_run(f, seed, false);
 }
 
-/* Of the first hundred seeds those that show it. */
+/* The seeds among the first hundred that show the failure. */
 static void requests_meet_deadlines_at_worst_seeds(void **state)
 {
 	static const uint64_t seeds[] = { 8, 16, 25, 75 };
--- a/test/packet_world_test.c
+++ b/test/packet_world_test.c
@@ -1,6 +1,6 @@
 /*
- * Whole deployments on a fake clock, one fault a run: what must never happen
- * did not, and clients were served.
+ * Emulated deployments with one fault per run: no rule is broken, and the least
+ * part of the requests is served.
  */
 #include "world_bed.h"
 
@@ -15,9 +15,9 @@
 }
 
 /*
- * Symptom: flows stall when an entry stops. Sequence: routers place flows by
- * remainder, so that nearly all reach another entry than before. Cause: an
- * entry that had not seen a flow could not carry it.
+ * Guards against flows that stall when an entry stops: with routing by remainder
+ * nearly all flows reach another entry then, which could not forward a flow that
+ * it had not seen.
  */
 static void rules_hold_when_routers_move_flows(void **state)
 {
@@ -29,7 +29,7 @@
 				      true);
 }
 
-/* Two at a time, the second while the first lasts. */
+/* The second fault starts while the first lasts. */
 static void rules_hold_under_two_overlapping_faults(void **state)
 {
 	uint32_t n = 0;
@@ -44,10 +44,10 @@
 }
 
 /*
- * Symptom: clients' requests pass their deadlines after all entries lost power.
- * Sequence: all start at once, nobody has anything, the store turns some away.
- * Cause: each further wait of a young process is one of all clients. While the
- * store is down (the last condition, for 1.4 s after the start) nobody can.
+ * Guards against requests that miss their deadlines after all entries lost
+ * power: all start at once without documents, the store refuses some of them,
+ * and every further wait of a starting process delays all clients. In the last
+ * condition the store is down for 1.4 s after the start, when none can be ready.
  */
 static void entries_serve_soon_after_common_power_loss(void **state)
 {
@@ -68,10 +68,10 @@
 }
 
 /*
- * Symptom: a data centre that is evacuated goes on getting flows. Sequence: the
- * change waits with a reader that gathers changes, or behind others. Cause: each
- * pause on its way adds to the next. While the store is slow, or refuses every
- * other entry, the platform's own bound holds.
+ * Guards against an evacuated data centre that keeps getting flows: the change
+ * waits at an entry that batches changes, or behind other changes, and all these
+ * delays add up. While the store is slow or refuses every other entry, the
+ * larger limit of the platform applies.
  */
 static void evacuation_takes_effect_within_limit(void **state)
 {
@@ -108,7 +108,7 @@
 	assert_int_equal(one.store_calls, other.store_calls);
 }
 
-/* One VM of a data centre reads: 9 entries, a watch of 2 s each of 3. */
+/* One entry of each data centre reads: 3 of 9, with a watch of 2 s each. */
 static void one_entry_per_data_centre_reads_the_store(void **state)
 {
 	struct world *w = world_bed_new(6, false);
--- a/test/pair_prop.cc
+++ b/test/pair_prop.cc
@@ -1,4 +1,4 @@
-// Membership and ring together: who may claim by which pair.
+// Membership and ring together: which entries may claim a bucket.
 #include "fleet.h"
 extern "C" {
 #include "ring.h"
@@ -17,7 +17,7 @@
 constexpr uint64_t kCoverNs = 93 * NS_PER_S;
 constexpr uint64_t kStepNs = 2 * NS_PER_MS;
 
-/* Each node's ring, driven as the data path drives it. */
+/* Entries that update their rings from the membership, as the data path does. */
 struct Entries {
 	struct fleet *f;
 	std::vector<struct ring *> ring;
@@ -182,10 +182,11 @@
 int main()
 {
 	/*
-	 * Symptom: a valve command runs twice. Events: the fleet starts, or
-	 * entries die, join, leave, are paused or cut off, some at once; two
-	 * of them own a bucket, each by its own view. Cause: pairs without a
-	 * common member, held by entries that may both claim.
+	 * Guards against a non-idempotent request (a valve command) that runs
+	 * twice: entries start together, die, join, leave, stall or are
+	 * partitioned, and two of them own a bucket, each by its own view. It
+	 * ran twice when both could claim while their pairs of the bucket had
+	 * no common member.
 	 */
 	bool ok =
 		rc::check("entries that may claim a bucket share a member", [] {
--- a/test/promise_prop.cc
+++ b/test/promise_prop.cc
@@ -1,6 +1,6 @@
 /*
- * One property a promise, over random schedules of faults on the test bed. A
- * failure prints the schedule, made as short as RapidCheck finds it.
+ * One property for each guarantee to clients, under random schedules of faults
+ * on the test bed. A failure prints the schedule as RapidCheck shrank it.
  */
 #include <rapidcheck.h>
 
@@ -8,7 +8,7 @@
 #include <ostream>
 #include <vector>
 
-/* The core's headers use the word as a name. */
+/* The C headers use this C++ keyword as an identifier. */
 #define class class_
 #include "testbed.h"
 #undef class
@@ -120,7 +120,7 @@
 		testbed_start(f, testbed_nodes(f), 0);
 }
 
-/* Cuts the entries in two by the bits of @sides. */
+/* Partition the entries in two by the bits of @sides, or end that. */
 void split(struct testbed *f, uint32_t sides, uint32_t on)
 {
 	for (uint32_t i = 0; i < TESTBED_NODES_MAX; i++) {
@@ -131,7 +131,7 @@
 	}
 }
 
-/* Two entries and a target of each service always stay. */
+/* Two entries and a target of each service are never affected. */
 void schedule_step(struct testbed *f, const step &s)
 {
 	const uint32_t node = s.a % (NODES - 2);
--- a/test/restore_prop.cc
+++ b/test/restore_prop.cc
@@ -1,7 +1,8 @@
 /*
- * What is published, through entries that list, watch, ask each other and start
- * anew, while the platform comes back from older copies: no configuration goes
- * back, and all agree with what was written last once it has been written again.
+ * Published documents at entries that list, watch, read from each other and
+ * restart, while the platform is restored from older copies: no configuration
+ * is replaced by an older one, and all entries agree with the last writes once
+ * these have been repeated.
  */
 #include <rapidcheck.h>
 
@@ -23,7 +24,7 @@
 constexpr uint64_t RETAIN_NS = 2 * NS_PER_S;
 constexpr uint64_t STEP_NS = NS_PER_S / 2;
 constexpr unsigned ENTRIES = 3;
-/* Key 0 is the configuration; the last one has contents without an order. */
+/* Key 0 is the configuration. Values of the last key can't be ordered. */
 constexpr unsigned KEYS = 4;
 
 struct Value {
@@ -93,7 +94,7 @@
 	return true;
 }
 
-/* As the directory of targets and routes tells it. */
+/* Compare with the value in force, as the directory does for its documents. */
 int compare(void *ctx, const document *d)
 {
 	auto *e = static_cast<Entry *>(ctx);
@@ -114,11 +115,12 @@
 struct World {
 	Store store;
 	Store copy;
-	std::map<unsigned, Value> last; /* what was written last */
+	std::map<unsigned, Value> last; /* the last write to each key */
 	uint64_t number = 0;
 	uint64_t now_ns = 100 * NS_PER_S;
 	std::unique_ptr<Entry> entries[ENTRIES];
-	bool went_back = false; /* a configuration went back */
+	bool went_back =
+		false; /* a configuration was replaced by an older one */
 
 	World()
 	{
@@ -186,7 +188,7 @@
 		documents_advance_synced(e.docs, at, now_ns);
 	}
 
-	/* A watch of another epoch, or after what is not there, is a listing. */
+	/* Read changes, or a listing without a position of the store's epoch. */
 	void read(Entry &e)
 	{
 		position known = documents_complete(e.docs);
@@ -222,7 +224,7 @@
 		documents_put(e.docs, d, origin, now_ns);
 	}
 
-	/* A heartbeat of @peer, and what @e asks it for. */
+	/* Receive a heartbeat of @peer, and relay what @peer is ahead in. */
 	void receive_heartbeat(Entry &e, const Entry &peer)
 	{
 		position after = documents_synced(e.docs);
@@ -316,7 +318,7 @@
 	case WRITE:
 		w.write(s.a % KEYS, false);
 		break;
-	case DELETE: /* a configuration is only replaced */
+	case DELETE: /* a configuration is replaced but never deleted */
 		if (s.a % KEYS && !w.last[s.a % KEYS].deleted)
 			w.write(s.a % KEYS, true);
 		break;
@@ -383,7 +385,7 @@
 		}));
 }
 
-/* One of them reads in the end; the others have it from peers alone. */
+/* Finally one entry reads the store; the others depend on their peers. */
 bool all_agree(const std::vector<Step> &plan, unsigned reader)
 {
 	bool agreed = true;
@@ -415,7 +417,7 @@
 	});
 }
 
-/* Each line guards against the failure that it is the shortest way to. */
+/* The shortest known schedule for each failure that occurred. */
 bool known_failures_stay_fixed()
 {
 	static const struct {
--- a/test/world_bed.h
+++ b/test/world_bed.h
@@ -1,4 +1,4 @@
-/* A deployment on a fake clock with one fault, and what must hold after it. */
+/* Test bed: an emulated deployment with one or two faults. */
 #ifndef CB_WORLD_BED_H
 #define CB_WORLD_BED_H
 
@@ -12,7 +12,7 @@
 #include <cmocka.h>
 
 #define WORLD_SEEDS 3
-/* Of the runs with routers that place flows by remainder. */
+/* Seed of the runs with routing by remainder. */
 #define WORLD_SEED_REMAINDER 11
 #define WORLD_WARM_UP_NS (5 * NS_PER_S)
 #define WORLD_AFTER_NS (12 * NS_PER_S)
@@ -32,7 +32,7 @@
 
 #define WORLD_RULES_BYTES 256
 
-/* What must never happen, how often it did, as text. */
+/* Format the number of violations of each rule. */
 static inline const char *world_bed_rules_text(const struct world_report *r,
 					       char out[WORLD_RULES_BYTES])
 {
@@ -70,7 +70,7 @@
 	world_free(w);
 }
 
-/* The second while the first lasts: rules hold, whatever is served. */
+/* Start a second fault while the first lasts, and check only the rules. */
 static inline void world_bed_run_pair(const struct world_fault *first,
 				      const struct world_fault *second,
 				      uint64_t seed, bool by_remainder)
@@ -91,13 +91,13 @@
 	world_free(w);
 }
 
-/* packet_slow_test has it, at the same seeds. */
+/* Covered by packet_slow_test, with the same seeds. */
 static inline bool has_slow_targets(const struct world_fault *f)
 {
 	return !strcmp(f->name, "targets_crawl");
 }
 
-/* packet_restore_test has them, at the same seeds. */
+/* Covered by packet_restore_test, with the same seeds. */
 static inline bool restores_store(const struct world_fault *f)
 {
 	return !strncmp(f->name, "store_restored", strlen("store_restored"));
