--- a/cmd/cbctl/cbctl.h
+++ b/cmd/cbctl/cbctl.h
@@ -11,7 +11,7 @@
 #include <glib.h>
 
 /* Longest wait for an answer of a daemon or of the platform. */
-#define ASK_TIMEOUT_MS 3000
+#define HTTP_TIMEOUT_MS 3000
 
 /**
  * enum exit_code - what the process ends with
@@ -23,7 +23,7 @@
 enum exit_code { EXIT_OK, EXIT_PROBLEMS, EXIT_USAGE, EXIT_UNREACHABLE };
 
 /**
- * struct request - a command line, read
+ * struct command_args - a command line, read
  * @operands: after the command's name; --platform's URL comes first
  * @n_operands: how many
  * @platform: URL of the platform, or NULL
@@ -31,7 +31,7 @@
  * @limit: rows to show
  * @timeout_s: longest wait of drain-watch
  */
-struct request {
+struct command_args {
 	const char *operands[64];
 	uint32_t n_operands;
 	const char *platform;
@@ -59,11 +59,11 @@
 };
 
 enum exit_code documents_load(const char *source, struct documents *out);
-void documents_free(struct documents *d);
-const char *documents_find(const struct documents *d, const char *kind,
+void documents_free(struct documents *documents);
+const char *documents_find(const struct documents *documents, const char *kind,
 			   const char *name);
 const char *document_name(const struct document *doc, const char *kind);
-struct template_source documents_templates(struct documents *d);
+struct template_source documents_templates(struct documents *documents);
 
 /**
  * struct account_set - every account of a source that renders
@@ -73,35 +73,35 @@
 	GPtrArray *accounts;
 };
 
-void account_set_load(struct documents *d, struct account_set *out,
-		      struct mistakes *m);
-const struct account_conf *account_set_find(const struct account_set *s,
+void account_set_load(struct documents *documents, struct account_set *out,
+		      struct mistakes *mistakes);
+const struct account_conf *account_set_find(const struct account_set *set,
 					    const char *name);
-void account_set_free(struct account_set *s);
+void account_set_free(struct account_set *set);
 
-enum exit_code ask(const char *peer, const char *path, GString *body);
-enum exit_code ask_url(const char *step, const char *peer, const char *url,
-		       GString *body);
-enum exit_code each_peer(const struct request *r, uint32_t n,
-			 enum exit_code (*load)(const struct request *r,
-						const char *peer,
-						GString *body));
-enum exit_code worse(enum exit_code a, enum exit_code b);
-void complain(const char *step, const char *peer, const char *format, ...)
+enum exit_code fetch_page(const char *peer, const char *path, GString *body);
+enum exit_code fetch_url(const char *step, const char *peer, const char *url,
+			 GString *body);
+enum exit_code
+print_peers(const struct command_args *args, uint32_t n,
+	    enum exit_code (*load)(const struct command_args *args,
+				   const char *peer, GString *body));
+enum exit_code worse_exit_code(enum exit_code a, enum exit_code b);
+void report_error(const char *step, const char *peer, const char *format, ...)
 	__attribute__((format(printf, 3, 4)));
-void mistakes_json(GString *to, const struct mistakes *m);
-void print_json(GString *json);
-void finish_json(const struct request *r, GString *json);
+void json_mistakes(GString *json, const struct mistakes *mistakes);
+void json_print_and_free(GString *json);
+void json_finish(const struct command_args *args, GString *json);
 
-enum exit_code check_run(const struct request *r);
-enum exit_code render_run(const struct request *r);
-enum exit_code diff_run(const struct request *r);
-enum exit_code status_run(const struct request *r);
-enum exit_code targets_run(const struct request *r);
-enum exit_code flows_run(const struct request *r);
-enum exit_code explain_run(const struct request *r);
-enum exit_code drain_run(const struct request *r);
-enum exit_code generations_run(const struct request *r);
-enum exit_code replay_run(const struct request *r);
+enum exit_code check_run(const struct command_args *args);
+enum exit_code render_run(const struct command_args *args);
+enum exit_code diff_run(const struct command_args *args);
+enum exit_code status_run(const struct command_args *args);
+enum exit_code targets_run(const struct command_args *args);
+enum exit_code flows_run(const struct command_args *args);
+enum exit_code explain_run(const struct command_args *args);
+enum exit_code drain_watch_run(const struct command_args *args);
+enum exit_code generations_run(const struct command_args *args);
+enum exit_code replay_run(const struct command_args *args);
 
 #endif
--- a/cmd/cbctl/diff.c
+++ b/cmd/cbctl/diff.c
@@ -4,13 +4,13 @@
 #include <stdio.h>
 #include <string.h>
 
-static const char *const kinds[] = {
+static const char *const change_names[] = {
 	[CHANGE_ADDED] = "added",
 	[CHANGE_REMOVED] = "removed",
 	[CHANGE_VALUE] = "changed",
 };
 
-struct side {
+struct publications {
 	struct documents documents;
 	struct account_set set;
 };
@@ -20,115 +20,125 @@
 	return text[0] ? text : "-";
 }
 
-static void change_print(void *unused, const struct change *c)
+static void change_print(void *unused, const struct change *change)
 {
 	(void)unused;
-	printf("%s %s %s %s %s %s %s\n", kinds[c->kind], c->account,
-	       or_dash(c->service), or_dash(c->target), or_dash(c->key),
-	       or_dash(c->before), or_dash(c->after));
+	printf("%s %s %s %s %s %s %s\n", change_names[change->kind],
+	       change->account, or_dash(change->service),
+	       or_dash(change->target), or_dash(change->key),
+	       or_dash(change->before), or_dash(change->after));
 }
 
-static void change_json(void *ctx, const struct change *c)
+static void json_change(void *ctx, const struct change *change)
 {
-	GString *to = ctx;
-
-	json_open(to, NULL, '{');
-	json_string(to, "change", kinds[c->kind]);
-	json_string(to, "account", c->account);
-	json_string(to, "service", c->service);
-	json_string(to, "target", c->target);
-	json_string(to, "key", c->key);
-	json_string(to, "before", c->before);
-	json_string(to, "after", c->after);
-	json_close(to, '}');
+	GString *json = ctx;
+
+	json_open(json, NULL, '{');
+	json_string(json, "change", change_names[change->kind]);
+	json_string(json, "account", change->account);
+	json_string(json, "service", change->service);
+	json_string(json, "target", change->target);
+	json_string(json, "key", change->key);
+	json_string(json, "before", change->before);
+	json_string(json, "after", change->after);
+	json_close(json, '}');
 }
 
 /* Accounts of both sides in turn; those of both are compared once. */
-static void each_account(const struct side *standing, const struct side *next,
-			 struct change_watch watch, struct mistakes *m)
+static void compare_accounts(const struct publications *standing,
+			     const struct publications *next,
+			     struct change_watch watch,
+			     struct mistakes *mistakes)
 {
 	for (guint i = 0; i < standing->set.accounts->len; i++) {
-		const struct account_conf *a =
+		const struct account_conf *before =
 			g_ptr_array_index(standing->set.accounts, i);
-		const struct account_conf *b =
-			account_set_find(&next->set, a->name);
+		const struct account_conf *after =
+			account_set_find(&next->set, before->name);
 
-		publication_diff(a, b, watch);
-		publication_compare(a, b, m);
+		publication_diff(before, after, watch);
+		publication_compare(before, after, mistakes);
 	}
 	for (guint i = 0; i < next->set.accounts->len; i++) {
-		const struct account_conf *b =
+		const struct account_conf *after =
 			g_ptr_array_index(next->set.accounts, i);
 
-		if (!account_set_find(&standing->set, b->name))
-			publication_diff(NULL, b, watch);
+		if (!account_set_find(&standing->set, after->name))
+			publication_diff(NULL, after, watch);
 	}
 }
 
-static void differ(const struct request *r, const struct side *standing,
-		   const struct side *next, struct mistakes *m)
+static void print_changes(const struct command_args *args,
+			  const struct publications *standing,
+			  const struct publications *next,
+			  struct mistakes *mistakes)
 {
 	GString *json = g_string_new(NULL);
 
-	if (!r->json) {
-		each_account(standing, next,
-			     (struct change_watch){ NULL, change_print }, m);
-		mistakes_print(m, stderr);
+	if (!args->json) {
+		compare_accounts(standing, next,
+				 (struct change_watch){ NULL, change_print },
+				 mistakes);
+		mistakes_print(mistakes, stderr);
 		g_string_free(json, TRUE);
 		return;
 	}
 	json_open(json, NULL, '{');
 	json_open(json, "changes", '[');
-	each_account(standing, next, (struct change_watch){ json, change_json },
-		     m);
+	compare_accounts(standing, next,
+			 (struct change_watch){ json, json_change }, mistakes);
 	json_close(json, ']');
-	mistakes_json(json, m);
+	json_mistakes(json, mistakes);
 	json_close(json, '}');
-	print_json(json);
+	json_print_and_free(json);
 }
 
-static void side_free(struct side *s)
+static void publications_free(struct publications *publications)
 {
-	account_set_free(&s->set);
-	documents_free(&s->documents);
+	account_set_free(&publications->set);
+	documents_free(&publications->documents);
 }
 
-static enum exit_code side_load(const char *source, struct side *s,
-				struct mistakes *m)
+static enum exit_code publications_load(const char *source,
+					struct publications *publications,
+					struct mistakes *mistakes)
 {
-	enum exit_code code = documents_load(source, &s->documents);
+	enum exit_code code = documents_load(source, &publications->documents);
 
-	account_set_load(&s->documents, &s->set, m);
+	account_set_load(&publications->documents, &publications->set,
+			 mistakes);
 	return code;
 }
 
 /* An account that doesn't render would look like one that is withdrawn. */
-static enum exit_code refuse(const struct mistakes *m)
+static enum exit_code reject(const struct mistakes *mistakes)
 {
-	mistakes_print(m, stderr);
+	mistakes_print(mistakes, stderr);
 	return EXIT_PROBLEMS;
 }
 
-enum exit_code diff_run(const struct request *r)
+enum exit_code diff_run(const struct command_args *args)
 {
 	struct mistakes before = { 0 };
-	struct mistakes m = { 0 };
-	struct side standing;
-	struct side next;
-	enum exit_code code = side_load(r->operands[0], &standing, &before);
-
-	code = worse(code, side_load(r->operands[1], &next, &m));
-	if (code == EXIT_OK && m.n_errors) {
-		code = refuse(&m);
+	struct mistakes mistakes = { 0 };
+	struct publications standing;
+	struct publications next;
+	enum exit_code code =
+		publications_load(args->operands[0], &standing, &before);
+
+	code = worse_exit_code(code, publications_load(args->operands[1], &next,
+						       &mistakes));
+	if (code == EXIT_OK && mistakes.n_errors) {
+		code = reject(&mistakes);
 	} else if (code == EXIT_OK) {
 		if (before.n_errors)
 			mistakes_print(&before, stderr);
-		differ(r, &standing, &next, &m);
-		code = m.n_errors ? EXIT_PROBLEMS : EXIT_OK;
+		print_changes(args, &standing, &next, &mistakes);
+		code = mistakes.n_errors ? EXIT_PROBLEMS : EXIT_OK;
 	}
 	mistakes_free(&before);
-	mistakes_free(&m);
-	side_free(&standing);
-	side_free(&next);
+	mistakes_free(&mistakes);
+	publications_free(&standing);
+	publications_free(&next);
 	return code;
 }
--- a/cmd/cbctl/documents.c
+++ b/cmd/cbctl/documents.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-static const char *const kinds[] = { "account", "template", "vms" };
+static const char *const document_kinds[] = { "account", "template", "vms" };
 
 static void document_free(gpointer p)
 {
@@ -15,16 +15,16 @@
 	g_free(doc);
 }
 
-static void add(struct documents *d, char *key, char *text)
+static void add_document(struct documents *documents, char *key, char *text)
 {
 	struct document *doc = g_new(struct document, 1);
 
 	doc->key = key;
 	doc->text = text;
-	g_ptr_array_add(d->list, doc);
+	g_ptr_array_add(documents->list, doc);
 }
 
-static gint by_key(gconstpointer a, gconstpointer b)
+static gint compare_keys(gconstpointer a, gconstpointer b)
 {
 	const struct document *const *x = a;
 	const struct document *const *y = b;
@@ -32,7 +32,7 @@
 	return strcmp((*x)->key, (*y)->key);
 }
 
-static enum exit_code file_load(struct documents *d, const char *dir,
+static enum exit_code load_file(struct documents *documents, const char *dir,
 				const char *kind, const char *name)
 {
 	char *path = g_build_filename(dir, kind, name, NULL);
@@ -41,9 +41,10 @@
 	enum exit_code code = EXIT_OK;
 
 	if (g_file_get_contents(path, &text, NULL, &error)) {
-		add(d, g_strdup_printf("%s/%s", kind, name), text);
+		add_document(documents, g_strdup_printf("%s/%s", kind, name),
+			     text);
 	} else {
-		complain("read", path, "%s", error->message);
+		report_error("read", path, "%s", error->message);
 		g_error_free(error);
 		code = EXIT_USAGE;
 	}
@@ -51,12 +52,12 @@
 	return code;
 }
 
-static bool is_editors(const char *name)
+static bool is_editor_file(const char *name)
 {
 	return name[0] == '.' || g_str_has_suffix(name, "~");
 }
 
-static enum exit_code kind_load(struct documents *d, const char *dir,
+static enum exit_code load_kind(struct documents *documents, const char *dir,
 				const char *kind)
 {
 	char *path = g_build_filename(dir, kind, NULL);
@@ -68,44 +69,47 @@
 	if (!entries) /* a source needs no templates, or no list of VMs */
 		return EXIT_OK;
 	while ((name = g_dir_read_name(entries)))
-		if (!is_editors(name))
-			code = worse(code, file_load(d, dir, kind, name));
+		if (!is_editor_file(name))
+			code = worse_exit_code(code, load_file(documents, dir,
+							       kind, name));
 	g_dir_close(entries);
 	return code;
 }
 
-static enum exit_code directory_load(const char *dir, struct documents *d)
+static enum exit_code load_directory(const char *dir,
+				     struct documents *documents)
 {
 	enum exit_code code = EXIT_OK;
 
 	if (!g_file_test(dir, G_FILE_TEST_IS_DIR)) {
-		complain("read", dir, "not a directory");
+		report_error("read", dir, "not a directory");
 		return EXIT_USAGE;
 	}
-	for (size_t i = 0; i < G_N_ELEMENTS(kinds); i++)
-		code = worse(code, kind_load(d, dir, kinds[i]));
+	for (size_t i = 0; i < G_N_ELEMENTS(document_kinds); i++)
+		code = worse_exit_code(code, load_kind(documents, dir,
+						       document_kinds[i]));
 	return code;
 }
 
-static enum exit_code key_load(struct documents *d, const char *url,
+static enum exit_code load_key(struct documents *documents, const char *url,
 			       const char *key)
 {
 	char *escaped = g_uri_escape_string(key, "/", FALSE);
-	char *at = g_strdup_printf("%s/v1/keys/%s", url, escaped);
+	char *key_url = g_strdup_printf("%s/v1/keys/%s", url, escaped);
 	GString *body = g_string_new(NULL);
-	enum exit_code code = ask_url("read", url, at, body);
+	enum exit_code code = fetch_url("read", url, key_url, body);
 
 	if (code == EXIT_OK)
-		add(d, g_strdup(key), g_strdup(body->str));
+		add_document(documents, g_strdup(key), g_strdup(body->str));
 	g_string_free(body, TRUE);
-	g_free(at);
+	g_free(key_url);
 	g_free(escaped);
 	return code;
 }
 
 /* Lines "REVISION KEY" of the platform's list. */
-static enum exit_code listed_load(struct documents *d, const char *url,
-				  const char *list)
+static enum exit_code load_listed_keys(struct documents *documents,
+				       const char *url, const char *list)
 {
 	char **lines = g_strsplit(list, "\n", -1);
 	enum exit_code code = EXIT_OK;
@@ -114,34 +118,36 @@
 		const char *key = strchr(*l, ' ');
 
 		if (key)
-			code = key_load(d, url, key + 1);
+			code = load_key(documents, url, key + 1);
 	}
 	g_strfreev(lines);
 	return code;
 }
 
-static enum exit_code platform_load(const char *url, struct documents *d)
+static enum exit_code load_platform(const char *url,
+				    struct documents *documents)
 {
 	GString *list = g_string_new(NULL);
 	enum exit_code code = EXIT_OK;
 
-	for (size_t i = 0; i < G_N_ELEMENTS(kinds) && code == EXIT_OK; i++) {
-		char *at =
-			g_strdup_printf("%s/v1/list?prefix=%s/", url, kinds[i]);
+	for (size_t i = 0; i < G_N_ELEMENTS(document_kinds) && code == EXIT_OK;
+	     i++) {
+		char *list_url = g_strdup_printf("%s/v1/list?prefix=%s/", url,
+						 document_kinds[i]);
 
-		code = ask_url("list", url, at, list);
+		code = fetch_url("list", url, list_url, list);
 		if (code == EXIT_OK)
-			code = listed_load(d, url, list->str);
-		g_free(at);
+			code = load_listed_keys(documents, url, list->str);
+		g_free(list_url);
 	}
 	g_string_free(list, TRUE);
 	return code;
 }
 
 /* A wrong directory would otherwise look like one without mistakes. */
-static enum exit_code none_at_all(const char *source)
+static enum exit_code report_no_documents(const char *source)
 {
-	complain("read", source, "no account/, template/ or vms/ in it");
+	report_error("read", source, "no account/, template/ or vms/ in it");
 	return EXIT_USAGE;
 }
 
@@ -159,22 +165,22 @@
 	out->list = g_ptr_array_new_with_free_func(document_free);
 	if (g_str_has_prefix(source, "http://") ||
 	    g_str_has_prefix(source, "https://"))
-		code = platform_load(source, out);
+		code = load_platform(source, out);
 	else
-		code = directory_load(source, out);
-	g_ptr_array_sort(out->list, by_key);
+		code = load_directory(source, out);
+	g_ptr_array_sort(out->list, compare_keys);
 	if (code == EXIT_OK && !out->list->len)
-		return none_at_all(source);
+		return report_no_documents(source);
 	return code;
 }
 
 /**
  * documents_free() - free them
- * @d: documents
+ * @documents: documents
  */
-void documents_free(struct documents *d)
+void documents_free(struct documents *documents)
 {
-	g_ptr_array_free(d->list, TRUE);
+	g_ptr_array_free(documents->list, TRUE);
 }
 
 /**
@@ -195,20 +201,21 @@
 
 /**
  * documents_find() - text of a document
- * @d: documents
+ * @documents: documents
  * @kind: account, template or vms
  * @name: its name
  *
  * Return: the text, or NULL.
  */
-const char *documents_find(const struct documents *d, const char *kind,
+const char *documents_find(const struct documents *documents, const char *kind,
 			   const char *name)
 {
-	for (guint i = 0; i < d->list->len; i++) {
-		const struct document *doc = g_ptr_array_index(d->list, i);
-		const char *its = document_name(doc, kind);
+	for (guint i = 0; i < documents->list->len; i++) {
+		const struct document *doc =
+			g_ptr_array_index(documents->list, i);
+		const char *doc_name = document_name(doc, kind);
 
-		if (its && !strcmp(its, name))
+		if (doc_name && !strcmp(doc_name, name))
 			return doc->text;
 	}
 	return NULL;
@@ -221,35 +228,37 @@
 
 /**
  * documents_templates() - templates among the documents
- * @d: documents
+ * @documents: documents
  *
  * Return: a port that finds them.
  */
-struct template_source documents_templates(struct documents *d)
+struct template_source documents_templates(struct documents *documents)
 {
-	return (struct template_source){ d, template_find };
+	return (struct template_source){ documents, template_find };
 }
 
 /**
  * account_set_load() - render every account
- * @d: documents
+ * @documents: documents
  * @out: those that render; to be freed with account_set_free()
- * @m: mistakes of the others, and warnings
+ * @mistakes: mistakes of the others, and warnings
  */
-void account_set_load(struct documents *d, struct account_set *out,
-		      struct mistakes *m)
+void account_set_load(struct documents *documents, struct account_set *out,
+		      struct mistakes *mistakes)
 {
 	out->accounts =
 		g_ptr_array_new_with_free_func((GDestroyNotify)account_free);
-	for (guint i = 0; i < d->list->len; i++) {
-		const struct document *doc = g_ptr_array_index(d->list, i);
+	for (guint i = 0; i < documents->list->len; i++) {
+		const struct document *doc =
+			g_ptr_array_index(documents->list, i);
 		const char *name = document_name(doc, "account");
 		struct account_conf *a;
 
 		if (!name)
 			continue;
-		a = publication_render(name, doc->text, documents_templates(d),
-				       NULL, m);
+		a = publication_render(name, doc->text,
+				       documents_templates(documents), NULL,
+				       mistakes);
 		if (a)
 			g_ptr_array_add(out->accounts, a);
 	}
@@ -257,17 +266,17 @@
 
 /**
  * account_set_find() - an account by name
- * @s: accounts
+ * @set: accounts
  * @name: name
  *
  * Return: the account, or NULL.
  */
-const struct account_conf *account_set_find(const struct account_set *s,
+const struct account_conf *account_set_find(const struct account_set *set,
 					    const char *name)
 {
-	for (guint i = 0; i < s->accounts->len; i++) {
+	for (guint i = 0; i < set->accounts->len; i++) {
 		const struct account_conf *a =
-			g_ptr_array_index(s->accounts, i);
+			g_ptr_array_index(set->accounts, i);
 
 		if (!strcmp(a->name, name))
 			return a;
@@ -277,9 +286,9 @@
 
 /**
  * account_set_free() - free them
- * @s: accounts
+ * @set: accounts
  */
-void account_set_free(struct account_set *s)
+void account_set_free(struct account_set *set)
 {
-	g_ptr_array_free(s->accounts, TRUE);
+	g_ptr_array_free(set->accounts, TRUE);
 }
--- a/cmd/cbctl/flows.c
+++ b/cmd/cbctl/flows.c
@@ -6,7 +6,7 @@
 
 /* An entry that always promises more would hold the tool for ever. */
 #define PAGES_MAX 10000
-#define NEXT_WORD "next "
+#define NEXT_PREFIX "next "
 
 /**
  * struct pages - rows of one entry
@@ -22,55 +22,55 @@
 	char *after;
 };
 
-static void take_page(struct pages *p, const char *body)
+static void add_page(struct pages *pages, const char *body)
 {
 	char **lines = g_strsplit(body, "\n", -1);
 
-	g_clear_pointer(&p->after, g_free);
+	g_clear_pointer(&pages->after, g_free);
 	for (char **l = lines; *l; l++) {
-		if (g_str_has_prefix(*l, NEXT_WORD)) {
-			p->after = g_strdup(*l + strlen(NEXT_WORD));
-		} else if (**l && p->n_rows < p->limit) {
-			g_string_append_printf(p->rows, "%s\n", *l);
-			p->n_rows++;
+		if (g_str_has_prefix(*l, NEXT_PREFIX)) {
+			pages->after = g_strdup(*l + strlen(NEXT_PREFIX));
+		} else if (**l && pages->n_rows < pages->limit) {
+			g_string_append_printf(pages->rows, "%s\n", *l);
+			pages->n_rows++;
 		}
 	}
 	g_strfreev(lines);
 }
 
-static enum exit_code next_page(struct pages *p, const char *peer,
-				GString *body)
+static enum exit_code fetch_next_page(struct pages *pages, const char *peer,
+				      GString *body)
 {
-	char *after = g_uri_escape_string(p->after, NULL, FALSE);
+	char *after = g_uri_escape_string(pages->after, NULL, FALSE);
 	char *path = g_strdup_printf("/flows?limit=%u&after=%s",
-				     p->limit - p->n_rows, after);
-	enum exit_code code = ask(peer, path, body);
+				     pages->limit - pages->n_rows, after);
+	enum exit_code code = fetch_page(peer, path, body);
 
 	if (code == EXIT_OK)
-		take_page(p, body->str);
+		add_page(pages, body->str);
 	g_free(path);
 	g_free(after);
 	return code;
 }
 
 /* A page may be empty and yet not the last: the entry looks at a part each. */
-static enum exit_code flows_load(const struct request *r, const char *peer,
-				 GString *rows)
+static enum exit_code flows_load(const struct command_args *args,
+				 const char *peer, GString *rows)
 {
-	struct pages p = { rows, 0, r->limit, g_strdup("0") };
+	struct pages pages = { rows, 0, args->limit, g_strdup("0") };
 	GString *body = g_string_new(NULL);
 	enum exit_code code = EXIT_OK;
 
-	for (uint32_t i = 0;
-	     i < PAGES_MAX && p.after && code == EXIT_OK && p.n_rows < p.limit;
+	for (uint32_t i = 0; i < PAGES_MAX && pages.after && code == EXIT_OK &&
+			     pages.n_rows < pages.limit;
 	     i++)
-		code = next_page(&p, peer, body);
-	g_free(p.after);
+		code = fetch_next_page(&pages, peer, body);
+	g_free(pages.after);
 	g_string_free(body, TRUE);
 	return code;
 }
 
-enum exit_code flows_run(const struct request *r)
+enum exit_code flows_run(const struct command_args *args)
 {
-	return each_peer(r, r->n_operands, flows_load);
+	return print_peers(args, args->n_operands, flows_load);
 }
--- a/cmd/cbctl/json.c
+++ b/cmd/cbctl/json.c
@@ -4,48 +4,48 @@
 #include <stdio.h>
 
 /**
- * mistakes_json() - write mistakes as members of the object that is open
- * @to: JSON
- * @m: mistakes
+ * json_mistakes() - write mistakes as members of the object that is open
+ * @json: JSON
+ * @mistakes: mistakes
  */
-void mistakes_json(GString *to, const struct mistakes *m)
+void json_mistakes(GString *json, const struct mistakes *mistakes)
 {
-	json_number(to, "errors", m->n_errors);
-	json_number(to, "warnings", m->n - m->n_errors);
-	json_open(to, "mistakes", '[');
-	for (uint32_t i = 0; i < m->n; i++) {
-		const struct mistake *x = &m->list[i];
+	json_number(json, "errors", mistakes->n_errors);
+	json_number(json, "warnings", mistakes->n - mistakes->n_errors);
+	json_open(json, "mistakes", '[');
+	for (uint32_t i = 0; i < mistakes->n; i++) {
+		const struct mistake *mistake = &mistakes->list[i];
 
-		json_open(to, NULL, '{');
-		json_string(to, "document", x->document);
-		json_number(to, "line", x->line);
-		json_string(to, "key", x->key);
-		json_string(to, "problem", x->problem);
-		json_string(to, "expected", x->expected);
-		json_bool(to, "warning", x->warning);
-		json_close(to, '}');
+		json_open(json, NULL, '{');
+		json_string(json, "document", mistake->document);
+		json_number(json, "line", mistake->line);
+		json_string(json, "key", mistake->key);
+		json_string(json, "problem", mistake->problem);
+		json_string(json, "expected", mistake->expected);
+		json_bool(json, "warning", mistake->warning);
+		json_close(json, '}');
 	}
-	json_close(to, ']');
+	json_close(json, ']');
 }
 
 /**
- * print_json() - write a line and free it
+ * json_print_and_free() - write a line and free it
  * @json: JSON
  */
-void print_json(GString *json)
+void json_print_and_free(GString *json)
 {
 	puts(json->str);
 	g_string_free(json, TRUE);
 }
 
 /**
- * finish_json() - print a line of JSON if it was asked for, and free it
- * @r: command line
+ * json_finish() - print a line of JSON if it was asked for, and free it
+ * @args: command line
  * @json: JSON
  */
-void finish_json(const struct request *r, GString *json)
+void json_finish(const struct command_args *args, GString *json)
 {
-	if (r->json)
+	if (args->json)
 		puts(json->str);
 	g_string_free(json, TRUE);
 }
--- a/cmd/cbctl/main.c
+++ b/cmd/cbctl/main.c
@@ -6,21 +6,21 @@
 #include <string.h>
 
 #define VERSION "0.1"
-#define ERRORS_SHOWN 20
-#define LIMIT_USUAL 100
-#define TIMEOUT_USUAL_S 60
-#define NUMBER_MAX 1000000
+#define ERRORS_SHOWN_MAX 20
+#define LIMIT_DEFAULT 100
+#define TIMEOUT_DEFAULT_S 60
+#define OPTION_VALUE_MAX 1000000
 
 /* Options that a command takes besides --json and --help. */
-enum { TAKES_PLATFORM = 1, TAKES_LIMIT = 2, TAKES_TIMEOUT = 4 };
+enum { OPTION_PLATFORM = 1, OPTION_LIMIT = 2, OPTION_TIMEOUT = 4 };
 
 /**
  * struct command - one subcommand
  * @name: its name
  * @operands: its operands, for the usage line
  * @summary: what it does
- * @least: operands it needs; --platform's URL counts as one
- * @most: operands it takes
+ * @n_operands_min: operands it needs; --platform's URL counts as one
+ * @n_operands_max: operands it takes
  * @options: options it takes
  * @run: does it
  */
@@ -28,38 +28,38 @@
 	const char *name;
 	const char *operands;
 	const char *summary;
-	uint32_t least;
-	uint32_t most;
+	uint32_t n_operands_min;
+	uint32_t n_operands_max;
 	uint32_t options;
-	enum exit_code (*run)(const struct request *r);
+	enum exit_code (*run)(const struct command_args *args);
 } commands[] = {
 	{ "check", "DIR", "check all publications together", 1, 1,
-	  TAKES_PLATFORM, check_run },
+	  OPTION_PLATFORM, check_run },
 	{ "render", "DIR ACCOUNT", "print an account with its template filled",
-	  2, 2, TAKES_PLATFORM, render_run },
+	  2, 2, OPTION_PLATFORM, render_run },
 	{ "diff", "STANDING NEXT",
 	  "what publishing NEXT in place of STANDING would change", 2, 2,
-	  TAKES_PLATFORM, diff_run },
+	  OPTION_PLATFORM, diff_run },
 	{ "status", "ADDRESS...", "state of cb-entry and cb-watch processes", 1,
 	  63, 0, status_run },
 	{ "flows", "ADDRESS...", "requests, feeds and pins of entries", 1, 63,
-	  TAKES_LIMIT, flows_run },
+	  OPTION_LIMIT, flows_run },
 	{ "targets", "ADDRESS...", "what entries have at each target", 1, 63,
-	  TAKES_LIMIT, targets_run },
+	  OPTION_LIMIT, targets_run },
 	{ "explain", "ADDRESS CALLER SERVICE",
 	  "which entry and target a flow has, and why", 3, 3, 0, explain_run },
 	{ "drain-watch", "ADDRESS", "follow an entry until it has left", 1, 1,
-	  TAKES_TIMEOUT, drain_run },
+	  OPTION_TIMEOUT, drain_watch_run },
 	{ "replay", "CLIENT:PORT FILE...",
 	  "one opaque flow's story from the logs of entries", 2, 63, 0,
 	  replay_run },
 	{ "generations", "ADDRESS...",
-	  "what is in force on each VM, and who lags", 1, 63, TAKES_PLATFORM,
+	  "what is in force on each VM, and who lags", 1, 63, OPTION_PLATFORM,
 	  generations_run },
 };
 
 /* What the command line said. */
-struct options {
+struct option_table {
 	struct arg_str *operands;
 	struct arg_str *platform;
 	struct arg_int *limit;
@@ -70,7 +70,7 @@
 	struct arg_end *end;
 };
 
-static void usage(FILE *to)
+static void print_usage(FILE *to)
 {
 	fprintf(to, "usage: cbctl COMMAND [OPTION...] [OPERAND...]\n");
 	for (size_t i = 0; i < G_N_ELEMENTS(commands); i++)
@@ -87,104 +87,114 @@
 	return NULL;
 }
 
-static uint32_t number(const struct arg_int *option, uint32_t usual)
+static uint32_t value_or_default(const struct arg_int *option,
+				 uint32_t default_value)
 {
-	return option->count ? (uint32_t)option->ival[0] : usual;
+	return option->count ? (uint32_t)option->ival[0] : default_value;
 }
 
-static bool number_bad(const struct arg_int *option)
+static bool is_out_of_range(const struct arg_int *option)
 {
 	return option->count &&
-	       (option->ival[0] < 1 || option->ival[0] > NUMBER_MAX);
+	       (option->ival[0] < 1 || option->ival[0] > OPTION_VALUE_MAX);
 }
 
-static bool options_bad(const struct command *c, const struct options *o)
+static bool report_invalid_options(const struct command *command,
+				   const struct option_table *options)
 {
 	const struct {
 		const char *name;
 		int count;
 		uint32_t bit;
 	} given[] = {
-		{ "--platform", o->platform->count, TAKES_PLATFORM },
-		{ "--limit", o->limit->count, TAKES_LIMIT },
-		{ "--timeout-s", o->timeout_s->count, TAKES_TIMEOUT },
+		{ "--platform", options->platform->count, OPTION_PLATFORM },
+		{ "--limit", options->limit->count, OPTION_LIMIT },
+		{ "--timeout-s", options->timeout_s->count, OPTION_TIMEOUT },
 	};
 
 	for (size_t i = 0; i < G_N_ELEMENTS(given); i++) {
-		if (!given[i].count || (c->options & given[i].bit))
+		if (!given[i].count || (command->options & given[i].bit))
 			continue;
-		fprintf(stderr, "cbctl: %s takes no %s\n", c->name,
+		fprintf(stderr, "cbctl: %s takes no %s\n", command->name,
 			given[i].name);
 		return true;
 	}
-	if (number_bad(o->limit) || number_bad(o->timeout_s)) {
+	if (is_out_of_range(options->limit) ||
+	    is_out_of_range(options->timeout_s)) {
 		fprintf(stderr, "cbctl: expected a number from 1 to %d\n",
-			NUMBER_MAX);
+			OPTION_VALUE_MAX);
 		return true;
 	}
 	return false;
 }
 
-static void request_fill(const struct options *o, struct request *r)
+static void command_args_init(const struct option_table *options,
+			      struct command_args *args)
 {
-	*r = (struct request){
-		.platform = o->platform->count ? o->platform->sval[0] : NULL,
-		.json = o->json->count > 0,
-		.limit = number(o->limit, LIMIT_USUAL),
-		.timeout_s = number(o->timeout_s, TIMEOUT_USUAL_S),
+	*args = (struct command_args){
+		.platform = options->platform->count
+				    ? options->platform->sval[0]
+				    : NULL,
+		.json = options->json->count > 0,
+		.limit = value_or_default(options->limit, LIMIT_DEFAULT),
+		.timeout_s =
+			value_or_default(options->timeout_s, TIMEOUT_DEFAULT_S),
 	};
-	if (r->platform)
-		r->operands[r->n_operands++] = r->platform;
-	for (int i = 1; i < o->operands->count; i++)
-		r->operands[r->n_operands++] = o->operands->sval[i];
+	if (args->platform)
+		args->operands[args->n_operands++] = args->platform;
+	for (int i = 1; i < options->operands->count; i++)
+		args->operands[args->n_operands++] = options->operands->sval[i];
 }
 
-static enum exit_code dispatch(const struct options *o)
+static enum exit_code dispatch(const struct option_table *options)
 {
-	const struct command *c = NULL;
-	struct request r;
+	const struct command *command = NULL;
+	struct command_args args;
 	enum exit_code code;
 
-	if (o->operands->count)
-		c = command_find(o->operands->sval[0]);
-	if (!c) {
-		usage(stderr);
+	if (options->operands->count)
+		command = command_find(options->operands->sval[0]);
+	if (!command) {
+		print_usage(stderr);
 		return EXIT_USAGE;
 	}
-	if (options_bad(c, o))
+	if (report_invalid_options(command, options))
 		return EXIT_USAGE;
-	request_fill(o, &r);
-	if (r.n_operands < c->least || r.n_operands > c->most) {
-		fprintf(stderr, "usage: cbctl %s %s\n", c->name, c->operands);
+	command_args_init(options, &args);
+	if (args.n_operands < command->n_operands_min ||
+	    args.n_operands > command->n_operands_max) {
+		fprintf(stderr, "usage: cbctl %s %s\n", command->name,
+			command->operands);
 		return EXIT_USAGE;
 	}
 	curl_global_init(CURL_GLOBAL_DEFAULT);
-	code = c->run(&r);
+	code = command->run(&args);
 	curl_global_cleanup();
 	return code;
 }
 
-static enum exit_code act(const struct options *o, void **table, int n_errors)
+static enum exit_code run(const struct option_table *options, void **argtable,
+			  int n_errors)
 {
-	if (o->help->count) {
-		usage(stdout);
-		arg_print_glossary(stdout, table, "  %-20s %s\n");
+	if (options->help->count) {
+		print_usage(stdout);
+		arg_print_glossary(stdout, argtable, "  %-20s %s\n");
 		return EXIT_OK;
 	}
-	if (o->version->count) {
+	if (options->version->count) {
 		printf("cbctl %s\n", VERSION);
 		return EXIT_OK;
 	}
 	if (n_errors) {
-		arg_print_errors(stderr, o->end, "cbctl");
+		arg_print_errors(stderr, options->end, "cbctl");
 		return EXIT_USAGE;
 	}
-	return dispatch(o);
+	return dispatch(options);
 }
 
 int main(int argc, char **argv)
 {
-	struct options o = {
+	struct option_table options = {
 		.operands = arg_strn(NULL, NULL, "OPERAND", 0, 63,
 				     "command and its operands"),
 		.platform = arg_str0(NULL, "platform", "URL",
@@ -196,15 +206,16 @@
 		.help = arg_lit0("h", "help", "print this and stop"),
 		.version =
 			arg_lit0(NULL, "version", "print the version and stop"),
-		.end = arg_end(ERRORS_SHOWN),
+		.end = arg_end(ERRORS_SHOWN_MAX),
 	};
-	void *table[] = { o.operands, o.platform, o.limit,   o.timeout_s,
-			  o.json,     o.help,	  o.version, o.end };
+	void *argtable[] = { options.operands,	options.platform, options.limit,
+			     options.timeout_s, options.json,	  options.help,
+			     options.version,	options.end };
 	enum exit_code code;
 
-	if (arg_nullcheck(table))
+	if (arg_nullcheck(argtable))
 		return EXIT_USAGE;
-	code = act(&o, table, arg_parse(argc, argv, table));
-	arg_freetable(table, G_N_ELEMENTS(table));
+	code = run(&options, argtable, arg_parse(argc, argv, argtable));
+	arg_freetable(argtable, G_N_ELEMENTS(argtable));
 	return (int)code;
 }
--- a/cmd/cbctl/peer.c
+++ b/cmd/cbctl/peer.c
@@ -10,12 +10,12 @@
 #include <string.h>
 
 /**
- * complain() - say on standard error what went wrong
+ * report_error() - say on standard error what went wrong
  * @step: what was being done
  * @peer: other end, file or address
  * @format: as printf()
  */
-void complain(const char *step, const char *peer, const char *format, ...)
+void report_error(const char *step, const char *peer, const char *format, ...)
 {
 	va_list ap;
 
@@ -27,19 +27,19 @@
 }
 
 /**
- * worse() - the graver of two ends
+ * worse_exit_code() - the graver of two ends
  * @a: one
  * @b: other
  *
  * Return: the greater code.
  */
-enum exit_code worse(enum exit_code a, enum exit_code b)
+enum exit_code worse_exit_code(enum exit_code a, enum exit_code b)
 {
 	return a > b ? a : b;
 }
 
 /**
- * ask_url() - GET a URL
+ * fetch_url() - GET a URL
  * @step: for the error
  * @peer: for the error
  * @url: URL
@@ -48,29 +48,29 @@
  * Return: EXIT_OK; EXIT_UNREACHABLE without an answer; EXIT_PROBLEMS for an
  * answer other than 200. It was told why.
  */
-enum exit_code ask_url(const char *step, const char *peer, const char *url,
-		       GString *body)
+enum exit_code fetch_url(const char *step, const char *peer, const char *url,
+			 GString *body)
 {
 	char error[FETCH_ERROR_BYTES];
-	int err = fetch(url, ASK_TIMEOUT_MS, body, error);
+	int err = fetch(url, HTTP_TIMEOUT_MS, body, error);
 
 	if (!err)
 		return EXIT_OK;
-	complain(step, peer, "%s%s%.*s", error, body->len ? ": " : "",
-		 (int)strcspn(body->str, "\n"), body->str);
+	report_error(step, peer, "%s%s%.*s", error, body->len ? ": " : "",
+		     (int)strcspn(body->str, "\n"), body->str);
 	return err == -ENOENT || err == -EPROTO ? EXIT_PROBLEMS
 						: EXIT_UNREACHABLE;
 }
 
 /**
- * ask() - GET a page of a daemon
+ * fetch_page() - GET a page of a daemon
  * @peer: its address, IP:PORT
  * @path: page with its query; the step of an error is the page
  * @body: filled
  *
- * Return: as ask_url(), or EXIT_USAGE when @peer is no address.
+ * Return: as fetch_url(), or EXIT_USAGE when @peer is no address.
  */
-enum exit_code ask(const char *peer, const char *path, GString *body)
+enum exit_code fetch_page(const char *peer, const char *path, GString *body)
 {
 	size_t step_bytes = strcspn(path + 1, "?");
 	enum exit_code code;
@@ -79,12 +79,12 @@
 	char *url;
 
 	if (addr_parse(peer, &addr)) {
-		complain("address", peer, "expected IP:PORT");
+		report_error("address", peer, "expected IP:PORT");
 		return EXIT_USAGE;
 	}
 	step = g_strndup(path + 1, step_bytes);
 	url = g_strdup_printf("http://%s%s", peer, path);
-	code = ask_url(step, peer, url, body);
+	code = fetch_url(step, peer, url, body);
 	g_free(url);
 	g_free(step);
 	return code;
--- a/cmd/cbctl/render.c
+++ b/cmd/cbctl/render.c
@@ -6,76 +6,77 @@
 
 #include <stdio.h>
 
-static void address_json(GString *to, const char *key, uint64_t addr)
+static void json_address(GString *json, const char *key, uint64_t addr)
 {
 	char text[32];
 
-	json_string(to, key, addr_text(addr, text, sizeof(text)));
+	json_string(json, key, addr_text(addr, text, sizeof(text)));
 }
 
-static void target_json(GString *to, const struct target_conf *t)
+static void json_target(GString *json, const struct target_conf *target)
 {
-	json_open(to, NULL, '{');
-	address_json(to, "address", t->addr);
-	json_string(to, "state", state_words[t->state]);
-	json_number(to, "weight", t->weight);
-	json_number(to, "slots", t->slots);
-	json_number(to, "connections", t->connections);
-	json_close(to, '}');
+	json_open(json, NULL, '{');
+	json_address(json, "address", target->addr);
+	json_string(json, "state", state_words[target->state]);
+	json_number(json, "weight", target->weight);
+	json_number(json, "slots", target->slots);
+	json_number(json, "connections", target->connections);
+	json_close(json, '}');
 }
 
-static void service_json(GString *to, const struct service_conf *s)
+static void json_service(GString *json, const struct service_conf *service)
 {
-	json_open(to, NULL, '{');
-	json_string(to, "name", s->name);
-	address_json(to, "vip", s->vip);
-	json_string(to, "protocol", protocol_words[s->protocol]);
-	json_string(to, "class", class_words[s->class]);
-	json_bool(to, "post_idempotent", s->post_idempotent);
-	json_bool(to, "target_dedups", s->target_dedups);
-	json_number(to, "request_timeout_ms",
-		    s->request_timeout_ns / NS_PER_MS);
-	json_number(to, "queue_max", s->queue_max);
-	json_open(to, "targets", '[');
-	for (uint32_t i = 0; i < s->n_targets; i++)
-		target_json(to, &s->targets[i]);
-	json_close(to, ']');
-	json_close(to, '}');
+	json_open(json, NULL, '{');
+	json_string(json, "name", service->name);
+	json_address(json, "vip", service->vip);
+	json_string(json, "protocol", protocol_words[service->protocol]);
+	json_string(json, "class", class_words[service->class]);
+	json_bool(json, "post_idempotent", service->post_idempotent);
+	json_bool(json, "target_dedups", service->target_dedups);
+	json_number(json, "request_timeout_ms",
+		    service->request_timeout_ns / NS_PER_MS);
+	json_number(json, "queue_max", service->queue_max);
+	json_open(json, "targets", '[');
+	for (uint32_t i = 0; i < service->n_targets; i++)
+		json_target(json, &service->targets[i]);
+	json_close(json, ']');
+	json_close(json, '}');
 }
 
-static void account_json(GString *to, const struct account_conf *a)
+static void json_account(GString *json, const struct account_conf *account)
 {
-	json_open(to, NULL, '{');
-	json_string(to, "account", a->name);
-	json_number(to, "generation", a->generation);
-	json_number(to, "weight", a->weight);
-	json_open(to, "services", '[');
-	for (uint32_t i = 0; i < a->n_services; i++)
-		service_json(to, &a->services[i]);
-	json_close(to, ']');
-	json_close(to, '}');
+	json_open(json, NULL, '{');
+	json_string(json, "account", account->name);
+	json_number(json, "generation", account->generation);
+	json_number(json, "weight", account->weight);
+	json_open(json, "services", '[');
+	for (uint32_t i = 0; i < account->n_services; i++)
+		json_service(json, &account->services[i]);
+	json_close(json, ']');
+	json_close(json, '}');
 }
 
-static bool print_account(struct documents *d, const char *name,
-			  const char *text, struct mistakes *m)
+static bool print_account_json(struct documents *documents, const char *name,
+			       const char *text, struct mistakes *mistakes)
 {
-	struct account_conf *a =
-		publication_render(name, text, documents_templates(d), NULL, m);
+	struct account_conf *account = publication_render(
+		name, text, documents_templates(documents), NULL, mistakes);
 	GString *json;
 
-	if (!a)
+	if (!account)
 		return false;
 	json = g_string_new(NULL);
-	account_json(json, a);
-	print_json(json);
-	account_free(a);
+	json_account(json, account);
+	json_print_and_free(json);
+	account_free(account);
 	return true;
 }
 
-static bool print_text(struct documents *d, const char *name, const char *text,
-		       struct mistakes *m)
+static bool print_account_text(struct documents *documents, const char *name,
+			       const char *text, struct mistakes *mistakes)
 {
-	char *out = publication_text(name, text, documents_templates(d), m);
+	char *out = publication_text(name, text, documents_templates(documents),
+				     mistakes);
 
 	if (!out)
 		return false;
@@ -84,31 +85,35 @@
 	return true;
 }
 
-static enum exit_code render(const struct request *r, struct documents *d)
+static enum exit_code render(const struct command_args *args,
+			     struct documents *documents)
 {
-	const char *name = r->operands[1];
-	const char *text = documents_find(d, "account", name);
-	struct mistakes m = { 0 };
-	bool ok;
+	const char *name = args->operands[1];
+	const char *text = documents_find(documents, "account", name);
+	struct mistakes mistakes = { 0 };
+	bool is_valid;
 
 	if (!text) {
-		complain("render", r->operands[0], "no account %s", name);
+		report_error("render", args->operands[0], "no account %s",
+			     name);
 		return EXIT_USAGE;
 	}
-	ok = r->json ? print_account(d, name, text, &m)
-		     : print_text(d, name, text, &m);
-	mistakes_print(&m, stderr);
-	mistakes_free(&m);
-	return ok ? EXIT_OK : EXIT_PROBLEMS;
+	is_valid =
+		args->json
+			? print_account_json(documents, name, text, &mistakes)
+			: print_account_text(documents, name, text, &mistakes);
+	mistakes_print(&mistakes, stderr);
+	mistakes_free(&mistakes);
+	return is_valid ? EXIT_OK : EXIT_PROBLEMS;
 }
 
-enum exit_code render_run(const struct request *r)
+enum exit_code render_run(const struct command_args *args)
 {
-	struct documents d;
-	enum exit_code code = documents_load(r->operands[0], &d);
+	struct documents documents;
+	enum exit_code code = documents_load(args->operands[0], &documents);
 
 	if (code == EXIT_OK)
-		code = render(r, &d);
-	documents_free(&d);
+		code = render(args, &documents);
+	documents_free(&documents);
 	return code;
 }
