--- a/cmd/cbctl/generations.c
+++ b/cmd/cbctl/generations.c
@@ -27,11 +27,11 @@
 /**
  * struct table - all answers
  * @rows: struct row
- * @newest_generation: greatest generation of an account, by name
+ * @newest: greatest generation of an account, by name
  */
 struct table {
 	GArray *rows;
-	GHashTable *newest_generation;
+	GHashTable *newest;
 };
 
 static uint64_t newest_generation(const struct table *table,
