--- a/cmd/cbctl/cbctl.h
+++ b/cmd/cbctl/cbctl.h
@@ -1,4 +1,7 @@
-/* cbctl: what operators check, ask and watch. It changes nothing. */
+/*
+ * cbctl: checks publications, and queries daemons and the platform. It only
+ * reads.
+ */
 #ifndef CB_CBCTL_H
 #define CB_CBCTL_H
 
@@ -10,26 +13,27 @@
 
 #include <glib.h>
 
-/* Longest wait for an answer of a daemon or of the platform. */
+/* Timeout of one HTTP request to a daemon or to the platform. */
 #define HTTP_TIMEOUT_MS 3000
 
 /**
- * enum exit_code - what the process ends with
- * @EXIT_OK: done, and nothing to complain of
- * @EXIT_PROBLEMS: done, and problems were found
- * @EXIT_USAGE: wrong command line or unreadable input
- * @EXIT_UNREACHABLE: a peer did not answer
+ * enum exit_code - exit status of the process, by increasing severity
+ * @EXIT_OK: completed without findings
+ * @EXIT_PROBLEMS: completed, problems were found
+ * @EXIT_USAGE: invalid command line or unreadable input
+ * @EXIT_UNREACHABLE: a daemon or the platform did not answer
  */
 enum exit_code { EXIT_OK, EXIT_PROBLEMS, EXIT_USAGE, EXIT_UNREACHABLE };
 
 /**
- * struct command_args - a command line, read
- * @operands: after the command's name; --platform's URL comes first
- * @n_operands: how many
- * @platform: URL of the platform, or NULL
- * @json: write JSON
- * @limit: rows to show
- * @timeout_s: longest wait of drain-watch
+ * struct command_args - operands and options of a command
+ * @operands: operands after the command's name; @platform comes first, if set.
+ *	The strings belong to argv.
+ * @n_operands: entries of @operands in use
+ * @platform: URL of --platform, or NULL
+ * @json: write JSON instead of plain lines
+ * @limit: most rows to print for each daemon
+ * @timeout_s: time after which drain-watch gives up
  */
 struct command_args {
 	const char *operands[64];
@@ -43,7 +47,7 @@
 /**
  * struct document - one published key
  * @key: account/NAME, template/NAME or vms/DATA_CENTRE
- * @text: its value
+ * @text: value, NUL-terminated
  */
 struct document {
 	char *key;
@@ -51,8 +55,8 @@
 };
 
 /**
- * struct documents - all that is published
- * @list: struct document, sorted by key
+ * struct documents - all published documents of a source
+ * @list: struct document *, sorted by key; owned
  */
 struct documents {
 	GPtrArray *list;
@@ -66,8 +70,8 @@
 struct template_source documents_templates(struct documents *documents);
 
 /**
- * struct account_set - every account of a source that renders
- * @accounts: struct account_conf, in the order of their names
+ * struct account_set - every account of a source that renders without errors
+ * @accounts: struct account_conf *, sorted by name; owned
  */
 struct account_set {
 	GPtrArray *accounts;
--- a/cmd/cbctl/check.c
+++ b/cmd/cbctl/check.c
@@ -1,4 +1,4 @@
-/* check: all publications of a source, each by itself and all together. */
+/* check: validates all documents of a source, each alone and all together. */
 #include "cbctl.h"
 
 #include "settings.h"
@@ -37,7 +37,7 @@
 	g_strfreev(lines);
 }
 
-/* As cb-watch does it when the accounts come in force by name. */
+/* Same checks as cb-watch makes when accounts come into force sorted by name. */
 static void check_endpoints(struct documents *documents,
 			    const struct account_set *set,
 			    struct mistakes *mistakes)
--- a/cmd/cbctl/diff.c
+++ b/cmd/cbctl/diff.c
@@ -1,4 +1,4 @@
-/* diff: what publishing one source in place of another would change. */
+/* diff: changes that publishing one source in place of another would make. */
 #include "cbctl.h"
 
 #include <stdio.h>
@@ -10,6 +10,11 @@
 	[CHANGE_VALUE] = "changed",
 };
 
+/**
+ * struct publications - a source's documents and the accounts they render to
+ * @documents: documents
+ * @set: accounts
+ */
 struct publications {
 	struct documents documents;
 	struct account_set set;
@@ -44,7 +49,7 @@
 	json_close(json, '}');
 }
 
-/* Accounts of both sides in turn; those of both are compared once. */
+/* An account that both sources have is compared in the first loop only. */
 static void compare_accounts(const struct publications *standing,
 			     const struct publications *next,
 			     struct change_watch watch,
@@ -110,7 +115,7 @@
 	return code;
 }
 
-/* An account that doesn't render would look like one that is withdrawn. */
+/* Without this check, an account that doesn't render would appear as removed. */
 static enum exit_code reject(const struct mistakes *mistakes)
 {
 	mistakes_print(mistakes, stderr);
--- a/cmd/cbctl/documents.c
+++ b/cmd/cbctl/documents.c
@@ -1,4 +1,4 @@
-/* Published documents, from a directory or from the platform. */
+/* Published documents, read from a directory or from the platform. */
 #include "cbctl.h"
 
 #include <stdlib.h>
@@ -66,7 +66,7 @@
 	const char *name;
 
 	g_free(path);
-	if (!entries) /* a source needs no templates, or no list of VMs */
+	if (!entries) /* template/ and vms/ are optional */
 		return EXIT_OK;
 	while ((name = g_dir_read_name(entries)))
 		if (!is_editor_file(name))
@@ -107,7 +107,7 @@
 	return code;
 }
 
-/* Lines "REVISION KEY" of the platform's list. */
+/* Loads the keys of the platform's list, lines "REVISION KEY". */
 static enum exit_code load_listed_keys(struct documents *documents,
 				       const char *url, const char *list)
 {
@@ -144,7 +144,7 @@
 	return code;
 }
 
-/* A wrong directory would otherwise look like one without mistakes. */
+/* Without this error, a wrong directory would pass as one without mistakes. */
 static enum exit_code report_no_documents(const char *source)
 {
 	report_error("read", source, "no account/, template/ or vms/ in it");
@@ -152,11 +152,14 @@
 }
 
 /**
- * documents_load() - read all that is published
+ * documents_load() - read all published documents and report failures
  * @source: directory laid out as the platform's keys, or the platform's URL
- * @out: filled; to be freed with documents_free() in every case
+ * @out: receives the documents, on an error those read so far; to be freed with
+ *	documents_free() in every case
  *
- * Return: EXIT_OK, or what the process should end with; it was told why.
+ * Return: EXIT_OK, or the exit code after an error message: EXIT_USAGE when
+ * @source can't be read or has no documents, EXIT_PROBLEMS or
+ * EXIT_UNREACHABLE as fetch_url().
  */
 enum exit_code documents_load(const char *source, struct documents *out)
 {
@@ -175,8 +178,8 @@
 }
 
 /**
- * documents_free() - free them
- * @documents: documents
+ * documents_free() - free documents
+ * @documents: documents; the structure itself belongs to the caller
  */
 void documents_free(struct documents *documents)
 {
@@ -184,11 +187,12 @@
 }
 
 /**
- * document_name() - name of a document of a kind
+ * document_name() - name of a document of a given kind
  * @doc: document
- * @kind: account, template or vms
+ * @kind: "account", "template" or "vms"
  *
- * Return: the name after the slash, or NULL when it is of another kind.
+ * Return: the part of the key after the slash, owned by @doc, or NULL when the
+ * document is of another kind.
  */
 const char *document_name(const struct document *doc, const char *kind)
 {
@@ -200,12 +204,12 @@
 }
 
 /**
- * documents_find() - text of a document
- * @documents: documents
- * @kind: account, template or vms
- * @name: its name
+ * documents_find() - text of a document by kind and name
+ * @documents: documents to search
+ * @kind: "account", "template" or "vms"
+ * @name: part of the key after the slash
  *
- * Return: the text, or NULL.
+ * Return: the text, owned by @documents, or NULL when there is none.
  */
 const char *documents_find(const struct documents *documents, const char *kind,
 			   const char *name)
@@ -227,10 +231,10 @@
 }
 
 /**
- * documents_templates() - templates among the documents
- * @documents: documents
+ * documents_templates() - source of templates for publication_render()
+ * @documents: documents; has to outlive the source
  *
- * Return: a port that finds them.
+ * Return: a source that finds the templates among @documents.
  */
 struct template_source documents_templates(struct documents *documents)
 {
@@ -239,9 +243,10 @@
 
 /**
  * account_set_load() - render every account
- * @documents: documents
- * @out: those that render; to be freed with account_set_free()
- * @mistakes: mistakes of the others, and warnings
+ * @documents: documents of a source
+ * @out: receives the accounts that render without errors; to be freed with
+ *	account_set_free()
+ * @mistakes: receives the errors of the other accounts, and all warnings
  */
 void account_set_load(struct documents *documents, struct account_set *out,
 		      struct mistakes *mistakes)
@@ -265,11 +270,11 @@
 }
 
 /**
- * account_set_find() - an account by name
- * @set: accounts
- * @name: name
+ * account_set_find() - find an account by name
+ * @set: accounts to search
+ * @name: account's name
  *
- * Return: the account, or NULL.
+ * Return: the account, owned by @set, or NULL when there is none.
  */
 const struct account_conf *account_set_find(const struct account_set *set,
 					    const char *name)
@@ -285,8 +290,8 @@
 }
 
 /**
- * account_set_free() - free them
- * @set: accounts
+ * account_set_free() - free accounts
+ * @set: accounts; the structure itself belongs to the caller
  */
 void account_set_free(struct account_set *set)
 {
--- a/cmd/cbctl/drain.c
+++ b/cmd/cbctl/drain.c
@@ -1,4 +1,4 @@
-/* drain-watch: follow an entry from the order to stop until it has left. */
+/* drain-watch: polls an entry's status until the entry has drained and left. */
 #include "cbctl.h"
 
 #include "fetch.h"
@@ -13,7 +13,7 @@
 #define PRINT_PERIOD_US 1000000
 #define US_PER_S 1000000
 
-/* What an entry still holds. */
+/* Work that an entry has left to finish or hand over, from its gauges. */
 struct open_work {
 	uint64_t requests_active;
 	uint64_t feeds_held;
@@ -21,14 +21,15 @@
 };
 
 /**
- * struct drain - an entry that is watched
- * @peer: its HTTP address
- * @url: its status
- * @json: write JSON
- * @has_answered: it answered at least once
- * @phase: as last answered
- * @open_work: as last answered
- * @next_print_us: when to print again although only numbers changed
+ * struct drain - state of the poll
+ * @peer: IP:PORT of the entry's HTTP listener
+ * @url: URL of the entry's /status; owned
+ * @json: write JSON instead of plain lines
+ * @has_answered: the entry answered at least once
+ * @phase: first line of the last answer
+ * @open_work: gauges of the last answer
+ * @next_print_us: monotonic time from which an unchanged phase is printed
+ *	again
  */
 struct drain {
 	const char *peer;
@@ -40,6 +41,7 @@
 	gint64 next_print_us;
 };
 
+/* Return: value of the line "gauge NAME VALUE", 0 without one. */
 static uint64_t parse_gauge(const char *body, const char *name)
 {
 	char *word = g_strdup_printf("gauge %s ", name);
@@ -102,8 +104,8 @@
 }
 
 /*
- * True when the entry has left: it said it leaves, then answers no more. The
- * last line tells what it held when it last answered.
+ * Return: true when the entry has left: its last phase is "leaving" and it no
+ * longer answers. The line printed then repeats the gauges of its last answer.
  */
 static bool poll_entry(struct drain *drain, GString *body)
 {
--- a/cmd/cbctl/flows.c
+++ b/cmd/cbctl/flows.c
@@ -1,19 +1,19 @@
-/* flows: requests, feeds, copies and pins of entries, page after page. */
+/* flows: requests, feeds, feed copies and pins of entries, read by pages. */
 #include "cbctl.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-/* An entry that always promises more would hold the tool for ever. */
+/* Bounds the loop over pages in case an entry always announces another. */
 #define PAGES_MAX 10000
 #define NEXT_PREFIX "next "
 
 /**
  * struct pages - rows of one entry
- * @rows: lines so far
- * @n_rows: how many
- * @limit: rows wanted
- * @after: where the next page begins; NULL at the end
+ * @rows: lines read so far, owned by the caller
+ * @n_rows: number of lines in @rows
+ * @limit: most rows to read
+ * @after: cursor of the next page; NULL after the last
  */
 struct pages {
 	GString *rows;
@@ -53,7 +53,7 @@
 	return code;
 }
 
-/* A page may be empty and yet not the last: the entry looks at a part each. */
+/* A page may be empty but not the last: the entry scans part of a table each. */
 static enum exit_code flows_load(const struct command_args *args,
 				 const char *peer, GString *rows)
 {
--- a/cmd/cbctl/generations.c
+++ b/cmd/cbctl/generations.c
@@ -1,4 +1,4 @@
-/* generations: what is in force on each VM, and who lags. */
+/* generations: generations in force on each VM, and which VMs lag. */
 #include "cbctl.h"
 
 #include "fetch.h"
@@ -14,9 +14,9 @@
 
 /**
  * struct row - one account on one VM
- * @account: account
- * @peer: whose word it is
- * @generation: in force there; 0 when the peer doesn't have it
+ * @account: account's name; owned
+ * @peer: address of the daemon that reported it, or PUBLISHED_PEER
+ * @generation: generation in force there; 0 when the VM lacks the account
  */
 struct row {
 	char *account;
@@ -25,9 +25,9 @@
 };
 
 /**
- * struct table - all answers
+ * struct table - generations of all VMs
  * @rows: struct row
- * @newest: greatest generation of an account, by name
+ * @newest: greatest generation (uint64_t *) by account's name
  */
 struct table {
 	GArray *rows;
@@ -58,8 +58,8 @@
 }
 
 /*
- * cb-watch: "account/NAME GENERATION REVISION HASH live"; cb-entry:
- * "account NAME GENERATION". Other lines are of no account.
+ * cb-watch writes "account/NAME GENERATION REVISION HASH live", cb-entry
+ * "account NAME GENERATION". Other lines are skipped.
  */
 static void parse_line(struct table *table, const char *peer, const char *line)
 {
@@ -84,7 +84,7 @@
 	g_strfreev(lines);
 }
 
-/* A cb-watch has the page; a cb-entry says the same in its status. */
+/* cb-watch has the page /generations; cb-entry lists accounts in /status. */
 static enum exit_code fetch_generations(struct table *table, const char *peer)
 {
 	char *url = g_strdup_printf("http://%s/generations", peer);
@@ -135,7 +135,7 @@
 	return false;
 }
 
-/* A VM that answers but never heard of an account lags too, and would not show. */
+/* Adds generation 0 for an account that a VM lacks; it would not show as lagging. */
 static void add_missing_rows(struct table *table, const char *peer)
 {
 	GHashTableIter iter;
--- a/cmd/cbctl/json.c
+++ b/cmd/cbctl/json.c
@@ -1,12 +1,12 @@
-/* Mistakes as JSON, and a line of JSON to standard output. */
+/* JSON output: lists of mistakes, and the closing line. */
 #include "cbctl.h"
 
 #include <stdio.h>
 
 /**
- * json_mistakes() - write mistakes as members of the object that is open
- * @json: JSON
- * @mistakes: mistakes
+ * json_mistakes() - append mistakes to the JSON object that is open
+ * @json: JSON text
+ * @mistakes: mistakes; their counts and list become members of the object
  */
 void json_mistakes(GString *json, const struct mistakes *mistakes)
 {
@@ -29,8 +29,8 @@
 }
 
 /**
- * json_print_and_free() - write a line and free it
- * @json: JSON
+ * json_print_and_free() - print JSON as one line on standard output
+ * @json: JSON text; freed
  */
 void json_print_and_free(GString *json)
 {
@@ -39,9 +39,9 @@
 }
 
 /**
- * json_finish() - print a line of JSON if it was asked for, and free it
- * @args: command line
- * @json: JSON
+ * json_finish() - print JSON as one line if --json was given, free it always
+ * @args: arguments of the command
+ * @json: JSON text; freed
  */
 void json_finish(const struct command_args *args, GString *json)
 {
--- a/cmd/cbctl/main.c
+++ b/cmd/cbctl/main.c
@@ -1,3 +1,4 @@
+/* Command line of cbctl. */
 #include "cbctl.h"
 
 #include <argtable2.h>
@@ -11,18 +12,18 @@
 #define TIMEOUT_DEFAULT_S 60
 #define OPTION_VALUE_MAX 1000000
 
-/* Options that a command takes besides --json and --help. */
+/* Options that a command accepts besides --json and --help. */
 enum { OPTION_PLATFORM = 1, OPTION_LIMIT = 2, OPTION_TIMEOUT = 4 };
 
 /**
  * struct command - one subcommand
- * @name: its name
- * @operands: its operands, for the usage line
- * @summary: what it does
- * @n_operands_min: operands it needs; --platform's URL counts as one
- * @n_operands_max: operands it takes
- * @options: options it takes
- * @run: does it
+ * @name: first operand of the command line
+ * @operands: operands as the usage line shows them
+ * @summary: one line of help
+ * @n_operands_min: fewest operands; --platform's URL counts as one
+ * @n_operands_max: most operands
+ * @options: accepted options, a set of OPTION_ bits
+ * @run: entry point
  */
 static const struct command {
 	const char *name;
@@ -44,21 +45,22 @@
 	  63, 0, status_run },
 	{ "flows", "ADDRESS...", "requests, feeds and pins of entries", 1, 63,
 	  OPTION_LIMIT, flows_run },
-	{ "targets", "ADDRESS...", "what entries have at each target", 1, 63,
-	  OPTION_LIMIT, targets_run },
+	{ "targets", "ADDRESS...",
+	  "requests and feeds of entries at each target", 1, 63, OPTION_LIMIT,
+	  targets_run },
 	{ "explain", "ADDRESS CALLER SERVICE",
-	  "which entry and target a flow has, and why", 3, 3, 0, explain_run },
-	{ "drain-watch", "ADDRESS", "follow an entry until it has left", 1, 1,
-	  OPTION_TIMEOUT, drain_watch_run },
+	  "entry and target of a flow, and the reasons", 3, 3, 0, explain_run },
+	{ "drain-watch", "ADDRESS", "print the progress of an entry's drain",
+	  1, 1, OPTION_TIMEOUT, drain_watch_run },
 	{ "replay", "CLIENT:PORT FILE...",
-	  "one opaque flow's story from the logs of entries", 2, 63, 0,
+	  "log lines about one opaque flow, from entries' logs", 2, 63, 0,
 	  replay_run },
 	{ "generations", "ADDRESS...",
-	  "what is in force on each VM, and who lags", 1, 63, OPTION_PLATFORM,
-	  generations_run },
+	  "generations in force on each VM, and which VMs lag", 1, 63,
+	  OPTION_PLATFORM, generations_run },
 };
 
-/* What the command line said. */
+/* Options and operands in argtable2's form. */
 struct option_table {
 	struct arg_str *operands;
 	struct arg_str *platform;
@@ -99,6 +101,7 @@
 	       (option->ival[0] < 1 || option->ival[0] > OPTION_VALUE_MAX);
 }
 
+/* Return: true, after a message on standard error, when an option is invalid. */
 static bool report_invalid_options(const struct command *command,
 				   const struct option_table *options)
 {
--- a/cmd/cbctl/peer.c
+++ b/cmd/cbctl/peer.c
@@ -1,4 +1,4 @@
-/* Questions to daemons and the platform; every error has step and peer. */
+/* HTTP requests to daemons and the platform; every error names step and peer. */
 #include "cbctl.h"
 
 #include "fetch.h"
@@ -10,10 +10,10 @@
 #include <string.h>
 
 /**
- * report_error() - say on standard error what went wrong
- * @step: what was being done
- * @peer: other end, file or address
- * @format: as printf()
+ * report_error() - print an error on standard error
+ * @step: operation that failed
+ * @peer: file, URL or IP:PORT that it failed on
+ * @format: as for printf(), without a newline
  */
 void report_error(const char *step, const char *peer, const char *format, ...)
 {
@@ -27,11 +27,11 @@
 }
 
 /**
- * worse_exit_code() - the graver of two ends
- * @a: one
- * @b: other
+ * worse_exit_code() - the more severe of two exit codes
+ * @a: first code
+ * @b: second code
  *
- * Return: the greater code.
+ * Return: the greater of both.
  */
 enum exit_code worse_exit_code(enum exit_code a, enum exit_code b)
 {
@@ -39,14 +39,14 @@
 }
 
 /**
- * fetch_url() - GET a URL
- * @step: for the error
- * @peer: for the error
- * @url: URL
- * @body: filled
+ * fetch_url() - GET a URL and report a failure on standard error
+ * @step: operation that the error message names
+ * @peer: URL or IP:PORT that the error message names
+ * @url: http or https URL
+ * @body: receives the answer's body; also that of an error
  *
  * Return: EXIT_OK; EXIT_UNREACHABLE without an answer; EXIT_PROBLEMS for an
- * answer other than 200. It was told why.
+ * answer other than 200.
  */
 enum exit_code fetch_url(const char *step, const char *peer, const char *url,
 			 GString *body)
@@ -63,12 +63,13 @@
 }
 
 /**
- * fetch_page() - GET a page of a daemon
- * @peer: its address, IP:PORT
- * @path: page with its query; the step of an error is the page
- * @body: filled
+ * fetch_page() - GET a page of a daemon and report a failure
+ * @peer: IP:PORT of the daemon's HTTP listener
+ * @path: path with its query; error messages name it, without the query, as
+ *	their step
+ * @body: receives the page
  *
- * Return: as fetch_url(), or EXIT_USAGE when @peer is no address.
+ * Return: as fetch_url(), or EXIT_USAGE when @peer is not IP:PORT.
  */
 enum exit_code fetch_page(const char *peer, const char *path, GString *body)
 {
--- a/cmd/cbctl/render.c
+++ b/cmd/cbctl/render.c
@@ -1,4 +1,4 @@
-/* render: one account with its template filled in. */
+/* render: prints one account with its template filled in. */
 #include "cbctl.h"
 
 #include "publication_words.h"
--- a/cmd/cbctl/replay.c
+++ b/cmd/cbctl/replay.c
@@ -1,7 +1,7 @@
 /*
- * replay: from the logs of several entries, the lines that tell what became of
- * one flow: its own, those about the targets it was given, and what its
- * entries went through around that time.
+ * replay: merges the logs of several entries and prints the lines about one
+ * flow: its own, those about its targets, and those about the state of its
+ * entries at that time.
  */
 #include "cbctl.h"
 
@@ -10,16 +10,16 @@
 #include <stdio.h>
 #include <string.h>
 
-/* A target is found dead, or the platform lost, some time before it shows. */
+/* The failure of a target or of the platform precedes its effect on a flow. */
 #define MARGIN_BEFORE_US (3 * G_USEC_PER_SEC)
-/* A client that was told opens another flow soon; later is another story. */
+/* A client whose flow was reset opens its next flow within this time. */
 #define MARGIN_AFTER_US (1 * G_USEC_PER_SEC)
 #define TARGET_PREFIX "target "
 
 /**
- * struct line - a line of a log
- * @entry: entry that wrote it
- * @record: what it says
+ * struct line - a log line
+ * @entry: name of the entry that wrote it; owned
+ * @record: the parsed record; owned
  */
 struct line {
 	char *entry;
@@ -27,14 +27,14 @@
 };
 
 /**
- * struct flow_log - what belongs to a flow
- * @lines: struct line, all that was read
- * @skipped: lines that are no lines of a log
- * @target_addresses: of targets that the flow was given
- * @target_ids: of these targets
- * @entries: entries that decided about it
- * @from_us: first time that matters
- * @to_us: last
+ * struct flow_log - the lines of all logs, and what identifies those of a flow
+ * @lines: struct line *, every line that was parsed; owned
+ * @skipped: lines that are not log records
+ * @target_addresses: addresses of the targets that the flow was assigned to
+ * @target_ids: IDs of these targets
+ * @entries: names of the entries that decided about the flow
+ * @from_us: start of the period that is printed, microseconds since 1970
+ * @to_us: end of the period, microseconds since 1970
  */
 struct flow_log {
 	GPtrArray *lines;
@@ -46,7 +46,7 @@
 	int64_t to_us;
 };
 
-/* What an entry went through; its lines name no flow. */
+/* Steps about an entry's own state; their lines name no flow. */
 static const char *const entry_steps[] = { "start",  "stop",   "paused",
 					   "ready",  "reload", "platform",
 					   "routes", NULL };
@@ -60,7 +60,7 @@
 	g_free(l);
 }
 
-/* A collector may put the entry's name in front of each line. */
+/* A log collector may prefix each line with the entry's name. */
 static char *entry_name(const char *line, const char *json, const char *file)
 {
 	char *prefix = g_strndup(line, (gsize)(json - line));
@@ -72,7 +72,7 @@
 	return entry;
 }
 
-/* Return: the line, or NULL when it is none of a log. */
+/* Return: the line, to be freed with line_free(), or NULL for no log record. */
 static struct line *line_parse(const char *text, const char *file)
 {
 	const char *json = strchr(text, '{');
@@ -117,7 +117,7 @@
 	       !strcmp(l->record.peer, flow);
 }
 
-/* "target ID at ADDRESS" of a decision, when it names a target. */
+/* Parses "target ID at ADDRESS" in the message of a decision; ID 0 is none. */
 static void add_target(struct flow_log *log, const char *message)
 {
 	const char *at = strstr(message, TARGET_PREFIX);
@@ -130,7 +130,7 @@
 	g_strfreev(words);
 }
 
-/* Return: how many lines name the flow. */
+/* Sets period, entries and targets. Return: number of lines that name the flow. */
 static uint32_t find_flow(struct flow_log *log, const char *flow)
 {
 	uint32_t n = 0;
@@ -152,7 +152,6 @@
 	return n;
 }
 
-/* Whether a line is about one of the flow's targets. */
 static bool is_of_target(const struct flow_log *log, const struct line *l)
 {
 	const char *id = strstr(l->record.message, TARGET_PREFIX);
@@ -237,11 +236,11 @@
 }
 
 /**
- * replay_run() - print one flow's story from entries' logs
- * @args: client's address and port as the logs have it, then files
+ * replay_run() - print the lines about one flow from the logs of entries
+ * @args: operands are the client's IP:PORT as logged, then the log files
  *
- * Return: EXIT_PROBLEMS when no line names the flow; EXIT_USAGE when a file
- * can't be read.
+ * Return: EXIT_OK; EXIT_PROBLEMS when no line names the flow; EXIT_USAGE when
+ * a file can't be read.
  */
 enum exit_code replay_run(const struct command_args *args)
 {
@@ -258,8 +257,8 @@
 	if (code == EXIT_OK && !find_flow(&log, args->operands[0])) {
 		report_error(
 			"replay", args->operands[0],
-			"no line names this flow; %u lines read, %u are none "
-			"of a log",
+			"no line names this flow; %u log lines read, %u other "
+			"lines skipped",
 			log.lines->len, log.skipped);
 		code = EXIT_PROBLEMS;
 	}
--- a/cmd/cbctl/status.c
+++ b/cmd/cbctl/status.c
@@ -1,11 +1,11 @@
-/* status, targets, explain: pages of daemons, as they are or as JSON. */
+/* status, targets, explain: print pages of daemons, as lines or as JSON. */
 #include "cbctl.h"
 
 #include "settings.h"
 
 #include <stdio.h>
 
-/* Plain lines carry their peer in front, so that a pipe can sort them. */
+/* Each line starts with its daemon's address, so that a pipe can sort them. */
 static void print_lines(const char *peer, const char *body)
 {
 	char **lines = g_strsplit(body, "\n", -1);
@@ -42,12 +42,12 @@
 }
 
 /**
- * print_peers() - print a page of each of the first operands
- * @args: command line
- * @n: how many of its operands are peers
- * @load: loads the page
+ * print_peers() - print a page of each of several daemons
+ * @args: arguments of the command; its first operands are the addresses
+ * @n: number of addresses
+ * @load: fetches the page of one daemon into its body
  *
- * Return: the gravest end.
+ * Return: the most severe code that @load returned.
  */
 enum exit_code
 print_peers(const struct command_args *args, uint32_t n,
