--- a/cmd/cbload/answer.c
+++ b/cmd/cbload/answer.c
@@ -14,11 +14,12 @@
 static uint32_t max_age_s(const coap_pdu_t *pdu)
 {
 	coap_opt_iterator_t it;
-	coap_opt_t *o = coap_check_option(pdu, COAP_OPTION_MAXAGE, &it);
+	coap_opt_t *option = coap_check_option(pdu, COAP_OPTION_MAXAGE, &it);
 
-	if (!o)
+	if (!option)
 		return DEFAULT_MAX_AGE_S;
-	return coap_decode_var_bytes(coap_opt_value(o), coap_opt_length(o));
+	return coap_decode_var_bytes(coap_opt_value(option),
+				     coap_opt_length(option));
 }
 
 static bool has_observe(const coap_pdu_t *pdu)
@@ -29,7 +30,7 @@
 }
 
 /* Whether the answer names this request; writes down what it names. */
-static bool names_request(struct call_record *r, const coap_pdu_t *pdu)
+static bool record_answer(struct call_record *record, const coap_pdu_t *pdu)
 {
 	char service[SERVICE_MAX_BYTES];
 	const uint8_t *body;
@@ -39,10 +40,11 @@
 	if (!coap_get_data(pdu, &size_bytes, &body) ||
 	    answer_parse((const char *)body, size_bytes, &id, service) < 0)
 		return false;
-	r->answer_id = id;
-	memcpy(r->answer_service, service, sizeof(service));
-	if (id != r->id || strcmp(service, call_service(r->kind)) != 0)
-		r->crossed = 1;
+	record->answer_id = id;
+	memcpy(record->answer_service, service, sizeof(service));
+	if (id != record->id ||
+	    strcmp(service, call_service(record->kind)) != 0)
+		record->crossed = 1;
 	return true;
 }
 
@@ -58,69 +60,69 @@
  * An answer without an open request: late, or another caller's. The latter
  * means that a token or a port was given to two callers.
  */
-static void check_stray(struct caller *caller, const coap_pdu_t *pdu)
+static void check_unexpected(struct caller *caller, const coap_pdu_t *pdu)
 {
-	struct call_record stray = call_record(caller)[0];
+	struct call_record unexpected = caller_record(caller)[0];
 	uint64_t number;
 
-	if (!names_request(&stray, pdu))
+	if (!record_answer(&unexpected, pdu))
 		return;
-	number = stray.answer_id >> ID_CALLER_SHIFT & ID_CALLER_MASK;
+	number = unexpected.answer_id >> ID_CALLER_SHIFT & ID_CALLER_MASK;
 	if (number != caller->number)
-		call_record(caller)->crossed = 1;
+		caller_record(caller)->crossed = 1;
 }
 
-static void take_update(struct caller *caller)
+static void handle_update(struct caller *caller)
 {
-	struct callers *c = caller->of;
+	struct callers *callers = caller->callers;
 
-	if (!caller->established)
-		c->waiting--;
-	caller->established = true;
-	caller->update_deadline_ns = c->now_ns + c->gap_ns;
+	if (!caller->has_open_feed)
+		callers->n_unanswered--;
+	caller->has_open_feed = true;
+	caller->update_deadline_ns = callers->now_ns + callers->feed_gap_ns;
 }
 
-static void take_success(struct caller *caller, const coap_pdu_t *pdu)
+static void handle_success(struct caller *caller, const coap_pdu_t *pdu)
 {
-	struct call_record *r = call_record(caller);
+	struct call_record *record = caller_record(caller);
 
-	if (!names_request(r, pdu)) {
-		caller->why = "answer not whole";
-		call_end(caller, CALL_CUT);
+	if (!record_answer(record, pdu)) {
+		caller->failure = "answer not whole";
+		call_finish(caller, CALL_CUT);
 		return;
 	}
-	if (r->kind != CALL_FEED) {
-		call_end(caller, CALL_ANSWERED);
+	if (record->kind != CALL_FEED) {
+		call_finish(caller, CALL_ANSWERED);
 		return;
 	}
 	if (has_observe(pdu)) {
-		take_update(caller);
+		handle_update(caller);
 		return;
 	}
-	caller->why = "feed ended without an error";
-	call_end(caller, CALL_CUT);
-	call_later(caller, REOPEN_S);
+	caller->failure = "feed ended without an error";
+	call_finish(caller, CALL_CUT);
+	call_schedule_retry(caller, REOPEN_S);
 }
 
-static void take_error(struct caller *caller, const coap_pdu_t *pdu)
+static void handle_error(struct caller *caller, const coap_pdu_t *pdu)
 {
 	uint8_t code = coap_pdu_get_code(pdu);
 
-	caller->why = code_text(code);
-	if (caller->established) {
-		call_end(caller, CALL_CUT);
-		call_later(caller, max_age_s(pdu));
+	caller->failure = code_text(code);
+	if (caller->has_open_feed) {
+		call_finish(caller, CALL_CUT);
+		call_schedule_retry(caller, max_age_s(pdu));
 		return;
 	}
 	if (code == COAP_RESPONSE_CODE_SERVICE_UNAVAILABLE) {
-		call_end(caller, CALL_REFUSED);
-		call_later(caller, max_age_s(pdu));
+		call_finish(caller, CALL_REFUSED);
+		call_schedule_retry(caller, max_age_s(pdu));
 		return;
 	}
 	if (code == COAP_RESPONSE_CODE_GATEWAY_TIMEOUT)
-		call_end(caller, CALL_UNKNOWN);
+		call_finish(caller, CALL_UNKNOWN);
 	else
-		call_end(caller, CALL_CUT);
+		call_finish(caller, CALL_CUT);
 }
 
 /**
@@ -138,21 +140,22 @@
 {
 	struct caller *caller = coap_session_get_app_data(session);
 	coap_bin_const_t token = coap_pdu_get_token(received);
-	bool own;
+	bool is_expected;
 
 	(void)sent;
 	(void)mid;
-	own = caller->busy && token.length == caller->token_bytes &&
-	      memcmp(token.s, caller->token, token.length) == 0;
-	if (!own) {
-		check_stray(caller, received);
+	is_expected = caller->has_request &&
+		      token.length == caller->token_bytes &&
+		      memcmp(token.s, caller->token, token.length) == 0;
+	if (!is_expected) {
+		check_unexpected(caller, received);
 		return has_observe(received) ? COAP_RESPONSE_FAIL
 					     : COAP_RESPONSE_OK;
 	}
 	if (CODE_CLASS(coap_pdu_get_code(received)) == CLASS_SUCCESS)
-		take_success(caller, received);
+		handle_success(caller, received);
 	else
-		take_error(caller, received);
+		handle_error(caller, received);
 	return COAP_RESPONSE_OK;
 }
 
@@ -177,13 +180,14 @@
 
 	(void)sent;
 	(void)mid;
-	if (!caller || !caller->busy)
+	if (!caller || !caller->has_request)
 		return;
-	caller->why = reason < G_N_ELEMENTS(reasons) ? reasons[reason] : "NACK";
-	if (!caller->established) {
-		call_end(caller, CALL_LOST);
+	caller->failure =
+		reason < G_N_ELEMENTS(reasons) ? reasons[reason] : "NACK";
+	if (!caller->has_open_feed) {
+		call_finish(caller, CALL_LOST);
 		return;
 	}
-	call_end(caller, CALL_CUT);
-	call_later(caller, REOPEN_S);
+	call_finish(caller, CALL_CUT);
+	call_schedule_retry(caller, REOPEN_S);
 }
--- a/cmd/cbload/callers.c
+++ b/cmd/cbload/callers.c
@@ -22,336 +22,342 @@
 	out->addr.sin.sin_port = htons(ADDR_PORT(addr));
 }
 
-static void set_timing(coap_session_t *s, const struct options *o)
+static void set_timing(coap_session_t *session, const struct options *options)
 {
 	coap_fixed_point_t ack = {
-		.integer_part = (uint16_t)(o->ack_timeout_ms / 1000),
-		.fractional_part = (uint16_t)(o->ack_timeout_ms % 1000),
+		.integer_part = (uint16_t)(options->ack_timeout_ms / 1000),
+		.fractional_part = (uint16_t)(options->ack_timeout_ms % 1000),
 	};
 
-	coap_session_set_ack_timeout(s, ack);
-	coap_session_set_max_retransmit(s, (uint16_t)o->max_retransmit);
+	coap_session_set_ack_timeout(session, ack);
+	coap_session_set_max_retransmit(session,
+					(uint16_t)options->max_retransmit);
 }
 
-static coap_session_t *new_session(struct callers *c, uint64_t vip,
+static coap_session_t *new_session(struct callers *callers, uint64_t vip,
 				   uint32_t number)
 {
-	uint32_t ip = c->o->from_ip + number % SOURCE_ADDRESSES;
+	uint32_t ip = callers->options->from_ip + number % SOURCE_ADDRESSES;
 	coap_address_t local, remote;
-	coap_session_t *s;
+	coap_session_t *session;
 
 	to_sockaddr(ADDR(ip, 0), &local);
 	to_sockaddr(vip, &remote);
-	s = coap_new_client_session(c->coap, &local, &remote, COAP_PROTO_UDP);
-	if (s)
-		set_timing(s, c->o);
-	return s;
+	session = coap_new_client_session(callers->coap, &local, &remote,
+					  COAP_PROTO_UDP);
+	if (session)
+		set_timing(session, callers->options);
+	return session;
 }
 
-static struct caller *new_caller(struct callers *c, uint8_t service)
+static struct caller *new_caller(struct callers *callers, uint8_t service)
 {
-	uint64_t vip = service == LOG_INGEST ? c->o->ingest : c->o->live;
-	coap_session_t *s = new_session(c, vip, c->all->len);
+	uint64_t vip = service == LOG_INGEST ? callers->options->ingest
+					     : callers->options->live;
+	coap_session_t *session = new_session(callers, vip, callers->list->len);
 	struct caller *caller;
 
-	if (!s)
+	if (!session)
 		return NULL;
 	caller = g_new0(struct caller, 1);
-	caller->session = s;
-	caller->of = c;
-	caller->number = c->all->len;
+	caller->session = session;
+	caller->callers = callers;
+	caller->number = callers->list->len;
 	caller->service = service;
-	coap_session_set_app_data(s, caller);
-	g_ptr_array_add(c->all, caller);
-	c->n_of_service[service]++;
+	coap_session_set_app_data(session, caller);
+	g_ptr_array_add(callers->list, caller);
+	callers->n_by_service[service]++;
 	return caller;
 }
 
-static struct caller *idle_caller(struct callers *c, uint8_t kind)
+static struct caller *idle_caller(struct callers *callers, uint8_t kind)
 {
 	uint8_t service = kind == CALL_READINGS ? LOG_INGEST : LOG_LIVE;
-	GPtrArray *idle = c->idle[service];
+	GPtrArray *idle = callers->idle[service];
 
-	if (!idle->len || c->n_of_service[service] < c->o->callers)
-		return new_caller(c, service);
+	if (!idle->len ||
+	    callers->n_by_service[service] < callers->options->callers)
+		return new_caller(callers, service);
 	return g_ptr_array_steal_index(idle, 0);
 }
 
 /* How long a caller waits for its final answer at most. */
-static uint64_t patience_ns(const struct options *o)
+static uint64_t answer_timeout_ns(const struct options *options)
 {
-	double retransmissions = (2U << o->max_retransmit) - 1;
-	double ms = o->ack_timeout_ms * retransmissions * RANDOM_FACTOR;
+	double retransmissions = (2U << options->max_retransmit) - 1;
+	double ms = options->ack_timeout_ms * retransmissions * RANDOM_FACTOR;
 
-	if (ms < o->timeout_ms)
-		ms = o->timeout_ms;
-	return (uint64_t)(ms + PATIENCE_MARGIN_MS) * NS_PER_MS;
+	if (ms < options->timeout_ms)
+		ms = options->timeout_ms;
+	return (uint64_t)(ms + ANSWER_TIMEOUT_MARGIN_MS) * NS_PER_MS;
 }
 
 /**
- * caller_retire() - close the session of a caller that got no answer
+ * caller_close_session() - close the session of a caller that got no answer
  * @caller: caller
  *
  * libcoap may still hold its last request, which would hold back the next
  * one, and a late answer would be taken for the next request's.
  */
-void caller_retire(struct caller *caller)
+void caller_close_session(struct caller *caller)
 {
 	if (caller->session)
 		coap_session_release(caller->session);
 	caller->session = NULL;
-	caller->busy = false;
+	caller->has_request = false;
 }
 
 /**
- * call_end() - write down how a caller's request ended
+ * call_finish() - write down how a caller's request ended
  * @caller: caller
  * @end: enum call_end
  */
-void call_end(struct caller *caller, uint8_t end)
+void call_finish(struct caller *caller, uint8_t end)
 {
-	struct callers *c = caller->of;
-	struct call_record *r = call_record(caller);
-
-	r->end = end;
-	r->ended_ns = c->now_ns;
-	c->waiting -= !caller->established;
-	caller->established = false;
-	caller->busy = false;
-	if (c->o->verbose && (end == CALL_LOST || end == CALL_CUT))
+	struct callers *callers = caller->callers;
+	struct call_record *record = caller_record(caller);
+
+	record->end = end;
+	record->ended_ns = callers->now_ns;
+	callers->n_unanswered -= !caller->has_open_feed;
+	caller->has_open_feed = false;
+	caller->has_request = false;
+	if (callers->options->verbose && (end == CALL_LOST || end == CALL_CUT))
 		fprintf(stderr, "cbload: %s %016" PRIx64 " %s at %.3f s: %s\n",
-			call_kind_names[r->kind], r->id,
+			call_kind_names[record->kind], record->id,
 			end == CALL_LOST ? "lost" : "cut",
-			(double)c->now_ns / NS_PER_S, caller->why);
+			(double)callers->now_ns / NS_PER_S, caller->failure);
 	if (end == CALL_LOST || end == CALL_CUT)
-		caller->retire = true;
+		caller->must_close = true;
 	else
-		g_ptr_array_add(c->idle[caller->service], caller);
+		g_ptr_array_add(callers->idle[caller->service], caller);
 }
 
 /**
- * call_later() - plan a new request of the same kind
+ * call_schedule_retry() - plan a new request of the same kind
  * @caller: caller that was told to come back
  * @after_s: Max-Age of the answer
  */
-void call_later(struct caller *caller, uint32_t after_s)
+void call_schedule_retry(struct caller *caller, uint32_t after_s)
 {
-	struct callers *c = caller->of;
-	struct planned p = {
-		.at_ns = c->now_ns + after_s * NS_PER_S,
-		.kind = call_record(caller)->kind,
+	struct callers *callers = caller->callers;
+	struct arrival arrival = {
+		.at_ns = callers->now_ns + after_s * NS_PER_S,
+		.kind = caller_record(caller)->kind,
 	};
 
-	if (c->o->come_back && !c->no_more)
-		g_array_append_val(c->later, p);
+	if (callers->options->come_back && !callers->retries_stopped)
+		g_array_append_val(callers->retries, arrival);
 }
 
 /**
  * callers_open() - prepare libcoap
- * @o: command line, kept
+ * @options: command line, kept
  * @out: set
  *
  * Return: 0 or -ENOMEM.
  */
-int callers_open(const struct options *o, struct callers **out)
+int callers_open(const struct options *options, struct callers **out)
 {
-	struct callers *c = g_new0(struct callers, 1);
+	struct callers *callers = g_new0(struct callers, 1);
 
 	coap_startup();
 	coap_set_log_level(LOG_EMERG);
-	c->coap = coap_new_context(NULL);
-	if (!c->coap) {
-		g_free(c);
+	callers->coap = coap_new_context(NULL);
+	if (!callers->coap) {
+		g_free(callers);
 		return -ENOMEM;
 	}
-	coap_context_set_block_mode(c->coap, COAP_BLOCK_USE_LIBCOAP |
-						     COAP_BLOCK_SINGLE_BODY);
-	coap_register_response_handler(c->coap, on_answer);
-	coap_register_nack_handler(c->coap, on_nack);
-	c->o = o;
-	c->patience_ns = patience_ns(o);
-	c->gap_ns = o->feed_gap_ms * NS_PER_MS;
-	c->id_base = hash_u64(o->seed, ID_SEED) << ID_BASE_SHIFT;
-	c->all = g_ptr_array_new();
+	coap_context_set_block_mode(
+		callers->coap, COAP_BLOCK_USE_LIBCOAP | COAP_BLOCK_SINGLE_BODY);
+	coap_register_response_handler(callers->coap, on_answer);
+	coap_register_nack_handler(callers->coap, on_nack);
+	callers->options = options;
+	callers->answer_timeout_ns = answer_timeout_ns(options);
+	callers->feed_gap_ns = options->feed_gap_ms * NS_PER_MS;
+	callers->id_base = hash_u64(options->seed, ID_SEED) << ID_BASE_SHIFT;
+	callers->list = g_ptr_array_new();
 	for (uint32_t s = 0; s < N_LOG_SERVICES; s++)
-		c->idle[s] = g_ptr_array_new();
-	c->records = g_array_new(FALSE, TRUE, sizeof(struct call_record));
-	c->later = g_array_new(FALSE, FALSE, sizeof(struct planned));
-	memset(c->body, 'r', sizeof(c->body));
-	*out = c;
+		callers->idle[s] = g_ptr_array_new();
+	callers->records = g_array_new(FALSE, TRUE, sizeof(struct call_record));
+	callers->retries = g_array_new(FALSE, FALSE, sizeof(struct arrival));
+	memset(callers->body, 'r', sizeof(callers->body));
+	*out = callers;
 	return 0;
 }
 
 /**
  * callers_fd() - descriptor that is readable when libcoap has work
- * @c: callers
+ * @callers: callers
  *
  * Return: the descriptor.
  */
-int callers_fd(const struct callers *c)
+int callers_fd(const struct callers *callers)
 {
-	return coap_context_get_coap_fd(c->coap);
+	return coap_context_get_coap_fd(callers->coap);
 }
 
 static void check_deadline(struct caller *caller, uint64_t now_ns)
 {
-	struct callers *c = caller->of;
-	struct call_record *r = call_record(caller);
+	struct callers *callers = caller->callers;
+	struct call_record *record = caller_record(caller);
 
-	if (caller->established) {
-		if (now_ns <= caller->update_deadline_ns || r->stalled)
+	if (caller->has_open_feed) {
+		if (now_ns <= caller->update_deadline_ns || record->stalled)
 			return;
-		r->stalled = 1;
-		if (c->o->verbose)
+		record->stalled = 1;
+		if (callers->options->verbose)
 			fprintf(stderr,
 				"cbload: feed %016" PRIx64
 				" stalled at %.3f s\n",
-				r->id, (double)now_ns / NS_PER_S);
+				record->id, (double)now_ns / NS_PER_S);
 		return;
 	}
 	if (now_ns <= caller->answer_deadline_ns)
 		return;
-	caller->why = "no final answer";
-	call_end(caller, CALL_LOST);
+	caller->failure = "no final answer";
+	call_finish(caller, CALL_LOST);
 }
 
-static void send_later(struct callers *c, uint64_t now_ns)
+static void send_due_retries(struct callers *callers, uint64_t now_ns)
 {
-	for (uint32_t i = c->later->len; i-- > 0;) {
-		struct planned p = g_array_index(c->later, struct planned, i);
+	for (uint32_t i = callers->retries->len; i-- > 0;) {
+		struct arrival arrival =
+			g_array_index(callers->retries, struct arrival, i);
 
-		if (p.at_ns > now_ns)
+		if (arrival.at_ns > now_ns)
 			continue;
-		g_array_remove_index_fast(c->later, i);
-		if (!c->no_more)
-			callers_send(c, p.kind, now_ns);
+		g_array_remove_index_fast(callers->retries, i);
+		if (!callers->retries_stopped)
+			callers_send(callers, arrival.kind, now_ns);
 	}
 }
 
 /**
  * callers_process() - take what has come, retransmit, check deadlines
- * @c: callers
+ * @callers: callers
  * @now_ns: time since the run's begin
  */
-void callers_process(struct callers *c, uint64_t now_ns)
+void callers_process(struct callers *callers, uint64_t now_ns)
 {
-	c->now_ns = now_ns;
-	coap_io_process(c->coap, COAP_IO_NO_WAIT);
-	if (now_ns < c->check_deadline_ns)
+	callers->now_ns = now_ns;
+	coap_io_process(callers->coap, COAP_IO_NO_WAIT);
+	if (now_ns < callers->check_deadline_ns)
 		return;
-	c->check_deadline_ns = now_ns + CHECK_PERIOD_NS;
-	for (uint32_t i = 0; i < c->all->len; i++) {
-		struct caller *caller = g_ptr_array_index(c->all, i);
+	callers->check_deadline_ns = now_ns + CHECK_PERIOD_NS;
+	for (uint32_t i = 0; i < callers->list->len; i++) {
+		struct caller *caller = g_ptr_array_index(callers->list, i);
 
-		if (caller->busy)
+		if (caller->has_request)
 			check_deadline(caller, now_ns);
-		if (caller->retire && caller->session)
-			caller_retire(caller);
+		if (caller->must_close && caller->session)
+			caller_close_session(caller);
 	}
-	send_later(c, now_ns);
+	send_due_retries(callers, now_ns);
 }
 
 /**
  * callers_send() - let an idle caller, or a new one, send a request
- * @c: callers
+ * @callers: callers
  * @kind: enum call_kind
  * @now_ns: time since the run's begin
  *
  * A request that could not even be sent is written down as lost.
  */
-void callers_send(struct callers *c, uint8_t kind, uint64_t now_ns)
+void callers_send(struct callers *callers, uint8_t kind, uint64_t now_ns)
 {
-	struct caller *caller = idle_caller(c, kind);
-	struct call_record r = { .kind = kind, .sent_ns = now_ns };
+	struct caller *caller = idle_caller(callers, kind);
+	struct call_record record = { .kind = kind, .sent_ns = now_ns };
 
-	c->now_ns = now_ns;
+	callers->now_ns = now_ns;
 	if (!caller) {
 		fprintf(stderr, "cbload: session: %s\n", strerror(errno));
-		r.end = CALL_LOST;
-		g_array_append_val(c->records, r);
+		record.end = CALL_LOST;
+		g_array_append_val(callers->records, record);
 		return;
 	}
-	r.id = c->id_base | (uint64_t)caller->number << ID_CALLER_SHIFT |
-	       ++caller->sequence;
-	caller->record = c->records->len;
-	g_array_append_val(c->records, r);
-	caller->busy = true;
-	c->waiting++;
-	caller->answer_deadline_ns = now_ns + c->patience_ns;
+	record.id = callers->id_base |
+		    (uint64_t)caller->number << ID_CALLER_SHIFT |
+		    ++caller->sequence;
+	caller->record_index = callers->records->len;
+	g_array_append_val(callers->records, record);
+	caller->has_request = true;
+	callers->n_unanswered++;
+	caller->answer_deadline_ns = now_ns + callers->answer_timeout_ns;
 	if (request_send(caller, kind) < 0) {
-		caller->why = "could not be sent";
-		call_end(caller, CALL_LOST);
+		caller->failure = "could not be sent";
+		call_finish(caller, CALL_LOST);
 	}
 }
 
 /**
- * callers_no_more() - from now on nobody comes back
- * @c: callers
+ * callers_stop_retries() - from now on nobody comes back
+ * @callers: callers
  */
-void callers_no_more(struct callers *c)
+void callers_stop_retries(struct callers *callers)
 {
-	c->no_more = true;
+	callers->retries_stopped = true;
 }
 
 /**
- * callers_waiting() - requests without a final answer, open feeds apart
- * @c: callers
+ * callers_unanswered() - requests without a final answer, open feeds apart
+ * @callers: callers
  *
  * Return: how many.
  */
-uint32_t callers_waiting(const struct callers *c)
+uint32_t callers_unanswered(const struct callers *callers)
 {
-	return c->waiting;
+	return callers->n_unanswered;
 }
 
 /**
- * callers_end_feeds() - close every open feed as its caller would
- * @c: callers
+ * callers_close_feeds() - close every open feed as its caller would
+ * @callers: callers
  * @now_ns: time since the run's begin
  */
-void callers_end_feeds(struct callers *c, uint64_t now_ns)
+void callers_close_feeds(struct callers *callers, uint64_t now_ns)
 {
-	c->now_ns = now_ns;
-	for (uint32_t i = 0; i < c->all->len; i++) {
-		struct caller *caller = g_ptr_array_index(c->all, i);
+	callers->now_ns = now_ns;
+	for (uint32_t i = 0; i < callers->list->len; i++) {
+		struct caller *caller = g_ptr_array_index(callers->list, i);
 		coap_binary_t token = { caller->token_bytes, caller->token };
 
-		if (!caller->established)
+		if (!caller->has_open_feed)
 			continue;
 		coap_cancel_observe(caller->session, &token, COAP_MESSAGE_CON);
-		call_end(caller, CALL_ANSWERED);
+		call_finish(caller, CALL_ANSWERED);
 	}
 }
 
 /**
  * callers_records() - what the callers wrote down
- * @c: callers
+ * @callers: callers
  *
- * Return: struct call_record, owned by @c.
+ * Return: struct call_record, owned by @callers.
  */
-GArray *callers_records(struct callers *c)
+GArray *callers_records(struct callers *callers)
 {
-	return c->records;
+	return callers->records;
 }
 
 /**
  * callers_close() - release every session
- * @c: callers
+ * @callers: callers
  */
-void callers_close(struct callers *c)
+void callers_close(struct callers *callers)
 {
-	for (uint32_t i = 0; i < c->all->len; i++) {
-		struct caller *caller = g_ptr_array_index(c->all, i);
+	for (uint32_t i = 0; i < callers->list->len; i++) {
+		struct caller *caller = g_ptr_array_index(callers->list, i);
 
-		caller_retire(caller);
+		caller_close_session(caller);
 		g_free(caller);
 	}
-	coap_free_context(c->coap);
+	coap_free_context(callers->coap);
 	coap_cleanup();
-	g_ptr_array_free(c->all, TRUE);
+	g_ptr_array_free(callers->list, TRUE);
 	for (uint32_t s = 0; s < N_LOG_SERVICES; s++)
-		g_ptr_array_free(c->idle[s], TRUE);
-	g_array_free(c->records, TRUE);
-	g_array_free(c->later, TRUE);
-	g_free(c);
+		g_ptr_array_free(callers->idle[s], TRUE);
+	g_array_free(callers->records, TRUE);
+	g_array_free(callers->retries, TRUE);
+	g_free(callers);
 }
--- a/cmd/cbload/control.c
+++ b/cmd/cbload/control.c
@@ -14,7 +14,7 @@
 #define READY_PAUSE_US (50 * 1000)
 
 /* Body of @url, or NULL when it did not answer 200 in time. */
-static GString *page(const char *url)
+static GString *fetch_page(const char *url)
 {
 	char error[FETCH_ERROR_BYTES];
 	GString *body = g_string_new(NULL);
@@ -26,7 +26,7 @@
 }
 
 /* Adds the line's value, if it is of the counter, to the sum it belongs to. */
-static void add_line(const char *line, struct peer_bytes *sum)
+static void add_counter(const char *line, struct peer_bytes *sum)
 {
 	size_t size = strlen(PEER_BYTES_COUNTER);
 	const char *value = strrchr(line, ' ');
@@ -41,63 +41,67 @@
 		sum->control += strtod(value, NULL);
 }
 
-static struct peer_bytes sum_lines(const char *text)
+static struct peer_bytes sum_counters(const char *text)
 {
 	char **lines = g_strsplit(text, "\n", -1);
 	struct peer_bytes sum = { .answered = true };
 
 	for (char **l = lines; *l; l++)
-		add_line(*l, &sum);
+		add_counter(*l, &sum);
 	g_strfreev(lines);
 	return sum;
 }
 
 /**
- * control_sample() - read every entry's counters of bytes sent to peers
- * @o: command line
+ * control_sample_read() - read every entry's counters of bytes sent to peers
+ * @options: command line
  * @out: filled
  */
-void control_sample(const struct options *o, struct control *out)
+void control_sample_read(const struct options *options,
+			 struct control_sample *out)
 {
 	memset(out, 0, sizeof(*out));
-	for (uint32_t i = 0; i < o->n_metrics; i++) {
-		GString *body = page(o->metrics[i]);
+	for (uint32_t i = 0; i < options->n_metrics_urls; i++) {
+		GString *body = fetch_page(options->metrics_urls[i]);
 
 		if (!body)
 			continue;
-		out->entry[i] = sum_lines(body->str);
+		out->entry[i] = sum_counters(body->str);
 		g_string_free(body, TRUE);
 	}
 }
 
 /* A counter that went down is of an entry that was started anew. */
-static bool comparable(const struct peer_bytes *begin,
-		       const struct peer_bytes *end)
+static bool is_comparable(const struct peer_bytes *begin,
+			  const struct peer_bytes *end)
 {
 	return begin->answered && end->answered &&
 	       end->control >= begin->control;
 }
 
 /**
- * control_rate() - bytes a second that one entry sent to its peers
- * @o: command line
+ * control_rate_compute() - bytes a second that one entry sent to its peers
+ * @options: command line
  * @begin, @end: samples
  * @seconds: time between them
  * @out: the mean over the entries that answered both times
  */
-void control_rate(const struct options *o, const struct control *begin,
-		  const struct control *end, double seconds,
-		  struct control_rate *out)
+void control_rate_compute(const struct options *options,
+			  const struct control_sample *begin,
+			  const struct control_sample *end, double seconds,
+			  struct control_rate *out)
 {
 	memset(out, 0, sizeof(*out));
-	for (uint32_t i = 0; i < o->n_metrics; i++) {
-		const struct peer_bytes *b = &begin->entry[i];
-		const struct peer_bytes *e = &end->entry[i];
+	for (uint32_t i = 0; i < options->n_metrics_urls; i++) {
+		const struct peer_bytes *before = &begin->entry[i];
+		const struct peer_bytes *after = &end->entry[i];
 
-		if (!comparable(b, e))
+		if (!is_comparable(before, after))
 			continue;
-		out->bytes_per_s += (e->control - b->control) / seconds;
-		out->forwarded_per_s += (e->forwarded - b->forwarded) / seconds;
+		out->bytes_per_s +=
+			(after->control - before->control) / seconds;
+		out->forwarded_per_s +=
+			(after->forwarded - before->forwarded) / seconds;
 		out->n_entries++;
 	}
 	if (!out->n_entries)
@@ -106,7 +110,7 @@
 	out->forwarded_per_s /= out->n_entries;
 }
 
-static bool says_ready(const GString *body)
+static bool is_ready(const GString *body)
 {
 	char **lines = g_strsplit(body->str, "\n", -1);
 	bool ready = g_strv_contains((const gchar *const *)lines, "ready");
@@ -126,8 +130,8 @@
 	int64_t deadline_us = g_get_monotonic_time() + READY_TIMEOUT_US;
 
 	while (g_get_monotonic_time() < deadline_us) {
-		GString *body = page(url);
-		bool ready = body && says_ready(body);
+		GString *body = fetch_page(url);
+		bool ready = body && is_ready(body);
 
 		if (body)
 			g_string_free(body, TRUE);
--- a/cmd/cbload/load.h
+++ b/cmd/cbload/load.h
@@ -19,7 +19,7 @@
  * @wake_at_s: second at which every caller wakes, negative for never
  * @wake_factor: times the rate during that second
  * @timeout_ms: carried by each request: how long its caller waits
- * @runs, @runs_service: run logs and the service named for each, or NULL
+ * @run_logs, @run_log_services: run logs and the service named for each, or NULL
  */
 struct options {
 	uint64_t live;
@@ -42,51 +42,51 @@
 	bool histogram;
 	bool verbose;
 	const char *wait_ready;
-	uint32_t n_runs;
-	char *runs[MAX_FILES];
-	char *runs_service[MAX_FILES];
-	uint32_t n_metrics;
-	const char *metrics[MAX_FILES];
+	uint32_t n_run_logs;
+	char *run_logs[MAX_FILES];
+	char *run_log_services[MAX_FILES];
+	uint32_t n_metrics_urls;
+	const char *metrics_urls[MAX_FILES];
 };
 
 /* A request to be sent. */
-struct planned {
+struct arrival {
 	uint64_t at_ns;
 	uint8_t kind;
 };
 
 struct callers;
 
-int options_read(int argc, char **argv, struct options *o);
-void options_free(struct options *o);
+int options_read(int argc, char **argv, struct options *options);
+void options_free(struct options *options);
 
-GArray *plan_make(const struct options *o);
+GArray *plan_arrivals(const struct options *options);
 
-int callers_open(const struct options *o, struct callers **out);
-int callers_fd(const struct callers *c);
-void callers_process(struct callers *c, uint64_t now_ns);
-void callers_send(struct callers *c, uint8_t kind, uint64_t now_ns);
-void callers_no_more(struct callers *c);
-uint32_t callers_waiting(const struct callers *c);
-void callers_end_feeds(struct callers *c, uint64_t now_ns);
-GArray *callers_records(struct callers *c);
-void callers_close(struct callers *c);
+int callers_open(const struct options *options, struct callers **out);
+int callers_fd(const struct callers *callers);
+void callers_process(struct callers *callers, uint64_t now_ns);
+void callers_send(struct callers *callers, uint8_t kind, uint64_t now_ns);
+void callers_stop_retries(struct callers *callers);
+uint32_t callers_unanswered(const struct callers *callers);
+void callers_close_feeds(struct callers *callers, uint64_t now_ns);
+GArray *callers_records(struct callers *callers);
+void callers_close(struct callers *callers);
 
 /**
- * struct logs - what the targets wrote
+ * struct run_logs - what the targets wrote
  * @runs: struct run_record
- * @of_service: by service and log, whether the log is of that service
- * @n: logs
+ * @is_of_service: by service and log, whether the log is of that service
+ * @n_logs: logs
  */
 enum { LOG_LIVE, LOG_INGEST, N_LOG_SERVICES };
-struct logs {
+struct run_logs {
 	GArray *runs;
-	uint8_t of_service[N_LOG_SERVICES][MAX_FILES];
-	uint32_t n;
+	uint8_t is_of_service[N_LOG_SERVICES][MAX_FILES];
+	uint32_t n_logs;
 };
-extern const char *const log_services[N_LOG_SERVICES];
+extern const char *const log_service_names[N_LOG_SERVICES];
 
-int logs_read(const struct options *o, struct logs *out);
+int run_logs_read(const struct options *options, struct run_logs *out);
 
 /**
  * struct peer_bytes - bytes that an entry sent to other entries
@@ -100,7 +100,7 @@
 	double forwarded;
 };
 
-struct control {
+struct control_sample {
 	struct peer_bytes entry[MAX_FILES];
 };
 
@@ -113,10 +113,12 @@
 	uint32_t n_entries;
 };
 
-void control_sample(const struct options *o, struct control *out);
-void control_rate(const struct options *o, const struct control *begin,
-		  const struct control *end, double seconds,
-		  struct control_rate *out);
+void control_sample_read(const struct options *options,
+			 struct control_sample *out);
+void control_rate_compute(const struct options *options,
+			  const struct control_sample *begin,
+			  const struct control_sample *end, double seconds,
+			  struct control_rate *out);
 int wait_ready(const char *url);
 
 /**
@@ -131,9 +133,9 @@
 	struct control_rate control;
 };
 
-int report_make(const struct options *o, GArray *records,
-		const struct logs *logs, struct report *out);
-void report_print(const struct options *o, const struct report *r,
+int report_compute(const struct options *options, GArray *records,
+		   const struct run_logs *logs, struct report *out);
+void report_print(const struct options *options, const struct report *report,
 		  GArray *records);
 
 #endif
--- a/cmd/cbload/logs.c
+++ b/cmd/cbload/logs.c
@@ -7,23 +7,25 @@
 
 #define LINE_MAX_BYTES 512
 
-const char *const log_services[N_LOG_SERVICES] = {
+const char *const log_service_names[N_LOG_SERVICES] = {
 	[LOG_LIVE] = "live",
 	[LOG_INGEST] = "ingest",
 };
 
-static void mark(struct logs *l, uint32_t log, const char *service)
+static void mark_service(struct run_logs *logs, uint32_t log,
+			 const char *service)
 {
 	for (uint32_t s = 0; s < N_LOG_SERVICES; s++)
-		if (strcmp(log_services[s], service) == 0)
-			l->of_service[s][log] = 1;
+		if (strcmp(log_service_names[s], service) == 0)
+			logs->is_of_service[s][log] = 1;
 }
 
-static int read_file(const char *path, uint32_t log, bool named, struct logs *l)
+static int read_file(const char *path, uint32_t log, bool is_named,
+		     struct run_logs *logs)
 {
 	FILE *f = fopen(path, "r");
 	char line[LINE_MAX_BYTES];
-	struct run_record r;
+	struct run_record record;
 
 	if (!f) {
 		int err = -errno;
@@ -33,38 +35,38 @@
 		return err;
 	}
 	while (fgets(line, sizeof(line), f)) {
-		if (run_parse(line, &r) < 0)
+		if (run_parse(line, &record) < 0)
 			continue;
-		r.log = log;
-		g_array_append_val(l->runs, r);
-		if (!named)
-			mark(l, log, r.service);
+		record.log = log;
+		g_array_append_val(logs->runs, record);
+		if (!is_named)
+			mark_service(logs, log, record.service);
 	}
 	fclose(f);
 	return 0;
 }
 
 /**
- * logs_read() - read every run log that the command line names
- * @o: command line
+ * run_logs_read() - read every run log that the command line names
+ * @options: command line
  * @out: filled
  *
  * Return: 0, or a negative error number of the first file that can't be
  * read: a count without it would hide faults.
  */
-int logs_read(const struct options *o, struct logs *out)
+int run_logs_read(const struct options *options, struct run_logs *out)
 {
 	memset(out, 0, sizeof(*out));
 	out->runs = g_array_new(FALSE, FALSE, sizeof(struct run_record));
-	out->n = o->n_runs;
-	for (uint32_t i = 0; i < o->n_runs; i++) {
-		bool named = o->runs_service[i] != NULL;
-		int err = read_file(o->runs[i], i, named, out);
+	out->n_logs = options->n_run_logs;
+	for (uint32_t i = 0; i < options->n_run_logs; i++) {
+		bool is_named = options->run_log_services[i] != NULL;
+		int err = read_file(options->run_logs[i], i, is_named, out);
 
 		if (err)
 			return err;
-		if (named)
-			mark(out, i, o->runs_service[i]);
+		if (is_named)
+			mark_service(out, i, options->run_log_services[i]);
 	}
 	return 0;
 }
--- a/cmd/cbload/main.c
+++ b/cmd/cbload/main.c
@@ -5,7 +5,7 @@
 #include <stdio.h>
 #include <uv.h>
 
-#define EXIT_UNCLEAN 1
+#define EXIT_FAULTS_FOUND 1
 #define EXIT_USAGE 2
 
 /* Arrivals are due to this; libcoap's own timers are checked as often. */
@@ -15,130 +15,130 @@
 
 /**
  * struct run - the event loop's state
- * @begin_ns: uv_hrtime() at the begin; all other times count from it
- * @next: first planned request not yet sent
+ * @start_ns: uv_hrtime() at the begin; all other times count from it
+ * @next_arrival: first planned request not yet sent
  * @close_deadline_ns: end of the run once feeds are closed, 0 before
  */
 struct run {
-	const struct options *o;
+	const struct options *options;
 	struct callers *callers;
 	GArray *plan;
-	uint64_t begin_ns;
+	uint64_t start_ns;
 	uint64_t end_deadline_ns;
 	uint64_t close_deadline_ns;
-	guint next;
+	guint next_arrival;
 	uv_loop_t loop;
 	uv_timer_t tick;
 	uv_poll_t poll;
 };
 
-static uint64_t since_begin_ns(const struct run *r)
+static uint64_t elapsed_ns(const struct run *run)
 {
-	return uv_hrtime() - r->begin_ns;
+	return uv_hrtime() - run->start_ns;
 }
 
-static void send_due(struct run *r, uint64_t now_ns)
+static void send_due(struct run *run, uint64_t now_ns)
 {
-	while (r->next < r->plan->len) {
-		const struct planned *p =
-			&g_array_index(r->plan, struct planned, r->next);
+	while (run->next_arrival < run->plan->len) {
+		const struct arrival *arrival = &g_array_index(
+			run->plan, struct arrival, run->next_arrival);
 
-		if (p->at_ns > now_ns)
+		if (arrival->at_ns > now_ns)
 			return;
-		callers_send(r->callers, p->kind, now_ns);
-		r->next++;
+		callers_send(run->callers, arrival->kind, now_ns);
+		run->next_arrival++;
 	}
 }
 
 static void on_readable(uv_poll_t *poll, int status, int events)
 {
-	struct run *r = poll->data;
+	struct run *run = poll->data;
 
 	(void)status;
 	(void)events;
-	callers_process(r->callers, since_begin_ns(r));
+	callers_process(run->callers, elapsed_ns(run));
 }
 
 static void on_tick(uv_timer_t *tick)
 {
-	struct run *r = tick->data;
-	uint64_t now_ns = since_begin_ns(r);
+	struct run *run = tick->data;
+	uint64_t now_ns = elapsed_ns(run);
 
-	send_due(r, now_ns);
-	callers_process(r->callers, now_ns);
-	if (now_ns < r->end_deadline_ns)
+	send_due(run, now_ns);
+	callers_process(run->callers, now_ns);
+	if (now_ns < run->end_deadline_ns)
 		return;
-	callers_no_more(r->callers);
-	if (r->close_deadline_ns) {
-		if (now_ns >= r->close_deadline_ns)
-			uv_stop(&r->loop);
+	callers_stop_retries(run->callers);
+	if (run->close_deadline_ns) {
+		if (now_ns >= run->close_deadline_ns)
+			uv_stop(&run->loop);
 		return;
 	}
-	if (callers_waiting(r->callers))
+	if (callers_unanswered(run->callers))
 		return;
-	callers_end_feeds(r->callers, now_ns);
-	r->close_deadline_ns = now_ns + CLOSE_NS;
+	callers_close_feeds(run->callers, now_ns);
+	run->close_deadline_ns = now_ns + CLOSE_NS;
 }
 
-static int run_load(struct run *r)
+static int run_load(struct run *run)
 {
-	int err = callers_open(r->o, &r->callers);
+	int err = callers_open(run->options, &run->callers);
 
 	if (err)
 		return err;
-	r->plan = plan_make(r->o);
-	r->end_deadline_ns = r->o->seconds * NS_PER_S;
-	uv_loop_init(&r->loop);
-	uv_timer_init(&r->loop, &r->tick);
-	uv_poll_init(&r->loop, &r->poll, callers_fd(r->callers));
-	r->tick.data = r;
-	r->poll.data = r;
-	r->begin_ns = uv_hrtime();
-	uv_timer_start(&r->tick, on_tick, TICK_MS, TICK_MS);
-	uv_poll_start(&r->poll, UV_READABLE, on_readable);
-	uv_run(&r->loop, UV_RUN_DEFAULT);
-	uv_close((uv_handle_t *)&r->tick, NULL);
-	uv_close((uv_handle_t *)&r->poll, NULL);
-	uv_run(&r->loop, UV_RUN_DEFAULT);
-	uv_loop_close(&r->loop);
+	run->plan = plan_arrivals(run->options);
+	run->end_deadline_ns = run->options->seconds * NS_PER_S;
+	uv_loop_init(&run->loop);
+	uv_timer_init(&run->loop, &run->tick);
+	uv_poll_init(&run->loop, &run->poll, callers_fd(run->callers));
+	run->tick.data = run;
+	run->poll.data = run;
+	run->start_ns = uv_hrtime();
+	uv_timer_start(&run->tick, on_tick, TICK_MS, TICK_MS);
+	uv_poll_start(&run->poll, UV_READABLE, on_readable);
+	uv_run(&run->loop, UV_RUN_DEFAULT);
+	uv_close((uv_handle_t *)&run->tick, NULL);
+	uv_close((uv_handle_t *)&run->poll, NULL);
+	uv_run(&run->loop, UV_RUN_DEFAULT);
+	uv_loop_close(&run->loop);
 	return 0;
 }
 
-static int account(const struct options *o, struct run *run,
-		   const struct control *begin)
+static int report_run(const struct options *options, struct run *run,
+		      const struct control_sample *begin)
 {
 	struct report report = { 0 };
-	struct control end;
-	struct logs logs;
-	double seconds = (double)since_begin_ns(run) / NS_PER_S;
+	struct control_sample end;
+	struct run_logs logs;
+	double seconds = (double)elapsed_ns(run) / NS_PER_S;
 	GArray *records = callers_records(run->callers);
 	int err;
 
-	control_sample(o, &end);
-	control_rate(o, begin, &end, seconds, &report.control);
-	err = logs_read(o, &logs);
+	control_sample_read(options, &end);
+	control_rate_compute(options, begin, &end, seconds, &report.control);
+	err = run_logs_read(options, &logs);
 	if (!err)
-		err = report_make(o, records, &logs, &report);
+		err = report_compute(options, records, &logs, &report);
 	if (!err)
-		report_print(o, &report, records);
+		report_print(options, &report, records);
 	g_array_free(logs.runs, TRUE);
-	return err || !tally_clean(&report.tally) ? EXIT_UNCLEAN : 0;
+	return err || !tally_clean(&report.tally) ? EXIT_FAULTS_FOUND : 0;
 }
 
-static int load_and_account(const struct options *o)
+static int run_and_report(const struct options *options)
 {
-	struct run run = { .o = o };
-	struct control begin;
+	struct run run = { .options = options };
+	struct control_sample begin;
 	int status;
 	int err;
 
-	control_sample(o, &begin);
+	control_sample_read(options, &begin);
 	err = run_load(&run);
 	if (err) {
 		fprintf(stderr, "cbload: libcoap: %s\n", g_strerror(-err));
-		return EXIT_UNCLEAN;
+		return EXIT_FAULTS_FOUND;
 	}
-	status = account(o, &run, &begin);
+	status = report_run(options, &run, &begin);
 	callers_close(run.callers);
 	g_array_free(run.plan, TRUE);
 	return status;
@@ -146,20 +146,20 @@
 
 int main(int argc, char **argv)
 {
-	struct options o;
+	struct options options;
 	int status;
-	int err = options_read(argc, argv, &o);
+	int err = options_read(argc, argv, &options);
 
 	if (err) {
-		options_free(&o);
+		options_free(&options);
 		return err > 0 ? 0 : EXIT_USAGE;
 	}
 	curl_global_init(CURL_GLOBAL_DEFAULT);
-	if (o.wait_ready)
-		status = wait_ready(o.wait_ready);
+	if (options.wait_ready)
+		status = wait_ready(options.wait_ready);
 	else
-		status = load_and_account(&o);
+		status = run_and_report(&options);
 	curl_global_cleanup();
-	options_free(&o);
+	options_free(&options);
 	return status;
 }
--- a/cmd/cbload/request.c
+++ b/cmd/cbload/request.c
@@ -18,7 +18,7 @@
 	bool body;
 };
 
-static const struct request_shape shapes[N_CALL_KINDS] = {
+static const struct request_shape request_shapes[N_CALL_KINDS] = {
 	[CALL_FEED] = { "feed", COAP_REQUEST_CODE_GET, true, false },
 	[CALL_FORECAST] = { "forecast", COAP_REQUEST_CODE_GET, false, false },
 	[CALL_REPORT] = { "report", COAP_REQUEST_CODE_POST, false, false },
@@ -56,28 +56,29 @@
  */
 int request_send(struct caller *caller, uint8_t kind)
 {
-	const struct request_shape *shape = &shapes[kind];
-	struct callers *c = caller->of;
-	coap_session_t *s = caller->session;
-	coap_pdu_t *pdu = coap_new_pdu(COAP_MESSAGE_CON, shape->method, s);
+	const struct request_shape *shape = &request_shapes[kind];
+	struct callers *callers = caller->callers;
+	coap_session_t *session = caller->session;
+	coap_pdu_t *pdu =
+		coap_new_pdu(COAP_MESSAGE_CON, shape->method, session);
 	int err;
 
 	if (!pdu)
 		return -ENOMEM;
-	coap_session_new_token(s, &caller->token_bytes, caller->token);
+	coap_session_new_token(session, &caller->token_bytes, caller->token);
 	if (!coap_add_token(pdu, caller->token_bytes, caller->token)) {
 		coap_delete_pdu(pdu);
 		return -EMSGSIZE;
 	}
-	err = add_options(pdu, shape, call_record(caller)->id,
-			  c->o->timeout_ms);
+	err = add_options(pdu, shape, caller_record(caller)->id,
+			  callers->options->timeout_ms);
 	if (!err && shape->body &&
-	    !coap_add_data_large_request(s, pdu, sizeof(c->body), c->body, NULL,
-					 NULL))
+	    !coap_add_data_large_request(session, pdu, sizeof(callers->body),
+					 callers->body, NULL, NULL))
 		err = -EMSGSIZE;
 	if (err) {
 		coap_delete_pdu(pdu);
 		return err;
 	}
-	return coap_send(s, pdu) == COAP_INVALID_MID ? -EIO : 0;
+	return coap_send(session, pdu) == COAP_INVALID_MID ? -EIO : 0;
 }
