--- a/cmd/cbctl/generations.c
+++ b/cmd/cbctl/generations.c
@@ -135,7 +135,7 @@
 	return false;
 }
 
-/* Adds generation 0 for an account that a VM lacks; it would not show as lagging. */
+/* Adds generation 0 for accounts that a VM lacks, or it would not show as lagging. */
 static void add_missing_rows(struct table *table, const char *peer)
 {
 	GHashTableIter iter;
--- a/cmd/cbload/answer.c
+++ b/cmd/cbload/answer.c
@@ -1,4 +1,4 @@
-/* What callers make of answers, errors and resets. */
+/* Handles answers, errors and resets that callers receive. */
 #include "callers.h"
 
 #include <stdio.h>
@@ -6,9 +6,9 @@
 
 #define CODE_CLASS(code) ((code) >> 5)
 #define CLASS_SUCCESS 2
-/* RFC 7252 section 5.10.5. */
+/* Max-Age of an answer without that option, RFC 7252 section 5.10.5. */
 #define DEFAULT_MAX_AGE_S 60
-/* A caller whose feed was cut without a word opens it again after this. */
+/* Delay before a feed that ended without an error answer is opened again. */
 #define REOPEN_S 1
 
 static uint32_t max_age_s(const coap_pdu_t *pdu)
@@ -29,7 +29,10 @@
 	return coap_check_option(pdu, COAP_OPTION_OBSERVE, &it) != NULL;
 }
 
-/* Whether the answer names this request; writes down what it names. */
+/*
+ * Records the id and the service that an answer's body names; another id or
+ * service marks the record as crossed. Return: false when the body names none.
+ */
 static bool record_answer(struct call_record *record, const coap_pdu_t *pdu)
 {
 	char service[SERVICE_MAX_BYTES];
@@ -57,8 +60,8 @@
 }
 
 /*
- * An answer without an open request: late, or another caller's. The latter
- * means that a token or a port was given to two callers.
+ * Handles an answer that matches no open request. It is late, or belongs to
+ * another caller, which means that two callers shared a token or a port.
  */
 static void check_unexpected(struct caller *caller, const coap_pdu_t *pdu)
 {
@@ -87,7 +90,7 @@
 	struct call_record *record = caller_record(caller);
 
 	if (!record_answer(record, pdu)) {
-		caller->failure = "answer not whole";
+		caller->failure = "incomplete answer";
 		call_finish(caller, CALL_CUT);
 		return;
 	}
@@ -126,14 +129,14 @@
 }
 
 /**
- * on_answer() - libcoap's response handler
+ * on_answer() - response handler for libcoap
  * @session: session of a caller
- * @sent: request, when libcoap still has it
- * @received: answer, whole
- * @mid: its message ID
+ * @sent: request, or NULL when libcoap no longer holds it
+ * @received: answer, reassembled from its blocks
+ * @mid: message ID of the answer
  *
- * Return: COAP_RESPONSE_FAIL sends a reset, which ends a feed that nobody
- * listens to.
+ * Return: COAP_RESPONSE_FAIL, which makes libcoap send a reset, for a
+ * notification of a feed that is no longer open; COAP_RESPONSE_OK otherwise.
  */
 coap_response_t on_answer(coap_session_t *session, const coap_pdu_t *sent,
 			  const coap_pdu_t *received, const coap_mid_t mid)
@@ -160,11 +163,11 @@
 }
 
 /**
- * on_nack() - libcoap gave up on a request, or it was reset
+ * on_nack() - handler for requests that libcoap gave up or that were reset
  * @session: session of a caller
  * @sent: request
- * @reason: libcoap's reason
- * @mid: its message ID
+ * @reason: reason given by libcoap
+ * @mid: message ID of the request
  */
 void on_nack(coap_session_t *session, const coap_pdu_t *sent,
 	     const coap_nack_reason_t reason, const coap_mid_t mid)
--- a/cmd/cbload/callers.c
+++ b/cmd/cbload/callers.c
@@ -1,6 +1,6 @@
 /*
- * Callers: each is a libcoap client session of its own, so that it has its
- * own source port, and has one request open at a time.
+ * Callers. Each has a libcoap client session of its own, hence its own source
+ * port, and at most one open request.
  */
 #include "callers.h"
 
@@ -8,9 +8,9 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Callers' addresses: a fleet does not call from one address. */
+/* Number of source IP addresses that callers are spread over. */
 #define SOURCE_ADDRESSES 200
-/* RFC 7252 section 4.8.2: MAX_TRANSMIT_WAIT, with its factor of 1.5. */
+/* ACK_RANDOM_FACTOR of MAX_TRANSMIT_WAIT, RFC 7252 section 4.8.2. */
 #define RANDOM_FACTOR 1.5
 
 static void to_sockaddr(uint64_t addr, coap_address_t *out)
@@ -81,7 +81,10 @@
 	return g_ptr_array_steal_index(idle, 0);
 }
 
-/* How long a caller waits for its final answer at most. */
+/*
+ * Longest wait for a final answer: MAX_TRANSMIT_WAIT or the request's timeout,
+ * whichever is longer, and a margin.
+ */
 static uint64_t answer_timeout_ns(const struct options *options)
 {
 	double retransmissions = (2U << options->max_retransmit) - 1;
@@ -93,11 +96,12 @@
 }
 
 /**
- * caller_close_session() - close the session of a caller that got no answer
- * @caller: caller
+ * caller_close_session() - close the session of a caller
+ * @caller: caller; it sends no more requests
  *
- * libcoap may still hold its last request, which would hold back the next
- * one, and a late answer would be taken for the next request's.
+ * The session of a lost request can't be reused: libcoap may still retransmit
+ * that request, which would delay the next one, and a late answer would be
+ * taken for the next request's.
  */
 void caller_close_session(struct caller *caller)
 {
@@ -108,8 +112,9 @@
 }
 
 /**
- * call_finish() - write down how a caller's request ended
- * @caller: caller
+ * call_finish() - record the end of a caller's open request
+ * @caller: caller; becomes idle, or its session is closed later when the
+ *	request was lost or cut
  * @end: enum call_end
  */
 void call_finish(struct caller *caller, uint8_t end)
@@ -134,9 +139,11 @@
 }
 
 /**
- * call_schedule_retry() - plan a new request of the same kind
- * @caller: caller that was told to come back
- * @after_s: Max-Age of the answer
+ * call_schedule_retry() - schedule a new request of the same kind
+ * @caller: caller whose request was refused or cut
+ * @after_s: delay, by default the answer's Max-Age
+ *
+ * Does nothing without --come-back and after callers_stop_retries().
  */
 void call_schedule_retry(struct caller *caller, uint32_t after_s)
 {
@@ -151,9 +158,9 @@
 }
 
 /**
- * callers_open() - prepare libcoap
- * @options: command line, kept
- * @out: set
+ * callers_open() - initialize libcoap, without any caller yet
+ * @options: options of the command line; have to outlive the callers
+ * @out: receives the callers; to be freed with callers_close()
  *
  * Return: 0 or -ENOMEM.
  */
@@ -187,10 +194,11 @@
 }
 
 /**
- * callers_fd() - descriptor that is readable when libcoap has work
+ * callers_fd() - descriptor to wait on before callers_process()
  * @callers: callers
  *
- * Return: the descriptor.
+ * Return: a descriptor, owned by libcoap, that is readable when libcoap has
+ * something to do.
  */
 int callers_fd(const struct callers *callers)
 {
@@ -234,9 +242,9 @@
 }
 
 /**
- * callers_process() - take what has come, retransmit, check deadlines
+ * callers_process() - receive, retransmit, check deadlines and send due retries
  * @callers: callers
- * @now_ns: time since the run's begin
+ * @now_ns: time since the start of the run
  */
 void callers_process(struct callers *callers, uint64_t now_ns)
 {
@@ -257,12 +265,12 @@
 }
 
 /**
- * callers_send() - let an idle caller, or a new one, send a request
+ * callers_send() - send a request from a new or an idle caller
  * @callers: callers
  * @kind: enum call_kind
- * @now_ns: time since the run's begin
+ * @now_ns: time since the start of the run
  *
- * A request that could not even be sent is written down as lost.
+ * A request that can't be sent is recorded as lost.
  */
 void callers_send(struct callers *callers, uint8_t kind, uint64_t now_ns)
 {
@@ -291,7 +299,7 @@
 }
 
 /**
- * callers_stop_retries() - from now on nobody comes back
+ * callers_stop_retries() - send and schedule no more retries
  * @callers: callers
  */
 void callers_stop_retries(struct callers *callers)
@@ -300,10 +308,10 @@
 }
 
 /**
- * callers_unanswered() - requests without a final answer, open feeds apart
+ * callers_unanswered() - number of open requests without a final answer
  * @callers: callers
  *
- * Return: how many.
+ * Return: the number; feeds that got their first answer don't count.
  */
 uint32_t callers_unanswered(const struct callers *callers)
 {
@@ -311,9 +319,9 @@
 }
 
 /**
- * callers_close_feeds() - close every open feed as its caller would
+ * callers_close_feeds() - cancel the observation of every open feed
  * @callers: callers
- * @now_ns: time since the run's begin
+ * @now_ns: time since the start of the run
  */
 void callers_close_feeds(struct callers *callers, uint64_t now_ns)
 {
@@ -330,7 +338,7 @@
 }
 
 /**
- * callers_records() - what the callers wrote down
+ * callers_records() - records of all requests
  * @callers: callers
  *
  * Return: struct call_record, owned by @callers.
@@ -341,7 +349,7 @@
 }
 
 /**
- * callers_close() - release every session
+ * callers_close() - close every session and free the callers
  * @callers: callers
  */
 void callers_close(struct callers *callers)
--- a/cmd/cbload/callers.h
+++ b/cmd/cbload/callers.h
@@ -1,4 +1,4 @@
-/* Inside of the callers: sessions, and the requests on them. */
+/* Internals of the callers: sessions, and the requests on them. */
 #ifndef CB_CALLERS_H
 #define CB_CALLERS_H
 
@@ -7,8 +7,9 @@
 #include <inttypes.h>
 
 /*
- * An id is 24 bits of the run's seed, 20 of the caller and 20 of its
- * sequence, so that an answer that reached the wrong caller shows.
+ * A request's id holds 24 bits of a hash of the run's seed, 20 bits of the
+ * caller's number and 20 bits of its sequence number. The caller's number
+ * makes an answer that reached the wrong caller detectable.
  */
 #define ID_BASE_SHIFT 40
 #define ID_CALLER_SHIFT 20
@@ -16,19 +17,28 @@
 #define ID_SEED 0x6c6f6164ULL
 
 #define READINGS_BYTES 4096
+/* Time for a final answer to arrive after the last timeout of the protocol. */
 #define ANSWER_TIMEOUT_MARGIN_MS 500
 #define CHECK_PERIOD_NS (20 * NS_PER_MS)
 
 /**
  * struct caller - one client session
- * @session: NULL when retired
- * @record_index: its current or last request, in the records
+ * @session: libcoap's session; NULL once closed
+ * @callers: the callers that it is one of
+ * @number: index among all callers
+ * @sequence: number of its last request, from 1
+ * @record_index: index of its current or last request in @callers' records
+ * @service: LOG_LIVE or LOG_INGEST
  * @has_request: a request is open
- * @has_open_feed: that request is a feed whose first answer came
- * @must_close: to be retired outside of libcoap's handlers
- * @answer_deadline_ns: no final answer by then is lost
- * @update_deadline_ns: no update by then is a stalled feed
- * @failure: what went wrong, for --verbose
+ * @has_open_feed: the open request is a feed that got its first answer
+ * @must_close: close the session once no libcoap handler of it runs
+ * @token_bytes: length of @token
+ * @token: CoAP token of the current or last request
+ * @answer_deadline_ns: time since the start of the run after which the open
+ *	request counts as lost
+ * @update_deadline_ns: time since the start of the run after which an open
+ *	feed counts as stalled
+ * @failure: reason why the request was lost or cut, printed by --verbose
  */
 struct caller {
 	coap_session_t *session;
@@ -49,11 +59,22 @@
 
 /**
  * struct callers - all callers of a run
- * @list: struct caller
- * @idle: those without a request, by service, longest idle first
- * @n_by_service: callers by service
- * @records: struct call_record
- * @retries: struct arrival of those told to come back
+ * @options: options of the command line
+ * @coap: libcoap's context
+ * @list: struct caller *, by number; owned
+ * @idle: callers with a session but without a request, by service, longest
+ *	idle first
+ * @n_by_service: number of callers ever made, by service
+ * @records: struct call_record of every request
+ * @retries: struct arrival of requests to be repeated
+ * @id_base: bits of the seed's hash in each request's id
+ * @now_ns: current time since the start of the run
+ * @answer_timeout_ns: longest wait for a final answer
+ * @feed_gap_ns: time without an update after which a feed counts as stalled
+ * @check_deadline_ns: time of the next check of deadlines
+ * @n_unanswered: open requests without a final answer, open feeds excluded
+ * @retries_stopped: the load has ended, nothing is repeated any more
+ * @body: body of each readings request
  */
 struct callers {
 	const struct options *options;
@@ -73,6 +94,7 @@
 	uint8_t body[READINGS_BYTES];
 };
 
+/* Record of the caller's current or last request; appending to records moves it. */
 static inline struct call_record *caller_record(struct caller *caller)
 {
 	return &g_array_index(caller->callers->records, struct call_record,
--- a/cmd/cbload/control.c
+++ b/cmd/cbload/control.c
@@ -1,4 +1,4 @@
-/* What entries say over HTTP: readiness, and bytes sent to their peers. */
+/* Reads readiness and counters of entries over HTTP. */
 #include "fetch.h"
 #include "load.h"
 
@@ -7,13 +7,13 @@
 #include <string.h>
 
 #define PEER_BYTES_COUNTER "cb_peer_bytes_sent_total"
-/* A datagram on its hop to the flow's owner is a caller's, not control. */
+/* Forwarded datagrams are callers' traffic and don't count as control traffic. */
 #define FORWARDED_LABEL "kind=\"forward\""
 #define FETCH_TIMEOUT_MS 500
 #define READY_TIMEOUT_US (15 * G_USEC_PER_SEC)
 #define READY_PAUSE_US (50 * 1000)
 
-/* Body of @url, or NULL when it did not answer 200 in time. */
+/* Return: body of @url, to be freed, or NULL without an answer 200 in time. */
 static GString *fetch_page(const char *url)
 {
 	char error[FETCH_ERROR_BYTES];
@@ -25,7 +25,7 @@
 	return NULL;
 }
 
-/* Adds the line's value, if it is of the counter, to the sum it belongs to. */
+/* Adds the value of a line of PEER_BYTES_COUNTER; skips other lines. */
 static void add_counter(const char *line, struct peer_bytes *sum)
 {
 	size_t size = strlen(PEER_BYTES_COUNTER);
@@ -54,8 +54,8 @@
 
 /**
  * control_sample_read() - read every entry's counters of bytes sent to peers
- * @options: command line
- * @out: filled
+ * @options: options of the command line
+ * @out: receives the counters; an entry without an answer isn't @answered
  */
 void control_sample_read(const struct options *options,
 			 struct control_sample *out)
@@ -71,7 +71,7 @@
 	}
 }
 
-/* A counter that went down is of an entry that was started anew. */
+/* A counter that decreased is of an entry that restarted in between. */
 static bool is_comparable(const struct peer_bytes *begin,
 			  const struct peer_bytes *end)
 {
@@ -80,11 +80,13 @@
 }
 
 /**
- * control_rate_compute() - bytes a second that one entry sent to its peers
- * @options: command line
- * @begin, @end: samples
- * @seconds: time between them
- * @out: the mean over the entries that answered both times
+ * control_rate_compute() - mean rate of bytes that an entry sent to its peers
+ * @options: options of the command line
+ * @begin: sample at the start
+ * @end: sample at the end
+ * @seconds: time between the samples
+ * @out: receives the mean over the entries that answered both times and did not
+ *	restart
  */
 void control_rate_compute(const struct options *options,
 			  const struct control_sample *begin,
@@ -121,9 +123,9 @@
 
 /**
  * wait_ready() - wait until an entry's status has the line "ready"
- * @url: its /status
+ * @url: URL of the entry's /status
  *
- * Return: 0, or 1 when it did not within 15 s.
+ * Return: 0, or 1 after a message when it isn't ready within READY_TIMEOUT_US.
  */
 int wait_ready(const char *url)
 {
--- a/cmd/cbload/load.h
+++ b/cmd/cbload/load.h
@@ -1,4 +1,7 @@
-/* Types that the parts of cbload share. */
+/*
+ * cbload: a load generator for CoAP callers. Shared types: options, plan of
+ * arrivals, callers, run logs of targets, report.
+ */
 #ifndef CB_LOAD_H
 #define CB_LOAD_H
 
@@ -7,19 +10,38 @@
 #include <coap3/coap.h>
 #include <glib.h>
 
+/* Most run logs, and most entries whose counters are read. */
 #define MAX_FILES 64
 
 /**
- * struct options - command line
- * @live, @ingest: addresses of the two services, ADDR_NONE leaves one out
- * @from_ip: callers are bound to this address and those after it
- * @callers: of each service, before one calls again
- * @rate: requests a second, all kinds but feeds
- * @mix: shares of @rate by kind
- * @wake_at_s: second at which every caller wakes, negative for never
- * @wake_factor: times the rate during that second
- * @timeout_ms: carried by each request: how long its caller waits
- * @run_logs, @run_log_services: run logs and the service named for each, or NULL
+ * struct options - options of the command line
+ * @live: VIP of feeds, forecasts and reports; ADDR_NONE sends none of them
+ * @ingest: VIP of readings; ADDR_NONE sends none
+ * @from_ip: first of the source addresses that callers are bound to, host
+ *	byte order
+ * @seconds: length of the load
+ * @feeds: feeds that are opened
+ * @callers: callers of each service before an idle one is used again
+ * @rate: mean requests per second, feeds excluded
+ * @mix: relative shares of @rate by kind
+ * @wake_at_s: second of the load spike, negative for none
+ * @wake_factor: requests of the load spike, in seconds of @rate
+ * @seed: seed of the arrivals and of the requests' ids
+ * @ack_timeout_ms: ACK_TIMEOUT of RFC 7252
+ * @max_retransmit: MAX_RETRANSMIT of RFC 7252
+ * @timeout_ms: timeout option of each request: time that its caller waits
+ * @feed_gap_ms: time without an update after which a feed counts as stalled
+ * @come_back: repeat a refused or cut request, by default after its Max-Age
+ * @json: print a JSON line at the end
+ * @histogram: print histograms of the waits
+ * @verbose: print each request that is lost or cut, and each stalled feed
+ * @wait_ready: /status URL of an entry: only wait until it is ready; or NULL
+ * @n_run_logs: entries of @run_logs and @run_log_services in use
+ * @run_logs: paths of the targets' run logs
+ * @run_log_services: service given for each run log, or NULL; if set, the path
+ *	is part of the same allocation
+ * @n_metrics_urls: entries of @metrics_urls in use
+ * @metrics_urls: /metrics URL of each entry; owned by argv
  */
 struct options {
 	uint64_t live;
@@ -49,7 +71,11 @@
 	const char *metrics_urls[MAX_FILES];
 };
 
-/* A request to be sent. */
+/**
+ * struct arrival - a request to be sent
+ * @at_ns: time since the start of the run
+ * @kind: enum call_kind
+ */
 struct arrival {
 	uint64_t at_ns;
 	uint8_t kind;
@@ -73,10 +99,10 @@
 void callers_close(struct callers *callers);
 
 /**
- * struct run_logs - what the targets wrote
- * @runs: struct run_record
- * @is_of_service: by service and log, whether the log is of that service
- * @n_logs: logs
+ * struct run_logs - contents of the targets' run logs
+ * @runs: struct run_record of all logs; owned
+ * @is_of_service: by service and log: 1 if the log is of that service
+ * @n_logs: number of logs
  */
 enum { LOG_LIVE, LOG_INGEST, N_LOG_SERVICES };
 struct run_logs {
@@ -89,10 +115,10 @@
 int run_logs_read(const struct options *options, struct run_logs *out);
 
 /**
- * struct peer_bytes - bytes that an entry sent to other entries
- * @answered: the entry answered
- * @control: messages of its own
- * @forwarded: callers' datagrams on their hop to the owner
+ * struct peer_bytes - bytes that an entry has sent to other entries
+ * @answered: the entry's counters could be read
+ * @control: bytes of control messages
+ * @forwarded: bytes of callers' datagrams forwarded to the flow's owner
  */
 struct peer_bytes {
 	bool answered;
@@ -100,12 +126,19 @@
 	double forwarded;
 };
 
+/**
+ * struct control_sample - counters of every entry at one time
+ * @entry: by index in metrics_urls of struct options
+ */
 struct control_sample {
 	struct peer_bytes entry[MAX_FILES];
 };
 
 /**
- * struct control_rate - the same a second, mean of @n_entries entries
+ * struct control_rate - mean bytes per second that an entry sent to its peers
+ * @bytes_per_s: control messages
+ * @forwarded_per_s: forwarded datagrams of callers
+ * @n_entries: entries that the mean is taken over; 0 leaves the rates 0
  */
 struct control_rate {
 	double bytes_per_s;
@@ -122,7 +155,13 @@
 int wait_ready(const char *url);
 
 /**
- * struct report - everything that is printed at the end
+ * struct report - figures that are printed at the end
+ * @tally: callers' records compared with the targets' run logs
+ * @imbalance: by service, as tally_imbalance()
+ * @windows: by service, windows that the imbalance is taken over
+ * @wait_p50_ms: median wait of answered requests, feeds excluded
+ * @wait_p99_ms: 99th percentile of the same waits
+ * @control: traffic between entries
  */
 struct report {
 	struct tally tally;
--- a/cmd/cbload/logs.c
+++ b/cmd/cbload/logs.c
@@ -1,4 +1,4 @@
-/* Reading of the targets' run logs. */
+/* Reads the targets' run logs. */
 #include "load.h"
 
 #include <errno.h>
@@ -47,12 +47,14 @@
 }
 
 /**
- * run_logs_read() - read every run log that the command line names
- * @options: command line
- * @out: filled
+ * run_logs_read() - read every run log of the command line
+ * @options: options of the command line
+ * @out: receives the records; the caller frees @out->runs, also on an error
  *
- * Return: 0, or a negative error number of the first file that can't be
- * read: a count without it would hide faults.
+ * A file that can't be read is an error, since counts without it would hide
+ * faults.
+ *
+ * Return: 0, or the negative errno of the first file that can't be read.
  */
 int run_logs_read(const struct options *options, struct run_logs *out)
 {
--- a/cmd/cbload/main.c
+++ b/cmd/cbload/main.c
@@ -1,4 +1,4 @@
-/* cbload: load of callers, and what became of their requests. */
+/* cbload: sends the load of callers and reports the outcome of each request. */
 #include "load.h"
 
 #include <curl/curl.h>
@@ -8,16 +8,23 @@
 #define EXIT_FAULTS_FOUND 1
 #define EXIT_USAGE 2
 
-/* Arrivals are due to this; libcoap's own timers are checked as often. */
+/* Resolution of arrivals, and period of the checks of libcoap's timers. */
 #define TICK_MS 2
-/* Cancelled feeds and last acknowledgements are let through for this long. */
+/* Time for cancellations of feeds and last acknowledgements to be exchanged. */
 #define CLOSE_NS (300 * NS_PER_MS)
 
 /**
- * struct run - the event loop's state
- * @start_ns: uv_hrtime() at the begin; all other times count from it
- * @next_arrival: first planned request not yet sent
+ * struct run - state of the event loop
+ * @options: options of the command line
+ * @callers: callers; owned
+ * @plan: struct arrival, sorted by time; owned
+ * @start_ns: uv_hrtime() at the start; all other times are relative to it
+ * @end_deadline_ns: end of the load
  * @close_deadline_ns: end of the run once feeds are closed, 0 before
+ * @next_arrival: index in @plan of the first request not yet sent
+ * @loop: event loop
+ * @tick: periodic timer
+ * @poll: readiness of libcoap's descriptor
  */
 struct run {
 	const struct options *options;
--- a/cmd/cbload/options.c
+++ b/cmd/cbload/options.c
@@ -8,17 +8,18 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Shares of forecasts, reports and uploads unless --mix says otherwise. */
+/* Default of --mix: forecasts, reports, readings. */
 #define DEFAULT_MIX "4:4:2"
 #define VERSION "0.1"
 /*
- * coap_session_set_ack_timeout() ignores less than one second without a word:
- * callers would go on with its default of 2 s and be taken for lost too early.
+ * coap_session_set_ack_timeout() silently ignores values below one second:
+ * callers would keep its default of 2 s, and requests would count as lost
+ * before their last retransmission.
  */
 #define ACK_TIMEOUT_MIN_MS 1000
 
 /**
- * struct option_table - argtable2's entries, in the order that --help has
+ * struct option_table - argtable2's entries, in the order of --help
  */
 struct option_table {
 	struct arg_str *live;
@@ -258,8 +259,8 @@
 {
 	printf("Usage: cbload");
 	arg_print_syntax(stdout, table, "\n");
-	printf("Load of callers on libcoap sessions; counts from the ids that "
-	       "callers and targets wrote down.\n");
+	printf("Load generator on libcoap sessions; counts by the ids that "
+	       "callers and targets recorded.\n");
 	arg_print_glossary(stdout, table, "  %-28s %s\n");
 	printf("Exit: 0 nothing lost, cut, doubled, misrouted, falsely "
 	       "refused or broken; 1 something was; 2 bad usage.\n");
@@ -290,12 +291,13 @@
 }
 
 /**
- * options_read() - read and check the command line
- * @argc, @argv: as main() got them
- * @options: filled; to be freed with options_free() in any case
+ * options_read() - parse and check the command line
+ * @argc: of main()
+ * @argv: of main(); @options refers to its strings
+ * @options: receives the options; to be freed with options_free() in any case
  *
  * Return: 0 to go on; 1 when help or version was printed; -EINVAL after
- * every mistake was printed; -ENOMEM.
+ * all mistakes were printed; -ENOMEM.
  */
 int options_read(int argc, char **argv, struct options *options)
 {
@@ -311,8 +313,8 @@
 }
 
 /**
- * options_free() - free what options_read() kept
- * @options: command line
+ * options_free() - free the strings that options_read() allocated
+ * @options: options; the structure itself belongs to the caller
  */
 void options_free(struct options *options)
 {
--- a/cmd/cbload/plan.c
+++ b/cmd/cbload/plan.c
@@ -1,12 +1,12 @@
-/* When each request is sent: Poisson arrivals, and the wake on the hour. */
+/* Times of all requests: Poisson arrivals, and a load spike. */
 #include "load.h"
 
 #include <gsl/gsl_randist.h>
 #include <gsl/gsl_rng.h>
 
-/* Devices' clocks agree to this much, so they wake within it. */
+/* Devices' clocks agree to within this time, so a load spike spreads over it. */
 #define WAKE_SPREAD_NS (250 * NS_PER_MS)
-/* Feeds are opened over the first second, not in one burst. */
+/* Feeds are opened evenly over this time, not in one burst. */
 #define FEED_SPREAD_NS NS_PER_S
 
 static bool is_served(const struct options *options, uint8_t kind)
@@ -47,9 +47,9 @@
 
 /**
  * plan_arrivals() - draw every arrival of a run
- * @options: command line; its seed makes the plan repeat
+ * @options: options of the command line; equal seeds give equal plans
  *
- * Return: struct arrival, sorted by time from the run's begin.
+ * Return: struct arrival, sorted by time; owned by the caller.
  */
 GArray *plan_arrivals(const struct options *options)
 {
--- a/cmd/cbload/report.c
+++ b/cmd/cbload/report.c
@@ -1,4 +1,4 @@
-/* The table and the JSON line at the end of a run. */
+/* Computes and prints the figures at the end of a run. */
 #include "load.h"
 
 #include <gsl/gsl_histogram.h>
@@ -7,7 +7,7 @@
 #include <inttypes.h>
 #include <stdio.h>
 
-/* Histogram of waits: powers of two from 1/4 ms. */
+/* Histogram of waits: upper bounds are FIRST_BOUND_MS times powers of two. */
 #define BUCKETS 18
 #define FIRST_BOUND_MS 0.25
 
@@ -16,7 +16,7 @@
 	return (double)(record->ended_ns - record->sent_ns) / NS_PER_MS;
 }
 
-/* Waits of answered requests, in order; a feed has no end to wait for. */
+/* Waits of answered requests, ascending; feeds have no final answer. */
 static GArray *sorted_waits(GArray *records)
 {
 	GArray *waits = g_array_new(FALSE, FALSE, sizeof(double));
@@ -42,11 +42,11 @@
 }
 
 /**
- * report_compute() - work out every figure
- * @options: command line
- * @records: struct call_record
+ * report_compute() - compute all figures of a run but the control rates
+ * @options: unused
+ * @records: struct call_record of every request
  * @logs: the targets' run logs
- * @out: filled, but for the control figures
+ * @out: receives the figures; its member control is left alone
  *
  * Return: 0 or -ENOMEM.
  */
@@ -180,10 +180,10 @@
 }
 
 /**
- * report_print() - print the table and, if asked, histograms and JSON
- * @options: command line
- * @report: figures
- * @records: struct call_record
+ * report_print() - print the table and, on request, histograms and JSON
+ * @options: options of the command line
+ * @report: figures of the run
+ * @records: struct call_record of every request
  */
 void report_print(const struct options *options, const struct report *report,
 		  GArray *records)
--- a/cmd/cbload/request.c
+++ b/cmd/cbload/request.c
@@ -1,4 +1,4 @@
-/* Requests as libcoap PDUs. */
+/* Encodes and sends requests as libcoap PDUs. */
 #include "callers.h"
 
 #include <errno.h>
@@ -9,7 +9,11 @@
 #define OPTION_TIMEOUT 65000
 
 /**
- * struct request_shape - how a kind of request looks
+ * struct request_shape - method, path and options of a kind of request
+ * @path: Uri-Path
+ * @method: request code
+ * @observe: the request has the Observe option, value 0 (register)
+ * @body: the request carries READINGS_BYTES bytes
  */
 struct request_shape {
 	const char *path;
@@ -48,11 +52,12 @@
 }
 
 /**
- * request_send() - send a caller's current request
- * @caller: caller
+ * request_send() - send a caller's current request with a new token
+ * @caller: caller; its record has the request's id
  * @kind: enum call_kind
  *
- * Return: 0, -ENOMEM, -EMSGSIZE, or -EIO when libcoap could not send it.
+ * Return: 0; -ENOMEM; -EMSGSIZE when the PDU is too small for the request; -EIO
+ * when libcoap could not send it.
  */
 int request_send(struct caller *caller, uint8_t kind)
 {
