--- a/fuzz/coap_fuzz.c
+++ b/fuzz/coap_fuzz.c
@@ -1,36 +1,41 @@
-/* Datagrams from callers and targets. */
+/*
+ * Fuzzes the decoders of datagrams from callers and targets, and the encoders
+ * that forward them.
+ */
 #include "coap_wire.h"
 #include "proxy2.h"
 
 #include <stdlib.h>
 
-#define OUT_BYTES 4096
+#define OUT_MAX_BYTES 4096
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size);
 
-static void write_all(const uint8_t *data, uint32_t size_bytes)
+static void check_encoders(const uint8_t *data, uint32_t size_bytes)
 {
-	struct action a = { .type = WIRE_CONFIRM,
-			    .id = 7,
-			    .token_len = 8,
-			    .data = data,
-			    .size_bytes = size_bytes };
-	uint8_t out[OUT_BYTES];
-	struct message m;
-	int32_t n;
+	struct action action = { .type = WIRE_CONFIRM,
+				 .id = 7,
+				 .token_len = 8,
+				 .data = data,
+				 .size_bytes = size_bytes };
+	uint8_t out[OUT_MAX_BYTES];
+	struct message message;
+	int32_t out_size;
 
-	coap_wire_cancel(&a, out, sizeof(out));
-	coap_wire_rewrite(&a, out, 64);
-	a.timeout_ns = NS_PER_S;
-	n = coap_wire_rewrite(&a, out, sizeof(out));
-	if (coap_wire_read(data, size_bytes, &m) || m.kind != MESSAGE_REQUEST)
+	coap_wire_cancel(&action, out, sizeof(out));
+	coap_wire_rewrite(&action, out, 64);
+	action.timeout_ns = NS_PER_S;
+	out_size = coap_wire_rewrite(&action, out, sizeof(out));
+	if (coap_wire_read(data, size_bytes, &message) ||
+	    message.kind != MESSAGE_REQUEST)
 		return;
-	/* A request that was accepted is still one, with our timeout. */
-	if (n <= 0)
+	/* A valid request stays one when rewritten, with the timeout that was set. */
+	if (out_size <= 0)
 		abort();
-	if (n > DATAGRAM_MAX_BYTES)
+	if (out_size > DATAGRAM_MAX_BYTES)
 		return;
-	if (coap_wire_read(out, (uint32_t)n, &m) || m.timeout_ns != NS_PER_S)
+	if (coap_wire_read(out, (uint32_t)out_size, &message) ||
+	    message.timeout_ns != NS_PER_S)
 		abort();
 }
 
@@ -44,6 +49,6 @@
 		return 0;
 	proxy2_read(data, (uint32_t)size, &source, &destination);
 	coap_wire_load_text(data, (uint32_t)size, &report);
-	write_all(data, (uint32_t)size);
+	check_encoders(data, (uint32_t)size);
 	return 0;
 }
--- a/fuzz/users_fuzz.c
+++ b/fuzz/users_fuzz.c
@@ -1,6 +1,6 @@
 /*
- * Hostile bytes at cb-packet's edges: packets, the store's answers, documents,
- * heartbeats and peers' documents. The first byte chooses.
+ * Fuzzes the decoders of cb-packet: packets, the store's answers, documents,
+ * heartbeats and documents of peers. The first byte selects the decoder.
  */
 #include "hello_codec.h"
 #include "relay_codec.h"
@@ -11,15 +11,15 @@
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size);
 
-static void read_value(void *ctx, const struct document *d)
+static void apply_document(void *ctx, const struct document *document)
 {
 	struct directory *names = ctx;
 	struct document_news news;
 	enum target_change change;
 	const char *problem;
-	int err = users_read_document(d, names, &news, &problem);
+	int err = users_read_document(document, names, &news, &problem);
 
-	if (news.kind == DOCUMENT_TARGET && (err || d->deleted))
+	if (news.kind == DOCUMENT_TARGET && (err || document->deleted))
 		directory_mark_absent(names, &news.target, 1, 0);
 	else if (news.kind == DOCUMENT_TARGET)
 		directory_update_target(names, &news.target, 1, &change);
@@ -27,39 +27,39 @@
 		route_table_free(news.routes);
 }
 
-static bool begin(void *ctx, const struct relay_head *head,
-		  struct facts_port *to)
+static bool begin_answer(void *ctx, const struct relay_head *head,
+			 struct facts_port *to)
 {
 	(void)head;
-	*to = (struct facts_port){ ctx, read_value };
+	*to = (struct facts_port){ ctx, apply_document };
 	return true;
 }
 
-static void packet(const uint8_t *data, uint32_t size)
+static void fuzz_packet(const uint8_t *data, uint32_t size)
 {
-	struct packet k;
+	struct packet packet;
 
-	if (!users_read_packet(data, size, &k) &&
-	    k.size_bytes + 32U != k.n_bytes)
+	if (!users_read_packet(data, size, &packet) &&
+	    packet.size_bytes + 32U != packet.n_bytes)
 		abort();
 }
 
-static void document(const uint8_t *data, uint32_t size, const char *key,
-		     struct directory *names)
+static void fuzz_document(const uint8_t *data, uint32_t size, const char *key,
+			  struct directory *names)
 {
-	struct document d = { .revision = 1 };
+	struct document document = { .revision = 1 };
 	uint8_t *copy = malloc(size + 1);
 
 	memcpy(copy, data, size);
 	copy[size] = '\0';
-	strcpy(d.key, key);
-	d.value = copy;
-	d.size_bytes = size;
-	read_value(names, &d);
+	strcpy(document.key, key);
+	document.value = copy;
+	document.size_bytes = size;
+	apply_document(names, &document);
 	free(copy);
 }
 
-static void epoch(const uint8_t *data, uint32_t size)
+static void fuzz_epoch(const uint8_t *data, uint32_t size)
 {
 	char text[64] = "";
 	uint64_t read;
@@ -68,8 +68,8 @@
 	users_read_epoch(text, &read);
 }
 
-static struct document_value nothing_known(void *ctx, uint64_t key_hash,
-					   struct position since)
+static struct document_value no_known_value(void *ctx, uint64_t key_hash,
+					    struct position since)
 {
 	(void)ctx;
 	(void)key_hash;
@@ -77,30 +77,30 @@
 	return (struct document_value){ 0 };
 }
 
-static void choose(uint8_t what, const uint8_t *data, uint32_t size,
-		   struct directory *names)
+static void fuzz_decoder(uint8_t decoder, const uint8_t *data, uint32_t size,
+			 struct directory *names)
 {
-	struct facts_port to = { names, read_value };
+	struct facts_port to = { names, apply_document };
 	struct answer_head head = { 0 };
-	struct relay_port port = { names, begin, nothing_known };
+	struct relay_port port = { names, begin_answer, no_known_value };
 	struct relay_head relay;
 	struct hello hello;
 
-	switch (what % 7) {
+	switch (decoder % 7) {
 	case 0:
-		packet(data, size);
+		fuzz_packet(data, size);
 		break;
 	case 1:
 		users_read_list((const char *)data, size, to, &head);
 		break;
 	case 2:
-		document(data, size, "op/config", names);
+		fuzz_document(data, size, "op/config", names);
 		break;
 	case 3:
-		document(data, size, "servers/i-12", names);
+		fuzz_document(data, size, "servers/i-12", names);
 		break;
 	case 4:
-		epoch(data, size);
+		fuzz_epoch(data, size);
 		break;
 	case 5:
 		hello_decode(data, size, &hello);
@@ -121,6 +121,6 @@
 		directory_add_service(names, "s");
 	}
 	if (size)
-		choose(data[0], data + 1, (uint32_t)size - 1, names);
+		fuzz_decoder(data[0], data + 1, (uint32_t)size - 1, names);
 	return 0;
 }
