--- a/test/process/outer_names_test.sh
+++ b/test/process/outer_names_test.sh
@@ -79,26 +79,26 @@
 done
 
 publish "$dir/keys"
-start platform "$B/bin/sim-platform" --addr "$(at 127.0.0.1:7500)" \
-	--admin "$(at 127.0.0.1:7501)" --keys "$dir/keys"
+start platform "$B/bin/sim-platform" --addr "$(address 127.0.0.1:7500)" \
+	--admin "$(address 127.0.0.1:7501)" --keys "$dir/keys"
 watch_settings 1 >"$dir/watch.toml"
 entry_settings 1 >"$dir/entry.toml"
-LIVE=$(at 127.1.0.10:5683)
-INGEST=$(at 127.1.0.11:5683)
+LIVE=$(address 127.1.0.10:5683)
+INGEST=$(address 127.1.0.11:5683)
 # shellcheck disable=SC2046
 start fabric "$B/bin/sim-fabric" $(fabric_args)
-start target "$B/bin/sim-target" --service live --addr "$(at 127.2.0.1:5683)"
+start target "$B/bin/sim-target" --service live --addr "$(address 127.2.0.1:5683)"
 start watch "$B/bin/cb-watch" --settings "$dir/watch.toml"
 start entry "$B/bin/cb-entry" --settings "$dir/entry.toml"
-"$B/bin/cbload" --wait-ready "http://$(at 127.0.1.1:7080)/status" ||
+"$B/bin/cbload" --wait-ready "http://$(address 127.0.1.1:7080)/status" ||
 	fail "cb-entry is not ready"
 # One target of six runs: some requests fail, so that more metrics show.
-"$B/bin/cbload" --live "$LIVE" --from "$(at 127.0.8.1)" --seconds 1 --feeds 2 \
+"$B/bin/cbload" --live "$LIVE" --from "$(address 127.0.8.1)" --seconds 1 --feeds 2 \
 	--rate 20 --timeout-ms 1000 >"$dir/load.log" 2>&1 || true
-exported "$(at 127.0.1.1:7081)" cb-watch
-exported "$(at 127.0.1.1:7080)" cb-entry
+exported "$(address 127.0.1.1:7081)" cb-watch
+exported "$(address 127.0.1.1:7080)" cb-entry
 
-page "$(at 127.0.1.1:7080)" /metrics | metric_names >"$dir/page.names"
+page "$(address 127.0.1.1:7080)" /metrics | metric_names >"$dir/page.names"
 grep -qx cb_admitted_total "$dir/page.names" || fail "no request was admitted"
 
 sed 's/^decisions_per_s$/decisions_a_second/' docs/OUTER_NAMES.md >"$dir/list.md"
