--- a/Makefile
+++ b/Makefile
@@ -13,19 +13,19 @@
 WARN := -Wall -Wextra -Werror -Wshadow -Wstrict-prototypes -Wmissing-prototypes
 WARNXX := -Wall -Wextra -Werror
 PKGS := libuv libzmq glib-2.0 argtable2 libcurl msgpack libxxhash libsodium gsl libcoap-3-notls jansson libzstd
-# cb-packet alone, for machines that have only what it needs.
+# OWN=1 builds with the libraries of cb-packet only.
 ifeq ($(OWN),1)
 PKGS := libuv glib-2.0 argtable2 msgpack libxxhash jansson libzstd
 endif
 LIBPKGS := $(shell pkg-config --cflags $(PKGS) 2>/dev/null)
-# A room of core/ may hold rooms of its own.
-ROOMS := $(sort $(dir $(wildcard core/*/*.h core/*/*/*.h)))
-DIRS := $(patsubst %,-I%,$(ROOMS)) -Iadapters -Isim \
+# Directories of core/ may have subdirectories.
+CORE_DIRS := $(sort $(dir $(wildcard core/*/*.h core/*/*/*.h)))
+DIRS := $(patsubst %,-I%,$(CORE_DIRS)) -Iadapters -Isim \
 	-Isim/sim-packets -Isim/sim-experiment -Iplatform
 CFLAGS := -std=gnu11 -O2 -g $(WARN) $(SANITIZE) $(DIRS) $(LIBPKGS)
 CXXFLAGS := -std=gnu++17 -O2 -g $(WARNXX) $(SANITIZE) $(DIRS) $(LIBPKGS)
 LDLIBS := $(shell pkg-config --libs $(PKGS) 2>/dev/null) -lhttp_parser -lm -lstdc++
-# Not what a program doesn't use: loading a library costs time and memory.
+# Link only the libraries that a program uses: each costs time and memory.
 LDFLAGS := $(SANITIZE) -Wl,--as-needed
 
 CORE := $(patsubst %.c,$(B)/%.o,$(wildcard core/*/*.c core/*/*/*.c))
@@ -38,20 +38,20 @@
 	 json_text log mistakes msgpack_bound packet_settings policy_settings probe_outcome relay_codec settings \
 	 settings_table toml toml_shape usage zstd_delta)
 endif
-# Stand-ins without their main(), so that tests reach their modules.
+# Simulators without their main(), for tests of their modules.
 SIMS := $(patsubst %.c,$(B)/%.o,$(filter-out %/main.c,$(wildcard sim/*.c sim/*/*.c)))
 ARCHIVES := $(B)/libplatform.a $(B)/libadapters.a $(B)/libcore.a
 LIBS := $(B)/libplatform.a $(B)/libcore.a $(B)/libadapters.a
 
-# A program is a directory below cmd/ or sim/ with C files in it.
+# Each directory of cmd/, sim/ and bench/ that has C files is a program.
 PROGDIRS := $(sort $(dir $(wildcard cmd/*/*.c sim/*/*.c bench/*/*.c)))
 PROGS := $(foreach d,$(PROGDIRS),$(B)/bin/$(notdir $(patsubst %/,%,$(d))))
 
 # A test is test/NAME_test.c (cmocka) or test/NAME_prop.cc (RapidCheck);
-# other test/*.c and test/*.cc are their helpers.
+# other test/*.c and test/*.cc are helpers linked to all of them.
 TESTS_C := $(patsubst test/%.c,$(B)/test/%,$(wildcard test/*_test.c))
 TESTS_CC := $(patsubst test/%.cc,$(B)/test/%,$(wildcard test/*_prop.cc))
-# Shell tests run the daemons themselves; run.sh is their helper.
+# Shell tests run the daemons as processes; run.sh is their helper.
 TESTS_SH := $(wildcard test/process/*_test.sh)
 TESTHELP := $(patsubst %.c,$(B)/%.o,$(filter-out %_test.c,$(wildcard test/*.c))) \
 	    $(patsubst %.cc,$(B)/%.o,$(filter-out %_prop.cc,$(wildcard test/*.cc)))
@@ -61,17 +61,17 @@
 
 help:
 	@echo "make            build the programs"
-	@echo "make check      all tests, one closing line"
-	@echo "make demo       the whole path on loopback, with figures"
-	@echo "make bench      ratios against our own baselines"
-	@echo "make slopes     the slopes behind docs/CAPACITY.md"
-	@echo "make plot       draw the bench's results into docs/"
-	@echo "make demo-packets  cb-packet's path on loopback, with figures"
-	@echo "make soak-packets  cb-packet under random faults, fresh seeds"
-	@echo "make soak       property tests with random seeds"
-	@echo "make fuzz       the codecs under libFuzzer"
-	@echo "make lint fmt   linter, formatter"
-	@echo "make install    programs and manual pages below DESTDIR"
+	@echo "make check      run all tests"
+	@echo "make demo       run the whole system on loopback, print figures"
+	@echo "make bench      run the benchmarks"
+	@echo "make slopes     measure the figures of docs/CAPACITY.md"
+	@echo "make plot       draw the benchmarks' results into docs/plots"
+	@echo "make demo-packets  run cb-packet on loopback, print figures"
+	@echo "make soak-packets  run cb-packet with random faults and seeds"
+	@echo "make soak       run the property tests with random seeds"
+	@echo "make fuzz       fuzz the codecs with libFuzzer"
+	@echo "make lint fmt   run the linter, the formatter"
+	@echo "make install    install programs and manual pages below DESTDIR"
 
 $(B)/libcore.a: $(CORE)
 	@rm -f $@; $(AR) rcs $@ $^
@@ -91,17 +91,17 @@
 	@echo CXX $<
 	@$(CXX) $(CXXFLAGS) -MMD -MP -c $< -o $@
 
-# bench-faults runs the decisions on the tests' own bed.
+# bench-faults uses the tests' simulated network.
 TESTBED := $(patsubst %.c,$(B)/%.o,$(wildcard test/testbed*.c))
-# slopes-spread and slopes-rack measure on the bed of the spread's tests.
-SPREADBED := $(B)/test/spread_net.o
-bed = $(if $(filter %/bench-faults/,$(1)),$(TESTBED)) $(if $(filter %/slopes-spread/ %/slopes-rack/,$(1)),$(SPREADBED))
+# slopes-spread and slopes-rack use the simulated network of core/spread's tests.
+SPREAD_NET := $(B)/test/spread_net.o
+bench_objects = $(if $(filter %/bench-faults/,$(1)),$(TESTBED)) $(if $(filter %/slopes-spread/ %/slopes-rack/,$(1)),$(SPREAD_NET))
 
 define PROG
-$(B)/bin/$(notdir $(patsubst %/,%,$(1))): $(patsubst %.c,$(B)/%.o,$(wildcard $(1)*.c)) $(LIBS) $(if $(filter sim/%,$(1)),$(B)/libsim.a) $(call bed,$(1))
+$(B)/bin/$(notdir $(patsubst %/,%,$(1))): $(patsubst %.c,$(B)/%.o,$(wildcard $(1)*.c)) $(LIBS) $(if $(filter sim/%,$(1)),$(B)/libsim.a) $(call bench_objects,$(1))
 	@mkdir -p $$(@D)
 	@echo LD $$@
-	@$(CC) $(LDFLAGS) $(filter %.o,$(patsubst %.c,$(B)/%.o,$(wildcard $(1)*.c))) $(call bed,$(1)) $(if $(filter sim/%,$(1)),$(B)/libsim.a) $(ARCHIVES) $(LDLIBS) -o $$@
+	@$(CC) $(LDFLAGS) $(filter %.o,$(patsubst %.c,$(B)/%.o,$(wildcard $(1)*.c))) $(call bench_objects,$(1)) $(if $(filter sim/%,$(1)),$(B)/libsim.a) $(ARCHIVES) $(LDLIBS) -o $$@
 endef
 $(foreach d,$(PROGDIRS),$(eval $(call PROG,$(d))))
 
