--- a/core/packet/flow/flow_cache.c
+++ b/core/packet/flow/flow_cache.c
@@ -10,247 +10,260 @@
 #define NONE UINT32_MAX
 
 struct flow_cache {
-	struct flow_seen *flows;
+	struct flow_state *flows;
 	uint32_t flows_max;
 	uint32_t count;
-	uint32_t used; /* slots that were ever in use */
-	uint32_t spare; /* list of free slots, by @older */
+	uint32_t slots_used; /* slots that were ever in use */
+	uint32_t free_list; /* linked by @older */
 	uint32_t newest;
 	uint32_t oldest;
 	struct index *by_key;
-	struct waiting *waiting;
-	uint32_t running[DIRECTORY_SERVICES_MAX];
+	struct wait_queue *wait_queue;
+	uint32_t running[DIRECTORY_SERVICES_MAX]; /* by number of the service */
 };
 
 /**
- * flow_cache_new() - an empty cache
- * @flows_max: most flows kept; the one seen longest ago makes room
- * @waiting: where packets of its flows wait; outlives this
+ * flow_cache_new() - create an empty cache
+ * @flows_max: capacity in flows; a full cache evicts the least recently seen
+ *	flow
+ * @wait_queue: queue of the flows' requests; not owned, must outlive the cache
  *
- * Return: cache, or NULL without memory.
+ * Return: cache, to be freed with flow_cache_free(), or NULL when out of
+ * memory.
  */
-struct flow_cache *flow_cache_new(uint32_t flows_max, struct waiting *waiting)
+struct flow_cache *flow_cache_new(uint32_t flows_max,
+				  struct wait_queue *wait_queue)
 {
-	struct flow_cache *c = calloc(1, sizeof(*c));
+	struct flow_cache *cache = calloc(1, sizeof(*cache));
 
-	if (!c)
+	if (!cache)
 		return NULL;
-	c->flows_max = flows_max;
-	c->waiting = waiting;
-	c->flows = calloc(flows_max, sizeof(*c->flows));
-	c->by_key = index_new(flows_max);
-	c->spare = c->newest = c->oldest = NONE;
-	if (c->flows && c->by_key)
-		return c;
-	flow_cache_free(c);
+	cache->flows_max = flows_max;
+	cache->wait_queue = wait_queue;
+	cache->flows = calloc(flows_max, sizeof(*cache->flows));
+	cache->by_key = index_new(flows_max);
+	cache->free_list = cache->newest = cache->oldest = NONE;
+	if (cache->flows && cache->by_key)
+		return cache;
+	flow_cache_free(cache);
 	return NULL;
 }
 
-void flow_cache_free(struct flow_cache *c)
+void flow_cache_free(struct flow_cache *cache)
 {
-	if (!c)
+	if (!cache)
 		return;
-	index_free(c->by_key);
-	free(c->flows);
-	free(c);
+	index_free(cache->by_key);
+	free(cache->flows);
+	free(cache);
 }
 
-static uint32_t number(const struct flow_cache *c, const struct flow_seen *f)
+static uint32_t slot_of(const struct flow_cache *cache,
+			const struct flow_state *flow)
 {
-	return (uint32_t)(f - c->flows);
+	return (uint32_t)(flow - cache->flows);
 }
 
-static void unlink_flow(struct flow_cache *c, struct flow_seen *f)
+static void unlink_flow(struct flow_cache *cache, struct flow_state *flow)
 {
-	if (f->newer != NONE)
-		c->flows[f->newer].older = f->older;
+	if (flow->newer != NONE)
+		cache->flows[flow->newer].older = flow->older;
 	else
-		c->newest = f->older;
-	if (f->older != NONE)
-		c->flows[f->older].newer = f->newer;
+		cache->newest = flow->older;
+	if (flow->older != NONE)
+		cache->flows[flow->older].newer = flow->newer;
 	else
-		c->oldest = f->newer;
+		cache->oldest = flow->newer;
 }
 
-static void link_newest(struct flow_cache *c, struct flow_seen *f)
+static void link_newest(struct flow_cache *cache, struct flow_state *flow)
 {
-	uint32_t i = number(c, f);
+	uint32_t i = slot_of(cache, flow);
 
-	f->newer = NONE;
-	f->older = c->newest;
-	if (c->newest != NONE)
-		c->flows[c->newest].newer = i;
+	flow->newer = NONE;
+	flow->older = cache->newest;
+	if (cache->newest != NONE)
+		cache->flows[cache->newest].newer = i;
 	else
-		c->oldest = i;
-	c->newest = i;
+		cache->oldest = i;
+	cache->newest = i;
 }
 
 /**
- * flow_cache_get() - a flow, if it was seen
- * @c: cache
- * @key: client and VIP
+ * flow_cache_find() - look up a flow
+ * @cache: cache
+ * @key: client address and VIP
  *
- * Return: flow, or NULL.
+ * Return: flow, valid until it is removed or evicted, or NULL when not cached.
  */
-struct flow_seen *flow_cache_get(struct flow_cache *c,
-				 const struct flow_key *key)
+struct flow_state *flow_cache_find(struct flow_cache *cache,
+				   const struct flow_key *key)
 {
-	uint32_t i = index_get(c->by_key, flow_hash(key));
-	struct flow_seen *f = i == INDEX_NONE ? NULL : &c->flows[i];
+	uint32_t i = index_get(cache->by_key, flow_hash(key));
+	struct flow_state *flow = i == INDEX_NONE ? NULL : &cache->flows[i];
 
-	if (!f || f->key.caller != key->caller || f->key.vip != key->vip)
+	if (!flow || flow->key.caller != key->caller ||
+	    flow->key.vip != key->vip)
 		return NULL;
-	return f;
+	return flow;
 }
 
-/* Counts at the target: open flows, feeds among them. */
-static void count(struct flow_seen *f, int by)
+/* Add @by to the target's counts of open flows and of feeds among them. */
+static void add_to_target_counts(struct flow_state *flow, int by)
 {
-	struct target *t = f->target;
+	struct target *target = flow->target;
 
-	t->flows += (uint32_t)by;
-	if (f->kind == ROUTE_FEED)
-		t->feeds += (uint32_t)by;
+	target->flows += (uint32_t)by;
+	if (flow->kind == ROUTE_FEED)
+		target->feeds += (uint32_t)by;
 }
 
 /**
- * flow_cache_sent() - a flow's target has its request, or is done with it
- * @c: cache
- * @f: flow
- * @sent: which
+ * flow_cache_set_running() - set whether the target has the flow's request, and
+ *	update the counts of running requests
+ * @cache: cache
+ * @flow: flow
+ * @running: true when the request is forwarded, false when it is answered,
+ *	overdue or given up
  */
-void flow_cache_sent(struct flow_cache *c, struct flow_seen *f, bool sent)
+void flow_cache_set_running(struct flow_cache *cache, struct flow_state *flow,
+			    bool running)
 {
-	uint32_t by = sent ? 1U : -1U;
+	uint32_t by = running ? 1U : -1U;
 
-	if (f->sent == sent)
+	if (flow->running == running)
 		return;
-	if (sent)
-		f->service = f->target->advertised.service;
-	f->sent = sent;
-	f->target->running += by;
-	c->running[f->service] += by;
+	if (running)
+		flow->service = flow->target->advertised.service;
+	flow->running = running;
+	flow->target->running += by;
+	cache->running[flow->service] += by;
 }
 
 /**
- * flow_cache_running() - requests that the targets of a service have from here
- * @c: cache
- * @service: number of its name
+ * flow_cache_running_count() - count the running requests of a service
+ * @cache: cache
+ * @service: number of the service in the directory
  *
- * Return: how many.
+ * Return: requests of this entry that are at targets of @service.
  */
-uint32_t flow_cache_running(const struct flow_cache *c, uint32_t service)
+uint32_t flow_cache_running_count(const struct flow_cache *cache,
+				  uint32_t service)
 {
-	return c->running[service];
+	return cache->running[service];
 }
 
 /**
- * flow_cache_busy() - a request begins or ends
- * @c: cache
- * @f: flow
- * @busy: a request is in progress
+ * flow_cache_set_busy() - begin or end a request
+ * @cache: cache
+ * @flow: flow
+ * @busy: whether a request is in progress; false also drops its queued packet
+ *	and ends the wait for its answer
  */
-void flow_cache_busy(struct flow_cache *c, struct flow_seen *f, bool busy)
+void flow_cache_set_busy(struct flow_cache *cache, struct flow_state *flow,
+			 bool busy)
 {
-	if (f->busy == busy)
+	if (flow->busy == busy)
 		return;
-	f->busy = busy;
-	f->target->busy += busy ? 1U : -1U;
-	if (f->kind != ROUTE_FEED)
-		f->target->busy_short += busy ? 1U : -1U;
+	flow->busy = busy;
+	flow->target->busy += busy ? 1U : -1U;
+	if (flow->kind != ROUTE_FEED)
+		flow->target->busy_short += busy ? 1U : -1U;
 	if (busy)
 		return;
-	waiting_remove(c->waiting, f);
-	flow_cache_sent(c, f, false);
-	f->due_ns = 0;
+	wait_queue_remove(cache->wait_queue, flow);
+	flow_cache_set_running(cache, flow, false);
+	flow->answer_due_ns = 0;
 }
 
 /**
- * flow_cache_close() - a flow ended; it stays known for stray packets
- * @c: cache
- * @f: flow
+ * flow_cache_close() - mark a flow as closed; it stays cached so that stray
+ *	packets of it are recognised
+ * @cache: cache
+ * @flow: flow
  */
-void flow_cache_close(struct flow_cache *c, struct flow_seen *f)
+void flow_cache_close(struct flow_cache *cache, struct flow_state *flow)
 {
-	if (f->stage == FLOW_CLOSED)
+	if (flow->stage == FLOW_CLOSED)
 		return;
-	flow_cache_busy(c, f, false);
-	count(f, -1);
-	f->stage = FLOW_CLOSED;
-	f->due_ns = 0;
+	flow_cache_set_busy(cache, flow, false);
+	add_to_target_counts(flow, -1);
+	flow->stage = FLOW_CLOSED;
+	flow->answer_due_ns = 0;
 }
 
 /**
- * flow_cache_move() - a flow's packets go to another target now
- * @c: cache
- * @f: flow
- * @to: that target
+ * flow_cache_set_target() - assign a flow to another target
+ * @cache: cache
+ * @flow: flow
+ * @to: new target; nothing happens when it is the present one
  *
- * A request in progress is none of the new target's.
+ * Ends a request in progress, since the new target does not have it.
  */
-void flow_cache_move(struct flow_cache *c, struct flow_seen *f,
-		     struct target *to)
+void flow_cache_set_target(struct flow_cache *cache, struct flow_state *flow,
+			   struct target *to)
 {
-	if (f->target == to)
+	if (flow->target == to)
 		return;
-	flow_cache_busy(c, f, false);
-	if (f->stage != FLOW_CLOSED)
-		count(f, -1);
-	f->target->cached_flows--;
-	f->target = to;
+	flow_cache_set_busy(cache, flow, false);
+	if (flow->stage != FLOW_CLOSED)
+		add_to_target_counts(flow, -1);
+	flow->target->cached_flows--;
+	flow->target = to;
 	to->cached_flows++;
-	if (f->stage != FLOW_CLOSED)
-		count(f, 1);
+	if (flow->stage != FLOW_CLOSED)
+		add_to_target_counts(flow, 1);
 }
 
 /**
- * flow_cache_remove() - forget a flow
- * @c: cache
- * @f: flow
+ * flow_cache_remove() - close a flow and remove it from the cache
+ * @cache: cache
+ * @flow: flow; invalid afterwards
  */
-void flow_cache_remove(struct flow_cache *c, struct flow_seen *f)
+void flow_cache_remove(struct flow_cache *cache, struct flow_state *flow)
 {
-	flow_cache_close(c, f);
-	f->target->cached_flows--;
-	unlink_flow(c, f);
-	index_del(c->by_key, flow_hash(&f->key), number(c, f));
-	f->older = c->spare;
-	c->spare = number(c, f);
-	c->count--;
+	flow_cache_close(cache, flow);
+	flow->target->cached_flows--;
+	unlink_flow(cache, flow);
+	index_del(cache->by_key, flow_hash(&flow->key), slot_of(cache, flow));
+	flow->older = cache->free_list;
+	cache->free_list = slot_of(cache, flow);
+	cache->count--;
 }
 
-static struct flow_seen *room(struct flow_cache *c)
+static struct flow_state *alloc_flow(struct flow_cache *cache)
 {
-	struct flow_seen *f;
-
-	if (c->spare == NONE && c->used == c->flows_max)
-		flow_cache_remove(c, &c->flows[c->oldest]);
-	if (c->spare == NONE)
-		return &c->flows[c->used++];
-	f = &c->flows[c->spare];
-	c->spare = f->older;
-	return f;
+	struct flow_state *flow;
+
+	if (cache->free_list == NONE && cache->slots_used == cache->flows_max)
+		flow_cache_remove(cache, &cache->flows[cache->oldest]);
+	if (cache->free_list == NONE)
+		return &cache->flows[cache->slots_used++];
+	flow = &cache->flows[cache->free_list];
+	cache->free_list = flow->older;
+	return flow;
 }
 
 /**
- * flow_cache_add() - begin to follow a flow
- * @c: cache
- * @key: client and VIP; not in the cache
- * @target: where its packets go
+ * flow_cache_add() - add a flow, evicting the least recently seen one when the
+ *	cache is full
+ * @cache: cache
+ * @key: client address and VIP; must not be in the cache
+ * @target: target that the flow is assigned to
  * @kind: enum route_kind
- * @stage: enum flow_stage
- * @now_ns: time
+ * @stage: enum flow_stage, not FLOW_CLOSED
+ * @now_ns: current time
  *
- * Return: the flow.
+ * Return: flow, never NULL.
  */
-struct flow_seen *flow_cache_add(struct flow_cache *c,
-				 const struct flow_key *key,
-				 struct target *target, uint8_t kind,
-				 uint8_t stage, uint64_t now_ns)
+struct flow_state *flow_cache_add(struct flow_cache *cache,
+				  const struct flow_key *key,
+				  struct target *target, uint8_t kind,
+				  uint8_t stage, uint64_t now_ns)
 {
-	struct flow_seen *f = room(c);
+	struct flow_state *flow = alloc_flow(cache);
 
-	*f = (struct flow_seen){
+	*flow = (struct flow_state){
 		.key = *key,
 		.target = target,
 		.stage = stage,
@@ -259,47 +272,47 @@
 		.opened_ns = now_ns,
 	};
 	target->cached_flows++;
-	count(f, 1);
-	link_newest(c, f);
-	index_put(c->by_key, flow_hash(key), number(c, f));
-	c->count++;
-	return f;
+	add_to_target_counts(flow, 1);
+	link_newest(cache, flow);
+	index_put(cache->by_key, flow_hash(key), slot_of(cache, flow));
+	cache->count++;
+	return flow;
 }
 
-void flow_cache_touch(struct flow_cache *c, struct flow_seen *f,
+void flow_cache_touch(struct flow_cache *cache, struct flow_state *flow,
 		      uint64_t now_ns)
 {
-	f->seen_ns = now_ns;
-	if (c->newest == number(c, f))
+	flow->seen_ns = now_ns;
+	if (cache->newest == slot_of(cache, flow))
 		return;
-	unlink_flow(c, f);
-	link_newest(c, f);
+	unlink_flow(cache, flow);
+	link_newest(cache, flow);
 }
 
 /**
- * flow_cache_expire() - forget flows that were not seen for long
- * @c: cache
- * @seen_before_ns: those last seen before this go
+ * flow_cache_expire() - remove idle flows
+ * @cache: cache
+ * @seen_before_ns: flows whose last packet came before this time are removed
  */
-void flow_cache_expire(struct flow_cache *c, uint64_t seen_before_ns)
+void flow_cache_expire(struct flow_cache *cache, uint64_t seen_before_ns)
 {
-	while (c->oldest != NONE &&
-	       c->flows[c->oldest].seen_ns < seen_before_ns)
-		flow_cache_remove(c, &c->flows[c->oldest]);
+	while (cache->oldest != NONE &&
+	       cache->flows[cache->oldest].seen_ns < seen_before_ns)
+		flow_cache_remove(cache, &cache->flows[cache->oldest]);
 }
 
-uint32_t flow_cache_count(const struct flow_cache *c)
+uint32_t flow_cache_count(const struct flow_cache *cache)
 {
-	return c->count;
+	return cache->count;
 }
 
-struct flow_seen *flow_cache_newest(struct flow_cache *c)
+struct flow_state *flow_cache_newest(struct flow_cache *cache)
 {
-	return c->newest == NONE ? NULL : &c->flows[c->newest];
+	return cache->newest == NONE ? NULL : &cache->flows[cache->newest];
 }
 
-struct flow_seen *flow_cache_older(struct flow_cache *c,
-				   const struct flow_seen *f)
+struct flow_state *flow_cache_older(struct flow_cache *cache,
+				    const struct flow_state *flow)
 {
-	return f->older == NONE ? NULL : &c->flows[f->older];
+	return flow->older == NONE ? NULL : &cache->flows[flow->older];
 }
--- a/fuzz/users_fuzz.c
+++ b/fuzz/users_fuzz.c
@@ -14,7 +14,7 @@
 static void apply_document(void *ctx, const struct document *document)
 {
 	struct directory *names = ctx;
-	struct document_news news;
+	struct decoded_document news;
 	enum target_change change;
 	const char *problem;
 	int err = users_read_document(document, names, &news, &problem);
@@ -27,11 +27,10 @@
 		route_table_free(news.routes);
 }
 
-static bool begin_answer(void *ctx, const struct relay_head *head,
-			 struct facts_port *to)
+static bool begin_answer(void *ctx, const struct relay_head *head, struct document_sink *to)
 {
 	(void)head;
-	*to = (struct facts_port){ ctx, apply_document };
+	*to = (struct document_sink){ ctx, apply_document };
 	return true;
 }
 
@@ -39,13 +38,11 @@
 {
 	struct packet packet;
 
-	if (!users_read_packet(data, size, &packet) &&
-	    packet.size_bytes + 32U != packet.n_bytes)
+	if (!users_read_packet(data, size, &packet) && packet.size_bytes + 32U != packet.n_bytes)
 		abort();
 }
 
-static void fuzz_document(const uint8_t *data, uint32_t size, const char *key,
-			  struct directory *names)
+static void fuzz_document(const uint8_t *data, uint32_t size, const char *key, struct directory *names)
 {
 	struct document document = { .revision = 1 };
 	uint8_t *copy = malloc(size + 1);
@@ -68,8 +65,7 @@
 	users_read_epoch(text, &read);
 }
 
-static struct document_value no_known_value(void *ctx, uint64_t key_hash,
-					    struct position since)
+static struct document_value no_known_value(void *ctx, uint64_t key_hash, struct position since)
 {
 	(void)ctx;
 	(void)key_hash;
@@ -77,10 +73,9 @@
 	return (struct document_value){ 0 };
 }
 
-static void fuzz_decoder(uint8_t decoder, const uint8_t *data, uint32_t size,
-			 struct directory *names)
+static void fuzz_decoder(uint8_t decoder, const uint8_t *data, uint32_t size, struct directory *names)
 {
-	struct facts_port to = { names, apply_document };
+	struct document_sink to = { names, apply_document };
 	struct answer_head head = { 0 };
 	struct relay_port port = { names, begin_answer, no_known_value };
 	struct relay_head relay;
--- a/test/packet_evacuation_test.c
+++ b/test/packet_evacuation_test.c
@@ -65,7 +65,7 @@
 	v = bed_data(b, CLIENT, VIP, t->cookie, 2, 2, 100);
 	assert_int_equal(v.action, PATH_FORWARD);
 	assert_ptr_equal(v.target, t);
-	bed_pass(b, 2 * NS_PER_S);
+	bed_advance(b, 2 * NS_PER_S);
 	assert_int_equal(b->n_resets, 0);
 }
 
@@ -85,9 +85,9 @@
 	bed_target(b, 2, SERVICE, OTHER_ZONE);
 	directory_set_evacuated(b->directory, ZONE, true);
 	assert_int_equal(bed_syn(b, CLIENT, VIP, 1).target->advertised.id, 2);
-	bed_pass(b, 100 * MS);
-	assert_int_equal(b->n_again, 1);
-	assert_int_equal(b->again[0], 2);
+	bed_advance(b, 100 * MS);
+	assert_int_equal(b->n_resent, 1);
+	assert_int_equal(b->resent_to[0], 2);
 }
 
 static void test_syn_is_reset_at_once_without_targets(void **state)
@@ -112,10 +112,10 @@
 
 	t->health = HEALTH_DEAD;
 	directory_set_evacuated(b->directory, ZONE, true);
-	bed_pass(b, 2 * NS_PER_S);
+	bed_advance(b, 2 * NS_PER_S);
 	assert_int_equal(b->n_probes, 0);
 	directory_set_evacuated(b->directory, ZONE, false);
-	bed_pass(b, NS_PER_S);
+	bed_advance(b, NS_PER_S);
 	assert_int_not_equal(b->n_probes, 0);
 }
 
@@ -130,15 +130,15 @@
 	struct target *t = bed_target(b, 1, SERVICE, ZONE);
 	uint32_t sent = 0;
 
-	bed_times(b, 300, 2000);
+	bed_set_route_times(b, 300, 2000);
 	for (; sent < FLOWS * 2; sent++) {
 		bed_open_flow(b, CLIENT + sent, VIP);
 		bed_data(b, CLIENT + sent, VIP, t->cookie, 2, 1, 100);
 	}
-	assert_int_not_equal(path_waiting(b->path), 0);
+	assert_int_not_equal(path_queued_count(b->path), 0);
 	directory_set_evacuated(b->directory, ZONE, true);
-	bed_pass(b, 20 * MS);
-	assert_int_equal(path_waiting(b->path), 0);
+	bed_advance(b, 20 * MS);
+	assert_int_equal(path_queued_count(b->path), 0);
 	assert_int_equal(b->n_resets, 0);
 }
 
