--- a/cmd/cbctl/drain.c
+++ b/cmd/cbctl/drain.c
@@ -21,7 +21,7 @@
 };
 
 /**
- * struct drain - state of the poll
+ * struct drain - an entry whose drain is watched
  * @peer: IP:PORT of the entry's HTTP listener
  * @url: URL of the entry's /status; owned
  * @json: write JSON instead of plain lines
--- a/cmd/cbctl/generations.c
+++ b/cmd/cbctl/generations.c
@@ -37,9 +37,9 @@
 static uint64_t newest_generation(const struct table *table,
 				  const char *account)
 {
-	const uint64_t *g = g_hash_table_lookup(table->newest, account);
+	const uint64_t *newest = g_hash_table_lookup(table->newest, account);
 
-	return g ? *g : 0;
+	return newest ? *newest : 0;
 }
 
 static void add_row(struct table *table, const char *peer, const char *account,
@@ -63,16 +63,17 @@
  */
 static void parse_line(struct table *table, const char *peer, const char *line)
 {
-	char **w = g_strsplit(line, " ", -1);
-	guint n = g_strv_length(w);
-
-	if (n >= 2 && g_str_has_prefix(w[0], ACCOUNT_PREFIX) &&
-	    strcmp(w[n - 1], "withdrawn"))
-		add_row(table, peer, w[0] + strlen(ACCOUNT_PREFIX),
-			g_ascii_strtoull(w[1], NULL, 10));
-	else if (n == 3 && !strcmp(w[0], "account"))
-		add_row(table, peer, w[1], g_ascii_strtoull(w[2], NULL, 10));
-	g_strfreev(w);
+	char **words = g_strsplit(line, " ", -1);
+	guint n = g_strv_length(words);
+
+	if (n >= 2 && g_str_has_prefix(words[0], ACCOUNT_PREFIX) &&
+	    strcmp(words[n - 1], "withdrawn"))
+		add_row(table, peer, words[0] + strlen(ACCOUNT_PREFIX),
+			g_ascii_strtoull(words[1], NULL, 10));
+	else if (n == 3 && !strcmp(words[0], "account"))
+		add_row(table, peer, words[1],
+			g_ascii_strtoull(words[2], NULL, 10));
+	g_strfreev(words);
 }
 
 static void parse_lines(struct table *table, const char *peer, const char *body)
@@ -85,7 +86,7 @@
 }
 
 /* cb-watch has the page /generations; cb-entry lists accounts in /status. */
-static enum exit_code fetch_generations(struct table *table, const char *peer)
+static enum exit_code load_generations(struct table *table, const char *peer)
 {
 	char *url = g_strdup_printf("http://%s/generations", peer);
 	char error[FETCH_ERROR_BYTES];
@@ -224,7 +225,7 @@
 		code = add_published(&table, args->platform);
 	for (uint32_t i = first; i < args->n_operands; i++) {
 		enum exit_code one =
-			fetch_generations(&table, args->operands[i]);
+			load_generations(&table, args->operands[i]);
 
 		if (one == EXIT_OK)
 			g_ptr_array_add(answered, (gpointer)args->operands[i]);
--- a/cmd/cbload/load.h
+++ b/cmd/cbload/load.h
@@ -98,13 +98,15 @@
 GArray *callers_records(struct callers *callers);
 void callers_close(struct callers *callers);
 
+/* Services that cbload calls, and whose targets write run logs. */
+enum { LOG_LIVE, LOG_INGEST, N_LOG_SERVICES };
+
 /**
  * struct run_logs - contents of the targets' run logs
  * @runs: struct run_record of all logs; owned
  * @is_of_service: by service and log: 1 if the log is of that service
  * @n_logs: number of logs
  */
-enum { LOG_LIVE, LOG_INGEST, N_LOG_SERVICES };
 struct run_logs {
 	GArray *runs;
 	uint8_t is_of_service[N_LOG_SERVICES][MAX_FILES];
