--- a/fuzz/users_fuzz.c
+++ b/fuzz/users_fuzz.c
@@ -13,21 +13,22 @@
 
 static void apply_document(void *ctx, const struct document *document)
 {
-	struct directory *names = ctx;
-	struct decoded_document news;
+	struct directory *directory = ctx;
+	struct decoded_document decoded;
 	enum target_change change;
 	const char *problem;
-	int err = users_read_document(document, names, &news, &problem);
+	int err = users_read_document(document, directory, &decoded, &problem);
 
-	if (news.kind == DOCUMENT_TARGET && (err || document->deleted))
-		directory_mark_absent(names, &news.target, 1, 0);
-	else if (news.kind == DOCUMENT_TARGET)
-		directory_update_target(names, &news.target, 1, &change);
+	if (decoded.kind == DOCUMENT_TARGET && (err || document->deleted))
+		directory_mark_absent(directory, &decoded.target, 1, 0);
+	else if (decoded.kind == DOCUMENT_TARGET)
+		directory_update_target(directory, &decoded.target, 1, &change);
 	if (!err)
-		route_table_free(news.routes);
+		route_table_free(decoded.routes);
 }
 
-static bool begin_answer(void *ctx, const struct relay_head *head, struct document_sink *to)
+static bool begin_answer(void *ctx, const struct relay_head *head,
+			 struct document_sink *to)
 {
 	(void)head;
 	*to = (struct document_sink){ ctx, apply_document };
@@ -38,11 +39,13 @@
 {
 	struct packet packet;
 
-	if (!users_read_packet(data, size, &packet) && packet.size_bytes + 32U != packet.n_bytes)
+	if (!users_read_packet(data, size, &packet) &&
+	    packet.size_bytes + 32U != packet.n_bytes)
 		abort();
 }
 
-static void fuzz_document(const uint8_t *data, uint32_t size, const char *key, struct directory *names)
+static void fuzz_document(const uint8_t *data, uint32_t size, const char *key,
+			  struct directory *directory)
 {
 	struct document document = { .revision = 1 };
 	uint8_t *copy = malloc(size + 1);
@@ -52,7 +55,7 @@
 	strcpy(document.key, key);
 	document.value = copy;
 	document.size_bytes = size;
-	apply_document(names, &document);
+	apply_document(directory, &document);
 	free(copy);
 }
 
@@ -65,7 +68,8 @@
 	users_read_epoch(text, &read);
 }
 
-static struct document_value no_known_value(void *ctx, uint64_t key_hash, struct position since)
+static struct document_value no_known_value(void *ctx, uint64_t key_hash,
+					    struct position since)
 {
 	(void)ctx;
 	(void)key_hash;
@@ -73,11 +77,12 @@
 	return (struct document_value){ 0 };
 }
 
-static void fuzz_decoder(uint8_t decoder, const uint8_t *data, uint32_t size, struct directory *names)
+static void fuzz_decoder(uint8_t decoder, const uint8_t *data, uint32_t size,
+			 struct directory *directory)
 {
-	struct document_sink to = { names, apply_document };
+	struct document_sink to = { directory, apply_document };
 	struct answer_head head = { 0 };
-	struct relay_port port = { names, begin_answer, no_known_value };
+	struct relay_port port = { directory, begin_answer, no_known_value };
 	struct relay_head relay;
 	struct hello hello;
 
@@ -89,10 +94,10 @@
 		users_read_list((const char *)data, size, to, &head);
 		break;
 	case 2:
-		fuzz_document(data, size, "op/config", names);
+		fuzz_document(data, size, "op/config", directory);
 		break;
 	case 3:
-		fuzz_document(data, size, "servers/i-12", names);
+		fuzz_document(data, size, "servers/i-12", directory);
 		break;
 	case 4:
 		fuzz_epoch(data, size);
@@ -109,13 +114,13 @@
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
 {
 	struct directory_conf conf = { NS_PER_S, NS_PER_S };
-	static struct directory *names;
+	static struct directory *directory;
 
-	if (!names) {
-		names = directory_new(&conf);
-		directory_add_service(names, "s");
+	if (!directory) {
+		directory = directory_new(&conf);
+		directory_add_service(directory, "s");
 	}
 	if (size)
-		fuzz_decoder(data[0], data + 1, (uint32_t)size - 1, names);
+		fuzz_decoder(data[0], data + 1, (uint32_t)size - 1, directory);
 	return 0;
 }
