--- a/fuzz/coap_fuzz.c
+++ b/fuzz/coap_fuzz.c
@@ -26,16 +26,14 @@
 	coap_wire_rewrite(&action, out, 64);
 	action.timeout_ns = NS_PER_S;
 	out_size = coap_wire_rewrite(&action, out, sizeof(out));
-	if (coap_wire_read(data, size_bytes, &message) ||
-	    message.kind != MESSAGE_REQUEST)
+	if (coap_wire_parse(data, size_bytes, &message) || message.kind != MESSAGE_REQUEST)
 		return;
 	/* A valid request stays one when rewritten, with the timeout that was set. */
 	if (out_size <= 0)
 		abort();
 	if (out_size > DATAGRAM_MAX_BYTES)
 		return;
-	if (coap_wire_read(out, (uint32_t)out_size, &message) ||
-	    message.timeout_ns != NS_PER_S)
+	if (coap_wire_parse(out, (uint32_t)out_size, &message) || message.timeout_ns != NS_PER_S)
 		abort();
 }
 
@@ -48,7 +46,7 @@
 	if (size > DATAGRAM_MAX_BYTES || size == 0)
 		return 0;
 	proxy2_read(data, (uint32_t)size, &source, &destination);
-	coap_wire_load_text(data, (uint32_t)size, &report);
+	coap_wire_parse_load(data, (uint32_t)size, &report);
 	check_encoders(data, (uint32_t)size);
 	return 0;
 }
