--- a/sim/sim-experiment/read.c
+++ b/sim/sim-experiment/read.c
@@ -8,15 +8,15 @@
 #include <glib.h>
 
 /* Strings of an experiment file. */
-struct texts {
+struct strings {
 	char title[TITLE_BYTES];
 	char site[PATH_BYTES];
 	char data_centre[NAME_MAX_BYTES];
 };
 
-#define SECONDS(key, member, usual)                                \
+#define SECONDS(key, member, default_s)                            \
 	FIELD(experiment, key, FIELD_SECONDS, member, .max = 3600, \
-	      .fallback = usual)
+	      .fallback = default_s)
 
 static const struct field experiment_fields[] = {
 	FIELD(experiment, "load", FIELD_DECIMAL, load_factor, .max = 100,
@@ -76,14 +76,14 @@
 {
 	struct incident *out =
 		&experiment->incidents[experiment->n_incidents++];
-	struct texts texts = { 0 };
+	struct strings strings = { 0 };
 
 	fields_parse(m, "trouble", t, trouble_fields, out);
-	parse_text(m, t, "data_centre", texts.data_centre,
-		   sizeof(texts.data_centre), false);
+	parse_text(m, t, "data_centre", strings.data_centre,
+		   sizeof(strings.data_centre), false);
 	fields_report_unknown(m, "trouble", t);
-	out->zone = find_zone(&experiment->site, texts.data_centre);
-	if (texts.data_centre[0] && out->zone == UINT32_MAX)
+	out->zone = find_zone(&experiment->site, strings.data_centre);
+	if (strings.data_centre[0] && out->zone == UINT32_MAX)
 		field_add_mistake(m, t, "trouble", "data_centre",
 				  "is not in this deployment",
 				  "the name of a data centre");
@@ -101,7 +101,7 @@
 }
 
 static void parse_list(struct mistakes *m, struct toml_node *root,
-		       const char *key, uint32_t most,
+		       const char *key, uint32_t max_items,
 		       struct experiment *experiment,
 		       void (*parse)(struct mistakes *m, struct toml_node *t,
 				     struct experiment *experiment))
@@ -110,7 +110,7 @@
 
 	if (!list)
 		return;
-	if (list->kind != TOML_ARRAY || list->n_items > most) {
+	if (list->kind != TOML_ARRAY || list->n_items > max_items) {
 		field_add_mistake(m, list, key, "",
 				  "is not an array, or too long",
 				  "an array of tables");
@@ -132,14 +132,14 @@
 static void parse_experiment(struct mistakes *m, struct toml_node *root,
 			     struct experiment *experiment)
 {
-	struct texts texts = { 0 };
+	struct strings strings = { 0 };
 
 	parse_text(m, root, "title", experiment->title,
 		   sizeof(experiment->title), true);
-	parse_text(m, root, "site", texts.site, sizeof(texts.site), true);
+	parse_text(m, root, "site", strings.site, sizeof(strings.site), true);
 	fields_parse(m, "", root, experiment_fields, experiment);
-	if (texts.site[0])
-		site_read(texts.site, &experiment->site, m);
+	if (strings.site[0])
+		site_read(strings.site, &experiment->site, m);
 	parse_list(m, root, "trouble", INCIDENTS_MAX, experiment,
 		   parse_incident);
 	parse_list(m, root, "policy", POLICIES_MAX, experiment, parse_variant);
--- a/sim/sim-experiment/read_site.c
+++ b/sim/sim-experiment/read_site.c
@@ -11,20 +11,20 @@
 static const char *const kinds[] = { "feed", "report", "upload", NULL };
 
 /* Fields of a class that struct site_class holds in another form. */
-struct class_text {
+struct class_strings {
 	char name[NAME_MAX_BYTES];
 	char service[NAME_MAX_BYTES];
 	uint8_t kind;
 };
 
 #define TEXT(type, key) FIELD(type, #key, FIELD_NAME, key, .required = true)
-#define SECONDS(type, key, member, most) \
-	FIELD(type, key, FIELD_SECONDS, member, .required = true, .max = most)
+#define SECONDS(type, key, member, upper) \
+	FIELD(type, key, FIELD_SECONDS, member, .required = true, .max = upper)
 #define COUNT(type, key, member, low, high)                               \
 	FIELD(type, key, FIELD_U32, member, .required = true, .min = low, \
 	      .max = high)
-#define DECIMAL(type, key, member, most) \
-	FIELD(type, key, FIELD_DECIMAL, member, .required = true, .max = most)
+#define DECIMAL(type, key, member, upper) \
+	FIELD(type, key, FIELD_DECIMAL, member, .required = true, .max = upper)
 #define SPREAD(key, member, field_type, high)                             \
 	FIELD(site_class, key, field_type, member.mean, .required = true, \
 	      .min = 1, .max = high),                                     \
@@ -56,10 +56,10 @@
 	{ 0 }
 };
 
-static const struct field class_texts[] = {
-	TEXT(class_text, name),
-	TEXT(class_text, service),
-	FIELD(class_text, "kind", FIELD_CHOICE, kind, .required = true,
+static const struct field class_string_fields[] = {
+	TEXT(class_strings, name),
+	TEXT(class_strings, service),
+	FIELD(class_strings, "kind", FIELD_CHOICE, kind, .required = true,
 	      .choices = kinds),
 	{ 0 }
 };
@@ -86,15 +86,15 @@
 };
 
 static const struct field name_field[] = {
-	FIELD(class_text, "name", FIELD_NAME, name, .required = true), { 0 }
+	FIELD(class_strings, "name", FIELD_NAME, name, .required = true), { 0 }
 };
 
 static void parse_name(struct mistakes *m, struct toml_node *t, char *out)
 {
-	struct class_text text = { 0 };
+	struct class_strings strings = { 0 };
 
-	fields_parse(m, t->key, t, name_field, &text);
-	g_strlcpy(out, text.name, SITE_NAME_BYTES);
+	fields_parse(m, t->key, t, name_field, &strings);
+	g_strlcpy(out, strings.name, SITE_NAME_BYTES);
 }
 
 static double number_of(const struct toml_node *n)
@@ -129,23 +129,23 @@
 }
 
 /**
- * struct part - an array of tables in the file
+ * struct table_array - an array of tables in the file
  * @key: its key
- * @most: largest number of tables
+ * @max_items: largest number of tables
  */
-struct part {
+struct table_array {
 	const char *key;
-	uint32_t most;
+	uint32_t max_items;
 };
 
 static struct toml_node *find_tables(struct mistakes *m, struct toml_node *root,
-				     const struct part *p, uint32_t *n)
+				     const struct table_array *p, uint32_t *n)
 {
 	struct toml_node *list = toml_find(root, p->key);
 
 	*n = 0;
 	if (!list || list->kind != TOML_ARRAY || !list->n_items ||
-	    list->n_items > p->most) {
+	    list->n_items > p->max_items) {
 		field_add_mistake(m, list ? list : root, p->key, "",
 				  list ? "is empty, too long, or not an array"
 				       : "missing",
@@ -160,8 +160,9 @@
 static void parse_services(struct mistakes *m, struct toml_node *root,
 			   struct site *s)
 {
-	struct part part = { "service", SERVICES_MAX };
-	struct toml_node *all = find_tables(m, root, &part, &s->n_services);
+	struct table_array table_array = { "service", SERVICES_MAX };
+	struct toml_node *all =
+		find_tables(m, root, &table_array, &s->n_services);
 
 	for (uint32_t i = 0; i < s->n_services; i++) {
 		struct site_service *v = &s->services[i];
@@ -188,20 +189,22 @@
 static void parse_classes(struct mistakes *m, struct toml_node *root,
 			  struct site *s)
 {
-	struct part part = { "class", CLASSES_MAX };
-	struct toml_node *all = find_tables(m, root, &part, &s->n_classes);
+	struct table_array table_array = { "class", CLASSES_MAX };
+	struct toml_node *all =
+		find_tables(m, root, &table_array, &s->n_classes);
 
 	for (uint32_t i = 0; i < s->n_classes; i++) {
 		struct site_class *c = &s->classes[i];
-		struct class_text text = { 0 };
+		struct class_strings strings = { 0 };
 
-		fields_parse(m, "class", &all[i], class_texts, &text);
+		fields_parse(m, "class", &all[i], class_string_fields,
+			     &strings);
 		fields_parse(m, "class", &all[i], class_fields, c);
 		fields_report_unknown(m, "class", &all[i]);
-		g_strlcpy(c->name, text.name, sizeof(c->name));
-		c->kind = text.kind;
-		c->priority = text.kind == ROUTE_REPORT ? 1 : 2;
-		c->service = find_service(s, text.service);
+		g_strlcpy(c->name, strings.name, sizeof(c->name));
+		c->kind = strings.kind;
+		c->priority = strings.kind == ROUTE_REPORT ? 1 : 2;
+		c->service = find_service(s, strings.service);
 		if (c->service == s->n_services)
 			field_add_mistake(m, &all[i], "class", "service",
 					  "is not defined",
@@ -216,8 +219,8 @@
 static void parse_zones(struct mistakes *m, struct toml_node *root,
 			struct site *s)
 {
-	struct part part = { "data_centre", ZONES_MAX };
-	struct toml_node *all = find_tables(m, root, &part, &s->n_zones);
+	struct table_array table_array = { "data_centre", ZONES_MAX };
+	struct toml_node *all = find_tables(m, root, &table_array, &s->n_zones);
 
 	for (uint32_t z = 0; z < s->n_zones; z++) {
 		parse_name(m, &all[z], s->zones[z].name);
--- a/sim/sim-experiment/run.c
+++ b/sim/sim-experiment/run.c
@@ -16,9 +16,9 @@
 	incident_kinds[t->kind].begin(w, t);
 }
 
-static double ratio(double of, double all)
+static double ratio(double part, double total)
 {
-	return all > 0 ? of / all : 0;
+	return total > 0 ? part / total : 0;
 }
 
 static void fill_outcome(const struct world *w, const struct windows *v,
--- a/sim/sim-packets/bound.c
+++ b/sim/sim-packets/bound.c
@@ -65,24 +65,25 @@
 	return 0;
 }
 
-static bool entry_ran_at(const struct bound_availability *reach, uint64_t at_ns)
+static bool entry_ran_at(const struct bound_availability *availability,
+			 uint64_t at_ns)
 {
-	uint32_t low = 0, high = reach->n;
+	uint32_t low = 0, high = availability->n;
 
 	while (low < high) {
 		uint32_t mid = (low + high) / 2;
 
-		if (reach->spans[mid].from_ns <= at_ns)
+		if (availability->spans[mid].from_ns <= at_ns)
 			low = mid + 1;
 		else
 			high = mid;
 	}
-	return low && reach->spans[low - 1].any;
+	return low && availability->spans[low - 1].any;
 }
 
 /* Return: when the first packet reaches a running entry; 0 if none does. */
 static uint64_t first_arrival_ns(const struct world *w,
-				 const struct bound_availability *reach,
+				 const struct bound_availability *availability,
 				 const struct world_request *r)
 {
 	for (uint32_t i = 0;
@@ -90,7 +91,7 @@
 		uint64_t at_ns = r->arrival_ns + send_times_ms[i] * NS_PER_MS +
 				 w->conf.site.client_delay_ns;
 
-		if (entry_ran_at(reach, at_ns))
+		if (entry_ran_at(availability, at_ns))
 			return at_ns;
 	}
 	return 0;
@@ -98,21 +99,23 @@
 
 /* Least latency: from the entry to a target of the same data centre, service
  * time, back to the client. */
-static uint64_t earliest_latency_ns(const struct world *w,
-				    const struct bound_availability *reach,
-				    const struct world_request *r)
+static uint64_t
+earliest_latency_ns(const struct world *w,
+		    const struct bound_availability *availability,
+		    const struct world_request *r)
 {
-	uint64_t met_ns = first_arrival_ns(w, reach, r);
+	uint64_t at_entry_ns = first_arrival_ns(w, availability, r);
 
-	return met_ns ? met_ns + w->conf.site.same_dc_delay_ns + r->work_ns +
-				w->conf.site.client_delay_ns - r->arrival_ns
-		      : UINT64_MAX;
+	return at_entry_ns ? at_entry_ns + w->conf.site.same_dc_delay_ns +
+				     r->work_ns + w->conf.site.client_delay_ns -
+				     r->arrival_ns
+			   : UINT64_MAX;
 }
 
 static double slot_time_ns(const struct world *w, uint32_t service,
 			   uint64_t from_ns, uint64_t to_ns)
 {
-	double all = 0;
+	double total = 0;
 	uint64_t at_ns = from_ns;
 	uint32_t slots = 0;
 
@@ -122,12 +125,12 @@
 		if (m->service != service || m->at_ns >= to_ns)
 			continue;
 		if (m->at_ns > at_ns) {
-			all += (double)slots * (double)(m->at_ns - at_ns);
+			total += (double)slots * (double)(m->at_ns - at_ns);
 			at_ns = m->at_ns;
 		}
 		slots = m->slots;
 	}
-	return all + (double)slots * (double)(to_ns - at_ns);
+	return total + (double)slots * (double)(to_ns - at_ns);
 }
 
 static int compare(const void *a, const void *b)
@@ -140,23 +143,24 @@
 }
 
 static double best_gain(struct candidate *candidates, uint32_t n,
-			double room_ns)
+			double capacity_ns)
 {
 	double gain = 0;
 
 	qsort(candidates, n, sizeof(*candidates), compare);
-	for (uint32_t i = 0; i < n && room_ns > 0; i++) {
+	for (uint32_t i = 0; i < n && capacity_ns > 0; i++) {
 		double work_ns = (double)candidates[i].work_ns;
-		double part = work_ns <= room_ns ? 1 : room_ns / work_ns;
+		double share =
+			work_ns <= capacity_ns ? 1 : capacity_ns / work_ns;
 
-		gain += part * candidates[i].gain;
-		room_ns -= work_ns;
+		gain += share * candidates[i].gain;
+		capacity_ns -= work_ns;
 	}
 	return gain;
 }
 
 static double bound_of_service(const struct world *w,
-			       const struct bound_availability *reach,
+			       const struct bound_availability *availability,
 			       uint32_t service, uint64_t from_ns,
 			       uint64_t to_ns, struct candidate *candidates)
 {
@@ -172,7 +176,7 @@
 		if (c->service != service || r->arrival_ns < from_ns ||
 		    r->arrival_ns >= to_ns)
 			continue;
-		latency_ns = earliest_latency_ns(w, reach, r);
+		latency_ns = earliest_latency_ns(w, availability, r);
 		if (latency_ns <= c->deadline_ns)
 			late_total += c->late_value;
 		if (latency_ns > c->objective_ns)
@@ -198,18 +202,18 @@
  * Return: sum of values; 0 without memory.
  */
 double bound_earned_value(const struct world *w,
-			  const struct bound_availability *reach,
+			  const struct bound_availability *availability,
 			  uint64_t from_ns, uint64_t ns)
 {
 	struct candidate *candidates =
 		calloc(w->n_requests + 1, sizeof(*candidates));
-	double all = 0;
+	double total = 0;
 
 	if (!candidates)
 		return 0;
 	for (uint32_t s = 0; s < w->conf.site.n_services; s++)
-		all += bound_of_service(w, reach, s, from_ns, from_ns + ns,
-					candidates);
+		total += bound_of_service(w, availability, s, from_ns,
+					  from_ns + ns, candidates);
 	free(candidates);
-	return all;
+	return total;
 }
--- a/sim/sim-packets/bound.h
+++ b/sim/sim-packets/bound.h
@@ -26,7 +26,7 @@
 
 int bound_availability(const struct world *w, struct bound_availability *out);
 double bound_earned_value(const struct world *w,
-			  const struct bound_availability *reach,
+			  const struct bound_availability *availability,
 			  uint64_t from_ns, uint64_t ns);
 
 #endif
--- a/sim/sim-packets/entries.c
+++ b/sim/sim-packets/entries.c
@@ -98,18 +98,18 @@
 
 	for (uint32_t i = 0; i < n; i++) {
 		uint32_t at = entry_index(to[i]);
-		uint64_t link = link_delay_ns(c->w, c->entry, HELLO_BYTES);
+		uint64_t delay_ns = link_delay_ns(c->w, c->entry, HELLO_BYTES);
 		uint32_t zone;
 
 		pacer_charge(c->entry->node->pacer, HELLO_BYTES, c->w->now_ns);
-		if (at >= c->w->n_entries || link == UINT64_MAX)
+		if (at >= c->w->n_entries || delay_ns == UINT64_MAX)
 			continue;
 		zone = c->w->entries[at].zone;
 		if (!world_is_cut(c->w, c->entry->zone, zone))
 			world_schedule(c->w,
-				       link + world_one_way_ns(c->w,
-							       c->entry->zone,
-							       zone),
+				       delay_ns + world_one_way_ns(
+							  c->w, c->entry->zone,
+							  zone),
 				       on_hello, at, hello_alloc(c->w, h), 0);
 	}
 }
@@ -159,13 +159,13 @@
 {
 	struct port_ctx *c = ctx;
 	uint32_t at = entry_index(peer);
-	bool there =
+	bool is_reachable =
 		is_running(&c->w->entries[at]) &&
 		!world_is_cut(c->w, c->entry->zone, c->w->entries[at].zone);
 
 	world_schedule(c->w,
-		       there ? 2 * c->w->conf.site.other_dc_delay_ns
-			     : PEER_TIMEOUT_NS,
+		       is_reachable ? 2 * c->w->conf.site.other_dc_delay_ns
+				    : PEER_TIMEOUT_NS,
 		       on_fetched, (uint32_t)(c->entry - c->w->entries), at,
 		       after.epoch << EPOCH_SHIFT | after.revision);
 }
@@ -198,27 +198,28 @@
 	uint32_t at = targets_find_by_addr(c->w, t->advertised.addr);
 	const struct sim_target *s = &c->w->targets[at];
 	enum probe_outcome outcome = PROBE_ACCEPTED;
-	uint64_t way_ns = 2 * world_one_way_ns(c->w, c->entry->zone, s->zone);
-	uint64_t wait_ns =
+	uint64_t round_trip_ns =
+		2 * world_one_way_ns(c->w, c->entry->zone, s->zone);
+	uint64_t timeout_ns =
 		path_probe_timeout_ns(c->entry->node->path, c->w->now_ns);
-	uint64_t link = link_delay_ns(c->w, c->entry, SYN_BYTES);
-	uint32_t number =
+	uint64_t delay_ns = link_delay_ns(c->w, c->entry, SYN_BYTES);
+	uint32_t index =
 		attempt_alloc(c->w, (uint32_t)(c->entry - c->w->entries), t);
-	bool lost = s->machine_down || link == UINT64_MAX ||
+	bool lost = s->machine_down || delay_ns == UINT64_MAX ||
 		    world_is_cut(c->w, c->entry->zone, s->zone);
 
 	c->w->report.probes++;
 	if (!lost)
-		way_ns += link;
+		round_trip_ns += delay_ns;
 	/* The attempt times out first; a late answer is reported too. */
-	if (lost || way_ns > wait_ns)
-		world_schedule(c->w, wait_ns, on_probed, number, PROBE_SILENT,
+	if (lost || round_trip_ns > timeout_ns)
+		world_schedule(c->w, timeout_ns, on_probed, index, PROBE_SILENT,
 			       0);
 	if (lost)
 		return;
 	if (!s->alive)
 		outcome = PROBE_REFUSED;
-	world_schedule(c->w, way_ns, on_probed, number, outcome, 0);
+	world_schedule(c->w, round_trip_ns, on_probed, index, outcome, 0);
 }
 
 static uint32_t find_user(const struct world *w, const struct flow_key *flow)
@@ -248,16 +249,16 @@
 	uint32_t at = targets_find_by_addr(w, t->advertised.addr);
 	const struct sim_target *s = &w->targets[at];
 	uint32_t bytes = k->size_bytes + HEADER_BYTES;
-	uint64_t link = link_delay_ns(w, e, bytes + ENCAPSULATION_BYTES);
+	uint64_t delay_ns = link_delay_ns(w, e, bytes + ENCAPSULATION_BYTES);
 
 	if (s->zone != e->zone)
 		w->report.cross_dc_bytes += bytes;
-	if (link == UINT64_MAX || s->advertised.id != t->advertised.id ||
+	if (delay_ns == UINT64_MAX || s->advertised.id != t->advertised.id ||
 	    !s->alive || world_is_cut(w, e->zone, s->zone)) {
 		w->users[k->user].target_gone = true;
 		return;
 	}
-	world_schedule(w, link + world_one_way_ns(w, e->zone, s->zone),
+	world_schedule(w, delay_ns + world_one_way_ns(w, e->zone, s->zone),
 		       on_forward,
 		       (uint64_t)k->flags << 48 | (uint64_t)k->port << 32 | at,
 		       (uint64_t)k->user << 32 | (uint32_t)(e - w->entries),
--- a/sim/sim-packets/main.c
+++ b/sim/sim-packets/main.c
@@ -75,7 +75,7 @@
 static void print(const struct args *a, const char *fault, uint64_t seed,
 		  const struct world_report *r)
 {
-	const char *form =
+	const char *format =
 		a->json->count
 			? "{\"fault\":\"%s\",\"seed\":%llu,"
 			  "\"requests\":%llu,\"in_aim\":%llu,"
@@ -86,7 +86,7 @@
 			: "%-24s %5llu %8llu %7llu %5llu %6llu %6llu %7llu "
 			  "%6llu %6llu %9.2f\n";
 
-	printf(form, fault, (unsigned long long)seed,
+	printf(format, fault, (unsigned long long)seed,
 	       (unsigned long long)r->requests, (unsigned long long)r->on_time,
 	       (unsigned long long)r->late, (unsigned long long)r->failed,
 	       (unsigned long long)world_broken_rules(r),
--- a/sim/sim-packets/recovery.c
+++ b/sim/sim-packets/recovery.c
@@ -13,7 +13,7 @@
 #define ZONES 3
 #define ENTRIES RECOVERY_ENTRIES_MAX
 
-static void healthy(struct world *w)
+static void store_answers(struct world *w)
 {
 	(void)w;
 }
@@ -45,14 +45,14 @@
 	const char *name;
 	void (*apply)(struct world *w);
 } conditions[RECOVERY_CONDITIONS] = {
-	{ "answers", healthy },
+	{ "answers", store_answers },
 	{ "answers in 200 ms", slow },
 	{ "refuses every other entry", refuses_half },
 	{ "silent to every other", silent_to_half },
 	{ "down for 2 s", down },
 };
 
-static bool agree(const struct world *w)
+static bool all_agree(const struct world *w)
 {
 	for (uint32_t i = 0; i < w->n_entries; i++) {
 		const struct sim_entry *e = &w->entries[i];
@@ -133,7 +133,7 @@
 		world_run(w, STEP_NS);
 		first_ns = record_starts(w, started_ns, &last_ns);
 		record_ready(w, started_ns, first_ns, r);
-		if (last_ns && agree(w))
+		if (last_ns && all_agree(w))
 			r->all_agree_ns = w->now_ns - last_ns;
 	}
 	world_free(w);
--- a/sim/sim-packets/restarts.c
+++ b/sim/sim-packets/restarts.c
@@ -99,7 +99,7 @@
 	v.advertised.sequence += 100;
 	if (defect == FOREIGN_UNBORN)
 		v.advertised.started_ms = 0;
-	store_write_target(w, under_its_key ? t->advertised.id : ++w->next_id,
+	store_write_target(w, under_its_key ? t->advertised.id : ++w->last_id,
 			   &v);
 	if (under_its_key)
 		world_schedule(w, NS_PER_S, on_publish, target, t->process, 0);
--- a/sim/sim-packets/router.c
+++ b/sim/sim-packets/router.c
@@ -2,7 +2,7 @@
 #include "world_state.h"
 
 #define READY_NS (500 * NS_PER_MS)
-#define MISSES 2
+#define MISSED_PROBES_MAX 2
 
 /* Periodic readiness check of all entries. */
 void router_probe(struct world *w, const struct event *e)
@@ -14,7 +14,7 @@
 
 		if (w->conf.driver.ready(w->conf.driver.ctx, w, i))
 			s->missed_probes = 0;
-		else if (s->missed_probes < MISSES)
+		else if (s->missed_probes < MISSED_PROBES_MAX)
 			s->missed_probes++;
 	}
 }
@@ -25,20 +25,20 @@
 	const struct sim_entry *e = &w->entries[i];
 
 	return (zone == UINT32_MAX || e->zone == zone) &&
-	       (all || e->missed_probes < MISSES);
+	       (all || e->missed_probes < MISSED_PROBES_MAX);
 }
 
 /* Select by remainder: most flows move when an entry starts or stops. */
 static uint32_t select_by_remainder(const struct world *w, uint64_t flow,
 				    uint32_t zone, bool all)
 {
-	uint32_t in[ENTRIES_MAX];
+	uint32_t candidates[ENTRIES_MAX];
 	uint32_t n = 0;
 
 	for (uint32_t i = 0; i < w->n_entries; i++)
 		if (is_candidate(w, i, zone, all))
-			in[n++] = i;
-	return n ? in[flow % n] : UINT32_MAX;
+			candidates[n++] = i;
+	return n ? candidates[flow % n] : UINT32_MAX;
 }
 
 /* Rendezvous hashing: only flows of the entry that starts or stops move. */
@@ -68,24 +68,24 @@
 }
 
 /*
- * Entry for a user's packets, UINT32_MAX for none. Entries that failed MISSES
- * readiness checks are left out, unless more than half of the data centre's
- * entries did. With none left, packets go to another data centre.
+ * Entry for a user's packets, UINT32_MAX for none. Entries that failed
+ * MISSED_PROBES_MAX readiness checks are left out, unless more than half of the
+ * data centre's entries did. With none left, packets go to another data centre.
  */
 uint32_t router_select(struct world *w, const struct sim_user *u)
 {
 	struct flow_key key = { ADDR(u->ip, u->port), route_vip(u->class) };
 	uint64_t flow = flow_hash(&key);
-	uint32_t in = 0, n = 0;
+	uint32_t ready = 0, n = 0;
 
 	for (uint32_t i = 0; i < w->n_entries; i++) {
 		if (w->entries[i].zone != u->zone)
 			continue;
 		n++;
-		in += w->entries[i].missed_probes < MISSES;
+		ready += w->entries[i].missed_probes < MISSED_PROBES_MAX;
 	}
-	if (in)
-		return select_entry(w, flow, u->zone, in * 2 < n);
+	if (ready)
+		return select_entry(w, flow, u->zone, ready * 2 < n);
 	return select_entry(w, flow, UINT32_MAX, false) == UINT32_MAX
 		       ? select_entry(w, flow, u->zone, true)
 		       : select_entry(w, flow, UINT32_MAX, false);
--- a/sim/sim-packets/store.c
+++ b/sim/sim-packets/store.c
@@ -30,7 +30,7 @@
 }
 
 /* Update the copy that is the source of stale answers. */
-static void update_old_copy(struct world *w)
+static void update_stale_copy(struct world *w)
 {
 	if (w->now_ns < w->stale_copy_ns + STALE_COPY_NS && w->stale_keys)
 		return;
@@ -103,17 +103,17 @@
 
 /* Answer an entry's call with a page of the store, or of the stale copy. */
 static void answer_page(struct world *w, uint32_t entry, uint32_t from,
-			bool old)
+			bool stale)
 {
 	struct sim_entry *e = &w->entries[entry];
-	const struct store_key *keys = old ? w->stale_keys : w->keys;
-	uint32_t n = old ? w->n_stale_keys : w->n_keys;
+	const struct store_key *keys = stale ? w->stale_keys : w->keys;
+	uint32_t n = stale ? w->n_stale_keys : w->n_keys;
 	struct answer_head head = {
-		.revision = old ? w->stale_revision : w->revision,
+		.revision = stale ? w->stale_revision : w->revision,
 		.more = from + PAGE_KEYS < n,
 	};
 
-	if (!node_answer_begin(e->node, old ? w->stale_epoch : w->epoch,
+	if (!node_answer_begin(e->node, stale ? w->stale_epoch : w->epoch,
 			       w->now_ns)) {
 		node_answer_end(e->node, SOURCE_GONE, &head, w->now_ns);
 		return;
@@ -256,7 +256,7 @@
 static void write_key(struct world *w, struct store_key *k, const void *value,
 		      uint32_t size_bytes)
 {
-	update_old_copy(w);
+	update_stale_copy(w);
 	k->d.revision = ++w->revision;
 	if (k->d.deleted)
 		k->d.created = k->d.revision;
--- a/sim/sim-packets/targets.c
+++ b/sim/sim-packets/targets.c
@@ -5,9 +5,9 @@
 #include <string.h>
 
 #define DRAIN_NS (4 * NS_PER_S)
-/* An error takes ERROR_NS; a slow target takes CRAWL_FACTOR times as long. */
+/* An error takes ERROR_NS; a slow target takes SLOW_FACTOR times as long. */
 #define ERROR_NS (5 * NS_PER_MS)
-#define CRAWL_FACTOR 7
+#define SLOW_FACTOR 7
 #define PERCENT 100
 
 void targets_report_change(struct world *w, uint32_t target)
@@ -57,7 +57,7 @@
 		.zone = zone,
 		.alive = true,
 		.advertised = {
-			.id = ++w->next_id,
+			.id = ++w->last_id,
 			.addr = addr ? addr : ADDR(TARGET_IP + i, TARGET_PORT),
 			.slots = (uint16_t)s->slots,
 			.started_ms = w->now_ns / NS_PER_MS,
@@ -205,7 +205,7 @@
 	case TARGET_FAILS:
 		return ERROR_NS;
 	case TARGET_SLOW:
-		return work_ns * CRAWL_FACTOR;
+		return work_ns * SLOW_FACTOR;
 	case TARGET_WORKS:
 		break;
 	}
@@ -256,8 +256,8 @@
 static void check_cold_rate(struct world *w, struct sim_target *t)
 {
 	double per_s = service_of(w, t)->cold_per_s;
-	double most = per_s * COLD_OVERRUN + COLD_SLACK;
-	uint32_t within = 0;
+	double limit = per_s * COLD_OVERRUN + COLD_SLACK;
+	uint32_t recent = 0;
 
 	t->opened_ns[t->n_opened++ % COLD_WINDOW] = w->now_ns;
 	if (per_s <= 0 || w->now_ns >= t->cold_until_ns)
@@ -266,10 +266,10 @@
 	if (t->restarted_ns && w->now_ns < t->restarted_ns + EVACUATE_MAX_NS)
 		return;
 	for (uint32_t i = 0; i < COLD_WINDOW && i < t->n_opened; i++)
-		within += t->opened_ns[i] + NS_PER_S > w->now_ns &&
+		recent += t->opened_ns[i] + NS_PER_S > w->now_ns &&
 			  t->opened_ns[i] + service_of(w, t)->cold_ns >=
 				  t->cold_until_ns;
-	w->report.overrun += within > most;
+	w->report.overrun += recent > limit;
 }
 
 /* Check the rules for a flow that opens at a target. */
@@ -277,19 +277,19 @@
 			uint32_t entry, const struct sim_user *u)
 {
 	const struct sim_entry *e = &w->entries[entry];
-	bool calm = w->now_ns > e->disturbed_ns + SETTLE_NS &&
-		    w->now_ns > w->store_disturbed_ns + SETTLE_NS;
+	bool is_undisturbed = w->now_ns > e->disturbed_ns + SETTLE_NS &&
+			      w->now_ns > w->store_disturbed_ns + SETTLE_NS;
 
 	if (t->service != w->classes[u->class].service)
 		w->report.misrouted++;
-	if (calm && t->leaving_since_ns &&
+	if (is_undisturbed && t->leaving_since_ns &&
 	    w->now_ns > t->leaving_since_ns + PUBLISH_MAX_NS)
 		w->report.late_drain++;
-	if (calm && w->evacuated[t->zone] &&
+	if (is_undisturbed && w->evacuated[t->zone] &&
 	    w->now_ns > w->evacuated_ns[t->zone] + EVACUATE_MAX_NS)
 		w->report.evacuated++;
-	if (calm && u->class == extra_route_index(w) && !w->extra_route &&
-	    w->extra_route_changed_ns &&
+	if (is_undisturbed && u->class == extra_route_index(w) &&
+	    !w->extra_route && w->extra_route_changed_ns &&
 	    w->now_ns > w->extra_route_changed_ns + PUBLISH_MAX_NS)
 		w->report.stale++;
 }
--- a/sim/sim-packets/users.c
+++ b/sim/sim-packets/users.c
@@ -249,7 +249,7 @@
 	uint64_t waited_ns = w->now_ns - spec->arrival_ns;
 	uint64_t deadline_ns = class_of(w, u)->deadline_ns;
 
-	u->request_number = ++w->next_number;
+	u->request_number = ++w->last_request_number;
 	u->spec = *spec;
 	u->has_request = true;
 	u->attempts = 0;
--- a/sim/sim-packets/windows.c
+++ b/sim/sim-packets/windows.c
@@ -65,11 +65,11 @@
  */
 int windows_compute(const struct world *w, struct windows *out)
 {
-	struct bound_availability reach;
+	struct bound_availability availability;
 
 	*out = (struct windows){ .n = count_windows(w) };
 	out->all = calloc(out->n + 1, sizeof(*out->all));
-	if (!out->all || bound_availability(w, &reach)) {
+	if (!out->all || bound_availability(w, &availability)) {
 		windows_free(out);
 		return -ENOMEM;
 	}
@@ -84,10 +84,10 @@
 	}
 	for (uint32_t i = 0; i < out->n; i++)
 		out->all[i].bound =
-			bound_earned_value(w, &reach,
+			bound_earned_value(w, &availability,
 					   w->start_ns + out->all[i].from_ns,
 					   WINDOW_NS);
-	free(reach.spans);
+	free(availability.spans);
 	sum_windows(out);
 	return 0;
 }
--- a/sim/sim-packets/world.c
+++ b/sim/sim-packets/world.c
@@ -307,7 +307,7 @@
  */
 void world_report(const struct world *w, struct world_report *out)
 {
-	uint64_t most = 0, sum = 0, n = 0;
+	uint64_t max = 0, sum = 0, n = 0;
 
 	*out = w->report;
 	for (uint32_t i = 0; i < w->n_targets; i++) {
@@ -317,10 +317,10 @@
 			continue;
 		sum += t->requests_run;
 		n++;
-		if (t->requests_run > most)
-			most = t->requests_run;
+		if (t->requests_run > max)
+			max = t->requests_run;
 	}
-	out->imbalance = sum ? (double)most * (double)n / (double)sum : 0;
+	out->imbalance = sum ? (double)max * (double)n / (double)sum : 0;
 }
 
 /**
--- a/sim/sim-packets/world_state.h
+++ b/sim/sim-packets/world_state.h
@@ -38,6 +38,26 @@
 	uint64_t arg2;
 };
 
+/**
+ * struct sim_entry - an entry and its process
+ * @node: the real node; NULL when another driver runs the process
+ * @zone: data centre
+ * @boot: random number of the process; tells it from earlier ones
+ * @up: the process exists
+ * @frozen: it is suspended
+ * @last_tick_ns: when it last ran
+ * @missed_probes: failed readiness checks in a row, up to a maximum
+ * @disturbed_ns: end of the last fault that affected it; rules apply SETTLE_NS
+ *	later
+ * @store_mode: how the store handles its calls until @store_mode_until_ns
+ * @store_mode_until_ns: the store answers its calls from then on
+ * @list_answer_ns: when its listing is answered; 0 for a cancelled one
+ * @watching: a watch is in progress
+ * @watch_after: revision after which that watch reads changes
+ * @watch_epoch: epoch of the store when the watch started
+ * @link_free_ns: when its link has sent all queued packets
+ * @pace_scheduled: an event is pending for the next paced packet
+ */
 struct sim_entry {
 	struct node *node;
 	uint32_t zone;
@@ -106,6 +126,30 @@
  */
 enum sim_answer { ANSWER_DONE, ANSWER_REFUSED, ANSWER_FAILED };
 
+/**
+ * struct sim_target - a target and its process
+ * @advertised: the target's own fields of its record
+ * @process: counts the processes that ended
+ * @restarted_ns: start of the current process if it is not the first
+ * @cold_until_ns: end of its cold time
+ * @service: index of its service
+ * @zone: data centre
+ * @alive: a process runs
+ * @machine_down: connections to it time out
+ * @mode: enum target_mode until @mode_until_ns
+ * @mode_until_ns: it works normally from then on
+ * @leaving_since_ns: when it published that it leaves; 0 before
+ * @disturbed_ns: end of the last fault that affected it
+ * @opened_ns: ring buffer of the times at which flows opened
+ * @n_opened: number of flows opened
+ * @flows: open flows, in any order
+ * @n_flows: number of @flows
+ * @flows_capacity: size of @flows
+ * @busy: slots in use
+ * @queue: requests that wait for a slot
+ * @n_queue: length of @queue
+ * @requests_run: requests started since the report was reset
+ */
 struct sim_target {
 	struct target_advertisement advertised;
 	uint32_t process;
@@ -130,6 +174,7 @@
 	uint64_t requests_run;
 };
 
+/* States of a user's flow. */
 enum user_state { USER_IDLE, USER_OPENING, USER_OPEN };
 
 /**
@@ -273,6 +318,68 @@
 	bool up;
 };
 
+/**
+ * struct world - state of an emulator
+ * @conf: copy of the configuration
+ * @classes: classes of the site, and that of the extra route
+ * @rng: random numbers of everything but arrivals of requests
+ * @arrival_rng: random numbers of arrivals, which so are the same in all runs
+ *	of a seed
+ * @now_ns: simulated time
+ * @start_ns: start of the report
+ * @order: sequence number of the next event
+ * @events: binary heap of events
+ * @n_events: size of @events
+ * @entries: entries, ordered by data centre at first
+ * @n_entries: number of @entries
+ * @targets: targets; dead ones stay
+ * @n_targets: number of @targets
+ * @users: users of clients
+ * @n_users: number of @users
+ * @next_idle_user: where the search for an idle user starts
+ * @load_factor: multiplier of the request rates until @load_until_ns
+ * @load_until_ns: end of the changed load, by data centre
+ * @keys: the store's keys; deleted ones stay
+ * @n_keys: number of @keys
+ * @stale_keys: older copy of @keys, for answers that may be stale
+ * @n_stale_keys: number of @stale_keys
+ * @stale_copy_ns: when that copy was made
+ * @stale_revision: newest revision in it
+ * @stale_epoch: epoch of the store at that time
+ * @copied_keys: copy that a restore of the store uses
+ * @n_copied_keys: number of @copied_keys
+ * @copied_revision: newest revision in it
+ * @epoch: the store's epoch; a restore starts a new one
+ * @revision: the store's newest revision
+ * @version: version of the newest configuration
+ * @extra_route: the newest configuration has the extra route
+ * @evacuated: data centres under evacuation
+ * @evacuated_ns: last change of @evacuated; 0 for none
+ * @extra_route_changed_ns: last change of @extra_route; 0 for none
+ * @extra_route_dropped_ns: when the extra route was last dropped
+ * @store_down_until_ns: the store is available from then on
+ * @store_slow_ns: time until an answer, until @store_slow_until_ns
+ * @store_slow_until_ns: the store answers at its normal speed from then on
+ * @store_disturbed_ns: end of the last fault of the store
+ * @cut_until_ns: end of the last partition, by data centre
+ * @last_id: newest id of a target
+ * @last_request_number: newest number of a request
+ * @contexts: contexts of the entries' ports
+ * @hellos_in_flight: heartbeats in flight and unused elements
+ * @free_hello: first unused element
+ * @attempts: ring buffer of connection attempts
+ * @next_attempt: number of attempts so far
+ * @requests: requests that ended since the report was reset
+ * @n_requests: number of @requests
+ * @requests_capacity: size of @requests
+ * @slot_changes: changes of the services' slots, in order of time
+ * @n_slot_changes: number of @slot_changes
+ * @slot_changes_capacity: size of @slot_changes
+ * @entry_changes: starts and stops of entries, in order of time
+ * @n_entry_changes: number of @entry_changes
+ * @entry_changes_capacity: size of @entry_changes
+ * @report: totals so far, without the imbalance
+ */
 struct world {
 	struct world_conf conf;
 	struct site_class classes[CLASSES_MAX + 1];
@@ -315,8 +422,8 @@
 	uint64_t store_slow_until_ns;
 	uint64_t store_disturbed_ns;
 	uint64_t cut_until_ns[ZONES_MAX];
-	uint64_t next_id;
-	uint64_t next_number;
+	uint64_t last_id;
+	uint64_t last_request_number;
 	struct port_ctx contexts[ENTRIES_MAX];
 	struct hello_in_flight hellos_in_flight[HELLOS_IN_FLIGHT_MAX];
 	uint32_t free_hello;
