--- a/core/balance/eject.c
+++ b/core/balance/eject.c
@@ -235,9 +235,11 @@
 {
 	for (uint32_t i = 0; i < t->n_links; i++) {
 		uint32_t backend = balancer->tables.links[t->first_link + i];
-		uint32_t service = balancer->tables.backends[backend].service;
 
-		recount_service(balancer, &balancer->tables.services[service]);
+		recount_service(
+			balancer,
+			&balancer->tables.services
+				 [balancer->tables.backends[backend].service]);
 	}
 }
 
