--- a/cmd/cb-entry/metrics_accounts.c
+++ b/cmd/cb-entry/metrics_accounts.c
@@ -38,28 +38,40 @@
 	const struct class_stats *work;
 };
 
-static void put_value(GString *to, const struct row *r, const char *name, uint64_t value)
+static void put_value(GString *to, const struct row *r, const char *name,
+		      uint64_t value)
 {
 	if (value)
-		g_string_append_printf(to, "%s{account=\"%s\",class=\"%s\"} %llu\n", name, r->account, r->class, (unsigned long long)value);
+		g_string_append_printf(to,
+				       "%s{account=\"%s\",class=\"%s\"} %llu\n",
+				       name, r->account, r->class,
+				       (unsigned long long)value);
 }
 
-static void put_label(GString *to, const struct row *r, const char *name, const char *label, const char *label_value, uint64_t value)
+static void put_label(GString *to, const struct row *r, const char *name,
+		      const char *label, const char *label_value,
+		      uint64_t value)
 {
 	if (value)
-		g_string_append_printf(to, "%s{account=\"%s\",class=\"%s\",%s=\"%s\"} %llu\n", name, r->account, r->class, label, label_value, (unsigned long long)value);
+		g_string_append_printf(
+			to, "%s{account=\"%s\",class=\"%s\",%s=\"%s\"} %llu\n",
+			name, r->account, r->class, label, label_value,
+			(unsigned long long)value);
 }
 
-static void put_reasons(GString *to, const struct row *r, const char *name, const uint64_t values[REFUSE_COUNT])
+static void put_reasons(GString *to, const struct row *r, const char *name,
+			const uint64_t values[REFUSE_COUNT])
 {
 	for (uint32_t i = 0; i < REFUSE_COUNT; i++)
 		put_label(to, r, name, "reason", refusal_names[i], values[i]);
 }
 
 /* Cumulative buckets; those that add nothing are left out. */
-static void put_histogram(GString *to, const struct row *r, const char *name, const struct histogram *h)
+static void put_histogram(GString *to, const struct row *r, const char *name,
+			  const struct histogram *h)
 {
-	char *labels = g_strdup_printf("account=\"%s\",class=\"%s\"", r->account, r->class);
+	char *labels = g_strdup_printf("account=\"%s\",class=\"%s\"",
+				       r->account, r->class);
 
 	histogram_append_text(to, name, labels, h);
 	g_free(labels);
@@ -109,7 +121,8 @@
 		put_value(to, r, name, r->work->retries);
 }
 
-static void put_retries_denied(GString *to, const struct row *r, const char *name)
+static void put_retries_denied(GString *to, const struct row *r,
+			       const char *name)
 {
 	if (r->work)
 		put_value(to, r, name, r->work->retries_denied);
@@ -118,7 +131,8 @@
 static void put_outcome(GString *to, const struct row *r, const char *name)
 {
 	for (uint32_t i = 0; r->work && i < OUTCOME_COUNT; i++)
-		put_label(to, r, name, "outcome", outcome_names[i], r->work->outcome[i]);
+		put_label(to, r, name, "outcome", outcome_names[i],
+			  r->work->outcome[i]);
 }
 
 /* The last three carry the class of the service, not of the request. */
@@ -140,7 +154,8 @@
 };
 
 /* The balancer's row of an account and class; both walk by name and class. */
-static const struct class_stats *work_of(const struct daemon *d, const struct row *r, uint32_t *cursor)
+static const struct class_stats *work_of(const struct daemon *d,
+					 const struct row *r, uint32_t *cursor)
 {
 	const struct balancer *b = entry_balancer(d->entry);
 	const struct class_stats *stats;
@@ -148,7 +163,8 @@
 	uint32_t next = *cursor;
 	uint8_t class;
 
-	if (!balance_next_class_stats(b, &next, &account, &class, &stats) || strcmp(account, r->account))
+	if (!balance_next_class_stats(b, &next, &account, &class, &stats) ||
+	    strcmp(account, r->account))
 		return NULL;
 	*cursor = next;
 	return stats;
@@ -162,7 +178,8 @@
 	uint8_t class;
 	struct row r;
 
-	while (entry_answer_stats_next(d->entry, &cursor, &r.account, &class, &r.answers)) {
+	while (entry_answer_stats_next(d->entry, &cursor, &r.account, &class,
+				       &r.answers)) {
 		r.class = class_names[class];
 		r.work = work_of(d, &r, &work_cursor);
 		g_array_append_val(rows, r);
@@ -180,18 +197,24 @@
 	GArray *rows = rows_of(d);
 
 	for (size_t f = 0; f < G_N_ELEMENTS(families); f++) {
-		g_string_append_printf(to, "# TYPE %s %s\n", families[f].name, families[f].type);
+		g_string_append_printf(to, "# TYPE %s %s\n", families[f].name,
+				       families[f].type);
 		for (guint i = 0; i < rows->len; i++)
-			families[f].put(to, &g_array_index(rows, struct row, i), families[f].name);
+			families[f].put(to, &g_array_index(rows, struct row, i),
+					families[f].name);
 	}
 	g_array_free(rows, TRUE);
 }
 
-static void status_reasons(GString *to, const struct row *r, const char *what, const uint64_t values[REFUSE_COUNT])
+static void status_reasons(GString *to, const struct row *r, const char *what,
+			   const uint64_t values[REFUSE_COUNT])
 {
 	for (uint32_t i = 0; i < REFUSE_COUNT; i++)
 		if (values[i])
-			g_string_append_printf(to, "%s %s %s %s %llu\n", what, r->account, r->class, refusal_names[i], (unsigned long long)values[i]);
+			g_string_append_printf(to, "%s %s %s %s %llu\n", what,
+					       r->account, r->class,
+					       refusal_names[i],
+					       (unsigned long long)values[i]);
 }
 
 static void status_row(GString *to, const struct row *r)
@@ -204,7 +227,21 @@
 		refused += a->not_run[i];
 		unknown += a->unknown[i];
 	}
-	g_string_append_printf(to, "answers %s %s answered=%llu refused=%llu unknown=%llu " "answer_p50_us=%llu answer_p99_us=%llu wait_p50_us=%llu " "wait_p99_us=%llu\n", r->account, r->class, (unsigned long long)a->answered, (unsigned long long)refused, (unsigned long long)unknown, (unsigned long long)histogram_quantile(&a->answer_us, 0.50), (unsigned long long)histogram_quantile(&a->answer_us, 0.99), (unsigned long long)(r->work ? histogram_quantile(&r->work->wait_us, 0.50) : 0), (unsigned long long)(r->work ? histogram_quantile(&r->work->wait_us, 0.99) : 0));
+	g_string_append_printf(
+		to,
+		"answers %s %s answered=%llu refused=%llu unknown=%llu "
+		"answer_p50_us=%llu answer_p99_us=%llu wait_p50_us=%llu "
+		"wait_p99_us=%llu\n",
+		r->account, r->class, (unsigned long long)a->answered,
+		(unsigned long long)refused, (unsigned long long)unknown,
+		(unsigned long long)histogram_quantile(&a->answer_us, 0.50),
+		(unsigned long long)histogram_quantile(&a->answer_us, 0.99),
+		(unsigned long long)(r->work ? histogram_quantile(
+						       &r->work->wait_us, 0.50)
+					     : 0),
+		(unsigned long long)(r->work ? histogram_quantile(
+						       &r->work->wait_us, 0.99)
+					     : 0));
 	status_reasons(to, r, "not_run", a->not_run);
 	status_reasons(to, r, "outcome_unknown", a->unknown);
 }
--- a/cmd/cb-entry/operator.c
+++ b/cmd/cb-entry/operator.c
@@ -32,7 +32,8 @@
 
 static void put_u64(GString *to, const char *name, uint64_t value)
 {
-	g_string_append_printf(to, "%s %llu\n", name, (unsigned long long)value);
+	g_string_append_printf(to, "%s %llu\n", name,
+			       (unsigned long long)value);
 }
 
 static const char *phase(const struct daemon *d)
@@ -49,7 +50,10 @@
 	char text[ADDR_TEXT_BYTES];
 
 	for (uint32_t i = 0; i < n; i++)
-		g_string_append_printf(to, "member %s %s %llu\n", addr_text(all[i].vm, text, sizeof(text)), state_names[all[i].state], (unsigned long long)all[i].incarnation);
+		g_string_append_printf(to, "member %s %s %llu\n",
+				       addr_text(all[i].vm, text, sizeof(text)),
+				       state_names[all[i].state],
+				       (unsigned long long)all[i].incarnation);
 }
 
 static void put_accounts(const struct daemon *d, GString *to)
@@ -57,7 +61,8 @@
 	for (uint32_t i = 0; i < d->config.n_accounts; i++) {
 		const struct account_conf *a = &d->config.accounts[i];
 
-		g_string_append_printf(to, "account %s %llu\n", a->name, (unsigned long long)a->generation);
+		g_string_append_printf(to, "account %s %llu\n", a->name,
+				       (unsigned long long)a->generation);
 	}
 }
 
@@ -116,7 +121,8 @@
 	       addr_parse(text, addr) == 0;
 }
 
-static const char *why_owner(const struct daemon *d, const struct entry_explanation *v)
+static const char *why_owner(const struct daemon *d,
+			     const struct entry_explanation *v)
 {
 	if (v->pair.owner == ADDR_NONE)
 		return "no entry is known yet: wait for the list of VMs";
@@ -135,7 +141,8 @@
 }
 
 /* Whether @text, ACCOUNT/SERVICE or SERVICE alone, names a service. */
-static bool names(const char *text, const struct account_conf *a, const struct service_conf *s)
+static bool names(const char *text, const struct account_conf *a,
+		  const struct service_conf *s)
 {
 	size_t n = strlen(a->name);
 
@@ -145,7 +152,8 @@
 }
 
 /* VIP of the service that @text names; how many are named so. */
-static uint32_t named_vip(const struct config *c, const char *text, uint64_t *vip)
+static uint32_t named_vip(const struct config *c, const char *text,
+			  uint64_t *vip)
 {
 	uint32_t found = 0;
 
@@ -162,7 +170,8 @@
 	return found;
 }
 
-static int query_service(struct daemon *d, const char *query, uint64_t *vip, GString *body)
+static int query_service(struct daemon *d, const char *query, uint64_t *vip,
+			 GString *body)
 {
 	char text[2 * NAME_MAX_BYTES];
 	uint32_t found;
@@ -176,7 +185,10 @@
 	found = named_vip(&d->config, text, vip);
 	if (found == 1)
 		return STATUS_OK;
-	g_string_append_printf(body, "%s %s\n", found ? "several accounts have a service" : "no account has a service", text);
+	g_string_append_printf(body, "%s %s\n",
+			       found ? "several accounts have a service"
+				     : "no account has a service",
+			       text);
 	return found ? STATUS_BAD_REQUEST : STATUS_NOT_FOUND;
 }
 
@@ -198,7 +210,9 @@
 		put_addr(body, "no service at vip", key.vip);
 		return STATUS_NOT_FOUND;
 	}
-	g_string_append_printf(body, "account %s\nservice %s\n", v.account ? v.account->name : "-", v.service->name);
+	g_string_append_printf(body, "account %s\nservice %s\n",
+			       v.account ? v.account->name : "-",
+			       v.service->name);
 	put_u64(body, "generation", v.account ? v.account->generation : 0);
 	put_u64(body, "view", v.view);
 	put_u64(body, "bucket", v.bucket);
@@ -207,7 +221,8 @@
 	put_addr(body, "pinned", v.pinned);
 	put_u64(body, "feeds", v.feeds);
 	put_addr(body, "feed_target", v.feed_target);
-	g_string_append_printf(body, "why_owner %s\nwhy_target %s\n", why_owner(d, &v), why_target(&v));
+	g_string_append_printf(body, "why_owner %s\nwhy_target %s\n",
+			       why_owner(d, &v), why_target(&v));
 	return STATUS_OK;
 }
 
@@ -236,7 +251,12 @@
 
 	if (r->target != ADDR_NONE)
 		addr_text(r->target, target, sizeof(target));
-	g_string_append_printf(to, "%s caller=%s vip=%s target=%s state=%s age_ms=%llu\n", row_names[r->kind], addr_text(r->key.caller, caller, sizeof(caller)), addr_text(r->key.vip, vip, sizeof(vip)), target, r->state, (unsigned long long)((now_ns - since_ns) / NS_PER_MS));
+	g_string_append_printf(
+		to, "%s caller=%s vip=%s target=%s state=%s age_ms=%llu\n",
+		row_names[r->kind],
+		addr_text(r->key.caller, caller, sizeof(caller)),
+		addr_text(r->key.vip, vip, sizeof(vip)), target, r->state,
+		(unsigned long long)((now_ns - since_ns) / NS_PER_MS));
 }
 
 /* Ends with "next N" while there may be more: ask again with after=N. */
@@ -248,7 +268,8 @@
 	uint64_t now_ns = uv_hrtime();
 	uint32_t n;
 
-	n = entry_flows(d->entry, &at, rows, limit < ROWS_MAX ? (uint32_t)limit : ROWS_MAX);
+	n = entry_flows(d->entry, &at, rows,
+			limit < ROWS_MAX ? (uint32_t)limit : ROWS_MAX);
 	for (uint32_t i = 0; i < n; i++)
 		put_row(body, &rows[i], now_ns);
 	if (at != UINT64_MAX)
@@ -260,7 +281,13 @@
 {
 	char text[ADDR_TEXT_BYTES];
 
-	g_string_append_printf(to, "target %s inflight=%u feeds=%u slots=%u extra=%u " "connections=%u ejected=%d trust=%u error=%u latency_us=%llu\n", addr_text(t->addr, text, sizeof(text)), t->inflight, t->feeds, t->own, t->extra, t->connections, t->ejected, t->trust_milli, t->error_milli, (unsigned long long)t->latency_ns / 1000);
+	g_string_append_printf(
+		to,
+		"target %s inflight=%u feeds=%u slots=%u extra=%u "
+		"connections=%u ejected=%d trust=%u error=%u latency_us=%llu\n",
+		addr_text(t->addr, text, sizeof(text)), t->inflight, t->feeds,
+		t->own, t->extra, t->connections, t->ejected, t->trust_milli,
+		t->error_milli, (unsigned long long)t->latency_ns / 1000);
 }
 
 static int targets(struct daemon *d, const char *query, GString *body)
@@ -283,7 +310,9 @@
 	{ "/flows", flows },   { "/targets", targets },
 };
 
-static int handle(void *ctx, struct http_request *req, const char *method, const char *path, const char *query, const GString *in, GString *body)
+static int handle(void *ctx, struct http_request *req, const char *method,
+		  const char *path, const char *query, const GString *in,
+		  GString *body)
 {
 	(void)in;
 	if (strcmp(method, "GET") != 0)
@@ -312,6 +341,8 @@
 		http_server_open(d->loop, d->settings.http, handler, &d->http);
 
 	if (err)
-		log_line(LOG_ERROR, "operator.listen", addr_text(d->settings.http, text, sizeof(text)), "%s", uv_strerror(err));
+		log_line(LOG_ERROR, "operator.listen",
+			 addr_text(d->settings.http, text, sizeof(text)), "%s",
+			 uv_strerror(err));
 	return err;
 }
