--- a/fuzz/coap_fuzz.c
+++ b/fuzz/coap_fuzz.c
@@ -26,14 +26,16 @@
 	coap_wire_rewrite(&action, out, 64);
 	action.timeout_ns = NS_PER_S;
 	out_size = coap_wire_rewrite(&action, out, sizeof(out));
-	if (coap_wire_parse(data, size_bytes, &message) || message.kind != MESSAGE_REQUEST)
+	if (coap_wire_parse(data, size_bytes, &message) ||
+	    message.kind != MESSAGE_REQUEST)
 		return;
 	/* A valid request stays one when rewritten, with the timeout that was set. */
 	if (out_size <= 0)
 		abort();
 	if (out_size > DATAGRAM_MAX_BYTES)
 		return;
-	if (coap_wire_parse(out, (uint32_t)out_size, &message) || message.timeout_ns != NS_PER_S)
+	if (coap_wire_parse(out, (uint32_t)out_size, &message) ||
+	    message.timeout_ns != NS_PER_S)
 		abort();
 }
 
