--- a/cmd/cbload/request.c
+++ b/cmd/cbload/request.c
@@ -1,4 +1,4 @@
-/* Requests as libcoap PDUs. */
+/* Encodes and sends requests as libcoap PDUs. */
 #include "callers.h"
 
 #include <errno.h>
@@ -9,7 +9,11 @@
 #define OPTION_TIMEOUT 65000
 
 /**
- * struct request_shape - how a kind of request looks
+ * struct request_shape - method, path and options of a kind of request
+ * @path: Uri-Path
+ * @method: request code
+ * @observe: the request has the Observe option, value 0 (register)
+ * @body: the request carries READINGS_BYTES bytes
  */
 struct request_shape {
 	const char *path;
@@ -18,7 +22,7 @@
 	bool body;
 };
 
-static const struct request_shape shapes[N_CALL_KINDS] = {
+static const struct request_shape request_shapes[N_CALL_KINDS] = {
 	[CALL_FEED] = { "feed", COAP_REQUEST_CODE_GET, true, false },
 	[CALL_FORECAST] = { "forecast", COAP_REQUEST_CODE_GET, false, false },
 	[CALL_REPORT] = { "report", COAP_REQUEST_CODE_POST, false, false },
@@ -48,36 +52,38 @@
 }
 
 /**
- * request_send() - send a caller's current request
- * @caller: caller
+ * request_send() - send a caller's current request with a new token
+ * @caller: caller; its record has the request's id
  * @kind: enum call_kind
  *
- * Return: 0, -ENOMEM, -EMSGSIZE, or -EIO when libcoap could not send it.
+ * Return: 0; -ENOMEM; -EMSGSIZE when the PDU is too small for the request; -EIO
+ * when libcoap could not send it.
  */
 int request_send(struct caller *caller, uint8_t kind)
 {
-	const struct request_shape *shape = &shapes[kind];
-	struct callers *c = caller->of;
-	coap_session_t *s = caller->session;
-	coap_pdu_t *pdu = coap_new_pdu(COAP_MESSAGE_CON, shape->method, s);
+	const struct request_shape *shape = &request_shapes[kind];
+	struct callers *callers = caller->callers;
+	coap_session_t *session = caller->session;
+	coap_pdu_t *pdu =
+		coap_new_pdu(COAP_MESSAGE_CON, shape->method, session);
 	int err;
 
 	if (!pdu)
 		return -ENOMEM;
-	coap_session_new_token(s, &caller->token_bytes, caller->token);
+	coap_session_new_token(session, &caller->token_bytes, caller->token);
 	if (!coap_add_token(pdu, caller->token_bytes, caller->token)) {
 		coap_delete_pdu(pdu);
 		return -EMSGSIZE;
 	}
-	err = add_options(pdu, shape, call_record(caller)->id,
-			  c->o->timeout_ms);
+	err = add_options(pdu, shape, caller_record(caller)->id,
+			  callers->options->timeout_ms);
 	if (!err && shape->body &&
-	    !coap_add_data_large_request(s, pdu, sizeof(c->body), c->body, NULL,
-					 NULL))
+	    !coap_add_data_large_request(session, pdu, sizeof(callers->body),
+					 callers->body, NULL, NULL))
 		err = -EMSGSIZE;
 	if (err) {
 		coap_delete_pdu(pdu);
 		return err;
 	}
-	return coap_send(s, pdu) == COAP_INVALID_MID ? -EIO : 0;
+	return coap_send(session, pdu) == COAP_INVALID_MID ? -EIO : 0;
 }
