--- a/sim/sim-experiment/incidents.c
+++ b/sim/sim-experiment/incidents.c
@@ -169,7 +169,7 @@
 	world_store_down(w, t->for_ns, true);
 }
 
-static void crowd(struct world *w, const struct incident *t)
+static void load_spike(struct world *w, const struct incident *t)
 {
 	for (uint32_t z = 0; z < w->conf.site.n_zones; z++)
 		if (in_zone(t, z))
@@ -177,7 +177,7 @@
 }
 
 /* Move a share of one data centre's load to the next data centre. */
-static void shift(struct world *w, const struct incident *t)
+static void shift_load(struct world *w, const struct incident *t)
 {
 	uint32_t from = zone_of(w, t);
 	uint32_t to = (from + 1) % w->conf.site.n_zones;
@@ -214,7 +214,8 @@
 	{ "store_down", "the store is unavailable for for_s", store_down },
 	{ "store_lapse", "the same, and the records of all targets expire",
 	  store_lapse },
-	{ "crowd", "clients send factor times the requests for for_s", crowd },
+	{ "crowd", "clients send factor times the requests for for_s",
+	  load_spike },
 	{ "shift", "share of a data centre's load moves to the next for for_s",
 	  shift },
 };
--- a/sim/sim-experiment/read.c
+++ b/sim/sim-experiment/read.c
@@ -30,7 +30,7 @@
 	{ 0 }
 };
 
-static const struct field trouble_fields[] = {
+static const struct field incident_fields[] = {
 	FIELD(incident, "kind", FIELD_CHOICE, kind, .required = true,
 	      .choices = incident_names),
 	FIELD(incident, "at_s", FIELD_SECONDS, at_ns, .max = 3600),
@@ -78,7 +78,7 @@
 		&experiment->incidents[experiment->n_incidents++];
 	struct strings strings = { 0 };
 
-	fields_parse(m, "trouble", t, trouble_fields, out);
+	fields_parse(m, "trouble", t, incident_fields, out);
 	parse_text(m, t, "data_centre", strings.data_centre,
 		   sizeof(strings.data_centre), false);
 	fields_report_unknown(m, "trouble", t);
--- a/sim/sim-packets/evacuation.c
+++ b/sim/sim-packets/evacuation.c
@@ -66,8 +66,8 @@
 	void (*apply)(struct world *w);
 } conditions[EVACUATION_CONDITIONS] = {
 	{ "calm", calm },
-	{ "targets publish themselves", churn },
-	{ "configurations in a row", storm },
+	{ "targets publish records", churn },
+	{ "configurations change", storm },
 	{ "the store is slow", slow },
 	{ "refuses every other entry", refuses_half },
 };
--- a/sim/sim-packets/fault_table.c
+++ b/sim/sim-packets/fault_table.c
@@ -131,7 +131,7 @@
 		world_restart_target(w, any_target(w), 300 * NS_PER_MS);
 }
 
-/* Too fast for probes and connections to notice; only the record tells. */
+/* Too fast for probes and connections to notice; only the record shows it. */
 static void restart_targets_at_once(struct world *w)
 {
 	for (uint32_t i = 0; i < 3; i++)
@@ -623,8 +623,8 @@
 	  "the restored store has lost an evacuation",
 	  store_restored_and_evacuate, 0.99 },
 	{ "store_restored_evacuation_over",
-	  "the restored store has lost its end", store_restored_evacuation_over,
-	  0.99 },
+	  "the restored store has lost an evacuation's end",
+	  store_restored_evacuation_over, 0.99 },
 };
 
 const uint32_t n_world_faults = sizeof(world_faults) / sizeof(world_faults[0]);
--- a/sim/sim-packets/recovery.c
+++ b/sim/sim-packets/recovery.c
@@ -48,7 +48,7 @@
 	{ "answers", store_answers },
 	{ "answers in 200 ms", slow },
 	{ "refuses every other entry", refuses_half },
-	{ "silent to every other", silent_to_half },
+	{ "silent to every other entry", silent_to_half },
 	{ "down for 2 s", down },
 };
 
--- a/sim/sim-packets/world_state.h
+++ b/sim/sim-packets/world_state.h
@@ -42,7 +42,7 @@
  * struct sim_entry - an entry and its process
  * @node: the real node; NULL when another driver runs the process
  * @zone: data centre
- * @boot: random number of the process; tells it from earlier ones
+ * @boot: random number of the process, different from that of earlier ones
  * @up: the process exists
  * @frozen: it is suspended
  * @last_tick_ns: when it last ran
--- a/test/packet_slow_test.c
+++ b/test/packet_slow_test.c
@@ -3,7 +3,7 @@
  * targets become seven times slower. Feeds stay open at such a target, where a
  * request of long work occupies a slot for a second and a half and those behind
  * it wait too long. An entry sends a slow target as many requests as the others,
- * since it knows the work of a service's requests, not that of one target's.
+ * since it measures the work of requests per service, not per target.
  */
 #include "world_bed.h"
 
--- a/test/restore_prop.cc
+++ b/test/restore_prop.cc
@@ -425,10 +425,10 @@
 		std::vector<Step> plan;
 		unsigned reader;
 	} known[] = {
-		{ "an end before a listing is not handed on",
+		{ "a deletion before a listing is not relayed",
 		  { { WRITE, 2, 0 }, { LIST, 1, 0 }, { DELETE, 2, 0 } },
 		  0 },
-		{ "what a peer carries counts as standing",
+		{ "a value that a peer retained counts as current",
 		  { { WRITE, 1, 0 },
 		    { LIST, 2, 0 },
 		    { RESTORE, 0, 0 },
@@ -436,7 +436,7 @@
 		    { LIST, 0, 0 },
 		    { DELETE, 1, 0 } },
 		  2 },
-		{ "what the copy had less of is retained for good",
+		{ "a value that is newer than the copy is retained forever",
 		  { { WRITE, 5, 0 },
 		    { COPY, 0, 0 },
 		    { WRITE, 1, 0 },
@@ -445,7 +445,7 @@
 		    { RESTORE, 0, 0 },
 		    { LIST, 1, 0 } },
 		  0 },
-		{ "an end that a peer remembers counts as standing",
+		{ "a deletion that a peer remembers counts as current",
 		  { { WRITE, 1, 0 },
 		    { LIST, 2, 0 },
 		    { DELETE, 1, 0 },
