--- a/adapters/fields.c
+++ b/adapters/fields.c
@@ -301,7 +301,7 @@
 	if (!node && !f->required)
 		return;
 	if (node) {
-		node->taken = 1;
+		node->consumed = 1;
 		if (value_take(f, node, to, problem, sizeof(problem)))
 			return;
 	}
@@ -338,7 +338,7 @@
 		    const struct toml_node *table)
 {
 	for (uint32_t i = 0; i < table->n_items; i++)
-		if (!table->items[i].taken)
+		if (!table->items[i].consumed)
 			field_mistake(m, &table->items[i], prefix,
 				      table->items[i].key, "unknown key",
 				      "a key that is documented");
--- a/adapters/hello_codec.c
+++ b/adapters/hello_codec.c
@@ -97,7 +97,8 @@
 	if (o->type != MSGPACK_OBJECT_ARRAY || o->via.array.size != n)
 		return false;
 	for (uint32_t i = 0; i < n; i++)
-		if (!msgpack_number(&o->via.array.ptr[i], UINT64_MAX, &out[i]))
+		if (!msgpack_get_uint(&o->via.array.ptr[i], UINT64_MAX,
+				      &out[i]))
 			return false;
 	return true;
 }
@@ -107,7 +108,7 @@
 static int rows(const msgpack_object *o, uint32_t max, uint32_t fields,
 		uint64_t *out)
 {
-	if (!msgpack_list(o, max))
+	if (!msgpack_is_array(o, max))
 		return -EPROTO;
 	for (uint32_t i = 0; i < o->via.array.size; i++)
 		if (!numbers(&o->via.array.ptr[i], fields, out + i * fields))
@@ -184,17 +185,17 @@
 
 	if (o->type != MSGPACK_OBJECT_ARRAY ||
 	    o->via.array.size != HELLO_FIELDS ||
-	    !msgpack_number(&f[0], UINT64_MAX, &version) ||
+	    !msgpack_get_uint(&f[0], UINT64_MAX, &version) ||
 	    version != HELLO_VERSION ||
-	    !msgpack_number(&f[1], UINT64_MAX, &h->from) ||
-	    !msgpack_number(&f[2], UINT32_MAX, &zone) ||
-	    !msgpack_number(&f[3], UINT64_MAX, &h->boot) ||
-	    !msgpack_number(&f[4], UINT32_MAX, &flags) ||
-	    !msgpack_number(&f[5], UINT64_MAX, &h->newest.epoch) ||
-	    !msgpack_number(&f[6], UINT64_MAX, &h->newest.revision) ||
-	    !msgpack_number(&f[7], UINT64_MAX, &h->retained_digest) ||
-	    !msgpack_number(&f[8], UINT32_MAX, &age) ||
-	    !msgpack_number(&f[9], UINT32_MAX, &trouble))
+	    !msgpack_get_uint(&f[1], UINT64_MAX, &h->from) ||
+	    !msgpack_get_uint(&f[2], UINT32_MAX, &zone) ||
+	    !msgpack_get_uint(&f[3], UINT64_MAX, &h->boot) ||
+	    !msgpack_get_uint(&f[4], UINT32_MAX, &flags) ||
+	    !msgpack_get_uint(&f[5], UINT64_MAX, &h->newest.epoch) ||
+	    !msgpack_get_uint(&f[6], UINT64_MAX, &h->newest.revision) ||
+	    !msgpack_get_uint(&f[7], UINT64_MAX, &h->retained_digest) ||
+	    !msgpack_get_uint(&f[8], UINT32_MAX, &age) ||
+	    !msgpack_get_uint(&f[9], UINT32_MAX, &trouble))
 		return false;
 	h->zone = (uint32_t)zone;
 	h->leaving = flags & HELLO_LEAVING;
@@ -222,7 +223,7 @@
 	int err = -EPROTO;
 
 	*out = (struct hello){ 0 };
-	if (msgpack_bound(data, size_bytes))
+	if (msgpack_check_bounds(data, size_bytes))
 		return -EPROTO;
 	msgpack_unpacked_init(&u);
 	if (msgpack_unpack_next(&u, (const char *)data, size_bytes, &at) ==
--- a/adapters/item_codec.c
+++ b/adapters/item_codec.c
@@ -131,7 +131,7 @@
 	size_t used = 1;
 
 	if (!item->size_bytes || item->size_bytes > ITEM_MAX_BYTES ||
-	    msgpack_bound(item->data + 1, item->size_bytes - 1) ||
+	    msgpack_check_bounds(item->data + 1, item->size_bytes - 1) ||
 	    msgpack_unpack_next(u, (const char *)item->data, item->size_bytes,
 				&used) != MSGPACK_UNPACK_SUCCESS ||
 	    used != item->size_bytes || u->data.type != MSGPACK_OBJECT_ARRAY)
--- a/adapters/lines_json.c
+++ b/adapters/lines_json.c
@@ -2,17 +2,19 @@
 
 #include <string.h>
 
-#define WORDS_MAX 4
+#define FIELDS_MAX 4
 
 /*
- * Lines that repeat become arrays of objects, with names for their words; the
- * last name takes the rest of the line. Other lines become one member each.
+ * Keywords that may occur on many lines. The lines of each become an array of
+ * objects whose members are named by @fields; the last field takes the rest of
+ * the line, and a field "values" takes pairs KEY=VALUE as members. Any other
+ * line becomes one member.
  */
-static const struct shape {
-	const char *word;
-	const char *list;
-	const char *names[WORDS_MAX];
-} shapes[] = {
+static const struct line_format {
+	const char *keyword;
+	const char *array;
+	const char *fields[FIELDS_MAX];
+} line_formats[] = {
 	{ "member", "members", { "address", "state", "incarnation" } },
 	{ "account", "accounts", { "name", "generation" } },
 	{ "gauge", "gauges", { "name", "value" } },
@@ -30,24 +32,29 @@
 	{ "refused", "refused", { "key", "reason" } },
 };
 
-/* Digits without an order: as numbers they would lose their last ones. */
-static const char *const opaque[] = { "view", "digest", NULL };
+/*
+ * Keys whose values stay strings even when they are all digits: they are
+ * hashes, and JSON readers that store numbers as doubles would lose their last
+ * digits.
+ */
+static const char *const string_keys[] = { "view", "digest", NULL };
 
 static const char *const phases[] = { "ready", "starting", "leaving" };
 
-static void value_json(GString *to, const char *key, const char *text)
+static void append_value(GString *json, const char *key, const char *text)
 {
 	char *end;
 	guint64 number = g_ascii_strtoull(text, &end, 10);
 
-	if (g_ascii_isdigit(text[0]) && !*end && !g_strv_contains(opaque, key))
-		json_number(to, key, number);
+	if (g_ascii_isdigit(text[0]) && !*end &&
+	    !g_strv_contains(string_keys, key))
+		json_number(json, key, number);
 	else
-		json_string(to, key, text);
+		json_string(json, key, text);
 }
 
-/* "a=1 b=2" as members of their own. */
-static void pairs_json(GString *to, const char *text)
+/* Appends each pair of "a=1 b=2" as a member. */
+static void append_pairs(GString *json, const char *text)
 {
 	char **pairs = g_strsplit(text, " ", -1);
 
@@ -57,63 +64,65 @@
 		if (!equals)
 			continue;
 		*equals = '\0';
-		value_json(to, *p, equals + 1);
+		append_value(json, *p, equals + 1);
 	}
 	g_strfreev(pairs);
 }
 
-static void shaped_json(GString *to, const struct shape *shape,
-			const char *rest)
+static void append_object(GString *json, const struct line_format *format,
+			  const char *rest)
 {
 	uint32_t n = 0;
-	char **words;
+	char **values;
 
-	while (n < WORDS_MAX && shape->names[n])
+	while (n < FIELDS_MAX && format->fields[n])
 		n++;
-	words = g_strsplit(rest, " ", (gint)n);
-	json_open(to, NULL, '{');
-	for (uint32_t i = 0; i < n && words[i]; i++) {
-		if (!strcmp(shape->names[i], "values"))
-			pairs_json(to, words[i]);
+	values = g_strsplit(rest, " ", (gint)n);
+	json_open(json, NULL, '{');
+	for (uint32_t i = 0; i < n && values[i]; i++) {
+		if (!strcmp(format->fields[i], "values"))
+			append_pairs(json, values[i]);
 		else
-			value_json(to, shape->names[i], words[i]);
+			append_value(json, format->fields[i], values[i]);
 	}
-	json_close(to, '}');
-	g_strfreev(words);
+	json_close(json, '}');
+	g_strfreev(values);
 }
 
-static const char *rest_of(const char *line, const char *word)
+static const char *after_keyword(const char *line, const char *keyword)
 {
-	size_t n = strlen(word);
+	size_t n = strlen(keyword);
 
-	return !strncmp(line, word, n) && line[n] == ' ' ? line + n + 1 : NULL;
+	return !strncmp(line, keyword, n) && line[n] == ' ' ? line + n + 1
+							    : NULL;
 }
 
-static void list_json(GString *to, const struct shape *shape, char **lines)
+static void append_array(GString *json, const struct line_format *format,
+			 char **lines)
 {
 	bool open = false;
 
 	for (char **l = lines; *l; l++) {
-		const char *rest = rest_of(*l, shape->word);
+		const char *rest = after_keyword(*l, format->keyword);
 
 		if (!rest)
 			continue;
-		/* "account NAME" of /explain is one value, not a list. */
+		/* /explain has a line "account NAME", a single value. */
 		if (!strchr(rest, ' '))
 			continue;
 		if (!open)
-			json_open(to, shape->list, '[');
+			json_open(json, format->array, '[');
 		open = true;
-		shaped_json(to, shape, rest);
+		append_object(json, format, rest);
 	}
 	if (open)
-		json_close(to, ']');
+		json_close(json, ']');
 }
 
-static bool is_listed(const char *line)
+static bool is_array_line(const char *line)
 {
-	for (size_t i = 0; i < G_N_ELEMENTS(shapes); i++) {
-		const char *rest = rest_of(line, shapes[i].word);
+	for (size_t i = 0; i < G_N_ELEMENTS(line_formats); i++) {
+		const char *rest = after_keyword(line, line_formats[i].keyword);
 
 		if (rest && strchr(rest, ' '))
 			return true;
@@ -121,36 +130,37 @@
 	return false;
 }
 
-static void single_json(GString *to, const char *line)
+static void append_member(GString *json, const char *line)
 {
 	const char *space = strchr(line, ' ');
 	char *key;
 
 	for (size_t i = 0; i < G_N_ELEMENTS(phases); i++)
 		if (!strcmp(line, phases[i])) {
-			json_string(to, "phase", line);
+			json_string(json, "phase", line);
 			return;
 		}
 	if (!space)
 		return;
 	key = g_strndup(line, (gsize)(space - line));
-	value_json(to, key, space + 1);
+	append_value(json, key, space + 1);
 	g_free(key);
 }
 
 /**
- * lines_json() - write a daemon's lines as members of the object that is open
- * @to: JSON
- * @body: lines "KEY VALUE..."
+ * lines_append_json() - append the lines of a status page as members of the
+ *	open JSON object
+ * @json: JSON text with an open object
+ * @body: lines "KEY VALUE..." of /status, /flows or /explain
  */
-void lines_json(GString *to, const char *body)
+void lines_append_json(GString *json, const char *body)
 {
 	char **lines = g_strsplit(body, "\n", -1);
 
 	for (char **l = lines; *l; l++)
-		if (**l && !is_listed(*l))
-			single_json(to, *l);
-	for (size_t i = 0; i < G_N_ELEMENTS(shapes); i++)
-		list_json(to, &shapes[i], lines);
+		if (**l && !is_array_line(*l))
+			append_member(json, *l);
+	for (size_t i = 0; i < G_N_ELEMENTS(line_formats); i++)
+		append_array(json, &line_formats[i], lines);
 	g_strfreev(lines);
 }
--- a/adapters/link.c
+++ b/adapters/link.c
@@ -15,218 +15,237 @@
 #define VMS_PREFIX "vms/"
 #define VMS_MAX 4096
 
+/**
+ * struct entry_link - connection of cb-entry to cb-watch
+ * @context: ZeroMQ context
+ * @socket: DEALER connected to cb-watch
+ * @hello_timer: period of SPREAD_HELLO
+ * @self: address of this VM
+ * @auth: key that authenticates frames
+ * @handler: receives accounts and the list of VMs
+ * @counters: counters of this link
+ * @in_force: versions in force, by key; an array of SPREAD_KEYS_MAX
+ * @n_in_force: number of entries of @in_force in use
+ * @vms: buffer for the decoded list of VMs, VMS_MAX addresses
+ */
 struct entry_link {
 	void *context;
 	struct zsock *socket;
-	uv_timer_t hello;
+	uv_timer_t hello_timer;
 	uint64_t self;
 	struct spread_auth auth;
-	struct link_handler handler;
-	struct link_counters counters;
-	struct spread_offer *held;
-	uint32_t n_held;
+	struct entry_link_handler handler;
+	struct entry_link_counters counters;
+	struct spread_offer *in_force;
+	uint32_t n_in_force;
 	uint64_t *vms;
 };
 
-static void link_send(struct entry_link *l, struct spread_msg *m)
+static void send_message(struct entry_link *link, struct spread_msg *msg)
 {
 	uint32_t size_bytes;
 	uint8_t *frame;
 
-	m->from = l->self;
-	m->bucket = -1;
-	if (spread_encode(m, &l->auth, &frame, &size_bytes))
+	msg->from = link->self;
+	msg->bucket = -1;
+	if (spread_encode(msg, &link->auth, &frame, &size_bytes))
 		return;
-	if (zsock_send(l->socket, NULL, frame, size_bytes))
-		l->counters.link_send_failed++;
+	if (zsock_send(link->socket, NULL, frame, size_bytes))
+		link->counters.link_send_failed++;
 	free(frame);
 }
 
-static uint64_t held_root(const struct entry_link *l)
+static uint64_t in_force_digest(const struct entry_link *link)
 {
-	uint64_t root = 0;
+	uint64_t digest = 0;
 
-	for (uint32_t i = 0; i < l->n_held; i++)
-		root ^= version_digest(l->held[i].key, &l->held[i].version);
-	return root;
+	for (uint32_t i = 0; i < link->n_in_force; i++)
+		digest ^= version_digest(link->in_force[i].key,
+					 &link->in_force[i].version);
+	return digest;
 }
 
 static void on_hello(uv_timer_t *timer)
 {
-	struct entry_link *l = timer->data;
-	struct spread_msg m = { .kind = SPREAD_HELLO,
-				.store_digest = held_root(l) };
+	struct entry_link *link = timer->data;
+	struct spread_msg msg = { .kind = SPREAD_HELLO,
+				  .store_digest = in_force_digest(link) };
 
-	link_send(l, &m);
+	send_message(link, &msg);
 }
 
-static void send_held(struct entry_link *l)
+static void send_versions_in_force(struct entry_link *link)
 {
-	struct spread_msg m = {
+	struct spread_msg msg = {
 		.kind = SPREAD_VERSIONS,
-		.offers = l->held,
-		.n_offers = l->n_held,
+		.offers = link->in_force,
+		.n_offers = link->n_in_force,
 	};
 
-	link_send(l, &m);
+	send_message(link, &msg);
 }
 
-static struct spread_offer *held_get(struct entry_link *l, const char *key)
+static struct spread_offer *find_or_init_version(struct entry_link *link,
+						 const char *key)
 {
-	struct spread_offer *o;
+	struct spread_offer *offer;
 
-	for (uint32_t i = 0; i < l->n_held; i++)
-		if (!strcmp(l->held[i].key, key))
-			return &l->held[i];
-	if (l->n_held == SPREAD_KEYS_MAX)
+	for (uint32_t i = 0; i < link->n_in_force; i++)
+		if (!strcmp(link->in_force[i].key, key))
+			return &link->in_force[i];
+	if (link->n_in_force == SPREAD_KEYS_MAX)
 		return NULL;
-	o = &l->held[l->n_held];
-	*o = (struct spread_offer){ 0 };
-	strcpy(o->key, key);
-	return o;
+	offer = &link->in_force[link->n_in_force];
+	*offer = (struct spread_offer){ 0 };
+	strcpy(offer->key, key);
+	return offer;
 }
 
-static int take_account(struct entry_link *l, const struct spread_offer *o,
-			const struct content *c)
+static int apply_account(struct entry_link *link,
+			 const struct spread_offer *offer,
+			 const struct content *content)
 {
-	const char *name = o->key + strlen(ACCOUNT_PREFIX);
-	struct account_conf *a;
+	const char *name = offer->key + strlen(ACCOUNT_PREFIX);
+	struct account_conf *account;
 	int err;
 
-	err = account_decode(name, o->version.generation, c, &a);
+	err = account_decode(name, offer->version.generation, content,
+			     &account);
 	if (!err)
-		l->handler.account(l->handler.ctx, a);
+		link->handler.apply_account(link->handler.ctx, account);
 	return err;
 }
 
-static int take_roster(struct entry_link *l, const struct content *c)
+static int apply_roster(struct entry_link *link, const struct content *content)
 {
-	int32_t n = roster_decode(c, l->vms, VMS_MAX);
+	int32_t n = roster_decode(content, link->vms, VMS_MAX);
 
 	if (n < 0)
 		return n;
-	l->handler.roster(l->handler.ctx, l->vms, (uint32_t)n);
+	link->handler.apply_roster(link->handler.ctx, link->vms, (uint32_t)n);
 	return 0;
 }
 
-static int take_content(struct entry_link *l, const struct spread_msg *m)
+static int apply_content(struct entry_link *link, const struct spread_msg *msg)
 {
-	const struct spread_offer *o = m->offers;
-	struct content *c =
-		m->base_hash ? NULL : content_patch(NULL, &m->delta);
+	const struct spread_offer *offer = msg->offers;
+	struct content *content =
+		msg->base_hash ? NULL : content_patch(NULL, &msg->delta);
 	int err = -EPROTO;
 
-	if (c && c->hash == o->version.hash) {
-		if (!strncmp(o->key, ACCOUNT_PREFIX, strlen(ACCOUNT_PREFIX)))
-			err = take_account(l, o, c);
-		else if (!strncmp(o->key, VMS_PREFIX, strlen(VMS_PREFIX)))
-			err = take_roster(l, c);
+	if (content && content->hash == offer->version.hash) {
+		if (!strncmp(offer->key, ACCOUNT_PREFIX,
+			     strlen(ACCOUNT_PREFIX)))
+			err = apply_account(link, offer, content);
+		else if (!strncmp(offer->key, VMS_PREFIX, strlen(VMS_PREFIX)))
+			err = apply_roster(link, content);
 	}
-	content_free(c);
+	content_free(content);
 	return err;
 }
 
-static int take_withdrawal(struct entry_link *l, const struct spread_offer *o)
+static int apply_withdrawal(struct entry_link *link,
+			    const struct spread_offer *offer)
 {
-	if (!strncmp(o->key, ACCOUNT_PREFIX, strlen(ACCOUNT_PREFIX)))
-		l->handler.account_gone(l->handler.ctx,
-					o->key + strlen(ACCOUNT_PREFIX));
+	if (!strncmp(offer->key, ACCOUNT_PREFIX, strlen(ACCOUNT_PREFIX)))
+		link->handler.withdraw_account(
+			link->handler.ctx, offer->key + strlen(ACCOUNT_PREFIX));
 	return 0;
 }
 
 /*
- * Put a version in force unless what is in force is as new. A cb-watch that
- * was replaced knows less than its predecessor for a while: without this the
- * entry would fall back with it.
+ * Puts a version in force unless the version in force is as new. A cb-watch
+ * that has just been replaced may have older versions than its predecessor for
+ * a while, and the entry must not return to them.
  */
-static void take_data(struct entry_link *l, const struct spread_msg *m)
+static void apply_data(struct entry_link *link, const struct spread_msg *msg)
 {
-	const struct spread_offer *o = m->offers;
-	struct spread_offer *held = held_get(l, o->key);
+	const struct spread_offer *offer = msg->offers;
+	struct spread_offer *in_force = find_or_init_version(link, offer->key);
 	struct version joined;
 	int err = 0;
 
-	if (!held)
+	if (!in_force)
 		return;
-	if (!version_adds_to(&o->version, &held->version)) {
-		l->counters.link_stale_refused +=
-			version_adds_to(&held->version, &o->version);
+	if (!version_adds_to(&offer->version, &in_force->version)) {
+		link->counters.link_stale_refused +=
+			version_adds_to(&in_force->version, &offer->version);
 		return;
 	}
-	joined = held->version;
-	version_join(&joined, &o->version);
+	joined = in_force->version;
+	version_join(&joined, &offer->version);
 	if (version_is_withdrawn(&joined))
-		err = take_withdrawal(l, o);
-	else if (joined.hash != held->version.hash)
-		err = take_content(l, m);
+		err = apply_withdrawal(link, offer);
+	else if (joined.hash != in_force->version.hash)
+		err = apply_content(link, msg);
 	if (err) {
-		l->counters.link_unreadable++;
-		log_line(LOG_ERROR, "link", o->key, "unreadable content: %s",
-			 strerror(-err));
+		link->counters.link_unreadable++;
+		log_line(LOG_ERROR, "link", offer->key,
+			 "unreadable content: %s", strerror(-err));
 		return;
 	}
-	held->version = joined;
-	if (held == &l->held[l->n_held])
-		l->n_held++;
+	in_force->version = joined;
+	if (in_force == &link->in_force[link->n_in_force])
+		link->n_in_force++;
 }
 
-static void on_frame(void *ctx, const struct zroute *route, const uint8_t *data,
-		     uint32_t size_bytes)
+static void on_frame(void *ctx, const struct zsock_route *route,
+		     const uint8_t *data, uint32_t size_bytes)
 {
-	struct entry_link *l = ctx;
-	struct spread_msg m;
+	struct entry_link *link = ctx;
+	struct spread_msg msg;
 	int err;
 
 	(void)route;
-	l->counters.link_frames++;
-	err = spread_decode(data, size_bytes, &l->auth, &m);
+	link->counters.link_frames++;
+	err = spread_decode(data, size_bytes, &link->auth, &msg);
 	if (err == -EBADMSG)
-		l->counters.link_bad_mac++;
+		link->counters.link_bad_mac++;
 	else if (err)
-		l->counters.link_malformed++;
+		link->counters.link_malformed++;
 	if (err)
 		return;
-	if (m.kind == SPREAD_DATA)
-		take_data(l, &m);
-	else if (m.kind == SPREAD_VERSIONS_QUERY)
-		send_held(l);
-	spread_msg_clear(&m);
+	if (msg.kind == SPREAD_DATA)
+		apply_data(link, &msg);
+	else if (msg.kind == SPREAD_VERSIONS_QUERY)
+		send_versions_in_force(link);
+	spread_msg_clear(&msg);
 }
 
-static void link_free(struct entry_link *l)
+static void entry_link_free(struct entry_link *link)
 {
-	if (l->context)
-		zmq_ctx_term(l->context);
-	free(l->held);
-	free(l->vms);
-	free(l);
+	if (link->context)
+		zmq_ctx_term(link->context);
+	free(link->in_force);
+	free(link->vms);
+	free(link);
 }
 
-static struct entry_link *link_new(const struct link_conf *conf,
-				   struct link_handler handler)
+static struct entry_link *entry_link_new(const struct entry_link_conf *conf,
+					 struct entry_link_handler handler)
 {
-	struct entry_link *l = calloc(1, sizeof(*l));
+	struct entry_link *link = calloc(1, sizeof(*link));
 
-	if (!l || sodium_init() < 0) {
-		free(l);
+	if (!link || sodium_init() < 0) {
+		free(link);
 		return NULL;
 	}
-	l->self = conf->self;
-	l->handler = handler;
-	spread_auth_derive(conf->key, conf->data_centre, &l->auth);
-	l->held = calloc(SPREAD_KEYS_MAX, sizeof(*l->held));
-	l->vms = calloc(VMS_MAX, sizeof(*l->vms));
-	l->context = zmq_ctx_new();
-	if (l->held && l->vms && l->context)
-		return l;
-	link_free(l);
+	link->self = conf->self;
+	link->handler = handler;
+	spread_auth_derive(conf->key, conf->data_centre, &link->auth);
+	link->in_force = calloc(SPREAD_KEYS_MAX, sizeof(*link->in_force));
+	link->vms = calloc(VMS_MAX, sizeof(*link->vms));
+	link->context = zmq_ctx_new();
+	if (link->in_force && link->vms && link->context)
+		return link;
+	entry_link_free(link);
 	return NULL;
 }
 
-int entry_link_start(uv_loop_t *loop, const struct link_conf *conf,
-		     struct link_handler handler, struct entry_link **out)
+int entry_link_start(uv_loop_t *loop, const struct entry_link_conf *conf,
+		     struct entry_link_handler handler, struct entry_link **out)
 {
-	struct entry_link *l = link_new(conf, handler);
+	struct entry_link *link = entry_link_new(conf, handler);
 	struct zsock_conf zconf = {
 		.type = ZMQ_DEALER,
 		.endpoint = conf->endpoint,
@@ -234,46 +253,48 @@
 	};
 	int err;
 
-	if (!l)
+	if (!link)
 		return -ENOMEM;
-	zconf.context = l->context;
-	err = zsock_open(loop, &zconf, (struct zsock_handler){ l, on_frame },
-			 &l->socket);
+	zconf.context = link->context;
+	err = zsock_open(loop, &zconf, (struct zsock_handler){ link, on_frame },
+			 &link->socket);
 	if (err) {
-		link_free(l);
+		entry_link_free(link);
 		return err;
 	}
-	uv_timer_init(loop, &l->hello);
-	l->hello.data = l;
-	uv_timer_start(&l->hello, on_hello, 0, HELLO_PERIOD_MS);
-	*out = l;
+	uv_timer_init(loop, &link->hello_timer);
+	link->hello_timer.data = link;
+	uv_timer_start(&link->hello_timer, on_hello, 0, HELLO_PERIOD_MS);
+	*out = link;
 	return 0;
 }
 
 static void on_closed(uv_handle_t *handle)
 {
-	link_free(handle->data);
+	entry_link_free(handle->data);
 }
 
 /**
- * entry_link_close() - end the link; memory goes when the loop turns again
- * @l: link, or NULL
+ * entry_link_close() - close the link; its memory is freed by the next
+ *	iteration of the loop
+ * @link: link, or NULL
  */
-void entry_link_close(struct entry_link *l)
+void entry_link_close(struct entry_link *link)
 {
-	if (!l)
+	if (!link)
 		return;
-	zsock_close(l->socket);
-	uv_close((uv_handle_t *)&l->hello, on_closed);
+	zsock_close(link->socket);
+	uv_close((uv_handle_t *)&link->hello_timer, on_closed);
 }
 
 /**
- * entry_link_counters() - what the link counted
- * @l: link
+ * entry_link_counters() - counters of a link
+ * @link: link
  *
- * Return: counters, good until the link is closed.
+ * Return: counters, valid until the link is closed.
  */
-const struct link_counters *entry_link_counters(const struct entry_link *l)
+const struct entry_link_counters *
+entry_link_counters(const struct entry_link *link)
 {
-	return &l->counters;
+	return &link->counters;
 }
--- a/adapters/link_watch.h
+++ b/adapters/link_watch.h
@@ -1,6 +1,6 @@
 /*
- * cb-watch's end of the links: a ROUTER that entries and other cb-watch
- * connect to, and a DEALER to each cb-watch that this one turns to.
+ * Links of cb-watch: a ROUTER that entries and other cb-watch connect to, and a
+ * DEALER for each cb-watch that this process connects to.
  */
 #ifndef CB_LINK_WATCH_H
 #define CB_LINK_WATCH_H
@@ -11,7 +11,7 @@
 
 struct watch_link;
 
-/* Counters of the links; docs/OPERATIONS.md names each. */
+/* Counters of the links; docs/OPERATIONS.md describes each. */
 #define WATCH_LINK_COUNTERS(X) \
 	X(frames)              \
 	X(frames_bad_mac)      \
@@ -32,9 +32,9 @@
 /**
  * struct watch_link_conf - settings of the links
  * @listen: endpoint to bind, tcp://IP:PORT
- * @port: port of other cb-watch, on the address of their VM
- * @self: this VM
- * @data_centre: its data centre
+ * @port: port on which the cb-watch of the other VMs listen
+ * @self: address of this VM
+ * @data_centre: data centre of this VM
  * @key: shared key from the settings, 32 bytes
  */
 struct watch_link_conf {
@@ -46,20 +46,20 @@
 };
 
 /**
- * struct watch_link_handler - port that takes messages of other cb-watch
- * @ctx: passed back
- * @peer: an authentic message
+ * struct watch_link_handler - callback that receives messages of other cb-watch
+ * @ctx: first argument of @receive
+ * @receive: an authentic message; valid during the call
  */
 struct watch_link_handler {
 	void *ctx;
-	void (*peer)(void *ctx, const struct spread_msg *msg);
+	void (*receive)(void *ctx, const struct spread_msg *msg);
 };
 
 /**
- * watch_link_open() - bind, and be ready to send
+ * watch_link_open() - bind the ROUTER
  * @loop: loop to run on
  * @conf: settings, copied
- * @handler: takes messages
+ * @handler: receives messages of other cb-watch
  * @out: set to the links
  *
  * Return: 0, -ENOMEM, or ZeroMQ's negative error for the endpoint.
@@ -68,20 +68,22 @@
 		    struct watch_link_handler handler, struct watch_link **out);
 
 /**
- * watch_link_spread() - what entries are served from
- * @l: links
- * @s: spread; has to outlive the links
+ * watch_link_set_spread() - set the store from which entries are served
+ * @link: links
+ * @spread: store; has to outlive the links. Until it is set, hellos of entries
+ *	are ignored
  */
-void watch_link_spread(struct watch_link *l, const struct spread *s);
-void watch_link_send(struct watch_link *l, uint64_t vm,
-		     const struct spread_msg *msg);
-void watch_link_entries(struct watch_link *l, const char *key,
-			const struct version *version,
-			const struct content *content);
-void watch_link_expire(struct watch_link *l);
-uint32_t watch_link_entry_count(const struct watch_link *l);
+void watch_link_set_spread(struct watch_link *link,
+			   const struct spread *spread);
+void watch_link_send_to_peer(struct watch_link *link, uint64_t vm,
+			     const struct spread_msg *msg);
+void watch_link_send_to_entries(struct watch_link *link, const char *key,
+				const struct version *version,
+				const struct content *content);
+void watch_link_close_idle(struct watch_link *link);
+uint32_t watch_link_entry_count(const struct watch_link *link);
 const struct watch_link_counters *
-watch_link_counters(const struct watch_link *l);
-void watch_link_close(struct watch_link *l);
+watch_link_counters(const struct watch_link *link);
+void watch_link_close(struct watch_link *link);
 
 #endif
--- a/adapters/log_entry.c
+++ b/adapters/log_entry.c
@@ -4,7 +4,7 @@
 #include <glib.h>
 #include <jansson.h>
 
-static char *text(const json_t *line, const char *name)
+static char *copy_text(const json_t *line, const char *name)
 {
 	const char *s = json_string_value(json_object_get(line, name));
 
@@ -12,42 +12,42 @@
 }
 
 /**
- * log_entry_read() - read a line of the log
- * @json: the line's JSON
- * @out: filled; log_entry_clear() frees it, also after a failure
+ * log_entry_parse() - parse a line of a log in format "json"
+ * @json: line
+ * @out: set to its fields; free it with log_entry_clear(), also after an error
  *
- * Return: 0, or -EPROTO when it is no line of a log.
+ * Return: 0, or -EPROTO when the line has no valid time.
  */
-int log_entry_read(const char *json, struct log_entry *out)
+int log_entry_parse(const char *json, struct log_entry *out)
 {
 	json_t *line = json_loads(json, 0, NULL);
-	GDateTime *at;
+	GDateTime *time;
 
 	*out = (struct log_entry){
-		.time = text(line, "time"),
-		.step = text(line, "step"),
-		.peer = text(line, "peer"),
-		.message = text(line, "message"),
+		.time = copy_text(line, "time"),
+		.step = copy_text(line, "step"),
+		.peer = copy_text(line, "peer"),
+		.message = copy_text(line, "message"),
 	};
 	json_decref(line);
-	at = g_date_time_new_from_iso8601(out->time, NULL);
-	if (!at)
+	time = g_date_time_new_from_iso8601(out->time, NULL);
+	if (!time)
 		return -EPROTO;
-	out->time_us = g_date_time_to_unix(at) * G_USEC_PER_SEC +
-		       g_date_time_get_microsecond(at);
-	g_date_time_unref(at);
+	out->time_us = g_date_time_to_unix(time) * G_USEC_PER_SEC +
+		       g_date_time_get_microsecond(time);
+	g_date_time_unref(time);
 	return 0;
 }
 
 /**
- * log_entry_clear() - free what log_entry_read() filled
- * @e: line
+ * log_entry_clear() - free the fields of a parsed line
+ * @entry: line; empty afterwards
  */
-void log_entry_clear(struct log_entry *e)
+void log_entry_clear(struct log_entry *entry)
 {
-	g_free(e->time);
-	g_free(e->step);
-	g_free(e->peer);
-	g_free(e->message);
-	*e = (struct log_entry){ 0 };
+	g_free(entry->time);
+	g_free(entry->step);
+	g_free(entry->peer);
+	g_free(entry->message);
+	*entry = (struct log_entry){ 0 };
 }
--- a/adapters/log_entry.h
+++ b/adapters/log_entry.h
@@ -1,16 +1,16 @@
-/* A line of our log, read back. */
+/* Parser for the lines that log.h writes in format "json". */
 #ifndef CB_LOG_ENTRY_H
 #define CB_LOG_ENTRY_H
 
 #include <stdint.h>
 
 /**
- * struct log_entry - what a line of JSON says
- * @time_us: when, microseconds since 1970
- * @time: the same, as written
- * @step: its step, or ""
- * @peer: its peer, or ""
- * @message: its message, or ""
+ * struct log_entry - parsed line of a log
+ * @time_us: time, microseconds since 1970
+ * @time: time as written
+ * @step: step, or ""
+ * @peer: peer, or ""
+ * @message: message, or ""
  */
 struct log_entry {
 	int64_t time_us;
@@ -20,7 +20,7 @@
 	char *message;
 };
 
-int log_entry_read(const char *json, struct log_entry *out);
-void log_entry_clear(struct log_entry *e);
+int log_entry_parse(const char *json, struct log_entry *out);
+void log_entry_clear(struct log_entry *entry);
 
 #endif
--- a/adapters/mistakes.c
+++ b/adapters/mistakes.c
@@ -2,81 +2,89 @@
 
 #include <glib.h>
 
-static void put(struct mistakes *m, const char *document, uint32_t line,
-		const char *key, const char *problem, const char *expected,
-		uint8_t warning)
+static void append(struct mistakes *mistakes, const char *document,
+		   uint32_t line, const char *key, const char *problem,
+		   const char *expected, uint8_t is_warning)
 {
-	struct mistake *x;
+	struct mistake *mistake;
 
-	if (m->n == m->capacity) {
-		m->capacity = m->capacity ? m->capacity * 2 : 8;
-		m->list = g_renew(struct mistake, m->list, m->capacity);
+	if (mistakes->n == mistakes->capacity) {
+		mistakes->capacity =
+			mistakes->capacity ? mistakes->capacity * 2 : 8;
+		mistakes->list = g_renew(struct mistake, mistakes->list,
+					 mistakes->capacity);
 	}
-	x = &m->list[m->n++];
-	g_strlcpy(x->document, document, sizeof(x->document));
-	g_strlcpy(x->key, key, sizeof(x->key));
-	g_strlcpy(x->problem, problem, sizeof(x->problem));
-	g_strlcpy(x->expected, expected, sizeof(x->expected));
-	x->line = line;
-	x->warning = warning;
-	if (!warning)
-		m->n_errors++;
+	mistake = &mistakes->list[mistakes->n++];
+	g_strlcpy(mistake->document, document, sizeof(mistake->document));
+	g_strlcpy(mistake->key, key, sizeof(mistake->key));
+	g_strlcpy(mistake->problem, problem, sizeof(mistake->problem));
+	g_strlcpy(mistake->expected, expected, sizeof(mistake->expected));
+	mistake->line = line;
+	mistake->is_warning = is_warning;
+	if (!is_warning)
+		mistakes->n_errors++;
 }
 
 /**
- * mistake_add() - note an error
- * @m: where to
- * @document: file or platform key
- * @line: line from 1, 0 when it has none
- * @key: dotted key
+ * mistake_add() - append an error
+ * @mistakes: list
+ * @document: file or key of the platform
+ * @line: line from 1; 0 when there is none
+ * @key: dotted key, or ""
  * @problem: what is wrong
- * @expected: what would be right
+ * @expected: what would be valid
+ *
+ * Texts that exceed the fields of struct mistake are cut.
  */
-void mistake_add(struct mistakes *m, const char *document, uint32_t line,
+void mistake_add(struct mistakes *mistakes, const char *document, uint32_t line,
 		 const char *key, const char *problem, const char *expected)
 {
-	put(m, document, line, key, problem, expected, 0);
+	append(mistakes, document, line, key, problem, expected, 0);
 }
 
 /**
- * mistake_warn() - note what may stand but the operator should know
- * @m: where to
- * @document: file or platform key
- * @line: line from 1, 0 when it has none
- * @key: dotted key
- * @problem: what will happen
+ * mistake_add_warning() - append a warning: the document is valid, with an
+ *	effect that the operator may not want
+ * @mistakes: list
+ * @document: file or key of the platform
+ * @line: line from 1; 0 when there is none
+ * @key: dotted key, or ""
+ * @problem: the effect
  * @expected: what would avoid it
  */
-void mistake_warn(struct mistakes *m, const char *document, uint32_t line,
-		  const char *key, const char *problem, const char *expected)
+void mistake_add_warning(struct mistakes *mistakes, const char *document,
+			 uint32_t line, const char *key, const char *problem,
+			 const char *expected)
 {
-	put(m, document, line, key, problem, expected, 1);
+	append(mistakes, document, line, key, problem, expected, 1);
 }
 
 /**
- * mistakes_print() - one line each: DOCUMENT:LINE: KIND: KEY: PROBLEM; EXPECTED
- * @m: mistakes
- * @to: stream
+ * mistakes_print() - print a list, a line each: DOCUMENT:LINE: KIND: KEY:
+ *	PROBLEM; expected EXPECTED
+ * @mistakes: list
+ * @out: stream
  */
-void mistakes_print(const struct mistakes *m, FILE *to)
+void mistakes_print(const struct mistakes *mistakes, FILE *out)
 {
-	for (uint32_t i = 0; i < m->n; i++) {
-		const struct mistake *x = &m->list[i];
+	for (uint32_t i = 0; i < mistakes->n; i++) {
+		const struct mistake *mistake = &mistakes->list[i];
 
-		fprintf(to, "%s:%u: %s: ", x->document, x->line,
-			x->warning ? "warning" : "error");
-		if (x->key[0])
-			fprintf(to, "%s: ", x->key);
-		fprintf(to, "%s; expected %s\n", x->problem, x->expected);
+		fprintf(out, "%s:%u: %s: ", mistake->document, mistake->line,
+			mistake->is_warning ? "warning" : "error");
+		if (mistake->key[0])
+			fprintf(out, "%s: ", mistake->key);
+		fprintf(out, "%s; expected %s\n", mistake->problem,
+			mistake->expected);
 	}
 }
 
 /**
- * mistakes_free() - free the list and empty it
- * @m: mistakes
+ * mistakes_free() - free a list
+ * @mistakes: list; empty afterwards
  */
-void mistakes_free(struct mistakes *m)
+void mistakes_free(struct mistakes *mistakes)
 {
-	g_free(m->list);
-	*m = (struct mistakes){ 0 };
+	g_free(mistakes->list);
+	*mistakes = (struct mistakes){ 0 };
 }
--- a/adapters/mistakes.h
+++ b/adapters/mistakes.h
@@ -1,4 +1,4 @@
-/* Every mistake of a document, gathered before any is printed. */
+/* List of all mistakes of a document, collected before any is printed. */
 #ifndef CB_MISTAKES_H
 #define CB_MISTAKES_H
 
@@ -6,13 +6,13 @@
 #include <stdio.h>
 
 /**
- * struct mistake - one mistake: where, what was found, what was expected
- * @document: file or platform key
- * @line: line from 1, 0 when it has none
- * @key: dotted key
- * @problem: what is wrong
- * @expected: what would be right
- * @warning: may stand, but the operator is told
+ * struct mistake - error or warning about a document
+ * @document: file or key of the platform
+ * @line: line from 1; 0 when there is none
+ * @key: dotted key, or ""
+ * @problem: what is wrong; of a warning, the effect
+ * @expected: what would be valid
+ * @is_warning: 1 for a warning, which does not make the document invalid
  */
 struct mistake {
 	char document[128];
@@ -20,9 +20,16 @@
 	char key[128];
 	char problem[160];
 	char expected[128];
-	uint8_t warning;
+	uint8_t is_warning;
 };
 
+/**
+ * struct mistakes - list of mistakes; starts zeroed
+ * @list: array, owned
+ * @n: number of errors and warnings
+ * @n_errors: number of errors
+ * @capacity: allocated elements of @list
+ */
 struct mistakes {
 	struct mistake *list;
 	uint32_t n;
@@ -30,11 +37,12 @@
 	uint32_t capacity;
 };
 
-void mistake_add(struct mistakes *m, const char *document, uint32_t line,
+void mistake_add(struct mistakes *mistakes, const char *document, uint32_t line,
 		 const char *key, const char *problem, const char *expected);
-void mistake_warn(struct mistakes *m, const char *document, uint32_t line,
-		  const char *key, const char *problem, const char *expected);
-void mistakes_print(const struct mistakes *m, FILE *to);
-void mistakes_free(struct mistakes *m);
+void mistake_add_warning(struct mistakes *mistakes, const char *document,
+			 uint32_t line, const char *key, const char *problem,
+			 const char *expected);
+void mistakes_print(const struct mistakes *mistakes, FILE *out);
+void mistakes_free(struct mistakes *mistakes);
 
 #endif
--- a/adapters/msgpack_bound.c
+++ b/adapters/msgpack_bound.c
@@ -4,11 +4,15 @@
 
 #define DEPTH_MAX 8
 
-/* A first byte from 0xc0 to 0xdf: bytes that follow, and what they mean. */
+/*
+ * First bytes from 0xc0 to 0xdf: the number of bytes that follow, and what they
+ * are: a scalar value, the length of a string or binary, or the number of
+ * elements of an array.
+ */
 enum meaning { SCALAR, LENGTH, ARRAY, REFUSED };
 
 static const struct {
-	uint8_t n_bytes;
+	uint8_t size_bytes;
 	uint8_t meaning;
 } heads[32] = {
 	[0x00] = { 0, SCALAR },	 [0x01] = { 0, REFUSED },
@@ -29,7 +33,13 @@
 	[0x1e] = { 0, REFUSED }, [0x1f] = { 0, REFUSED },
 };
 
-/* Bytes left, and elements still to come at each depth. */
+/**
+ * struct walk - position in a value
+ * @at: next byte
+ * @left: bytes from @at to the end
+ * @depth: number of arrays around @at
+ * @pending: by depth, number of elements that follow
+ */
 struct walk {
 	const uint8_t *at;
 	uint32_t left;
@@ -37,41 +47,41 @@
 	uint32_t pending[DEPTH_MAX + 1];
 };
 
-static int walk_over(struct walk *w, uint32_t n_bytes)
+static int walk_skip(struct walk *w, uint32_t size_bytes)
 {
-	if (n_bytes > w->left)
+	if (size_bytes > w->left)
 		return -EPROTO;
-	w->at += n_bytes;
-	w->left -= n_bytes;
+	w->at += size_bytes;
+	w->left -= size_bytes;
 	return 0;
 }
 
-static int walk_into(struct walk *w, uint32_t n_elements)
+static int walk_enter_array(struct walk *w, uint32_t n_elements)
 {
-	/* Each element takes a byte at least. */
+	/* Each element takes at least one byte. */
 	if (n_elements > w->left || w->depth == DEPTH_MAX)
 		return -EPROTO;
 	w->pending[++w->depth] = n_elements;
 	return 0;
 }
 
-static int walk_long(struct walk *w, uint8_t head)
+static int walk_extended(struct walk *w, uint8_t head)
 {
-	uint8_t n_bytes = heads[head - 0xc0].n_bytes;
+	uint8_t size_bytes = heads[head - 0xc0].size_bytes;
 	uint32_t value = 0;
 
-	if (n_bytes > w->left)
+	if (size_bytes > w->left)
 		return -EPROTO;
-	for (uint8_t i = 0; i < n_bytes; i++)
+	for (uint8_t i = 0; i < size_bytes; i++)
 		value = value << 8 | w->at[i];
-	walk_over(w, n_bytes);
+	walk_skip(w, size_bytes);
 	switch (heads[head - 0xc0].meaning) {
 	case SCALAR:
 		return 0;
 	case LENGTH:
-		return walk_over(w, value);
+		return walk_skip(w, value);
 	case ARRAY:
-		return walk_into(w, value);
+		return walk_enter_array(w, value);
 	default:
 		return -EPROTO;
 	}
@@ -84,19 +94,19 @@
 	if (!w->left)
 		return -EPROTO;
 	head = *w->at;
-	walk_over(w, 1);
+	walk_skip(w, 1);
 	if (head < 0x80 || head >= 0xe0)
 		return 0;
 	if (head < 0x90)
 		return -EPROTO;
 	if (head < 0xa0)
-		return walk_into(w, head & 0x0f);
+		return walk_enter_array(w, head & 0x0f);
 	if (head < 0xc0)
-		return walk_over(w, head & 0x1f);
-	return walk_long(w, head);
+		return walk_skip(w, head & 0x1f);
+	return walk_extended(w, head);
 }
 
-int msgpack_bound(const uint8_t *buf, uint32_t size_bytes)
+int msgpack_check_bounds(const uint8_t *buf, uint32_t size_bytes)
 {
 	struct walk w = { .at = buf, .left = size_bytes, .pending = { 1 } };
 	int err = 0;
--- a/adapters/msgpack_fields.h
+++ b/adapters/msgpack_fields.h
@@ -1,4 +1,4 @@
-/* Fields of a decoded msgpack array. */
+/* Accessors for the fields of a decoded msgpack array. */
 #ifndef CB_MSGPACK_FIELDS_H
 #define CB_MSGPACK_FIELDS_H
 
@@ -7,32 +7,34 @@
 #include <msgpack.h>
 
 /**
- * msgpack_number() - a whole number from 0
- * @o: field
- * @max: greatest that is taken
- * @out: set to it
+ * msgpack_get_uint() - read an unsigned integer
+ * @object: field
+ * @max: upper bound, inclusive
+ * @out: set to the value; unchanged when false is returned
  *
- * Return: whether it is one.
+ * Return: whether @object is an unsigned integer of at most @max.
  */
-static inline bool msgpack_number(const msgpack_object *o, uint64_t max,
-				  uint64_t *out)
+static inline bool msgpack_get_uint(const msgpack_object *object, uint64_t max,
+				    uint64_t *out)
 {
-	if (o->type != MSGPACK_OBJECT_POSITIVE_INTEGER || o->via.u64 > max)
+	if (object->type != MSGPACK_OBJECT_POSITIVE_INTEGER ||
+	    object->via.u64 > max)
 		return false;
-	*out = o->via.u64;
+	*out = object->via.u64;
 	return true;
 }
 
 /**
- * msgpack_list() - a list
- * @o: field
- * @max: most items that are taken
+ * msgpack_is_array() - test for an array of bounded size
+ * @object: field
+ * @max: maximum number of elements
  *
- * Return: whether it is one.
+ * Return: whether @object is an array of at most @max elements.
  */
-static inline bool msgpack_list(const msgpack_object *o, uint32_t max)
+static inline bool msgpack_is_array(const msgpack_object *object, uint32_t max)
 {
-	return o->type == MSGPACK_OBJECT_ARRAY && o->via.array.size <= max;
+	return object->type == MSGPACK_OBJECT_ARRAY &&
+	       object->via.array.size <= max;
 }
 
 #endif
--- a/adapters/packet_settings.h
+++ b/adapters/packet_settings.h
@@ -7,7 +7,27 @@
 
 #define PACKET_SEEDS_MAX 3
 
-/* docs/PROTOCOLS.md names every key. */
+/**
+ * struct packet_settings - settings of cb-packet; docs/PROTOCOLS.md describes
+ *	each key
+ * @data_centre: name of the data centre of this VM
+ * @link_mbps: bandwidth of the VM's link, Mbit/s; 0 when it is unknown
+ * @cold_overrun: factor on the rate of new flows to a cold target
+ * @cold_slack: new flows per second to a cold target on top of that
+ * @peer: endpoint for other entries, UDP; identifies this entry
+ * @http: endpoint of the pages for operators
+ * @listen: endpoint for the packets of clients, UDP
+ * @ready: endpoint of the readiness page
+ * @platform: endpoint of the platform
+ * @seeds: addresses of entries that are contacted first; their ports are not
+ *	used. 0 for none
+ * @flows: capacity of the table of flows
+ * @flow_lifetime_ns: maximum lifetime of an open flow
+ * @grace_ns: time from the signal to stop until the process is killed
+ * @decisions_per_s: maximum number of log lines per second about single flows
+ * @policy: limits and switches of the decisions
+ * @log: settings of the log
+ */
 struct packet_settings {
 	char data_centre[NAME_MAX_BYTES];
 	double link_mbps;
@@ -28,6 +48,6 @@
 };
 
 int packet_settings_read(const char *path, struct packet_settings *out,
-			 struct mistakes *m);
+			 struct mistakes *mistakes);
 
 #endif
--- a/adapters/platform.c
+++ b/adapters/platform.c
@@ -17,12 +17,12 @@
 	struct http_caller *caller;
 	uint64_t server;
 	struct platform_handler handler;
-	uv_timer_t failed; /* tells of a call that could not be started */
+	uv_timer_t failure_timer; /* reports a call that could not be started */
 };
 
 static void on_done(void *ctx, const struct http_reply *reply)
 {
-	struct platform *p = ctx;
+	struct platform *platform = ctx;
 	struct reader_answer a = {
 		.status = reply->status,
 		.revision = g_ascii_strtoull(reply->header, NULL, 10),
@@ -30,40 +30,40 @@
 		.size_bytes = (uint32_t)reply->size_bytes,
 	};
 
-	p->handler.answer(p->handler.ctx, &a);
+	platform->handler.answer(platform->handler.ctx, &a);
 }
 
 static void on_failed(uv_timer_t *timer)
 {
 	struct reader_answer none = { .body = "" };
-	struct platform *p = timer->data;
+	struct platform *platform = timer->data;
 
-	p->handler.answer(p->handler.ctx, &none);
+	platform->handler.answer(platform->handler.ctx, &none);
 }
 
 int platform_open(uv_loop_t *loop, const char *url,
 		  struct platform_handler handler, struct platform **out)
 {
-	struct platform *p = calloc(1, sizeof(*p));
-	struct http_call_handler done = { p, on_done, NULL };
-	const char *at =
+	struct platform *platform = calloc(1, sizeof(*platform));
+	struct http_call_handler done = { platform, on_done, NULL };
+	const char *address =
 		g_str_has_prefix(url, SCHEME) ? url + strlen(SCHEME) : url;
 	int err;
 
-	if (!p)
+	if (!platform)
 		return -ENOMEM;
-	p->handler = handler;
-	err = addr_parse(at, &p->server);
+	platform->handler = handler;
+	err = addr_parse(address, &platform->server);
 	if (!err)
-		err = http_caller_open(loop, done, &p->caller);
+		err = http_caller_open(loop, done, &platform->caller);
 	if (err) {
-		free(p);
+		free(platform);
 		return err;
 	}
-	http_caller_header(p->caller, "X-Revision");
-	uv_timer_init(loop, &p->failed);
-	p->failed.data = p;
-	*out = p;
+	http_caller_header(platform->caller, "X-Revision");
+	uv_timer_init(loop, &platform->failure_timer);
+	platform->failure_timer.data = platform;
+	*out = platform;
 	return 0;
 }
 
@@ -86,25 +86,25 @@
 	return path;
 }
 
-void platform_call(struct platform *p, enum reader_call call, const char *key,
-		   uint64_t after)
+void platform_call(struct platform *platform, enum reader_call call,
+		   const char *key, uint64_t after)
 {
 	GString *path = call_path(call, key, after);
 
-	if (http_call(p->caller, p->server, path->str,
+	if (http_call(platform->caller, platform->server, path->str,
 		      call == CALL_WATCH ? WATCH_TIMEOUT_MS : CALL_TIMEOUT_MS))
-		uv_timer_start(&p->failed, on_failed, 0, 0);
+		uv_timer_start(&platform->failure_timer, on_failed, 0, 0);
 	g_string_free(path, TRUE);
 }
 
 /**
- * platform_cancel() - give up the call under way; no answer comes
- * @p: platform
+ * platform_cancel() - cancel the call in progress; its answer is not delivered
+ * @platform: client
  */
-void platform_cancel(struct platform *p)
+void platform_cancel(struct platform *platform)
 {
-	http_cancel(p->caller);
-	uv_timer_stop(&p->failed);
+	http_cancel(platform->caller);
+	uv_timer_stop(&platform->failure_timer);
 }
 
 static void on_closed(uv_handle_t *handle)
@@ -113,14 +113,15 @@
 }
 
 /**
- * platform_close() - end; memory goes when the loop turns again
- * @p: platform, or NULL
+ * platform_close() - close the client; its memory is freed by the next
+ *	iteration of the loop
+ * @platform: client, or NULL
  */
-void platform_close(struct platform *p)
+void platform_close(struct platform *platform)
 {
-	if (!p)
+	if (!platform)
 		return;
-	platform_cancel(p);
-	http_caller_close(p->caller);
-	uv_close((uv_handle_t *)&p->failed, on_closed);
+	platform_cancel(platform);
+	http_caller_close(platform->caller);
+	uv_close((uv_handle_t *)&platform->failure_timer, on_closed);
 }
--- a/adapters/platform.h
+++ b/adapters/platform.h
@@ -1,4 +1,4 @@
-/* Calls to the platform's service on a libuv loop, one at a time. */
+/* HTTP client of the platform on a libuv loop; one call at a time. */
 #ifndef CB_PLATFORM_H
 #define CB_PLATFORM_H
 
@@ -9,37 +9,39 @@
 struct platform;
 
 /**
- * struct platform_handler - port that takes answers
- * @ctx: passed back
- * @answer: how the call under way ended
+ * struct platform_handler - callback that receives answers
+ * @ctx: first argument of @answer
+ * @answer: result of the call in progress; valid during the call
  */
 struct platform_handler {
 	void *ctx;
-	void (*answer)(void *ctx, const struct reader_answer *a);
+	void (*answer)(void *ctx, const struct reader_answer *answer);
 };
 
 /**
- * platform_open() - be ready to call
+ * platform_open() - create a client
  * @loop: loop to run on
  * @url: base URL, http://IP:PORT
- * @handler: takes answers
- * @out: set to the platform
+ * @handler: receives answers
+ * @out: set to the client
  *
- * Return: 0, -EINVAL for another URL, -ENOMEM.
+ * Return: 0, -EINVAL for an invalid URL, or -ENOMEM.
  */
 int platform_open(uv_loop_t *loop, const char *url,
 		  struct platform_handler handler, struct platform **out);
 
 /**
- * platform_call() - start a call; the one before has to have ended
- * @p: platform
- * @call: what to call
- * @key: key to read
- * @after: revision to watch from
+ * platform_call() - start a call; the previous one has to have ended
+ * @platform: client
+ * @call: kind of call
+ * @key: CALL_GET: key to read
+ * @after: CALL_WATCH: wait for changes after this revision
+ *
+ * The result always goes to the handler, with status 0 when the call fails.
  */
-void platform_call(struct platform *p, enum reader_call call, const char *key,
-		   uint64_t after);
-void platform_cancel(struct platform *p);
-void platform_close(struct platform *p);
+void platform_call(struct platform *platform, enum reader_call call,
+		   const char *key, uint64_t after);
+void platform_cancel(struct platform *platform);
+void platform_close(struct platform *platform);
 
 #endif
--- a/adapters/probe_outcome.c
+++ b/adapters/probe_outcome.c
@@ -3,17 +3,19 @@
 #include <uv.h>
 
 /**
- * probe_outcome() - judge an attempt by its end
- * @status: 0, or libuv's error
+ * probe_outcome_from_status() - outcome of a connection attempt to a target
+ * @status: 0, or libuv's error of the attempt
  *
- * Refused means that nobody listens: the process has ended. Reset means that
- * somebody did, and closed again: a target that holds as many connections as it
- * may. Taken for ended, live targets of a fleet that wakes have their flows reset.
+ * A refused connection means that no process listens: the target has ended. A
+ * reset after the handshake means that a process accepted the connection and
+ * closed it, as a target does that has as many connections as it allows.
+ * Treating it as ended would reset the flows of live targets during a load
+ * spike.
  *
- * Return: what is known of the target; PROBE_INCONCLUSIVE for a shortage of this VM's
- * own.
+ * Return: the outcome; PROBE_INCONCLUSIVE when this VM lacks resources for the
+ * attempt.
  */
-enum probe_outcome probe_outcome(int status)
+enum probe_outcome probe_outcome_from_status(int status)
 {
 	switch (status) {
 	case 0:
--- a/adapters/proxy2.c
+++ b/adapters/proxy2.c
@@ -35,10 +35,10 @@
 }
 
 /**
- * proxy2_write() - put the header of a datagram
- * @buf: room for the header
- * @source: endpoint the datagram comes from
- * @destination: endpoint it goes to
+ * proxy2_write() - write the PROXY header of a datagram
+ * @buf: PROXY2_BYTES bytes
+ * @source: endpoint that the datagram comes from
+ * @destination: endpoint that it is sent to
  */
 void proxy2_write(uint8_t buf[PROXY2_BYTES], uint64_t source,
 		  uint64_t destination)
@@ -54,14 +54,14 @@
 }
 
 /**
- * proxy2_read() - read the header that stands before a datagram
+ * proxy2_read() - parse the PROXY header in front of a datagram
  * @buf: header and datagram
  * @size_bytes: size of both
- * @source: filled with the endpoint it comes from
- * @destination: filled with the endpoint it goes to
+ * @source: set to the endpoint that the datagram comes from
+ * @destination: set to the endpoint that it is sent to
  *
- * Return: size of the header in bytes, with its extra fields; -EPROTO for
- * anything but PROXY over IPv4 datagrams, or a header cut short.
+ * Return: size of the header in bytes, including its TLV fields; -EPROTO for
+ * anything but command PROXY over IPv4 datagrams, or a truncated header.
  */
 int proxy2_read(const uint8_t *buf, uint32_t size_bytes, uint64_t *source,
 		uint64_t *destination)
--- a/adapters/proxy2.h
+++ b/adapters/proxy2.h
@@ -1,4 +1,4 @@
-/* PROXY protocol v2 header of a datagram, IPv4. */
+/* PROXY protocol version 2 header of a datagram over IPv4. */
 #ifndef CB_PROXY2_H
 #define CB_PROXY2_H
 
--- a/adapters/publication.c
+++ b/adapters/publication.c
@@ -3,16 +3,16 @@
 #include "fields.h"
 #include "settings.h"
 #include "publication_merge.h"
-#include "publication_words.h"
+#include "publication_names.h"
 
 #include <glib.h>
 #include <stdlib.h>
 #include <string.h>
 
 /*
- * A generation never falls. One that has no room above it, as a slip of the
- * finger or the parser's largest integer in place of a larger one, could never
- * be followed by another.
+ * A generation never decreases. After one at the top of the range, such as a
+ * typing error or the largest integer of the parser in place of a larger one,
+ * no other could be published; the bound leaves room above it.
  */
 #define GENERATION_MAX 1000000000000000LL
 #define WEIGHT_MAX 1000
@@ -20,8 +20,8 @@
 #define QUEUE_MAX 65536
 #define CONNECTIONS_MAX 1000000
 
-/* A target as written; the core reads only those of its data centre. */
-struct target_read {
+/* A target of the document; the core gets those of one data centre. */
+struct parsed_target {
 	struct target_conf conf;
 	char data_centre[NAME_MAX_BYTES];
 };
@@ -39,9 +39,9 @@
 	FIELD(service_conf, "name", FIELD_NAME, name, .required = true),
 	FIELD(service_conf, "vip", FIELD_ADDR, vip, .required = true),
 	FIELD(service_conf, "protocol", FIELD_CHOICE, protocol,
-	      .choices = protocol_words, .fallback = SERVICE_COAP),
+	      .choices = service_protocol_names, .fallback = SERVICE_COAP),
 	FIELD(service_conf, "class", FIELD_CHOICE, class,
-	      .choices = class_words, .fallback = CLASS_REPORT),
+	      .choices = service_class_names, .fallback = CLASS_REPORT),
 	FIELD(service_conf, "post_idempotent", FIELD_BOOL, post_idempotent),
 	FIELD(service_conf, "target_dedups", FIELD_BOOL, target_dedups),
 	FIELD(service_conf, "request_timeout_ms", FIELD_MS, request_timeout_ns,
@@ -52,32 +52,33 @@
 };
 
 static const struct field target_fields[] = {
-	FIELD(target_read, "address", FIELD_ADDR, conf.addr, .required = true),
-	FIELD(target_read, "data_centre", FIELD_NAME, data_centre,
+	FIELD(parsed_target, "address", FIELD_ADDR, conf.addr,
 	      .required = true),
-	FIELD(target_read, "state", FIELD_CHOICE, conf.state,
-	      .choices = state_words, .fallback = TARGET_UP),
-	FIELD(target_read, "weight", FIELD_U16, conf.weight,
+	FIELD(parsed_target, "data_centre", FIELD_NAME, data_centre,
+	      .required = true),
+	FIELD(parsed_target, "state", FIELD_CHOICE, conf.state,
+	      .choices = target_state_names, .fallback = TARGET_UP),
+	FIELD(parsed_target, "weight", FIELD_U16, conf.weight,
 	      RANGE(1, WEIGHT_MAX, 100)),
-	FIELD(target_read, "slots", FIELD_U16, conf.slots,
+	FIELD(parsed_target, "slots", FIELD_U16, conf.slots,
 	      RANGE(1, UINT16_MAX, 2)),
-	FIELD(target_read, "connections", FIELD_U32, conf.connections,
+	FIELD(parsed_target, "connections", FIELD_U32, conf.connections,
 	      RANGE(1, CONNECTIONS_MAX, 2000)),
 	{ 0 }
 };
 
 /**
- * struct reading - an account that is being read
- * @account: filled
- * @data_centre: whose targets are kept, NULL for all
- * @seen: endpoints used so far, each with what it is
- * @m: mistakes
+ * struct reading - state while an account is parsed
+ * @account: result
+ * @data_centre: data centre whose targets are kept; NULL keeps all
+ * @seen: endpoints used so far; the value is "service" or "target"
+ * @mistakes: list to which mistakes are added
  */
-struct reading {
+struct parser {
 	struct account_conf *account;
 	const char *data_centre;
 	GHashTable *seen;
-	struct mistakes *m;
+	struct mistakes *mistakes;
 };
 
 static void *allocate(size_t n, size_t size_bytes)
@@ -90,11 +91,13 @@
 }
 
 /*
- * An endpoint that stood for two things would lead a request to a service it
- * was not meant for, so an account uses each endpoint once.
+ * An account uses each endpoint once: with two uses a request would go to a
+ * service that it is not meant for.
  */
-static void endpoint_once(struct reading *r, const struct toml_node *table,
-			  const char *prefix, const char *key, uint64_t addr)
+static void check_endpoint_unique(struct parser *parser,
+				  const struct toml_node *table,
+				  const char *prefix, const char *key,
+				  uint64_t addr)
 {
 	char problem[DOTTED_BYTES];
 	char text[32];
@@ -103,136 +106,150 @@
 
 	if (!addr)
 		return;
-	before = g_hash_table_lookup(r->seen, GSIZE_TO_POINTER(addr));
+	before = g_hash_table_lookup(parser->seen, GSIZE_TO_POINTER(addr));
 	if (!before) {
-		g_hash_table_insert(r->seen, GSIZE_TO_POINTER(addr),
+		g_hash_table_insert(parser->seen, GSIZE_TO_POINTER(addr),
 				    g_strdup(prefix));
 		return;
 	}
 	g_snprintf(problem, sizeof(problem), "%s is used twice, before by a %s",
 		   addr_text(addr, text, sizeof(text)), before);
-	field_mistake(r->m, node, prefix, key, problem,
+	field_mistake(parser->mistakes, node, prefix, key, problem,
 		      "an endpoint not used elsewhere in the account");
 }
 
-static void target_take(struct reading *r, struct toml_node *node,
-			struct service_conf *s)
+static void parse_target(struct parser *parser, struct toml_node *node,
+			 struct service_conf *service)
 {
-	struct target_read t = { 0 };
+	struct parsed_target target = { 0 };
 
 	if (node->kind != TOML_TABLE) {
-		field_mistake(r->m, node, "service", "target",
+		field_mistake(parser->mistakes, node, "service", "target",
 			      toml_kind_name(node->kind), "a table");
 		return;
 	}
-	fields_take(r->m, "target", node, target_fields, &t);
-	fields_unknown(r->m, "target", node);
-	endpoint_once(r, node, "target", "address", t.conf.addr);
-	if (!r->data_centre || !strcmp(r->data_centre, t.data_centre))
-		s->targets[s->n_targets++] = t.conf;
+	fields_take(parser->mistakes, "target", node, target_fields, &target);
+	fields_unknown(parser->mistakes, "target", node);
+	check_endpoint_unique(parser, node, "target", "address",
+			      target.conf.addr);
+	if (!parser->data_centre ||
+	    !strcmp(parser->data_centre, target.data_centre))
+		service->targets[service->n_targets++] = target.conf;
 }
 
-/* An array with at most @max items; else a mistake, and nothing to read. */
-static uint32_t array_size(struct reading *r, struct toml_node *node,
+/*
+ * Number of items of an array; 0 with a mistake when it is no array or has more
+ * than @max items.
+ */
+static uint32_t array_size(struct parser *parser, struct toml_node *node,
 			   const char *prefix, uint32_t max)
 {
 	char expected[DOTTED_BYTES];
 
-	node->taken = 1;
+	node->consumed = 1;
 	if (node->kind == TOML_ARRAY && node->n_items <= max)
 		return node->n_items;
 	g_snprintf(expected, sizeof(expected), "at most %u tables", max);
-	field_mistake(r->m, node, prefix, node->key,
+	field_mistake(parser->mistakes, node, prefix, node->key,
 		      node->kind == TOML_ARRAY ? "too many"
 					       : toml_kind_name(node->kind),
 		      expected);
 	return 0;
 }
 
-static void targets_take(struct reading *r, struct toml_node *table,
-			 struct service_conf *s)
+static void parse_targets(struct parser *parser, struct toml_node *table,
+			  struct service_conf *service)
 {
 	struct toml_node *list = toml_find(table, "target");
-	uint32_t n =
-		list ? array_size(r, list, "service", TARGETS_PER_SERVICE_MAX)
-		     : 0;
+	uint32_t n = list ? array_size(parser, list, "service",
+				       TARGETS_PER_SERVICE_MAX)
+			  : 0;
 
-	s->targets = allocate(n, sizeof(*s->targets));
+	service->targets = allocate(n, sizeof(*service->targets));
 	for (uint32_t i = 0; i < n; i++)
-		target_take(r, &list->items[i], s);
+		parse_target(parser, &list->items[i], service);
 	if (!n)
-		mistake_warn(r->m, table->document, table->line, "service",
-			     "no target serves it", "at least one target");
+		mistake_add_warning(parser->mistakes, table->document,
+				    table->line, "service",
+				    "no target serves it",
+				    "at least one target");
 }
 
-static void name_once(struct reading *r, const struct toml_node *table,
-		      const struct service_conf *s)
+static void check_name_unique(struct parser *parser,
+			      const struct toml_node *table,
+			      const struct service_conf *service)
 {
-	for (const struct service_conf *o = r->account->services; o != s; o++)
-		if (s->name[0] && !strcmp(o->name, s->name))
-			field_mistake(r->m, toml_find(table, "name"), "service",
-				      "name", "name is used twice",
-				      "a name of its own in the account");
+	for (const struct service_conf *other = parser->account->services;
+	     other != service; other++)
+		if (service->name[0] && !strcmp(other->name, service->name))
+			field_mistake(
+				parser->mistakes, toml_find(table, "name"),
+				"service", "name", "name is used twice",
+				"a name not used elsewhere in the account");
 }
 
-/* It would be published, be in force, and no caller would get an answer. */
-static void carried(struct reading *r, const struct toml_node *table,
-		    const struct service_conf *s)
+/* Such a service would be put in force, but its callers would get no answer. */
+static void warn_unsupported_protocol(struct parser *parser,
+				      const struct toml_node *table,
+				      const struct service_conf *service)
 {
 	const struct toml_node *node = toml_find(table, "protocol");
 
-	if (s->protocol == SERVICE_UDP && node)
-		mistake_warn(r->m, node->document, node->line,
-			     "service.protocol",
-			     "cb-entry does not carry udp services yet",
-			     "\"coap\"");
+	if (service->protocol == SERVICE_UDP && node)
+		mistake_add_warning(parser->mistakes, node->document,
+				    node->line, "service.protocol",
+				    "cb-entry does not carry udp services yet",
+				    "\"coap\"");
 }
 
-static void service_take(struct reading *r, struct toml_node *node)
+static void parse_service(struct parser *parser, struct toml_node *node)
 {
-	struct service_conf *s;
+	struct service_conf *service;
 
 	if (node->kind != TOML_TABLE) {
-		field_mistake(r->m, node, "", "service",
+		field_mistake(parser->mistakes, node, "", "service",
 			      toml_kind_name(node->kind), "a table");
 		return;
 	}
-	s = &r->account->services[r->account->n_services++];
-	fields_take(r->m, "service", node, service_fields, s);
-	name_once(r, node, s);
-	endpoint_once(r, node, "service", "vip", s->vip);
-	carried(r, node, s);
-	targets_take(r, node, s);
-	fields_unknown(r->m, "service", node);
+	service = &parser->account->services[parser->account->n_services++];
+	fields_take(parser->mistakes, "service", node, service_fields, service);
+	check_name_unique(parser, node, service);
+	check_endpoint_unique(parser, node, "service", "vip", service->vip);
+	warn_unsupported_protocol(parser, node, service);
+	parse_targets(parser, node, service);
+	fields_unknown(parser->mistakes, "service", node);
 }
 
-static void services_take(struct reading *r, struct toml_node *body)
+static void parse_services(struct parser *parser, struct toml_node *body)
 {
 	struct toml_node *list = toml_find(body, "service");
 	uint32_t n = 0;
 
 	if (list)
-		n = array_size(r, list, "", SERVICES_PER_ACCOUNT_MAX);
+		n = array_size(parser, list, "", SERVICES_PER_ACCOUNT_MAX);
 	else
-		mistake_warn(r->m, body->document, body->line, "service",
-			     "the account has no service",
-			     "at least one [[service]]");
-	r->account->services = allocate(n, sizeof(*r->account->services));
+		mistake_add_warning(parser->mistakes, body->document,
+				    body->line, "service",
+				    "the account has no service",
+				    "at least one [[service]]");
+	parser->account->services =
+		allocate(n, sizeof(*parser->account->services));
 	for (uint32_t i = 0; i < n; i++)
-		service_take(r, &list->items[i]);
+		parse_service(parser, &list->items[i]);
 }
 
-static void merged_take(struct reading *r, struct merged *merged)
+static void parse_account(struct parser *parser, struct merged_account *merged)
 {
 	if (!merged->account)
 		return;
-	field_take(r->m, merged->account, "", merged->account,
-		   &generation_field, r->account);
+	field_take(parser->mistakes, merged->account, "", merged->account,
+		   &generation_field, parser->account);
 	if (!merged->body)
 		return;
-	fields_take(r->m, "", merged->body, account_fields, r->account);
-	services_take(r, merged->body);
-	fields_unknown(r->m, "", merged->body);
+	fields_take(parser->mistakes, "", merged->body, account_fields,
+		    parser->account);
+	parse_services(parser, merged->body);
+	fields_unknown(parser->mistakes, "", merged->body);
 }
 
 struct account_conf *publication_render(const char *name, const char *text,
@@ -241,22 +258,22 @@
 					struct mistakes *mistakes)
 {
 	uint32_t errors_before = mistakes->n_errors;
-	struct merged merged;
-	struct reading r = { NULL, data_centre, NULL, mistakes };
+	struct merged_account merged;
+	struct parser parser = { NULL, data_centre, NULL, mistakes };
 
-	r.account = allocate(1, sizeof(*r.account));
-	r.seen = g_hash_table_new_full(NULL, NULL, NULL, g_free);
+	parser.account = allocate(1, sizeof(*parser.account));
+	parser.seen = g_hash_table_new_full(NULL, NULL, NULL, g_free);
 	merge_open(&merged, name, text, templates, mistakes);
 	if (!field_name_valid(name))
 		mistake_add(mistakes, merged.account_document, 0, "",
 			    "account's name is not valid",
 			    "letters, digits, \"-\", \"_\" and \".\"");
-	g_strlcpy(r.account->name, name, sizeof(r.account->name));
-	merged_take(&r, &merged);
+	g_strlcpy(parser.account->name, name, sizeof(parser.account->name));
+	parse_account(&parser, &merged);
 	merge_close(&merged);
-	g_hash_table_destroy(r.seen);
+	g_hash_table_destroy(parser.seen);
 	if (mistakes->n_errors == errors_before)
-		return r.account;
-	account_free(r.account);
+		return parser.account;
+	account_free(parser.account);
 	return NULL;
 }
--- a/adapters/publication.h
+++ b/adapters/publication.h
@@ -1,4 +1,4 @@
-/* Published templates and parameters, rendered to what the core reads. */
+/* Published accounts and templates: checks, expansion and comparison. */
 #ifndef CB_PUBLICATION_H
 #define CB_PUBLICATION_H
 
@@ -6,9 +6,10 @@
 #include "mistakes.h"
 
 /**
- * struct template_source - port that finds a template's text
- * @ctx: passed back
- * @find: text of template @name, or NULL; stays good until the render ends
+ * struct template_source - callback that finds templates
+ * @ctx: first argument of @find
+ * @find: text of template @name, or NULL; has to stay valid during the call
+ *	that got this struct. NULL: there are no templates
  */
 struct template_source {
 	void *ctx;
@@ -16,15 +17,15 @@
 };
 
 /**
- * publication_render() - check an account's document and render it
- * @name: account's name
+ * publication_render() - check an account's document and convert it
+ * @name: name of the account
  * @text: document
- * @templates: where templates come from
- * @data_centre: keep only its targets; NULL keeps all
- * @mistakes: every mistake is added here
+ * @templates: finds the template that the document names
+ * @data_centre: data centre whose targets are kept; NULL keeps all
+ * @mistakes: all mistakes are added
  *
- * Return: the account, to be freed with account_free(), or NULL when there
- * is a mistake that is not just a warning.
+ * Return: the account, to be freed with account_free(); NULL when there is an
+ * error.
  */
 struct account_conf *publication_render(const char *name, const char *text,
 					struct template_source templates,
@@ -32,48 +33,49 @@
 					struct mistakes *mistakes);
 
 /**
- * publication_text() - an account's document with its template filled in
- * @name: account's name
+ * publication_expand() - replace an account's template reference by the
+ *	template
+ * @name: name of the account
  * @text: document
- * @templates: where templates come from
- * @mistakes: every mistake is added here
+ * @templates: finds the template that the document names
+ * @mistakes: all mistakes are added
  *
- * Return: a document that stands alone and renders to the same account, to be
- * freed with g_free(), or NULL when there is a mistake that is not just a
- * warning.
+ * Return: a document without a template that renders to the same account, to be
+ * freed with g_free(); NULL when there is an error.
  */
-char *publication_text(const char *name, const char *text,
-		       struct template_source templates,
-		       struct mistakes *mistakes);
+char *publication_expand(const char *name, const char *text,
+			 struct template_source templates,
+			 struct mistakes *mistakes);
 
 /**
- * publication_compare() - what a publication would do to flows that stand
- * @standing: account in force
- * @next: account to be published, NULL when it is withdrawn
- * @mistakes: an error when the generation doesn't grow although the account
- *	changed; warnings for flows that would be orphaned and for connections
- *	or slots that fall
+ * publication_compare() - check what a publication would do to existing flows
+ * @current: account in force
+ * @next: account to be published; NULL when it is withdrawn
+ * @mistakes: an error is added when the account changes without a higher
+ *	generation; warnings for flows that would be orphaned, for fewer
+ *	connections or slots, and for an unusually large step of the generation
  *
- * Both have to be rendered for the same data centre, or both for all.
+ * Both accounts have to be rendered for the same data centre, or both for all.
  */
-void publication_compare(const struct account_conf *standing,
+void publication_compare(const struct account_conf *current,
 			 const struct account_conf *next,
 			 struct mistakes *mistakes);
 
 /**
- * enum change_kind - how an account, service or target differs
- * @CHANGE_ADDED: only the new one has it
- * @CHANGE_REMOVED: only the old one has it
- * @CHANGE_VALUE: both have it with another value
+ * enum change_kind - kind of a difference
+ * @CHANGE_ADDED: only the new account has the item
+ * @CHANGE_REMOVED: only the old account has the item
+ * @CHANGE_VALUE: both have it, with different values
  */
 enum change_kind { CHANGE_ADDED, CHANGE_REMOVED, CHANGE_VALUE };
 
 /**
- * struct change - one difference; strings are good during the call
+ * struct change - a difference between two accounts; strings are valid during
+ *	the call
  * @kind: enum change_kind
- * @account: account's name
- * @service: service's name, or ""
- * @target: target's address, or ""
+ * @account: name of the account
+ * @service: name of the service, or "" when the account itself differs
+ * @target: address of the target, or "" when no target is concerned
  * @key: key whose value differs, or ""
  * @before: old value, or ""
  * @after: new value, or ""
@@ -89,25 +91,25 @@
 };
 
 /**
- * struct change_watch - port that is told of each difference
- * @ctx: passed back
- * @change: a difference
+ * struct change_handler - callback that receives differences
+ * @ctx: first argument of @change
+ * @change: called once for each difference
  */
-struct change_watch {
+struct change_handler {
 	void *ctx;
 	void (*change)(void *ctx, const struct change *c);
 };
 
 /**
- * publication_diff() - differences between two accounts
- * @standing: account in force, NULL when there is none
- * @next: account to be published, NULL when it is withdrawn
- * @watch: told of each
+ * publication_diff() - find the differences between two accounts
+ * @current: account in force; NULL when there is none
+ * @next: account to be published; NULL when it is withdrawn
+ * @handler: receives each difference
  *
  * Return: number of differences.
  */
-uint32_t publication_diff(const struct account_conf *standing,
+uint32_t publication_diff(const struct account_conf *current,
 			  const struct account_conf *next,
-			  struct change_watch watch);
+			  struct change_handler handler);
 
 #endif
--- a/adapters/publication_compare.c
+++ b/adapters/publication_compare.c
@@ -1,6 +1,6 @@
 #include "publication.h"
 
-#include "publication_words.h"
+#include "publication_names.h"
 #include "settings.h"
 
 #include <stdio.h>
@@ -9,89 +9,95 @@
 #define DOCUMENT_BYTES 128
 #define KEY_TEXT_BYTES 128
 #define PROBLEM_BYTES 160
-#define JUMP_USUAL_MAX 1000000
+/* A generation that grows by this much or more is probably a typing error. */
+#define GENERATION_STEP_MAX 1000000
 
 /**
- * struct comparison - two accounts, and what differs besides the generation
- * @standing: account in force
- * @next: account to be published
+ * struct comparison - state of publication_compare()
+ * @current: account in force
+ * @next: account to be published, or NULL
  * @document: key of the account's document
- * @changed: something but the generation differs
- * @m: mistakes
+ * @is_changed: something besides the generation differs
+ * @mistakes: list to which mistakes are added
  */
 struct comparison {
-	const struct account_conf *standing;
+	const struct account_conf *current;
 	const struct account_conf *next;
 	char document[DOCUMENT_BYTES];
-	bool changed;
-	struct mistakes *m;
+	bool is_changed;
+	struct mistakes *mistakes;
 };
 
-static void warn(struct comparison *c, const struct change *at,
+static void warn(struct comparison *c, const struct change *change,
 		 const char *problem, const char *expected)
 {
 	char key[KEY_TEXT_BYTES];
 
-	snprintf(key, sizeof(key), "%s%s%s%s%s", at->service,
-		 at->target[0] ? "." : "", at->target,
-		 at->service[0] && at->key[0] ? "." : "", at->key);
-	mistake_warn(c->m, c->document, 0, key, problem, expected);
+	snprintf(key, sizeof(key), "%s%s%s%s%s", change->service,
+		 change->target[0] ? "." : "", change->target,
+		 change->service[0] && change->key[0] ? "." : "", change->key);
+	mistake_add_warning(c->mistakes, c->document, 0, key, problem,
+			    expected);
 }
 
-static bool was_draining(const struct comparison *c, const struct change *at)
+static bool was_draining(const struct comparison *c,
+			 const struct change *change)
 {
 	const struct service_conf *s =
-		account_service(c->standing, at->service);
+		account_find_service(c->current, change->service);
 	const struct target_conf *t = NULL;
 	uint64_t addr;
 
-	if (s && !addr_parse(at->target, &addr))
-		t = service_target(s, addr);
+	if (s && !addr_parse(change->target, &addr))
+		t = service_find_target(s, addr);
 	return t && t->state == TARGET_DRAINING;
 }
 
-static void removed(struct comparison *c, const struct change *at)
+static void check_removed(struct comparison *c, const struct change *change)
 {
-	if (!at->service[0])
-		warn(c, at, "the account goes, its flows are orphaned",
+	if (!change->service[0])
+		warn(c, change,
+		     "the account is withdrawn, its flows are orphaned",
 		     "an account whose targets have drained");
-	else if (!at->target[0])
-		warn(c, at, "the service goes, its flows are orphaned",
+	else if (!change->target[0])
+		warn(c, change,
+		     "the service is removed, its flows are orphaned",
 		     "a service whose targets have drained");
-	else if (!was_draining(c, at))
-		warn(c, at, "the target goes undrained, its flows are cut",
+	else if (!was_draining(c, change))
+		warn(c, change,
+		     "the target is removed undrained, its flows are cut",
 		     "state = \"draining\" in an earlier generation");
 }
 
-static void value(struct comparison *c, const struct change *at)
+static void check_value(struct comparison *c, const struct change *change)
 {
-	if (!strcmp(at->key, "vip"))
-		warn(c, at, "callers of the old VIP are orphaned",
+	if (!strcmp(change->key, "vip"))
+		warn(c, change, "callers of the old VIP are orphaned",
 		     "a new service beside the old one");
-	else if (!strcmp(at->key, "protocol"))
-		warn(c, at, "flows that stand are read by another protocol",
+	else if (!strcmp(change->key, "protocol"))
+		warn(c, change, "existing flows are read by another protocol",
 		     "a new service beside the old one");
 }
 
-static void look(void *ctx, const struct change *at)
+static void on_change(void *ctx, const struct change *change)
 {
 	struct comparison *c = ctx;
 
-	if (strcmp(at->key, "generation"))
-		c->changed = true;
-	if (at->kind == CHANGE_REMOVED)
-		removed(c, at);
-	else if (at->kind == CHANGE_VALUE)
-		value(c, at);
+	if (strcmp(change->key, "generation"))
+		c->is_changed = true;
+	if (change->kind == CHANGE_REMOVED)
+		check_removed(c, change);
+	else if (change->kind == CHANGE_VALUE)
+		check_value(c, change);
 }
 
 struct capacity {
 	uint64_t connections;
 	uint64_t slots;
-	uint32_t up;
+	uint32_t n_up;
 };
 
-static struct capacity capacity_of(const struct service_conf *s)
+static struct capacity total_capacity(const struct service_conf *s)
 {
 	struct capacity sum = { 0 };
 
@@ -100,89 +106,99 @@
 			continue;
 		sum.connections += s->targets[i].connections;
 		sum.slots += s->targets[i].slots;
-		sum.up++;
+		sum.n_up++;
 	}
 	return sum;
 }
 
-static void falls(struct comparison *c, const char *service, const char *key,
-		  uint64_t before, uint64_t after)
+static void warn_decrease(struct comparison *c, const char *service,
+			  const char *key, uint64_t before, uint64_t after)
 {
-	struct change at = { .service = service, .target = "", .key = key };
+	struct change change = { .service = service, .target = "", .key = key };
 	char problem[PROBLEM_BYTES];
 
 	if (after >= before)
 		return;
 	snprintf(problem, sizeof(problem),
-		 "targets that are up offer %llu, before %llu; what stands may "
-		 "exceed it",
+		 "targets that are up offer %llu, before %llu; existing flows "
+		 "may exceed it",
 		 (unsigned long long)after, (unsigned long long)before);
-	warn(c, &at, problem, "room for what stands today");
+	warn(c, &change, problem, "capacity for the existing flows");
 }
 
-static void capacity_check(struct comparison *c,
-			   const struct service_conf *standing,
+static void check_capacity(struct comparison *c,
+			   const struct service_conf *current,
 			   const struct service_conf *next)
 {
-	struct capacity before = capacity_of(standing);
-	struct capacity after = capacity_of(next);
-	struct change at = { .service = next->name, .target = "", .key = "" };
-
-	falls(c, next->name, "connections", before.connections,
-	      after.connections);
-	falls(c, next->name, "slots", before.slots, after.slots);
-	if (before.up && !after.up)
-		warn(c, &at, "no target is up, all new work is refused",
+	struct capacity before = total_capacity(current);
+	struct capacity after = total_capacity(next);
+	struct change change = { .service = next->name,
+				 .target = "",
+				 .key = "" };
+
+	warn_decrease(c, next->name, "connections", before.connections,
+		      after.connections);
+	warn_decrease(c, next->name, "slots", before.slots, after.slots);
+	if (before.n_up && !after.n_up)
+		warn(c, &change,
+		     "no target is up, all new requests are refused",
 		     "one target with state = \"up\"");
 }
 
-/* A slip of the finger can't be taken back: a lower one is refused. */
-static void jump_check(struct comparison *c)
+/*
+ * Warns of a large step: a typing error cannot be undone, since lower
+ * generations are refused afterwards.
+ */
+static void check_generation_step(struct comparison *c)
 {
-	struct change at = { .service = "", .target = "", .key = "generation" };
+	struct change change = { .service = "",
+				 .target = "",
+				 .key = "generation" };
 	char problem[PROBLEM_BYTES];
 
-	if (c->next->generation < c->standing->generation + JUMP_USUAL_MAX)
+	if (c->next->generation < c->current->generation + GENERATION_STEP_MAX)
 		return;
 	snprintf(problem, sizeof(problem), "jumps from %llu to %llu",
-		 (unsigned long long)c->standing->generation,
+		 (unsigned long long)c->current->generation,
 		 (unsigned long long)c->next->generation);
-	warn(c, &at, problem, "the next one; no lower one is taken after it");
+	warn(c, &change, problem,
+	     "the next one; lower ones are refused afterwards");
 }
 
-static void generation_check(struct comparison *c)
+static void check_generation(struct comparison *c)
 {
 	char problem[PROBLEM_BYTES];
 
-	if (!c->changed || c->next->generation > c->standing->generation)
+	if (!c->is_changed || c->next->generation > c->current->generation)
 		return;
 	snprintf(problem, sizeof(problem),
 		 "%llu is not above %llu, which is in force",
 		 (unsigned long long)c->next->generation,
-		 (unsigned long long)c->standing->generation);
-	mistake_add(c->m, c->document, 0, "generation", problem,
-		    "a generation that grows, or no VM takes the change");
+		 (unsigned long long)c->current->generation);
+	mistake_add(c->mistakes, c->document, 0, "generation", problem,
+		    "a higher one; VMs ignore the change otherwise");
 }
 
-void publication_compare(const struct account_conf *standing,
+void publication_compare(const struct account_conf *current,
 			 const struct account_conf *next,
 			 struct mistakes *mistakes)
 {
-	struct comparison c = { .standing = standing,
+	struct comparison c = { .current = current,
 				.next = next,
-				.m = mistakes };
+				.mistakes = mistakes };
 
-	snprintf(c.document, sizeof(c.document), "account/%s", standing->name);
-	publication_diff(standing, next, (struct change_watch){ &c, look });
+	snprintf(c.document, sizeof(c.document), "account/%s", current->name);
+	publication_diff(current, next,
+			 (struct change_handler){ &c, on_change });
 	if (!next)
 		return;
-	generation_check(&c);
-	jump_check(&c);
-	for (uint32_t i = 0; i < standing->n_services; i++) {
+	check_generation(&c);
+	check_generation_step(&c);
+	for (uint32_t i = 0; i < current->n_services; i++) {
 		const struct service_conf *s =
-			account_service(next, standing->services[i].name);
+			account_find_service(next, current->services[i].name);
 
 		if (s)
-			capacity_check(&c, &standing->services[i], s);
+			check_capacity(&c, &current->services[i], s);
 	}
 }
--- a/adapters/publication_diff.c
+++ b/adapters/publication_diff.c
@@ -1,6 +1,6 @@
 #include "publication.h"
 
-#include "publication_words.h"
+#include "publication_names.h"
 #include "settings.h"
 
 #include <inttypes.h>
@@ -9,16 +9,16 @@
 
 #define VALUE_BYTES 32
 
-static const char *const truths[] = { "false", "true" };
+static const char *const bool_names[] = { "false", "true" };
 
 struct differ {
-	struct change_watch watch;
+	struct change_handler handler;
 	struct change at;
 	uint32_t n;
 };
 
-static void tell(struct differ *d, enum change_kind kind, const char *key,
-		 const char *before, const char *after)
+static void report(struct differ *d, enum change_kind kind, const char *key,
+		   const char *before, const char *after)
 {
 	struct change c = d->at;
 
@@ -27,143 +27,148 @@
 	c.before = before;
 	c.after = after;
 	d->n++;
-	d->watch.change(d->watch.ctx, &c);
+	d->handler.change(d->handler.ctx, &c);
 }
 
-static void numbers(struct differ *d, const char *key, uint64_t before,
-		    uint64_t after)
+static void diff_numbers(struct differ *d, const char *key, uint64_t before,
+			 uint64_t after)
 {
-	char b[VALUE_BYTES];
-	char a[VALUE_BYTES];
+	char before_text[VALUE_BYTES];
+	char after_text[VALUE_BYTES];
 
 	if (before == after)
 		return;
-	snprintf(b, sizeof(b), "%" PRIu64, before);
-	snprintf(a, sizeof(a), "%" PRIu64, after);
-	tell(d, CHANGE_VALUE, key, b, a);
+	snprintf(before_text, sizeof(before_text), "%" PRIu64, before);
+	snprintf(after_text, sizeof(after_text), "%" PRIu64, after);
+	report(d, CHANGE_VALUE, key, before_text, after_text);
 }
 
-static void words(struct differ *d, const char *key, const char *const *list,
-		  uint32_t before, uint32_t after)
+static void diff_names(struct differ *d, const char *key,
+		       const char *const *names, uint32_t before,
+		       uint32_t after)
 {
 	if (before != after)
-		tell(d, CHANGE_VALUE, key, list[before], list[after]);
+		report(d, CHANGE_VALUE, key, names[before], names[after]);
 }
 
-static void addresses(struct differ *d, const char *key, uint64_t before,
-		      uint64_t after)
+static void diff_addresses(struct differ *d, const char *key, uint64_t before,
+			   uint64_t after)
 {
-	char b[VALUE_BYTES];
-	char a[VALUE_BYTES];
+	char before_text[VALUE_BYTES];
+	char after_text[VALUE_BYTES];
 
 	if (before != after)
-		tell(d, CHANGE_VALUE, key, addr_text(before, b, sizeof(b)),
-		     addr_text(after, a, sizeof(a)));
+		report(d, CHANGE_VALUE, key,
+		       addr_text(before, before_text, sizeof(before_text)),
+		       addr_text(after, after_text, sizeof(after_text)));
 }
 
-static void target_values(struct differ *d, const struct target_conf *standing,
-			  const struct target_conf *next)
+static void diff_target_values(struct differ *d,
+			       const struct target_conf *current,
+			       const struct target_conf *next)
 {
-	words(d, "state", state_words, standing->state, next->state);
-	numbers(d, "weight", standing->weight, next->weight);
-	numbers(d, "slots", standing->slots, next->slots);
-	numbers(d, "connections", standing->connections, next->connections);
+	diff_names(d, "state", target_state_names, current->state, next->state);
+	diff_numbers(d, "weight", current->weight, next->weight);
+	diff_numbers(d, "slots", current->slots, next->slots);
+	diff_numbers(d, "connections", current->connections, next->connections);
 }
 
-static void target_diff(struct differ *d, uint64_t addr,
-			const struct target_conf *standing,
+static void diff_target(struct differ *d, uint64_t addr,
+			const struct target_conf *current,
 			const struct target_conf *next)
 {
 	char text[VALUE_BYTES];
 
 	d->at.target = addr_text(addr, text, sizeof(text));
-	if (!standing)
-		tell(d, CHANGE_ADDED, "", "", "");
+	if (!current)
+		report(d, CHANGE_ADDED, "", "", "");
 	else if (next)
-		target_values(d, standing, next);
+		diff_target_values(d, current, next);
 	else
-		tell(d, CHANGE_REMOVED, "", "", "");
+		report(d, CHANGE_REMOVED, "", "", "");
 	d->at.target = "";
 }
 
-static void targets_diff(struct differ *d, const struct service_conf *standing,
+static void diff_targets(struct differ *d, const struct service_conf *current,
 			 const struct service_conf *next)
 {
-	for (uint32_t i = 0; i < standing->n_targets; i++)
-		target_diff(d, standing->targets[i].addr, &standing->targets[i],
-			    service_target(next, standing->targets[i].addr));
+	for (uint32_t i = 0; i < current->n_targets; i++)
+		diff_target(d, current->targets[i].addr, &current->targets[i],
+			    service_find_target(next,
+						current->targets[i].addr));
 	for (uint32_t i = 0; i < next->n_targets; i++)
-		if (!service_target(standing, next->targets[i].addr))
-			target_diff(d, next->targets[i].addr, NULL,
+		if (!service_find_target(current, next->targets[i].addr))
+			diff_target(d, next->targets[i].addr, NULL,
 				    &next->targets[i]);
 }
 
-static void service_values(struct differ *d,
-			   const struct service_conf *standing,
-			   const struct service_conf *next)
+static void diff_service_values(struct differ *d,
+				const struct service_conf *current,
+				const struct service_conf *next)
 {
-	addresses(d, "vip", standing->vip, next->vip);
-	words(d, "protocol", protocol_words, standing->protocol,
-	      next->protocol);
-	words(d, "class", class_words, standing->class, next->class);
-	words(d, "post_idempotent", truths, standing->post_idempotent,
-	      next->post_idempotent);
-	words(d, "target_dedups", truths, standing->target_dedups,
-	      next->target_dedups);
-	numbers(d, "request_timeout_ms",
-		standing->request_timeout_ns / NS_PER_MS,
-		next->request_timeout_ns / NS_PER_MS);
-	numbers(d, "queue_max", standing->queue_max, next->queue_max);
-	targets_diff(d, standing, next);
+	diff_addresses(d, "vip", current->vip, next->vip);
+	diff_names(d, "protocol", service_protocol_names, current->protocol,
+		   next->protocol);
+	diff_names(d, "class", service_class_names, current->class,
+		   next->class);
+	diff_names(d, "post_idempotent", bool_names, current->post_idempotent,
+		   next->post_idempotent);
+	diff_names(d, "target_dedups", bool_names, current->target_dedups,
+		   next->target_dedups);
+	diff_numbers(d, "request_timeout_ms",
+		     current->request_timeout_ns / NS_PER_MS,
+		     next->request_timeout_ns / NS_PER_MS);
+	diff_numbers(d, "queue_max", current->queue_max, next->queue_max);
+	diff_targets(d, current, next);
 }
 
-static void service_diff(struct differ *d, const char *name,
-			 const struct service_conf *standing,
+static void diff_service(struct differ *d, const char *name,
+			 const struct service_conf *current,
 			 const struct service_conf *next)
 {
 	d->at.service = name;
-	if (!standing)
-		tell(d, CHANGE_ADDED, "", "", "");
+	if (!current)
+		report(d, CHANGE_ADDED, "", "", "");
 	else if (next)
-		service_values(d, standing, next);
+		diff_service_values(d, current, next);
 	else
-		tell(d, CHANGE_REMOVED, "", "", "");
+		report(d, CHANGE_REMOVED, "", "", "");
 	d->at.service = "";
 }
 
-static void account_values(struct differ *d,
-			   const struct account_conf *standing,
-			   const struct account_conf *next)
+static void diff_account_values(struct differ *d,
+				const struct account_conf *current,
+				const struct account_conf *next)
 {
-	numbers(d, "generation", standing->generation, next->generation);
-	numbers(d, "weight", standing->weight, next->weight);
-	for (uint32_t i = 0; i < standing->n_services; i++)
-		service_diff(d, standing->services[i].name,
-			     &standing->services[i],
-			     account_service(next, standing->services[i].name));
+	diff_numbers(d, "generation", current->generation, next->generation);
+	diff_numbers(d, "weight", current->weight, next->weight);
+	for (uint32_t i = 0; i < current->n_services; i++)
+		diff_service(
+			d, current->services[i].name, &current->services[i],
+			account_find_service(next, current->services[i].name));
 	for (uint32_t i = 0; i < next->n_services; i++)
-		if (!account_service(standing, next->services[i].name))
-			service_diff(d, next->services[i].name, NULL,
+		if (!account_find_service(current, next->services[i].name))
+			diff_service(d, next->services[i].name, NULL,
 				     &next->services[i]);
 }
 
-uint32_t publication_diff(const struct account_conf *standing,
+uint32_t publication_diff(const struct account_conf *current,
 			  const struct account_conf *next,
-			  struct change_watch watch)
+			  struct change_handler handler)
 {
-	const struct account_conf *either = standing ? standing : next;
-	struct differ d = { .watch = watch };
+	const struct account_conf *either = current ? current : next;
+	struct differ d = { .handler = handler };
 
 	if (!either)
 		return 0;
 	d.at = (struct change){ .account = either->name,
 				.service = "",
 				.target = "" };
-	if (!standing)
-		tell(&d, CHANGE_ADDED, "", "", "");
+	if (!current)
+		report(&d, CHANGE_ADDED, "", "", "");
 	else if (!next)
-		tell(&d, CHANGE_REMOVED, "", "", "");
+		report(&d, CHANGE_REMOVED, "", "", "");
 	else
-		account_values(&d, standing, next);
+		diff_account_values(&d, current, next);
 	return d.n;
 }
--- a/adapters/publication_text.c
+++ b/adapters/publication_expand.c
@@ -5,8 +5,11 @@
 #include <glib.h>
 #include <string.h>
 
-/* Only what passed its checks is written: no string needs an escape. */
-static void scalar_write(GString *out, const struct toml_node *node)
+/*
+ * All strings have passed the checks of publication_render() and need no
+ * escapes.
+ */
+static void write_scalar(GString *out, const struct toml_node *node)
 {
 	if (node->kind == TOML_STRING)
 		g_string_append_printf(out, "%s = \"%s\"\n", node->key,
@@ -19,54 +22,54 @@
 				       (long long)node->number);
 }
 
-static void scalars_write(GString *out, const struct toml_node *table,
+static void write_scalars(GString *out, const struct toml_node *table,
 			  const char *skip)
 {
 	for (uint32_t i = 0; i < table->n_items; i++)
 		if (strcmp(table->items[i].key, skip))
-			scalar_write(out, &table->items[i]);
+			write_scalar(out, &table->items[i]);
 }
 
-static void targets_write(GString *out, const struct toml_node *service)
+static void write_targets(GString *out, const struct toml_node *service)
 {
 	const struct toml_node *list = toml_find(service, "target");
 
 	for (uint32_t i = 0; list && i < list->n_items; i++) {
 		g_string_append(out, "\n[[service.target]]\n");
-		scalars_write(out, &list->items[i], "service");
+		write_scalars(out, &list->items[i], "service");
 	}
 }
 
-static void body_write(GString *out, const struct toml_node *body)
+static void write_body(GString *out, const struct toml_node *body)
 {
 	const struct toml_node *list = toml_find(body, "service");
 
-	scalars_write(out, body, "generation");
+	write_scalars(out, body, "generation");
 	for (uint32_t i = 0; list && i < list->n_items; i++) {
 		g_string_append(out, "\n[[service]]\n");
-		scalars_write(out, &list->items[i], "");
-		targets_write(out, &list->items[i]);
+		write_scalars(out, &list->items[i], "");
+		write_targets(out, &list->items[i]);
 	}
 }
 
-char *publication_text(const char *name, const char *text,
-		       struct template_source templates,
-		       struct mistakes *mistakes)
+char *publication_expand(const char *name, const char *text,
+			 struct template_source templates,
+			 struct mistakes *mistakes)
 {
-	struct account_conf *checked =
+	struct account_conf *account =
 		publication_render(name, text, templates, NULL, mistakes);
-	struct mistakes again = { 0 };
-	struct merged merged;
+	struct mistakes ignored = { 0 };
+	struct merged_account merged;
 	GString *out;
 
-	if (!checked)
+	if (!account)
 		return NULL;
-	account_free(checked);
-	merge_open(&merged, name, text, templates, &again);
+	account_free(account);
+	merge_open(&merged, name, text, templates, &ignored);
 	out = g_string_new(NULL);
-	scalar_write(out, toml_find(merged.account, "generation"));
-	body_write(out, merged.body);
+	write_scalar(out, toml_find(merged.account, "generation"));
+	write_body(out, merged.body);
 	merge_close(&merged);
-	mistakes_free(&again);
+	mistakes_free(&ignored);
 	return g_string_free(out, FALSE);
 }
--- a/adapters/publication_merge.c
+++ b/adapters/publication_merge.c
@@ -6,28 +6,28 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* The account's own keys beside a template; the rest is the template's. */
-static const char *const filled_keys[] = { "generation", "template",
-					   "parameters", "target" };
+/* Keys of an account that has a template; all others come from the template. */
+static const char *const account_keys[] = { "generation", "template",
+					    "parameters", "target" };
 
-static void take_keys(struct toml_node *account)
+static void mark_account_keys(struct toml_node *account)
 {
-	for (size_t i = 0; i < G_N_ELEMENTS(filled_keys); i++) {
-		struct toml_node *node = toml_find(account, filled_keys[i]);
+	for (size_t i = 0; i < G_N_ELEMENTS(account_keys); i++) {
+		struct toml_node *node = toml_find(account, account_keys[i]);
 
 		if (node)
-			node->taken = 1;
+			node->consumed = 1;
 	}
 }
 
-static const char *template_text(const struct toml_node *name,
+static const char *find_template(const struct toml_node *name,
 				 struct template_source templates,
-				 struct mistakes *m)
+				 struct mistakes *mistakes)
 {
 	const char *text = NULL;
 
 	if (name->kind != TOML_STRING || !field_name_valid(name->text)) {
-		field_mistake(m, name, "", "template", "not a name",
+		field_mistake(mistakes, name, "", "template", "not a name",
 			      "a name of letters, digits, \"-\", \"_\" and "
 			      "\".\"");
 		return NULL;
@@ -35,39 +35,42 @@
 	if (templates.find)
 		text = templates.find(templates.ctx, name->text);
 	if (!text)
-		field_mistake(m, name, "", "template", "no such template",
+		field_mistake(mistakes, name, "", "template",
+			      "no such template",
 			      "a template that is published");
 	return text;
 }
 
-static struct toml_node *template_read(struct merged *r,
-				       const struct toml_node *name,
-				       struct template_source templates,
-				       struct mistakes *m)
+static struct toml_node *parse_template(struct merged_account *merged,
+					const struct toml_node *name,
+					struct template_source templates,
+					struct mistakes *mistakes)
 {
-	const char *text = template_text(name, templates, m);
+	const char *text = find_template(name, templates, mistakes);
 
 	if (!text)
 		return NULL;
-	g_snprintf(r->template_document, sizeof(r->template_document),
+	g_snprintf(merged->template_document, sizeof(merged->template_document),
 		   "template/%s", name->text);
-	return toml_read(r->template_document, text, strlen(text), m);
+	return toml_parse(merged->template_document, text, strlen(text),
+			  mistakes);
 }
 
-static struct toml_node *service_find(struct toml_node *services,
+static struct toml_node *find_service(struct toml_node *services,
 				      const char *name)
 {
 	for (uint32_t i = 0; i < services->n_items; i++) {
-		const struct toml_node *n =
+		const struct toml_node *node =
 			toml_find(&services->items[i], "name");
 
-		if (n && n->kind == TOML_STRING && !strcmp(n->text, name))
+		if (node && node->kind == TOML_STRING &&
+		    !strcmp(node->text, name))
 			return &services->items[i];
 	}
 	return NULL;
 }
 
-static struct toml_node *grow(struct toml_node *node)
+static struct toml_node *append_item(struct toml_node *node)
 {
 	struct toml_node *items = realloc(
 		node->items, (node->n_items + 1) * sizeof(*node->items));
@@ -79,14 +82,17 @@
 	return &items[node->n_items++];
 }
 
-/* The array of a service's targets, made when the template gives none. */
-static struct toml_node *targets_of(struct toml_node *service)
+/*
+ * Array of the targets of a service, created when the template has none; NULL
+ * when the value is no array.
+ */
+static struct toml_node *target_array_of(struct toml_node *service)
 {
 	struct toml_node *targets = toml_find(service, "target");
 
 	if (targets)
 		return targets->kind == TOML_ARRAY ? targets : NULL;
-	targets = grow(service);
+	targets = append_item(service);
 	targets->kind = TOML_ARRAY;
 	targets->line = service->line;
 	targets->document = service->document;
@@ -96,94 +102,98 @@
 	return targets;
 }
 
-static void target_move(struct toml_node *target, struct toml_node *services,
-			struct mistakes *m)
+static void move_target(struct toml_node *target, struct toml_node *services,
+			struct mistakes *mistakes)
 {
 	struct toml_node *name = toml_find(target, "service");
 	struct toml_node *service = NULL;
 	struct toml_node *targets;
 
 	if (target->kind != TOML_TABLE || !name || name->kind != TOML_STRING) {
-		field_mistake(m, target, "target", "service", "missing",
+		field_mistake(mistakes, target, "target", "service", "missing",
 			      "the name of the service that it serves");
 		return;
 	}
-	name->taken = 1;
+	name->consumed = 1;
 	if (services && services->kind == TOML_ARRAY)
-		service = service_find(services, name->text);
+		service = find_service(services, name->text);
 	if (!service) {
-		field_mistake(m, name, "target", "service", "unknown service",
+		field_mistake(mistakes, name, "target", "service",
+			      "unknown service",
 			      "the name of a service of this account");
 		return;
 	}
-	targets = targets_of(service);
-	if (!targets) /* not an array: told where the service is read */
+	targets = target_array_of(service);
+	if (!targets) /* reported when the service is parsed */
 		return;
-	*grow(targets) = *target;
+	*append_item(targets) = *target;
 	*target = (struct toml_node){ 0 };
 }
 
-/* Account's own [[target]] tables go to their services. */
-static void targets_move(struct toml_node *account, struct toml_node *body,
-			 struct mistakes *m)
+/* Moves the [[target]] tables of the account to the services that they name. */
+static void move_targets(struct toml_node *account, struct toml_node *body,
+			 struct mistakes *mistakes)
 {
 	struct toml_node *list = toml_find(account, "target");
 	struct toml_node *services = toml_find(body, "service");
 
 	if (!list)
 		return;
-	list->taken = 1;
+	list->consumed = 1;
 	if (list->kind != TOML_ARRAY) {
-		field_mistake(m, list, "", "target", toml_kind_name(list->kind),
-			      "tables [[target]]");
+		field_mistake(mistakes, list, "", "target",
+			      toml_kind_name(list->kind), "tables [[target]]");
 		return;
 	}
 	for (uint32_t i = 0; i < list->n_items; i++)
-		target_move(&list->items[i], services, m);
+		move_target(&list->items[i], services, mistakes);
 }
 
 /**
- * merge_open() - read an account's document and fill its template
- * @r: filled; to be closed with merge_close() in every case
- * @name: account's name
- * @text: its document
- * @templates: where templates come from
- * @m: mistakes
+ * merge_open() - parse an account's document and expand its template
+ * @merged: set to the trees; has to be closed with merge_close() in all cases
+ * @name: name of the account
+ * @text: document
+ * @templates: finds the template that the document names
+ * @mistakes: all mistakes are added
  */
-void merge_open(struct merged *r, const char *name, const char *text,
-		struct template_source templates, struct mistakes *m)
+void merge_open(struct merged_account *merged, const char *name,
+		const char *text, struct template_source templates,
+		struct mistakes *mistakes)
 {
 	struct toml_node *template;
 
-	*r = (struct merged){ 0 };
-	g_snprintf(r->account_document, sizeof(r->account_document),
+	*merged = (struct merged_account){ 0 };
+	g_snprintf(merged->account_document, sizeof(merged->account_document),
 		   "account/%s", name);
-	r->account = toml_read(r->account_document, text, strlen(text), m);
-	if (!r->account)
+	merged->account = toml_parse(merged->account_document, text,
+				     strlen(text), mistakes);
+	if (!merged->account)
 		return;
-	template = toml_find(r->account, "template");
+	template = toml_find(merged->account, "template");
 	if (!template) {
-		r->body = r->account;
+		merged->body = merged->account;
 	} else {
-		take_keys(r->account);
-		fields_unknown(m, "", r->account);
-		r->body = template_read(r, template, templates, m);
-		if (!r->body)
+		mark_account_keys(merged->account);
+		fields_unknown(mistakes, "", merged->account);
+		merged->body =
+			parse_template(merged, template, templates, mistakes);
+		if (!merged->body)
 			return;
-		parameters_fill(r->account, r->body, m);
+		parameters_substitute(merged->account, merged->body, mistakes);
 	}
-	targets_move(r->account, r->body, m);
+	move_targets(merged->account, merged->body, mistakes);
 }
 
 /**
  * merge_close() - free the trees
- * @r: from merge_open()
+ * @merged: account from merge_open()
  */
-void merge_close(struct merged *r)
+void merge_close(struct merged_account *merged)
 {
-	if (r->body != r->account)
-		toml_free(r->body);
-	toml_free(r->account);
-	r->body = NULL;
-	r->account = NULL;
+	if (merged->body != merged->account)
+		toml_free(merged->body);
+	toml_free(merged->account);
+	merged->body = NULL;
+	merged->account = NULL;
 }
--- a/adapters/publication_parameters.c
+++ b/adapters/publication_parameters.c
@@ -7,7 +7,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define MARK "${"
+/* Start of a parameter, ${NAME}. */
+#define PARAMETER_START "${"
 
 static const char *const parameter_kinds[] = { "string", "address", "integer",
 					       NULL };
@@ -15,13 +16,19 @@
 	PARAMETER_STRING,
 	PARAMETER_ADDRESS,
 	PARAMETER_INTEGER,
-	PARAMETER_BAD
+	PARAMETER_UNKNOWN
 };
 
-struct filling {
+/**
+ * struct filling - parameters of a template
+ * @kinds: [parameters] of the template, kind by name; NULL when there is none
+ * @values: [parameters] of the account, value by name; NULL when there is none
+ * @mistakes: list to which mistakes are added
+ */
+struct substitution {
 	const struct toml_node *kinds;
 	const struct toml_node *values;
-	struct mistakes *m;
+	struct mistakes *mistakes;
 };
 
 static enum parameter_kind kind_of(const struct toml_node *declared)
@@ -29,7 +36,7 @@
 	int i = 0;
 
 	if (declared->kind != TOML_STRING)
-		return PARAMETER_BAD;
+		return PARAMETER_UNKNOWN;
 	while (parameter_kinds[i] && strcmp(parameter_kinds[i], declared->text))
 		i++;
 	return (enum parameter_kind)i;
@@ -52,7 +59,8 @@
 }
 
 static void check_value(const struct toml_node *declared,
-			const struct toml_node *value, struct mistakes *m)
+			const struct toml_node *value,
+			struct mistakes *mistakes)
 {
 	static const char *const expected[] = {
 		[PARAMETER_STRING] = "a string",
@@ -62,63 +70,68 @@
 	enum parameter_kind kind = kind_of(declared);
 	const char *problem;
 
-	if (kind == PARAMETER_BAD)
+	if (kind == PARAMETER_UNKNOWN)
 		return;
 	problem = value_problem(kind, value);
 	if (problem)
-		field_mistake(m, value, "parameters", value->key, problem,
-			      expected[kind]);
+		field_mistake(mistakes, value, "parameters", value->key,
+			      problem, expected[kind]);
 }
 
-/* Every declared parameter is well declared, given and of its kind. */
-static void check_declared(const struct filling *f,
-			   const struct toml_node *account)
+/*
+ * Checks that each parameter of the template has a known kind and a value of
+ * that kind.
+ */
+static void check_declarations(const struct substitution *sub,
+			       const struct toml_node *account)
 {
-	for (uint32_t i = 0; f->kinds && i < f->kinds->n_items; i++) {
-		const struct toml_node *declared = &f->kinds->items[i];
+	for (uint32_t i = 0; sub->kinds && i < sub->kinds->n_items; i++) {
+		const struct toml_node *declared = &sub->kinds->items[i];
 		const struct toml_node *value =
-			toml_find(f->values, declared->key);
+			toml_find(sub->values, declared->key);
 
-		if (kind_of(declared) == PARAMETER_BAD)
-			field_mistake(f->m, declared, "parameters",
+		if (kind_of(declared) == PARAMETER_UNKNOWN)
+			field_mistake(sub->mistakes, declared, "parameters",
 				      declared->key, "unknown kind",
 				      "\"string\", \"address\" or \"integer\"");
 		if (value)
-			check_value(declared, value, f->m);
+			check_value(declared, value, sub->mistakes);
 		else
 			field_mistake(
-				f->m, f->values ? f->values : account,
+				sub->mistakes,
+				sub->values ? sub->values : account,
 				"parameters", declared->key, "missing",
-				"a value, since the template asks for it");
+				"a value, since the template declares it");
 	}
 }
 
-static void check_given(const struct filling *f)
+static void check_values(const struct substitution *sub)
 {
-	for (uint32_t i = 0; f->values && i < f->values->n_items; i++) {
-		const struct toml_node *value = &f->values->items[i];
+	for (uint32_t i = 0; sub->values && i < sub->values->n_items; i++) {
+		const struct toml_node *value = &sub->values->items[i];
 
-		if (!toml_find(f->kinds, value->key))
-			field_mistake(f->m, value, "parameters", value->key,
-				      "unknown parameter",
+		if (!toml_find(sub->kinds, value->key))
+			field_mistake(sub->mistakes, value, "parameters",
+				      value->key, "unknown parameter",
 				      "a parameter of the template");
 	}
 }
 
-/* The name's node in the account, or NULL; an unknown name is a mistake. */
-static const struct toml_node *
-lookup(const struct filling *f, const struct toml_node *node, const char *name)
+/* Value of a parameter, or NULL; an undeclared name is a mistake. */
+static const struct toml_node *find_value(const struct substitution *sub,
+					  const struct toml_node *node,
+					  const char *name)
 {
 	char problem[DOTTED_BYTES];
 
-	if (!toml_find(f->kinds, name)) {
+	if (!toml_find(sub->kinds, name)) {
 		g_snprintf(problem, sizeof(problem), "${%.60s} is not declared",
 			   name);
-		field_mistake(f->m, node, "", node->key, problem,
+		field_mistake(sub->mistakes, node, "", node->key, problem,
 			      "a name of the template's [parameters]");
 		return NULL;
 	}
-	return toml_find(f->values, name);
+	return toml_find(sub->values, name);
 }
 
 static void append_value(GString *out, const struct toml_node *value)
@@ -129,7 +142,7 @@
 		g_string_append_printf(out, "%lld", (long long)value->number);
 }
 
-static void text_set(struct toml_node *node, const char *text)
+static void set_text(struct toml_node *node, const char *text)
 {
 	free(node->text);
 	node->text = strdup(text);
@@ -137,13 +150,16 @@
 		abort();
 }
 
-/* The whole string is one parameter: the value is the account's to mend. */
-static void become(struct toml_node *node, const struct toml_node *value)
+/*
+ * Replaces a string that is nothing but one parameter. A mistake in the value
+ * is then reported in the document of the account, where it was written.
+ */
+static void replace_node(struct toml_node *node, const struct toml_node *value)
 {
 	node->document = value->document;
 	node->line = value->line;
 	if (value->kind != TOML_INTEGER) {
-		text_set(node, value->kind == TOML_STRING ? value->text : "");
+		set_text(node, value->kind == TOML_STRING ? value->text : "");
 		return;
 	}
 	node->kind = TOML_INTEGER;
@@ -152,76 +168,81 @@
 	node->text = NULL;
 }
 
-static void fill_text(const struct filling *f, struct toml_node *node)
+static void substitute_text(const struct substitution *sub,
+			    struct toml_node *node)
 {
 	GString *out = g_string_new(NULL);
 	const struct toml_node *value = NULL;
-	const char *at = node->text;
-	const char *mark;
+	const char *rest = node->text;
+	const char *start;
 	bool whole = false;
 
-	while ((mark = strstr(at, MARK))) {
-		const char *end = strchr(mark, '}');
+	while ((start = strstr(rest, PARAMETER_START))) {
+		const char *end = strchr(start, '}');
 		char *name;
 
 		if (!end) {
-			field_mistake(f->m, node, "", node->key, "${ without }",
-				      "${NAME}");
+			field_mistake(sub->mistakes, node, "", node->key,
+				      "${ without }", "${NAME}");
 			break;
 		}
-		name = g_strndup(mark + 2, (gsize)(end - mark - 2));
-		value = lookup(f, node, name);
-		whole = mark == node->text && !end[1];
+		name = g_strndup(start + 2, (gsize)(end - start - 2));
+		value = find_value(sub, node, name);
+		whole = start == node->text && !end[1];
 		g_free(name);
-		g_string_append_len(out, at, mark - at);
+		g_string_append_len(out, rest, start - rest);
 		append_value(out, value);
-		at = end + 1;
+		rest = end + 1;
 	}
-	g_string_append(out, at);
+	g_string_append(out, rest);
 	if (whole && value)
-		become(node, value);
+		replace_node(node, value);
 	else
-		text_set(node, out->str);
+		set_text(node, out->str);
 	g_string_free(out, TRUE);
 }
 
-static void fill(const struct filling *f, struct toml_node *node)
+static void substitute_node(const struct substitution *sub,
+			    struct toml_node *node)
 {
-	if (node->kind == TOML_STRING && strstr(node->text, MARK))
-		fill_text(f, node);
+	if (node->kind == TOML_STRING && strstr(node->text, PARAMETER_START))
+		substitute_text(sub, node);
 	for (uint32_t i = 0; i < node->n_items; i++)
-		fill(f, &node->items[i]);
+		substitute_node(sub, &node->items[i]);
 }
 
 static const struct toml_node *table_or_null(const struct toml_node *node,
-					     struct mistakes *m)
+					     struct mistakes *mistakes)
 {
 	if (!node || node->kind == TOML_TABLE)
 		return node;
-	field_mistake(m, node, "", node->key, toml_kind_name(node->kind),
+	field_mistake(mistakes, node, "", node->key, toml_kind_name(node->kind),
 		      "a table");
 	return NULL;
 }
 
 /**
- * parameters_fill() - put an account's parameters into its template
+ * parameters_substitute() - substitute the parameters of an account in its
+ *	template
  * @account: tree of the account's document
- * @body: tree of the template; strings are changed in place
- * @m: mistakes
+ * @body: tree of the template; its strings are changed in place
+ * @mistakes: all mistakes are added
  */
-void parameters_fill(struct toml_node *account, struct toml_node *body,
-		     struct mistakes *m)
+void parameters_substitute(struct toml_node *account, struct toml_node *body,
+			   struct mistakes *mistakes)
 {
 	struct toml_node *declared = toml_find(body, "parameters");
-	struct filling f = { table_or_null(declared, m),
-			     table_or_null(toml_find(account, "parameters"), m),
-			     m };
+	struct substitution sub = {
+		table_or_null(declared, mistakes),
+		table_or_null(toml_find(account, "parameters"), mistakes),
+		mistakes
+	};
 
 	if (declared)
-		declared->taken = 1;
-	check_declared(&f, account);
-	check_given(&f);
+		declared->consumed = 1;
+	check_declarations(&sub, account);
+	check_values(&sub);
 	for (uint32_t i = 0; i < body->n_items; i++)
 		if (&body->items[i] != declared)
-			fill(&f, &body->items[i]);
+			substitute_node(&sub, &body->items[i]);
 }
--- a/adapters/relay_codec.c
+++ b/adapters/relay_codec.c
@@ -11,148 +11,148 @@
 #define RELAY_VERSION 3
 #define RELAY_FIELDS 7
 #define ITEM_FIELDS 10
-/* What all documents of a data centre may take; a configuration has 1 MB. */
+/* Bound for all documents of a data centre; a configuration may have 1 MB. */
 #define RELAY_MAX_BYTES (16U << 20)
 #define VALUE_MAX_BYTES (2U << 20)
 
 /**
- * relay_base() - the document that a peer need not send whole
- * @s: documents here
+ * relay_select_base() - select the document that a peer may send as a delta
+ * @docs: documents of this process
  *
- * Return: the largest one's key and position.
+ * Return: key hash and position of the largest document; zeros when there is
+ * none.
  */
-struct relay_base relay_base(const struct documents *s)
+struct relay_base relay_select_base(const struct documents *docs)
 {
-	const struct document *d = documents_largest(s);
+	const struct document *document = documents_largest(docs);
 
-	if (!d)
+	if (!document)
 		return (struct relay_base){ 0 };
-	return (struct relay_base){ hash_text(d->key), document_position(d) };
+	return (struct relay_base){ hash_text(document->key),
+				    document_position(document) };
 }
 
-static struct zstd_bytes bytes_of(struct document_value v)
+static struct zstd_bytes value_bytes(struct document_value v)
 {
 	return (struct zstd_bytes){ v.bytes, v.size_bytes };
 }
 
-static bool same(const struct relay_base *a, const struct relay_base *b)
+static bool bases_equal(const struct relay_base *a, const struct relay_base *b)
 {
 	return a->key_hash == b->key_hash &&
 	       !position_compare(a->since, b->since);
 }
 
-/* Whether the asking peer has a document as it is. */
-static bool is_base(const struct document *d, const struct relay_base *base)
+/* Whether a document is the one that the requesting peer has, unchanged. */
+static bool is_base(const struct document *document,
+		    const struct relay_base *base)
 {
 	return base->key_hash &&
-	       !position_compare(document_position(d), base->since) &&
-	       hash_text(d->key) == base->key_hash;
+	       !position_compare(document_position(document), base->since) &&
+	       hash_text(document->key) == base->key_hash;
 }
 
 /*
- * What changed in a document since the asking peer's value of it. Whole, each
- * change of a large configuration would go to every VM, and a row of changes
- * would fill their links: news of targets would come too late.
+ * Delta of a document from the value that the requesting peer has; NULL when
+ * there is none. Sent completely, each change of a large configuration would go
+ * to every VM; a series of changes would saturate their links and delay the
+ * advertisements of targets.
  */
-static const GString *delta_of(const struct document *d,
+static const GString *delta_of(const struct document *document,
 			       const struct relay_base *base,
-			       struct relay_delta *last)
+			       struct relay_delta_cache *cache)
 {
-	struct position to = document_position(d);
+	struct position to = document_position(document);
 	struct document_value from;
 
-	if (!base->key_hash || hash_text(d->key) != base->key_hash ||
-	    d->deleted || !position_compare(base->since, to))
+	if (!base->key_hash || hash_text(document->key) != base->key_hash ||
+	    document->deleted || !position_compare(base->since, to))
 		return NULL;
-	if (last->bytes && same(&last->base, base) &&
-	    !position_compare(last->to, to))
-		return last->bytes;
-	from = document_value_at(d, base->since);
+	if (cache->bytes && bases_equal(&cache->base, base) &&
+	    !position_compare(cache->to, to))
+		return cache->bytes;
+	from = document_value_at(document, base->since);
 	if (!from.bytes)
 		return NULL;
-	if (!last->bytes)
-		last->bytes = g_string_new(NULL);
-	last->base = *base;
-	last->to = (struct position){ 0 };
-	if (!zstd_pack(bytes_of(from),
-		       (struct zstd_bytes){ d->value, d->size_bytes },
-		       last->bytes))
+	if (!cache->bytes)
+		cache->bytes = g_string_new(NULL);
+	cache->base = *base;
+	cache->to = (struct position){ 0 };
+	if (!zstd_delta_compress(value_bytes(from),
+				 (struct zstd_bytes){ document->value,
+						      document->size_bytes },
+				 cache->bytes))
 		return NULL;
-	last->to = to;
-	return last->bytes;
+	cache->to = to;
+	return cache->bytes;
 }
 
-static void put_document(msgpack_packer *p, const struct document *d,
-			 const struct relay_base *base,
-			 struct relay_delta *last)
+static void pack_document(msgpack_packer *p, const struct document *document,
+			  const struct relay_base *base,
+			  struct relay_delta_cache *cache)
 {
-	const GString *delta = delta_of(d, base, last);
-	bool same = is_base(d, base) && !d->deleted;
+	const GString *delta = delta_of(document, base, cache);
+	bool is_unchanged = is_base(document, base) && !document->deleted;
 	struct position from = { 0 };
 
-	if (delta || same)
+	if (delta || is_unchanged)
 		from = base->since;
 	msgpack_pack_array(p, ITEM_FIELDS);
-	msgpack_pack_str_with_body(p, d->key, strlen(d->key));
-	msgpack_pack_uint64(p, d->epoch);
-	msgpack_pack_uint64(p, d->revision);
-	msgpack_pack_uint64(p, d->created);
-	msgpack_pack_uint64(p, d->stale_at.epoch);
-	msgpack_pack_uint64(p, d->stale_at.revision);
-	msgpack_pack_uint64(p, d->deleted);
+	msgpack_pack_str_with_body(p, document->key, strlen(document->key));
+	msgpack_pack_uint64(p, document->epoch);
+	msgpack_pack_uint64(p, document->revision);
+	msgpack_pack_uint64(p, document->created);
+	msgpack_pack_uint64(p, document->stale_at.epoch);
+	msgpack_pack_uint64(p, document->stale_at.revision);
+	msgpack_pack_uint64(p, document->deleted);
 	msgpack_pack_uint64(p, from.epoch);
 	msgpack_pack_uint64(p, from.revision);
 	if (delta)
 		msgpack_pack_bin_with_body(p, delta->str, delta->len);
 	else
-		msgpack_pack_bin_with_body(p, d->value,
-					   same ? 0 : d->size_bytes);
+		msgpack_pack_bin_with_body(p, document->value,
+					   is_unchanged ? 0
+							: document->size_bytes);
 }
 
 /*
- * The asking peer has its base, also when it is carried over. Of a whole state
- * it is a part all the same: what that lacks was deleted.
+ * Whether the requesting peer needs a document. It has its base, even one that
+ * is retained from an earlier epoch. A complete state contains the base as
+ * well, since the peer deletes all documents that are missing in it.
  */
-static bool lacks(const struct documents *s, struct position after,
-		  const struct relay_base *base, const struct document *d)
+static bool peer_needs(const struct documents *docs, struct position after,
+		       const struct relay_base *base,
+		       const struct document *document)
 {
-	if (after.revision && is_base(d, base))
+	if (after.revision && is_base(document, base))
 		return false;
-	return documents_peer_lacks(s, after, d);
+	return documents_peer_lacks(docs, after, document);
 }
 
-static void put_documents(msgpack_packer *p, const struct documents *s,
-			  struct position after, const struct relay_base *base,
-			  struct relay_delta *last)
+static void pack_documents(msgpack_packer *p, const struct documents *docs,
+			   struct position after, const struct relay_base *base,
+			   struct relay_delta_cache *cache)
 {
 	uint32_t n = 0;
 
-	for (uint32_t i = 0; i < documents_count(s); i++)
-		n += lacks(s, after, base, documents_at(s, i));
+	for (uint32_t i = 0; i < documents_count(docs); i++)
+		n += peer_needs(docs, after, base, documents_at(docs, i));
 	msgpack_pack_array(p, n);
-	for (uint32_t i = 0; i < documents_count(s); i++)
-		if (lacks(s, after, base, documents_at(s, i)))
-			put_document(p, documents_at(s, i), base, last);
+	for (uint32_t i = 0; i < documents_count(docs); i++)
+		if (peer_needs(docs, after, base, documents_at(docs, i)))
+			pack_document(p, documents_at(docs, i), base, cache);
 }
 
 /**
- * relay_encode() - encode what a peer that knows everything up to a position
- *	lacks
- * @s: documents
- * @after: that position
- * @base: a large document that the peer has
- * @delta: kept between calls
- * @out: replaced; empty without memory
- *
- * A deleted document keeps its last value: flows of a departed target are told
- * from forged ones by it, at young processes too.
+ * A deleted document keeps its last value: it allows even new processes to
+ * distinguish the flows of an absent target from forged ones.
  */
-void relay_encode(const struct documents *s, struct position after,
-		  const struct relay_base *base, struct relay_delta *delta,
-		  GString *out)
+void relay_encode(const struct documents *docs, struct position after,
+		  const struct relay_base *base,
+		  struct relay_delta_cache *cache, GString *out)
 {
-	bool whole = documents_peer_needs_full(s, after);
-	struct position through = documents_synced(s);
+	bool is_complete = documents_peer_needs_full(docs, after);
+	struct position through = documents_synced(docs);
 	msgpack_sbuffer buf;
 	msgpack_packer p;
 
@@ -162,21 +162,21 @@
 	msgpack_pack_uint64(&p, RELAY_VERSION);
 	msgpack_pack_uint64(&p, through.epoch);
 	msgpack_pack_uint64(&p, through.revision);
-	msgpack_pack_uint64(&p, documents_newest(s).revision);
-	msgpack_pack_uint64(&p, documents_floor(s).revision);
-	msgpack_pack_uint64(&p, whole);
-	if (whole)
+	msgpack_pack_uint64(&p, documents_newest(docs).revision);
+	msgpack_pack_uint64(&p, documents_floor(docs).revision);
+	msgpack_pack_uint64(&p, is_complete);
+	if (is_complete)
 		after = (struct position){ 0 };
-	put_documents(&p, s, after, base, delta);
-	zstd_pack((struct zstd_bytes){ 0 },
-		  (struct zstd_bytes){ (uint8_t *)buf.data,
-				       (uint32_t)buf.size },
-		  out);
+	pack_documents(&p, docs, after, base, cache);
+	zstd_delta_compress((struct zstd_bytes){ 0 },
+			    (struct zstd_bytes){ (uint8_t *)buf.data,
+						 (uint32_t)buf.size },
+			    out);
 	msgpack_sbuffer_destroy(&buf);
 }
 
-static bool get_document(const msgpack_object *o, struct document *d,
-			 struct position *base)
+static bool unpack_document(const msgpack_object *o, struct document *document,
+			    struct position *base)
 {
 	const msgpack_object *f = o->via.array.ptr;
 	uint64_t deleted;
@@ -185,131 +185,138 @@
 	    o->via.array.size != ITEM_FIELDS ||
 	    f[0].type != MSGPACK_OBJECT_STR ||
 	    f[0].via.str.size > DOCUMENT_KEY_MAX_BYTES ||
-	    !msgpack_number(&f[1], UINT64_MAX, &d->epoch) ||
-	    !msgpack_number(&f[2], UINT64_MAX, &d->revision) ||
-	    !msgpack_number(&f[3], UINT64_MAX, &d->created) ||
-	    !msgpack_number(&f[4], UINT64_MAX, &d->stale_at.epoch) ||
-	    !msgpack_number(&f[5], UINT64_MAX, &d->stale_at.revision) ||
-	    !msgpack_number(&f[6], 1, &deleted) ||
-	    !msgpack_number(&f[7], UINT64_MAX, &base->epoch) ||
-	    !msgpack_number(&f[8], UINT64_MAX, &base->revision) ||
+	    !msgpack_get_uint(&f[1], UINT64_MAX, &document->epoch) ||
+	    !msgpack_get_uint(&f[2], UINT64_MAX, &document->revision) ||
+	    !msgpack_get_uint(&f[3], UINT64_MAX, &document->created) ||
+	    !msgpack_get_uint(&f[4], UINT64_MAX, &document->stale_at.epoch) ||
+	    !msgpack_get_uint(&f[5], UINT64_MAX,
+			      &document->stale_at.revision) ||
+	    !msgpack_get_uint(&f[6], 1, &deleted) ||
+	    !msgpack_get_uint(&f[7], UINT64_MAX, &base->epoch) ||
+	    !msgpack_get_uint(&f[8], UINT64_MAX, &base->revision) ||
 	    f[9].type != MSGPACK_OBJECT_BIN)
 		return false;
-	memcpy(d->key, f[0].via.str.ptr, f[0].via.str.size);
-	d->deleted = deleted;
-	d->value = (uint8_t *)f[9].via.bin.ptr;
-	d->size_bytes = f[9].via.bin.size;
+	memcpy(document->key, f[0].via.str.ptr, f[0].via.str.size);
+	document->deleted = deleted;
+	document->value = (uint8_t *)f[9].via.bin.ptr;
+	document->size_bytes = f[9].via.bin.size;
 	return true;
 }
 
-/* Nothing changed when the change is empty. Return: 0; -ESTALE when the value
- * that it goes from is not here. */
-static int take_delta(struct document *d, struct position base,
-		      struct relay_port port, struct facts_port to)
+/*
+ * Passes a document that came as a delta to @to; an empty delta means that the
+ * value is unchanged.
+ *
+ * Return: 0; -ESTALE when this process does not have the base value; -EPROTO.
+ */
+static int apply_delta(struct document *document, struct position base,
+		       struct relay_receiver receiver, struct facts_port to)
 {
-	struct document_value from =
-		port.known(port.ctx, hash_text(d->key), base);
-	struct zstd_bytes delta = { d->value, d->size_bytes };
+	struct document_value from = receiver.find_value(
+		receiver.ctx, hash_text(document->key), base);
+	struct zstd_bytes delta = { document->value, document->size_bytes };
 
 	if (!from.bytes)
 		return -ESTALE;
 	if (!delta.size_bytes) {
-		d->value = from.bytes;
-		d->size_bytes = from.size_bytes;
-		to.fact(to.ctx, d);
+		document->value = from.bytes;
+		document->size_bytes = from.size_bytes;
+		to.fact(to.ctx, document);
 		return 0;
 	}
-	d->value = zstd_unpack(bytes_of(from), delta, VALUE_MAX_BYTES,
-			       &d->size_bytes);
-	if (!d->value)
+	document->value =
+		zstd_delta_decompress(value_bytes(from), delta, VALUE_MAX_BYTES,
+				      &document->size_bytes);
+	if (!document->value)
 		return -EPROTO;
-	to.fact(to.ctx, d);
-	free(d->value);
+	to.fact(to.ctx, document);
+	free(document->value);
 	return 0;
 }
 
-static bool get_relay(const msgpack_object *o, struct relay_head *head)
+static bool unpack_head(const msgpack_object *o, struct relay_head *head)
 {
 	const msgpack_object *f = o->via.array.ptr;
-	uint64_t version, whole;
+	uint64_t version, is_complete;
 
 	if (o->type != MSGPACK_OBJECT_ARRAY ||
 	    o->via.array.size != RELAY_FIELDS ||
-	    !msgpack_number(&f[0], UINT64_MAX, &version) ||
+	    !msgpack_get_uint(&f[0], UINT64_MAX, &version) ||
 	    version != RELAY_VERSION ||
-	    !msgpack_number(&f[1], UINT64_MAX, &head->through.epoch) ||
-	    !msgpack_number(&f[2], UINT64_MAX, &head->through.revision) ||
-	    !msgpack_number(&f[3], UINT64_MAX, &head->newest.revision) ||
-	    !msgpack_number(&f[4], UINT64_MAX, &head->floor.revision) ||
-	    !msgpack_number(&f[5], 1, &whole) ||
-	    !msgpack_list(&f[6], DOCUMENTS_MAX))
+	    !msgpack_get_uint(&f[1], UINT64_MAX, &head->through.epoch) ||
+	    !msgpack_get_uint(&f[2], UINT64_MAX, &head->through.revision) ||
+	    !msgpack_get_uint(&f[3], UINT64_MAX, &head->newest.revision) ||
+	    !msgpack_get_uint(&f[4], UINT64_MAX, &head->floor.revision) ||
+	    !msgpack_get_uint(&f[5], 1, &is_complete) ||
+	    !msgpack_is_array(&f[6], DOCUMENTS_MAX))
 		return false;
 	head->newest.epoch = head->floor.epoch = head->through.epoch;
-	head->whole = whole;
+	head->whole = is_complete;
 	return true;
 }
 
-static int get_documents(const msgpack_object *o, struct relay_port port,
-			 struct facts_port to)
+static int unpack_documents(const msgpack_object *o,
+			    struct relay_receiver receiver,
+			    struct facts_port to)
 {
 	const msgpack_object_array *all = &o->via.array.ptr[6].via.array;
 	int err = 0;
 
 	for (uint32_t i = 0; !err && i < all->size; i++) {
-		struct document d = { 0 };
+		struct document document = { 0 };
 		struct position base;
 
-		if (!get_document(&all->ptr[i], &d, &base))
+		if (!unpack_document(&all->ptr[i], &document, &base))
 			return -EPROTO;
 		if (base.revision)
-			err = take_delta(&d, base, port, to);
+			err = apply_delta(&document, base, receiver, to);
 		else
-			to.fact(to.ctx, &d);
+			to.fact(to.ctx, &document);
 	}
 	return err;
 }
 
-static int take_relay(const msgpack_object *o, struct relay_port port,
-		      struct relay_head *head)
+static int unpack_relay(const msgpack_object *o, struct relay_receiver receiver,
+			struct relay_head *head)
 {
 	struct facts_port to;
 
-	if (!get_relay(o, head))
+	if (!unpack_head(o, head))
 		return -EPROTO;
-	if (!port.begin(port.ctx, head, &to))
+	if (!receiver.begin(receiver.ctx, head, &to))
 		return -EBUSY;
-	return get_documents(o, port, to);
+	return unpack_documents(o, receiver, to);
 }
 
 /**
- * relay_decode() - a peer's documents
- * @data: body
- * @size_bytes: its size
- * @port: takes them
- * @head: filled
+ * relay_decode() - decode the documents of a peer
+ * @data: message of relay_encode()
+ * @size_bytes: size of the message
+ * @receiver: receives the documents
+ * @head: set to the positions of the peer
  *
- * Return: 0; -EBUSY when @port refused them; -ESTALE when one came as a change
- * of a value that is not known any more, and -EPROTO: documents before it were
- * taken.
+ * Return: 0; -EBUSY when @receiver refused the message; -ESTALE when the base
+ * value of a delta is not known any more; -EPROTO. Documents before an invalid
+ * one have been passed on.
  */
 int relay_decode(const uint8_t *data, uint32_t size_bytes,
-		 struct relay_port port, struct relay_head *head)
+		 struct relay_receiver receiver, struct relay_head *head)
 {
 	struct zstd_bytes packed = { data, size_bytes };
 	msgpack_unpacked u;
 	uint32_t n = 0;
 	size_t at = 0;
-	uint8_t *message = zstd_unpack((struct zstd_bytes){ 0 }, packed,
-				       RELAY_MAX_BYTES, &n);
+	uint8_t *message = zstd_delta_decompress((struct zstd_bytes){ 0 },
+						 packed, RELAY_MAX_BYTES, &n);
 	int err = -EPROTO;
 
 	if (!message)
 		return -EPROTO;
 	msgpack_unpacked_init(&u);
-	if (!msgpack_bound(message, n) &&
+	if (!msgpack_check_bounds(message, n) &&
 	    msgpack_unpack_next(&u, (const char *)message, n, &at) ==
 		    MSGPACK_UNPACK_SUCCESS)
-		err = take_relay(&u.data, port, head);
+		err = unpack_relay(&u.data, receiver, head);
 	msgpack_unpacked_destroy(&u);
 	free(message);
 	return err;
--- a/adapters/roster_codec.c
+++ b/adapters/roster_codec.c
@@ -1,4 +1,4 @@
-/* The platform's list of VMs as a content. */
+/* Codec for the list of VMs as a content of the store. */
 #include "account_codec.h"
 #include "item_codec.h"
 #include "settings.h"
@@ -9,7 +9,8 @@
 
 #define VM_LINE_MAX_BYTES 64
 
-static int list_vm(struct item_list *l, const char *start, uint32_t size_bytes)
+static int append_vm(struct item_list *list, const char *start,
+		     uint32_t size_bytes)
 {
 	char line[VM_LINE_MAX_BYTES], address[32], state[16];
 	uint64_t addr;
@@ -24,10 +25,10 @@
 		return -EPROTO;
 	if (strcmp(state, "live") && strcmp(state, "leaving"))
 		return -EPROTO;
-	item_begin(l, ITEM_VM, VM_FIELDS);
-	item_u64(l, addr);
-	item_u64(l, !strcmp(state, "leaving"));
-	item_end(l);
+	item_begin(list, ITEM_VM, VM_FIELDS);
+	item_u64(list, addr);
+	item_u64(list, !strcmp(state, "leaving"));
+	item_end(list);
 	return 0;
 }
 
@@ -43,62 +44,64 @@
 int roster_encode(const char *text, uint32_t size_bytes, struct content **out)
 {
 	const char *end = text + size_bytes;
-	struct item_list l;
-	int err, made;
+	struct item_list list;
+	int err, finish_err;
 
 	*out = NULL;
-	err = item_list_open(&l, 1 + count_lines(text, size_bytes));
+	err = item_list_open(&list, 1 + count_lines(text, size_bytes));
 	if (!err)
-		item_header(&l, 0);
+		item_header(&list, 0);
 	while (!err && text < end) {
 		const char *newline = memchr(text, '\n', end - text);
 		const char *stop = newline ? newline : end;
 
 		if (stop > text)
-			err = list_vm(&l, text, (uint32_t)(stop - text));
+			err = append_vm(&list, text, (uint32_t)(stop - text));
 		text = stop + 1;
 	}
-	made = item_list_close(&l, out);
-	if (!err && !made)
+	finish_err = item_list_close(&list, out);
+	if (!err && !finish_err)
 		return 0;
 	content_free(*out);
 	*out = NULL;
-	return err ? err : made;
+	return err ? err : finish_err;
 }
 
-static int read_vm(const struct item_fields *f, uint64_t *addr,
-		   uint64_t *leaving)
+static int decode_vm(const struct item_fields *fields, uint64_t *addr,
+		     uint64_t *leaving)
 {
-	if (f->kind != ITEM_VM || !item_field_addr(f, 0, addr) ||
-	    !item_field_u64(f, 1, 1, leaving))
+	if (fields->kind != ITEM_VM || !item_field_addr(fields, 0, addr) ||
+	    !item_field_u64(fields, 1, 1, leaving))
 		return -EPROTO;
 	return 0;
 }
 
-int32_t roster_decode(const struct content *c, uint64_t *vms, uint32_t cap)
+int32_t roster_decode(const struct content *content, uint64_t *vms,
+		      uint32_t capacity)
 {
 	msgpack_unpacked u;
 	uint32_t n = 0;
 	uint16_t weight;
-	int err = c->n ? 0 : -EPROTO;
+	int err = content->n ? 0 : -EPROTO;
 
 	msgpack_unpacked_init(&u);
-	for (uint32_t i = 0; !err && i < c->n; i++) {
+	for (uint32_t i = 0; !err && i < content->n; i++) {
 		uint64_t addr, leaving;
-		struct item_fields f;
+		struct item_fields fields;
 
-		err = item_read(&c->items[i], &u, &f);
+		err = item_read(&content->items[i], &u, &fields);
 		if (err || i == 0) {
 			if (!err)
-				err = f.kind == ITEM_HEADER
-					      ? item_read_header(&f, &weight)
+				err = fields.kind == ITEM_HEADER
+					      ? item_read_header(&fields,
+								 &weight)
 					      : -EPROTO;
 			continue;
 		}
-		err = read_vm(&f, &addr, &leaving);
+		err = decode_vm(&fields, &addr, &leaving);
 		if (err || leaving)
 			continue;
-		if (n == cap)
+		if (n == capacity)
 			err = -ENOSPC;
 		else
 			vms[n++] = addr;
--- a/adapters/settings.c
+++ b/adapters/settings.c
@@ -2,24 +2,24 @@
 
 #include "settings_table.h"
 
-#define LIMIT(name, low, high, usual)                                 \
+#define LIMIT(name, min, max, fallback)                               \
 	{                                                             \
-		"limits", LISTEN_NOT,                                 \
+		"limits", LISTEN_NONE,                                \
 			FIELD(entry_settings, #name, FIELD_U32, name, \
-			      RANGE(low, high, usual))                \
+			      RANGE(min, max, fallback))              \
 	}
-#define TIMING(name, low, high, usual)                                \
+#define TIMING(name, min, max, fallback)                              \
 	{                                                             \
-		"timing", LISTEN_NOT,                                 \
+		"timing", LISTEN_NONE,                                \
 			FIELD(entry_settings, #name, FIELD_U32, name, \
-			      RANGE(low, high, usual))                \
+			      RANGE(min, max, fallback))              \
 	}
 #define LOG_SETTINGS(type)                                               \
-	{ "log", LISTEN_NOT,                                             \
+	{ "log", LISTEN_NONE,                                            \
 	  FIELD(type, "level", FIELD_WORD, log.level, .choices = levels, \
 		.fallback = 2) },                                        \
 	{                                                                \
-		"log", LISTEN_NOT,                                       \
+		"log", LISTEN_NONE,                                      \
 			FIELD(type, "format", FIELD_CHOICE, log.format,  \
 			      .choices = formats, .fallback = LOG_TEXT)  \
 	}
@@ -32,7 +32,7 @@
 				      NULL };
 
 static const struct setting entry_table[] = {
-	{ "vm", LISTEN_NOT,
+	{ "vm", LISTEN_NONE,
 	  FIELD(entry_settings, "data_centre", FIELD_NAME, data_centre,
 		.required = true) },
 	{ "vm", LISTEN_UDP,
@@ -42,16 +42,16 @@
 	{ "vm", LISTEN_TCP,
 	  FIELD(entry_settings, "watch", FIELD_ENDPOINT, watch,
 		.required = true) },
-	{ "vm", LISTEN_NOT,
+	{ "vm", LISTEN_NONE,
 	  FIELD(entry_settings, "key", FIELD_KEY, key, .required = true) },
-	{ "callers", LISTEN_NOT,
+	{ "callers", LISTEN_NONE,
 	  FIELD(entry_settings, "mode", FIELD_CHOICE, callers_mode,
 		.choices = modes, .fallback = CALLERS_FABRIC) },
 	{ "callers", LISTEN_UDP,
 	  FIELD(entry_settings, "listen", FIELD_ADDR, callers_listen) },
 	{ "callers", LISTEN_UDP,
 	  FIELD(entry_settings, "fabric", FIELD_ADDR, fabric) },
-	{ "targets", LISTEN_NOT,
+	{ "targets", LISTEN_NONE,
 	  FIELD(entry_settings, "source", FIELD_IP, target_source_ip) },
 	LIMIT(requests, 16, 1 << 20, 16384),
 	LIMIT(feeds, 16, 1 << 22, 262144),
@@ -72,7 +72,7 @@
 };
 
 static const struct setting watch_table[] = {
-	{ "vm", LISTEN_NOT,
+	{ "vm", LISTEN_NONE,
 	  FIELD(watch_settings, "data_centre", FIELD_NAME, data_centre,
 		.required = true) },
 	{ "vm", LISTEN_UDP,
@@ -80,99 +80,107 @@
 	{ "vm", LISTEN_TCP,
 	  FIELD(watch_settings, "listen", FIELD_ENDPOINT, listen,
 		.required = true) },
-	{ "vm", LISTEN_NOT,
+	{ "vm", LISTEN_NONE,
 	  FIELD(watch_settings, "port", FIELD_U16, port,
 		RANGE(1, UINT16_MAX, 7002)) },
 	{ "vm", LISTEN_TCP,
 	  FIELD(watch_settings, "http", FIELD_ADDR, http, .required = true) },
-	{ "vm", LISTEN_NOT,
+	{ "vm", LISTEN_NONE,
 	  FIELD(watch_settings, "key", FIELD_KEY, key, .required = true) },
-	{ "platform", LISTEN_NOT,
+	{ "platform", LISTEN_NONE,
 	  FIELD(watch_settings, "url", FIELD_URL, platform_url,
 		.required = true) },
-	{ "platform", LISTEN_NOT,
+	{ "platform", LISTEN_NONE,
 	  FIELD(watch_settings, "readers", FIELD_U32, readers,
 		RANGE(1, 64, 2)) },
 	LOG_SETTINGS(watch_settings),
 	{ 0 }
 };
 
-static void need(struct settings_reader *r, const char *section,
-		 const char *key, uint64_t addr)
+static void require_address(struct settings_reader *reader, const char *section,
+			    const char *key, uint64_t addr)
 {
 	if (!addr)
-		settings_mistake(r, section, key, "missing",
-				 "an address, since mode is \"fabric\"");
+		settings_add_mistake(reader, section, key, "missing",
+				     "an address, since mode is \"fabric\"");
 }
 
-static void entry_relations(struct settings_reader *r, struct entry_settings *s)
+static void check_entry_relations(struct settings_reader *reader,
+				  struct entry_settings *settings)
 {
-	if (s->callers_mode == CALLERS_FABRIC) {
-		need(r, "callers", "listen", s->callers_listen);
-		need(r, "callers", "fabric", s->fabric);
+	if (settings->callers_mode == CALLERS_FABRIC) {
+		require_address(reader, "callers", "listen",
+				settings->callers_listen);
+		require_address(reader, "callers", "fabric", settings->fabric);
 	}
-	if (s->probe_timeout_ms >= s->probe_period_ms)
-		settings_mistake(r, "timing", "probe_timeout_ms",
-				 "not below probe_period_ms",
-				 "a timeout shorter than the period");
-	if (!s->target_source_ip)
-		s->target_source_ip = ADDR_IP(s->peer);
+	if (settings->probe_timeout_ms >= settings->probe_period_ms)
+		settings_add_mistake(reader, "timing", "probe_timeout_ms",
+				     "not below probe_period_ms",
+				     "a timeout shorter than the period");
+	if (!settings->target_source_ip)
+		settings->target_source_ip = ADDR_IP(settings->peer);
 }
 
-static void watch_relations(struct settings_reader *r, struct watch_settings *s)
+static void check_watch_relations(struct settings_reader *reader,
+				  struct watch_settings *settings)
 {
 	uint64_t listen;
 
-	/* Peers of this VM would knock at a port where nobody listens. */
-	if (!addr_parse(s->listen + sizeof(ENDPOINT_PREFIX) - 1, &listen) &&
-	    ADDR_PORT(listen) != s->port)
-		settings_mistake(r, "vm", "port", "differs from listen's port",
-				 "the port on which peers reach this VM");
+	/*
+	 * Peers connect to this port on every VM, and would find nobody
+	 * listening.
+	 */
+	if (!addr_parse(settings->listen + sizeof(ENDPOINT_PREFIX) - 1,
+			&listen) &&
+	    ADDR_PORT(listen) != settings->port)
+		settings_add_mistake(reader, "vm", "port",
+				     "differs from listen's port",
+				     "the port on which peers reach this VM");
 }
 
 /**
  * entry_settings_read() - read and check the settings of cb-entry
  * @path: file
- * @out: filled
- * @m: every mistake is added
+ * @out: set to the settings; valid when 0 is returned
+ * @mistakes: all mistakes of the file are added
  *
- * Return: 0; -EINVAL when there are mistakes; another negative error when the
- * file can't be read (a mistake too).
+ * Return: 0; -EINVAL when the file has errors; another negative error when it
+ * cannot be read, which is added as a mistake too.
  */
 int entry_settings_read(const char *path, struct entry_settings *out,
-			struct mistakes *m)
+			struct mistakes *mistakes)
 {
-	struct settings_reader r;
-	int err = settings_open(&r, path, m);
+	struct settings_reader reader;
+	int err = settings_open(&reader, path, mistakes);
 
 	if (err)
 		return err;
 	*out = (struct entry_settings){ 0 };
-	settings_take(&r, entry_table, out);
-	if (!settings_errors(&r))
-		entry_relations(&r, out);
-	return settings_close(&r);
+	settings_parse(&reader, entry_table, out);
+	if (!settings_error_count(&reader))
+		check_entry_relations(&reader, out);
+	return settings_close(&reader);
 }
 
 /**
  * watch_settings_read() - read and check the settings of cb-watch
  * @path: file
- * @out: filled
- * @m: every mistake is added
+ * @out: set to the settings; valid when 0 is returned
+ * @mistakes: all mistakes of the file are added
  *
  * Return: as entry_settings_read().
  */
 int watch_settings_read(const char *path, struct watch_settings *out,
-			struct mistakes *m)
+			struct mistakes *mistakes)
 {
-	struct settings_reader r;
-	int err = settings_open(&r, path, m);
+	struct settings_reader reader;
+	int err = settings_open(&reader, path, mistakes);
 
 	if (err)
 		return err;
 	*out = (struct watch_settings){ 0 };
-	settings_take(&r, watch_table, out);
-	if (!settings_errors(&r))
-		watch_relations(&r, out);
-	return settings_close(&r);
+	settings_parse(&reader, watch_table, out);
+	if (!settings_error_count(&reader))
+		check_watch_relations(&reader, out);
+	return settings_close(&reader);
 }
--- a/adapters/settings_table.c
+++ b/adapters/settings_table.c
@@ -6,48 +6,51 @@
 
 /**
  * settings_open() - read and parse a file
- * @r: reader, to be closed when this returns 0
+ * @reader: reader; has to be closed when 0 is returned
  * @path: file; has to outlive the reader
- * @m: mistakes
+ * @mistakes: list to which all mistakes are added; has to outlive the reader
  *
- * Return: 0, -EINVAL when it isn't TOML, -ENOENT when it can't be read.
+ * Return: 0, -EINVAL when the file is not TOML, -ENOENT when it cannot be read.
  */
-int settings_open(struct settings_reader *r, const char *path,
-		  struct mistakes *m)
+int settings_open(struct settings_reader *reader, const char *path,
+		  struct mistakes *mistakes)
 {
 	char *text = NULL;
 	gsize size_bytes = 0;
 	GError *error = NULL;
 
-	*r = (struct settings_reader){ NULL, m, m->n_errors };
+	*reader =
+		(struct settings_reader){ NULL, mistakes, mistakes->n_errors };
 	if (!g_file_get_contents(path, &text, &size_bytes, &error)) {
-		mistake_add(m, path, 0, "", error->message, "a readable file");
+		mistake_add(mistakes, path, 0, "", error->message,
+			    "a readable file");
 		g_error_free(error);
 		return -ENOENT;
 	}
-	r->root = toml_read(path, text, size_bytes, m);
+	reader->root = toml_parse(path, text, size_bytes, mistakes);
 	g_free(text);
-	return r->root ? 0 : -EINVAL;
+	return reader->root ? 0 : -EINVAL;
 }
 
 /**
- * settings_mistake() - add a mistake at a key's line, or its section's
- * @r: reader
- * @section: table
- * @key: name
+ * settings_add_mistake() - add a mistake at the line of a key, or of its
+ *	section when the key is missing
+ * @reader: reader
+ * @section: name of the section
+ * @key: key in the section
  * @problem: what is wrong
- * @expected: what would be right
+ * @expected: what would be valid
  */
-void settings_mistake(struct settings_reader *r, const char *section,
-		      const char *key, const char *problem,
-		      const char *expected)
+void settings_add_mistake(struct settings_reader *reader, const char *section,
+			  const char *key, const char *problem,
+			  const char *expected)
 {
-	const struct toml_node *table = toml_find(r->root, section);
+	const struct toml_node *table = toml_find(reader->root, section);
 	const struct toml_node *node = toml_find(table, key);
 
 	if (!node)
-		node = table ? table : r->root;
-	field_mistake(r->m, node, section, key, problem, expected);
+		node = table ? table : reader->root;
+	field_mistake(reader->mistakes, node, section, key, problem, expected);
 }
 
 static bool has_section(const struct setting *table, const char *section)
@@ -58,117 +61,127 @@
 	return false;
 }
 
-static void unknown(struct settings_reader *r, const struct setting *table)
+static void report_unknown(struct settings_reader *reader,
+			   const struct setting *table)
 {
-	for (uint32_t i = 0; i < r->root->n_items; i++) {
-		const struct toml_node *t = &r->root->items[i];
+	for (uint32_t i = 0; i < reader->root->n_items; i++) {
+		const struct toml_node *section = &reader->root->items[i];
 
-		if (t->taken)
+		if (section->consumed)
 			continue;
-		if (!has_section(table, t->key))
-			field_mistake(r->m, t, t->key, "", "unknown section",
+		if (!has_section(table, section->key))
+			field_mistake(reader->mistakes, section, section->key,
+				      "", "unknown section",
 				      "a section of these settings");
-		else if (t->kind != TOML_TABLE)
-			field_mistake(r->m, t, t->key, "",
-				      toml_kind_name(t->kind), "a table");
+		else if (section->kind != TOML_TABLE)
+			field_mistake(reader->mistakes, section, section->key,
+				      "", toml_kind_name(section->kind),
+				      "a table");
 		else
-			fields_unknown(r->m, t->key, t);
+			fields_unknown(reader->mistakes, section->key, section);
 	}
 }
 
-/* Endpoint that a key names, or ADDR_NONE. */
-static uint64_t endpoint(const struct setting *s, const void *out)
+/* Endpoint in a member of @out, or ADDR_NONE. */
+static uint64_t endpoint_of(const struct setting *setting, const void *out)
 {
-	const char *at = (const char *)out + s->field.offset;
+	const char *at = (const char *)out + setting->field.offset;
 	uint64_t addr = ADDR_NONE;
 
-	if (s->field.kind == FIELD_ADDR)
+	if (setting->field.kind == FIELD_ADDR)
 		memcpy(&addr, at, sizeof(addr));
-	else if (s->field.kind == FIELD_ENDPOINT && at[0])
+	else if (setting->field.kind == FIELD_ENDPOINT && at[0])
 		addr_parse(at + sizeof(ENDPOINT_PREFIX) - 1, &addr);
 	return addr;
 }
 
-static void clash(struct settings_reader *r, const struct setting *table,
-		  const struct setting *s, const void *out)
+static void check_listener(struct settings_reader *reader,
+			   const struct setting *table,
+			   const struct setting *setting, const void *out)
 {
 	char problem[DOTTED_BYTES];
 
-	for (const struct setting *o = table; o != s; o++) {
-		if (o->listens != s->listens ||
-		    endpoint(o, out) != endpoint(s, out))
+	for (const struct setting *other = table; other != setting; other++) {
+		if (other->listener != setting->listener ||
+		    endpoint_of(other, out) != endpoint_of(setting, out))
 			continue;
 		g_snprintf(problem, sizeof(problem), "same address as %s.%s",
-			   o->section, o->field.key);
-		settings_mistake(r, s->section, s->field.key, problem,
-				 "an address of its own");
+			   other->section, other->field.key);
+		settings_add_mistake(reader, setting->section,
+				     setting->field.key, problem,
+				     "an address not used by another key");
 	}
 }
 
 /**
- * settings_section() - fill a struct of its own from one section
- * @r: reader; settings_take() comes after this
- * @section: table
- * @fields: its keys, ends with a key of NULL
- * @out: struct
+ * settings_parse_section() - set a struct from one section
+ * @reader: reader; call this before settings_parse(), which reports the
+ *	sections that are left
+ * @section: name of the section
+ * @fields: keys of the section; ends with a key of NULL
+ * @out: struct that @fields describe
  */
-void settings_section(struct settings_reader *r, const char *section,
-		      const struct field *fields, void *out)
+void settings_parse_section(struct settings_reader *reader, const char *section,
+			    const struct field *fields, void *out)
 {
-	struct toml_node *t = toml_find(r->root, section);
+	struct toml_node *table = toml_find(reader->root, section);
 
-	if (!t)
+	if (!table)
 		return;
-	t->taken = 1;
-	if (t->kind != TOML_TABLE) {
-		field_mistake(r->m, t, section, "", toml_kind_name(t->kind),
-			      "a table");
+	table->consumed = 1;
+	if (table->kind != TOML_TABLE) {
+		field_mistake(reader->mistakes, table, section, "",
+			      toml_kind_name(table->kind), "a table");
 		return;
 	}
-	fields_take(r->m, section, t, fields, out);
-	fields_unknown(r->m, section, t);
+	fields_take(reader->mistakes, section, table, fields, out);
+	fields_unknown(reader->mistakes, section, table);
 }
 
 /**
- * settings_take() - fill a struct by its table; adds every mistake
- * @r: reader
- * @table: keys, ends with a section of NULL
- * @out: struct
+ * settings_parse() - set a struct from a file
+ * @reader: reader
+ * @table: keys; ends with a section of NULL
+ * @out: struct that @table describes
+ *
+ * Unknown sections and keys, and listeners with the same endpoint, are
+ * mistakes.
  */
-void settings_take(struct settings_reader *r, const struct setting *table,
-		   void *out)
+void settings_parse(struct settings_reader *reader, const struct setting *table,
+		    void *out)
 {
-	for (const struct setting *s = table; s->section; s++)
-		field_take(r->m, r->root, s->section,
-			   toml_find(r->root, s->section), &s->field, out);
-	unknown(r, table);
-	for (const struct setting *s = table; s->section; s++)
-		if (s->listens && endpoint(s, out))
-			clash(r, table, s, out);
+	for (const struct setting *setting = table; setting->section; setting++)
+		field_take(reader->mistakes, reader->root, setting->section,
+			   toml_find(reader->root, setting->section),
+			   &setting->field, out);
+	report_unknown(reader, table);
+	for (const struct setting *setting = table; setting->section; setting++)
+		if (setting->listener && endpoint_of(setting, out))
+			check_listener(reader, table, setting, out);
 }
 
 /**
- * settings_errors() - errors of this file so far
- * @r: reader
+ * settings_error_count() - number of errors of the file so far
+ * @reader: reader
  *
- * Return: their number.
+ * Return: count, without warnings.
  */
-uint32_t settings_errors(const struct settings_reader *r)
+uint32_t settings_error_count(const struct settings_reader *reader)
 {
-	return r->m->n_errors - r->errors_before;
+	return reader->mistakes->n_errors - reader->errors_before;
 }
 
 /**
- * settings_close() - free the reader
- * @r: reader
+ * settings_close() - free a reader
+ * @reader: reader
  *
  * Return: 0, or -EINVAL when the file had an error.
  */
-int settings_close(struct settings_reader *r)
+int settings_close(struct settings_reader *reader)
 {
-	int err = settings_errors(r) ? -EINVAL : 0;
+	int err = settings_error_count(reader) ? -EINVAL : 0;
 
-	toml_free(r->root);
-	r->root = NULL;
+	toml_free(reader->root);
+	reader->root = NULL;
 	return err;
 }
--- a/adapters/spread_codec.c
+++ b/adapters/spread_codec.c
@@ -39,11 +39,11 @@
 	crypto_generichash_final(&state, mac, MAC_BYTES);
 }
 
-static void put_offers(msgpack_packer *p, const struct spread_msg *m)
+static void pack_offers(msgpack_packer *p, const struct spread_msg *msg)
 {
-	msgpack_pack_array(p, m->n_offers);
-	for (uint32_t i = 0; i < m->n_offers; i++) {
-		const struct spread_offer *o = &m->offers[i];
+	msgpack_pack_array(p, msg->n_offers);
+	for (uint32_t i = 0; i < msg->n_offers; i++) {
+		const struct spread_offer *o = &msg->offers[i];
 
 		msgpack_pack_array(p, OFFER_FIELDS);
 		msgpack_pack_str_with_body(p, o->key, strlen(o->key));
@@ -54,41 +54,41 @@
 	}
 }
 
-static void put_nothing(msgpack_packer *p, const struct spread_msg *m)
+static void pack_nothing(msgpack_packer *p, const struct spread_msg *msg)
 {
 	(void)p;
-	(void)m;
+	(void)msg;
 }
 
-static void put_digest(msgpack_packer *p, const struct spread_msg *m)
+static void pack_digest(msgpack_packer *p, const struct spread_msg *msg)
 {
-	msgpack_pack_uint64(p, m->store_digest);
-	msgpack_pack_uint64(p, m->wants_reply);
-	msgpack_pack_uint64(p, m->live_reader);
-	msgpack_pack_uint64(p, m->live_reader_age_ms);
+	msgpack_pack_uint64(p, msg->store_digest);
+	msgpack_pack_uint64(p, msg->wants_reply);
+	msgpack_pack_uint64(p, msg->live_reader);
+	msgpack_pack_uint64(p, msg->live_reader_age_ms);
 }
 
-static void put_buckets(msgpack_packer *p, const struct spread_msg *m)
+static void pack_buckets(msgpack_packer *p, const struct spread_msg *msg)
 {
 	msgpack_pack_array(p, SPREAD_BUCKETS);
 	for (uint32_t i = 0; i < SPREAD_BUCKETS; i++)
-		msgpack_pack_uint64(p, m->bucket_digests[i]);
+		msgpack_pack_uint64(p, msg->bucket_digests[i]);
 }
 
-static void put_offer(msgpack_packer *p, const struct spread_msg *m)
+static void pack_offer(msgpack_packer *p, const struct spread_msg *msg)
 {
-	msgpack_pack_uint64(p, m->wants_reply);
-	msgpack_pack_uint64(p, m->bucket < 0 ? SPREAD_BUCKETS
-					     : (uint64_t)m->bucket);
-	put_offers(p, m);
+	msgpack_pack_uint64(p, msg->wants_reply);
+	msgpack_pack_uint64(p, msg->bucket < 0 ? SPREAD_BUCKETS
+					       : (uint64_t)msg->bucket);
+	pack_offers(p, msg);
 }
 
-static void put_data(msgpack_packer *p, const struct spread_msg *m)
+static void pack_data(msgpack_packer *p, const struct spread_msg *msg)
 {
-	const struct delta *d = &m->delta;
+	const struct delta *d = &msg->delta;
 
-	put_offers(p, m);
-	msgpack_pack_uint64(p, m->base_hash);
+	pack_offers(p, msg);
+	msgpack_pack_uint64(p, msg->base_hash);
 	msgpack_pack_array(p, d->n_removed);
 	for (uint32_t i = 0; i < d->n_removed; i++)
 		msgpack_pack_uint64(p, d->removed[i]);
@@ -98,17 +98,17 @@
 					   d->added[i].size_bytes);
 }
 
-static void put_beat(msgpack_packer *p, const struct spread_msg *m)
+static void pack_heartbeat(msgpack_packer *p, const struct spread_msg *msg)
 {
-	msgpack_pack_uint64(p, m->platform_ok);
+	msgpack_pack_uint64(p, msg->platform_ok);
 }
 
-static void put_hello(msgpack_packer *p, const struct spread_msg *m)
+static void pack_hello(msgpack_packer *p, const struct spread_msg *msg)
 {
-	msgpack_pack_uint64(p, m->store_digest);
+	msgpack_pack_uint64(p, msg->store_digest);
 }
 
-/* Fields of a message under reading; @at moves past each. */
+/* Fields of a message that are still to be decoded. */
 struct fields {
 	const msgpack_object *at;
 	const msgpack_object *end;
@@ -163,42 +163,42 @@
 	return 0;
 }
 
-static int get_one_offer(struct fields *f, struct spread_offer *o)
+static int unpack_offer_item(struct fields *f, struct spread_offer *o)
 {
 	struct version *v = &o->version;
-	struct fields in;
+	struct fields inner;
 
-	if (get_array(f, OFFER_FIELDS, &in) || get_key(&in, o->key) ||
-	    get_u64(&in, UINT64_MAX, &v->generation) ||
-	    get_u64(&in, UINT64_MAX, &v->revision) ||
-	    get_u64(&in, UINT64_MAX, &v->hash) ||
-	    get_u64(&in, UINT64_MAX, &v->withdrawn_revision))
+	if (get_array(f, OFFER_FIELDS, &inner) || get_key(&inner, o->key) ||
+	    get_u64(&inner, UINT64_MAX, &v->generation) ||
+	    get_u64(&inner, UINT64_MAX, &v->revision) ||
+	    get_u64(&inner, UINT64_MAX, &v->hash) ||
+	    get_u64(&inner, UINT64_MAX, &v->withdrawn_revision))
 		return -EPROTO;
-	return in.at == in.end ? 0 : -EPROTO;
+	return inner.at == inner.end ? 0 : -EPROTO;
 }
 
-static int get_offers(struct fields *f, struct spread_msg *m)
+static int unpack_offers(struct fields *f, struct spread_msg *msg)
 {
-	struct fields in;
+	struct fields inner;
 	uint32_t n;
 
-	if (get_array(f, SPREAD_OFFERS_MAX, &in))
+	if (get_array(f, SPREAD_OFFERS_MAX, &inner))
 		return -EPROTO;
-	n = (uint32_t)(in.end - in.at);
-	m->offers = calloc(n + 1, sizeof(*m->offers));
-	if (!m->offers)
+	n = (uint32_t)(inner.end - inner.at);
+	msg->offers = calloc(n + 1, sizeof(*msg->offers));
+	if (!msg->offers)
 		return -ENOMEM;
-	for (; m->n_offers < n; m->n_offers++)
-		if (get_one_offer(&in, &m->offers[m->n_offers]))
+	for (; msg->n_offers < n; msg->n_offers++)
+		if (unpack_offer_item(&inner, &msg->offers[msg->n_offers]))
 			return -EPROTO;
 	return 0;
 }
 
-/* A version without a generation says nothing of a content. */
-static int check_versions(const struct spread_msg *m)
+/* A version without a generation has no content, hence no revision or hash. */
+static int check_versions(const struct spread_msg *msg)
 {
-	for (uint32_t i = 0; i < m->n_offers; i++) {
-		const struct version *v = &m->offers[i].version;
+	for (uint32_t i = 0; i < msg->n_offers; i++) {
+		const struct version *v = &msg->offers[i].version;
 
 		if (!v->generation && (v->revision || v->hash))
 			return -EPROTO;
@@ -206,79 +206,80 @@
 	return 0;
 }
 
-static int get_nothing(struct fields *f, struct spread_msg *m)
+static int unpack_nothing(struct fields *f, struct spread_msg *msg)
 {
 	(void)f;
-	(void)m;
+	(void)msg;
 	return 0;
 }
 
-static int get_digest(struct fields *f, struct spread_msg *m)
+static int unpack_digest(struct fields *f, struct spread_msg *msg)
 {
-	if (get_u64(f, UINT64_MAX, &m->store_digest) ||
-	    get_bool(f, &m->wants_reply) ||
-	    get_u64(f, UINT64_MAX, &m->live_reader))
+	if (get_u64(f, UINT64_MAX, &msg->store_digest) ||
+	    get_bool(f, &msg->wants_reply) ||
+	    get_u64(f, UINT64_MAX, &msg->live_reader))
 		return -EPROTO;
-	return get_u64(f, UINT64_MAX / NS_PER_MS, &m->live_reader_age_ms);
+	return get_u64(f, UINT64_MAX / NS_PER_MS, &msg->live_reader_age_ms);
 }
 
-static int get_buckets(struct fields *f, struct spread_msg *m)
+static int unpack_buckets(struct fields *f, struct spread_msg *msg)
 {
-	struct fields in;
+	struct fields inner;
 
-	if (get_array(f, SPREAD_BUCKETS, &in))
+	if (get_array(f, SPREAD_BUCKETS, &inner))
 		return -EPROTO;
 	for (uint32_t i = 0; i < SPREAD_BUCKETS; i++)
-		if (get_u64(&in, UINT64_MAX, &m->bucket_digests[i]))
+		if (get_u64(&inner, UINT64_MAX, &msg->bucket_digests[i]))
 			return -EPROTO;
 	return 0;
 }
 
-static int get_offer(struct fields *f, struct spread_msg *m)
+static int unpack_offer(struct fields *f, struct spread_msg *msg)
 {
 	uint64_t bucket;
 	int err;
 
-	if (get_bool(f, &m->wants_reply) || get_u64(f, SPREAD_BUCKETS, &bucket))
+	if (get_bool(f, &msg->wants_reply) ||
+	    get_u64(f, SPREAD_BUCKETS, &bucket))
 		return -EPROTO;
-	m->bucket = bucket == SPREAD_BUCKETS ? -1 : (int32_t)bucket;
-	err = get_offers(f, m);
-	return err ? err : check_versions(m);
+	msg->bucket = bucket == SPREAD_BUCKETS ? -1 : (int32_t)bucket;
+	err = unpack_offers(f, msg);
+	return err ? err : check_versions(msg);
 }
 
-static int get_removed(struct fields *f, struct delta *d)
+static int unpack_removed(struct fields *f, struct delta *d)
 {
-	struct fields in;
+	struct fields inner;
 	uint64_t index;
 	uint32_t n;
 
-	if (get_array(f, CONTENT_ITEMS_MAX, &in))
+	if (get_array(f, CONTENT_ITEMS_MAX, &inner))
 		return -EPROTO;
-	n = (uint32_t)(in.end - in.at);
+	n = (uint32_t)(inner.end - inner.at);
 	d->removed = calloc(n + 1, sizeof(*d->removed));
 	if (!d->removed)
 		return -ENOMEM;
 	for (; d->n_removed < n; d->n_removed++) {
-		if (get_u64(&in, UINT32_MAX, &index))
+		if (get_u64(&inner, UINT32_MAX, &index))
 			return -EPROTO;
 		d->removed[d->n_removed] = (uint32_t)index;
 	}
 	return 0;
 }
 
-static int get_added(struct fields *f, struct delta *d)
+static int unpack_added(struct fields *f, struct delta *d)
 {
-	struct fields in;
+	struct fields inner;
 	uint32_t n;
 
-	if (get_array(f, CONTENT_ITEMS_MAX, &in))
+	if (get_array(f, CONTENT_ITEMS_MAX, &inner))
 		return -EPROTO;
-	n = (uint32_t)(in.end - in.at);
+	n = (uint32_t)(inner.end - inner.at);
 	d->added = calloc(n + 1, sizeof(*d->added));
 	if (!d->added)
 		return -ENOMEM;
 	for (; d->n_added < n; d->n_added++) {
-		const msgpack_object *o = next(&in, MSGPACK_OBJECT_BIN);
+		const msgpack_object *o = next(&inner, MSGPACK_OBJECT_BIN);
 
 		if (!o)
 			return -EPROTO;
@@ -288,50 +289,50 @@
 	return 0;
 }
 
-static int get_data(struct fields *f, struct spread_msg *m)
+static int unpack_data(struct fields *f, struct spread_msg *msg)
 {
-	int err = get_offers(f, m);
+	int err = unpack_offers(f, msg);
 
-	if (!err && m->n_offers != 1)
+	if (!err && msg->n_offers != 1)
 		err = -EPROTO;
 	if (!err)
-		err = check_versions(m);
+		err = check_versions(msg);
 	if (!err)
-		err = get_u64(f, UINT64_MAX, &m->base_hash);
+		err = get_u64(f, UINT64_MAX, &msg->base_hash);
 	if (!err)
-		err = get_removed(f, &m->delta);
-	return err ? err : get_added(f, &m->delta);
+		err = unpack_removed(f, &msg->delta);
+	return err ? err : unpack_added(f, &msg->delta);
 }
 
-static int get_beat(struct fields *f, struct spread_msg *m)
+static int unpack_heartbeat(struct fields *f, struct spread_msg *msg)
 {
-	return get_bool(f, &m->platform_ok);
+	return get_bool(f, &msg->platform_ok);
 }
 
-static int get_hello(struct fields *f, struct spread_msg *m)
+static int unpack_hello(struct fields *f, struct spread_msg *msg)
 {
-	return get_u64(f, UINT64_MAX, &m->store_digest);
+	return get_u64(f, UINT64_MAX, &msg->store_digest);
 }
 
 static const struct {
 	uint32_t n_fields;
-	void (*put)(msgpack_packer *p, const struct spread_msg *m);
-	int (*get)(struct fields *f, struct spread_msg *m);
+	void (*pack)(msgpack_packer *p, const struct spread_msg *msg);
+	int (*unpack)(struct fields *f, struct spread_msg *msg);
 } kinds[SPREAD_KIND_COUNT] = {
-	[SPREAD_DIGEST] = { 4, put_digest, get_digest },
-	[SPREAD_BUCKET_DIGESTS] = { 1, put_buckets, get_buckets },
-	[SPREAD_OFFER] = { 3, put_offer, get_offer },
-	[SPREAD_WANT] = { 1, put_offers, get_offers },
-	[SPREAD_DATA] = { 4, put_data, get_data },
-	[SPREAD_HEARTBEAT] = { 1, put_beat, get_beat },
-	[SPREAD_HELLO] = { 1, put_hello, get_hello },
-	[SPREAD_VERSIONS_QUERY] = { 0, put_nothing, get_nothing },
-	[SPREAD_VERSIONS] = { 1, put_offers, get_offers },
+	[SPREAD_DIGEST] = { 4, pack_digest, unpack_digest },
+	[SPREAD_BUCKET_DIGESTS] = { 1, pack_buckets, unpack_buckets },
+	[SPREAD_OFFER] = { 3, pack_offer, unpack_offer },
+	[SPREAD_WANT] = { 1, pack_offers, unpack_offers },
+	[SPREAD_DATA] = { 4, pack_data, unpack_data },
+	[SPREAD_HEARTBEAT] = { 1, pack_heartbeat, unpack_heartbeat },
+	[SPREAD_HELLO] = { 1, pack_hello, unpack_hello },
+	[SPREAD_VERSIONS_QUERY] = { 0, pack_nothing, unpack_nothing },
+	[SPREAD_VERSIONS] = { 1, pack_offers, unpack_offers },
 };
 
 #define COMMON_FIELDS 2
 
-int spread_encode(const struct spread_msg *m, const struct spread_auth *auth,
+int spread_encode(const struct spread_msg *msg, const struct spread_auth *auth,
 		  uint8_t **out, uint32_t *size_bytes)
 {
 	uint8_t head[HEAD_BYTES] = { SPREAD_CODEC_VERSION };
@@ -342,10 +343,10 @@
 	msgpack_sbuffer_init(&buffer);
 	msgpack_packer_init(&packer, &buffer, msgpack_sbuffer_write);
 	msgpack_sbuffer_write(&buffer, (const char *)head, sizeof(head));
-	msgpack_pack_array(&packer, COMMON_FIELDS + kinds[m->kind].n_fields);
-	msgpack_pack_uint8(&packer, m->kind);
-	msgpack_pack_uint64(&packer, m->from);
-	kinds[m->kind].put(&packer, m);
+	msgpack_pack_array(&packer, COMMON_FIELDS + kinds[msg->kind].n_fields);
+	msgpack_pack_uint8(&packer, msg->kind);
+	msgpack_pack_uint64(&packer, msg->from);
+	kinds[msg->kind].pack(&packer, msg);
 	if (buffer.size > SPREAD_FRAME_MAX_BYTES) {
 		msgpack_sbuffer_destroy(&buffer);
 		return -EMSGSIZE;
@@ -356,7 +357,7 @@
 	return 0;
 }
 
-static int get_message(const msgpack_object *root, struct spread_msg *m)
+static int unpack_message(const msgpack_object *root, struct spread_msg *msg)
 {
 	struct fields f;
 	uint64_t kind;
@@ -367,26 +368,26 @@
 	f.at = root->via.array.ptr;
 	f.end = f.at + root->via.array.size;
 	if (get_u64(&f, SPREAD_KIND_COUNT - 1, &kind) || !kind ||
-	    get_u64(&f, UINT64_MAX, &m->from) || !m->from)
+	    get_u64(&f, UINT64_MAX, &msg->from) || !msg->from)
 		return -EPROTO;
-	m->kind = (uint8_t)kind;
+	msg->kind = (uint8_t)kind;
 	if ((uint32_t)(f.end - f.at) != kinds[kind].n_fields)
 		return -EPROTO;
-	err = kinds[kind].get(&f, m);
+	err = kinds[kind].unpack(&f, msg);
 	if (!err && f.at != f.end)
 		err = -EPROTO;
 	return err;
 }
 
 int spread_decode(const uint8_t *buf, uint32_t size_bytes,
-		  const struct spread_auth *auth, struct spread_msg *m)
+		  const struct spread_auth *auth, struct spread_msg *msg)
 {
 	uint8_t mac[MAC_BYTES];
 	msgpack_unpacked u;
 	size_t used = 0;
 	int err = -EPROTO;
 
-	*m = (struct spread_msg){ .bucket = -1 };
+	*msg = (struct spread_msg){ .bucket = -1 };
 	if (size_bytes < HEAD_BYTES || size_bytes > SPREAD_FRAME_MAX_BYTES)
 		return -EPROTO;
 	if (buf[0] != SPREAD_CODEC_VERSION)
@@ -394,27 +395,27 @@
 	frame_mac(buf, size_bytes, auth, mac);
 	if (sodium_memcmp(mac, buf + 1, MAC_BYTES))
 		return -EBADMSG;
-	if (msgpack_bound(buf + HEAD_BYTES, size_bytes - HEAD_BYTES))
+	if (msgpack_check_bounds(buf + HEAD_BYTES, size_bytes - HEAD_BYTES))
 		return -EPROTO;
 	msgpack_unpacked_init(&u);
 	if (msgpack_unpack_next(&u, (const char *)buf + HEAD_BYTES,
 				size_bytes - HEAD_BYTES,
 				&used) == MSGPACK_UNPACK_SUCCESS &&
 	    used == size_bytes - HEAD_BYTES)
-		err = get_message(&u.data, m);
+		err = unpack_message(&u.data, msg);
 	msgpack_unpacked_destroy(&u);
 	if (err)
-		spread_msg_clear(m);
+		spread_msg_clear(msg);
 	return err;
 }
 
 /**
- * spread_msg_clear() - free what a decoded message holds
- * @m: message; empty afterwards
+ * spread_msg_clear() - free the memory of a decoded message
+ * @msg: message; empty afterwards
  */
-void spread_msg_clear(struct spread_msg *m)
+void spread_msg_clear(struct spread_msg *msg)
 {
-	free(m->offers);
-	delta_clear(&m->delta);
-	*m = (struct spread_msg){ .bucket = -1 };
+	free(msg->offers);
+	delta_clear(&msg->delta);
+	*msg = (struct spread_msg){ .bucket = -1 };
 }
--- a/adapters/tally.c
+++ b/adapters/tally.c
@@ -1,4 +1,4 @@
-/* Comparison of the callers' records with the targets' run logs. */
+/* Comparison of the records of callers with the run logs of targets. */
 #include "tally.h"
 
 #include <errno.h>
@@ -9,24 +9,24 @@
 
 #define WINDOW_MS 1000
 /*
- * A window counts when each target could have had this many requests: with
- * fewer, chance alone makes one target look busy.
+ * A window counts when its runs would give each target this many on average:
+ * with fewer, chance alone makes one target look busier than the others.
  */
 #define WINDOW_RUNS_PER_TARGET 8
 
 /**
- * struct kind_rule - what a kind of request means to the comparison
- * @service: service that it is meant for
- * @idempotent: may run twice
- * @ventolario: weight of a broken one for Ventolario
+ * struct kind_rule - how a kind of request is compared
+ * @service: service that it is sent to
+ * @idempotent: may run more than once
+ * @ventolario_weight: weight of a broken request in the sum for Ventolario
  */
 struct kind_rule {
 	const char *service;
 	bool idempotent;
-	uint8_t ventolario;
+	uint8_t ventolario_weight;
 };
 
-/* A forecast has no weight of its own: the weights name the other three. */
+/* The weights name only the other three kinds; a forecast has none. */
 static const struct kind_rule rules[N_CALL_KINDS] = {
 	[CALL_FEED] = { "live", true, 1 },
 	[CALL_FORECAST] = { "live", true, 0 },
@@ -42,24 +42,24 @@
 };
 
 /**
- * call_service() - service that a kind of request is meant for
+ * call_kind_service() - service that a kind of request is sent to
  * @kind: kind of request
  *
- * Return: the service's name.
+ * Return: name of the service, a constant string.
  */
-const char *call_service(enum call_kind kind)
+const char *call_kind_service(enum call_kind kind)
 {
 	return rules[kind].service;
 }
 
 /**
- * run_parse() - read one line of a target's run log
- * @line: "run ID SERVICE PATH METHOD TARGET MONOTONIC_MS"
- * @out: filled but for @out->log
+ * run_record_parse() - parse a line of a target's run log
+ * @line: "run ID SERVICE PATH METHOD TARGET MONOTONIC_MS\n"
+ * @out: set, except for @log
  *
- * Return: 0, or -EPROTO when the line is another one or cut short.
+ * Return: 0; -EPROTO for a line of another kind or one that is truncated.
  */
-int run_parse(const char *line, struct run_record *out)
+int run_record_parse(const char *line, struct run_record *out)
 {
 	int end = 0;
 	int n = sscanf(line,
@@ -72,13 +72,13 @@
 }
 
 /**
- * answer_parse() - read a target's answer
- * @body: "ID SERVICE TARGET SEQUENCE", not terminated
- * @size_bytes: its size
- * @id: the id
- * @service: the service
+ * answer_parse() - parse the body of a target's answer
+ * @body: "ID SERVICE TARGET SEQUENCE", not terminated; NULL when there is none
+ * @size_bytes: size of the body
+ * @id: set to the id of the request
+ * @service: set to the name of the service
  *
- * Return: 0, or -EPROTO when the body is not whole.
+ * Return: 0, or -EPROTO when the body is incomplete.
  */
 int answer_parse(const char *body, size_t size_bytes, uint64_t *id,
 		 char service[SERVICE_MAX_BYTES])
@@ -97,7 +97,7 @@
 	return 0;
 }
 
-static int by_id(const void *a, const void *b)
+static int compare_ids(const void *a, const void *b)
 {
 	uint64_t x = (*(const struct run_record *const *)a)->id;
 	uint64_t y = (*(const struct run_record *const *)b)->id;
@@ -105,7 +105,7 @@
 	return x < y ? -1 : x > y;
 }
 
-/* First of the sorted @runs whose id is not below @id. */
+/* Index of the first of the sorted @runs whose id is not below @id. */
 static uint32_t first_run(const struct run_record *const *runs, uint32_t n,
 			  uint64_t id)
 {
@@ -122,65 +122,68 @@
 	return low;
 }
 
-static bool answer_crossed(const struct call_record *c)
+static bool answer_mismatched(const struct call_record *call)
 {
-	if (c->crossed)
+	if (call->mismatched)
 		return true;
-	if (c->answer_id && c->answer_id != c->id)
+	if (call->answer_id && call->answer_id != call->id)
 		return true;
-	return c->answer_service[0] &&
-	       strcmp(c->answer_service, rules[c->kind].service) != 0;
+	return call->answer_service[0] &&
+	       strcmp(call->answer_service, rules[call->kind].service) != 0;
 }
 
-/* Counts one request; @runs are the @n lines that carry its id. */
-static void count_call(const struct call_record *c,
+/*
+ * Adds one request to the counts of its kind; @runs are the @n lines with its
+ * id.
+ */
+static void count_call(const struct call_record *call,
 		       const struct run_record *const *runs, uint32_t n,
-		       struct call_count *k)
+		       struct call_count *count)
 {
-	bool misrouted = answer_crossed(c);
-	bool doubled = n > 1 && !rules[c->kind].idempotent;
-	bool false_not_run = c->end == CALL_REFUSED && n > 0;
+	bool misrouted = answer_mismatched(call);
+	bool doubled = n > 1 && !rules[call->kind].idempotent;
+	bool false_not_run = call->end == CALL_REFUSED && n > 0;
 	bool broken;
 
 	for (uint32_t i = 0; i < n; i++)
-		if (strcmp(runs[i]->service, rules[c->kind].service) != 0)
+		if (strcmp(runs[i]->service, rules[call->kind].service) != 0)
 			misrouted = true;
-	k->requests++;
-	k->answered += c->end == CALL_ANSWERED;
-	k->refused += c->end == CALL_REFUSED;
-	k->unknown += c->end == CALL_UNKNOWN;
-	k->lost += c->end == CALL_LOST || c->end == CALL_OPEN;
-	k->cut += c->end == CALL_CUT;
-	k->doubled += doubled;
-	k->misrouted += misrouted;
-	k->false_not_run += false_not_run;
-	broken = c->stalled || c->end == CALL_CUT;
-	if (c->kind != CALL_FEED)
+	count->requests++;
+	count->answered += call->end == CALL_ANSWERED;
+	count->refused += call->end == CALL_REFUSED;
+	count->unknown += call->end == CALL_UNKNOWN;
+	count->lost += call->end == CALL_LOST || call->end == CALL_OPEN;
+	count->cut += call->end == CALL_CUT;
+	count->doubled += doubled;
+	count->misrouted += misrouted;
+	count->false_not_run += false_not_run;
+	broken = call->stalled || call->end == CALL_CUT;
+	if (call->kind != CALL_FEED)
 		broken |= doubled || misrouted || false_not_run ||
-			  c->end == CALL_LOST || c->end == CALL_OPEN;
-	k->broken += broken;
+			  call->end == CALL_LOST || call->end == CALL_OPEN;
+	count->broken += broken;
 }
 
-static void add_count(struct call_count *sum, const struct call_count *k)
+static void add_count(struct call_count *sum, const struct call_count *count)
 {
-	sum->requests += k->requests;
-	sum->answered += k->answered;
-	sum->refused += k->refused;
-	sum->unknown += k->unknown;
-	sum->lost += k->lost;
-	sum->cut += k->cut;
-	sum->doubled += k->doubled;
-	sum->misrouted += k->misrouted;
-	sum->false_not_run += k->false_not_run;
+	sum->requests += count->requests;
+	sum->answered += count->answered;
+	sum->refused += count->refused;
+	sum->unknown += count->unknown;
+	sum->lost += count->lost;
+	sum->cut += count->cut;
+	sum->doubled += count->doubled;
+	sum->misrouted += count->misrouted;
+	sum->false_not_run += count->false_not_run;
 }
 
 /**
- * tally_compare() - compare what callers saw with what targets ran
- * @calls: the callers' records, each id once
- * @n_calls: how many
+ * tally_compare() - compare the records of callers with the runs of targets
+ * @calls: records of the callers; each id occurs once
+ * @n_calls: number of records
  * @runs: lines of all run logs
- * @n_runs: how many
- * @out: filled
+ * @n_runs: number of lines
+ * @out: set to the counts
  *
  * Return: 0, or -ENOMEM.
  */
@@ -190,13 +193,13 @@
 {
 	const struct run_record **sorted =
 		malloc((n_runs + 1ULL) * sizeof(*sorted));
-	uint64_t known = 0;
+	uint64_t matched = 0;
 
 	if (!sorted)
 		return -ENOMEM;
 	for (uint32_t i = 0; i < n_runs; i++)
 		sorted[i] = &runs[i];
-	qsort(sorted, n_runs, sizeof(*sorted), by_id);
+	qsort(sorted, n_runs, sizeof(*sorted), compare_ids);
 	memset(out, 0, sizeof(*out));
 	for (uint32_t i = 0; i < n_calls; i++) {
 		uint64_t id = calls[i].id;
@@ -205,57 +208,57 @@
 
 		count_call(&calls[i], sorted + from, n,
 			   &out->kind[calls[i].kind]);
-		known += n;
+		matched += n;
 	}
-	for (uint32_t k = 0; k < N_CALL_KINDS; k++)
-		add_count(&out->sum, &out->kind[k]);
+	for (uint32_t kind = 0; kind < N_CALL_KINDS; kind++)
+		add_count(&out->sum, &out->kind[kind]);
 	out->sum.broken = out->kind[CALL_FEED].broken;
-	out->strangers = n_runs - known;
+	out->unknown_runs = n_runs - matched;
 	free(sorted);
 	return 0;
 }
 
 /**
- * tally_clean() - whether a run may count as passed
- * @t: tally
+ * tally_is_clean() - whether a run passed
+ * @tally: result of the comparison
  *
- * Return: true when nothing was lost, cut, doubled, misrouted, falsely
- * refused or broken.
+ * Return: true when no request was lost, cut, doubled, misrouted, refused
+ * although it ran, or broken.
  */
-bool tally_clean(const struct tally *t)
+bool tally_is_clean(const struct tally *tally)
 {
-	const struct call_count *s = &t->sum;
+	const struct call_count *s = &tally->sum;
 
 	return !(s->lost || s->cut || s->doubled || s->misrouted ||
 		 s->false_not_run || s->broken);
 }
 
 /**
- * tally_weighted_ventolario() - broken flows by Ventolario's weights
- * @t: tally
+ * tally_weighted_ventolario() - broken flows with Ventolario's weights
+ * @tally: result of the comparison
  *
- * Return: reports count double, feeds and uploads once.
+ * Return: sum in which reports count twice, feeds and uploads once.
  */
-uint64_t tally_weighted_ventolario(const struct tally *t)
+uint64_t tally_weighted_ventolario(const struct tally *tally)
 {
 	uint64_t sum = 0;
 
-	for (uint32_t k = 0; k < N_CALL_KINDS; k++)
-		sum += rules[k].ventolario * t->kind[k].broken;
+	for (uint32_t kind = 0; kind < N_CALL_KINDS; kind++)
+		sum += rules[kind].ventolario_weight * tally->kind[kind].broken;
 	return sum;
 }
 
 /**
  * tally_weighted_tshwane() - broken flows for Tshwane
- * @t: tally
+ * @tally: result of the comparison
  *
- * Return: pressure feeds, commands and uploads, each once: no weight
- * between them is published.
+ * Return: number of broken pressure feeds, commands and uploads; no weights
+ * between them are published.
  */
-uint64_t tally_weighted_tshwane(const struct tally *t)
+uint64_t tally_weighted_tshwane(const struct tally *tally)
 {
-	return t->kind[CALL_FEED].broken + t->kind[CALL_REPORT].broken +
-	       t->kind[CALL_READINGS].broken;
+	return tally->kind[CALL_FEED].broken + tally->kind[CALL_REPORT].broken +
+	       tally->kind[CALL_READINGS].broken;
 }
 
 static void clock_range(const struct run_record *runs, uint32_t n,
@@ -271,7 +274,7 @@
 	}
 }
 
-/* Max over mean of one window's @counts, or 0 when it had too little work. */
+/* Maximum over mean of the counts of one window; 0 when it has too few runs. */
 static double window_ratio(const uint32_t *counts,
 			   const uint8_t *log_of_service, uint32_t n_logs)
 {
@@ -279,13 +282,13 @@
 	uint32_t sum = 0;
 	uint32_t max = 0;
 
-	for (uint32_t t = 0; t < n_logs; t++) {
-		if (!log_of_service[t])
+	for (uint32_t log = 0; log < n_logs; log++) {
+		if (!log_of_service[log])
 			continue;
 		targets++;
-		sum += counts[t];
-		if (counts[t] > max)
-			max = counts[t];
+		sum += counts[log];
+		if (counts[log] > max)
+			max = counts[log];
 	}
 	if (!targets || sum < targets * WINDOW_RUNS_PER_TARGET)
 		return 0;
@@ -293,17 +296,17 @@
 }
 
 /**
- * tally_imbalance() - how unevenly a service's targets were given work
+ * tally_imbalance() - imbalance of the runs between the targets of a service
  * @runs: lines of all run logs
- * @n_runs: how many
- * @service: only this service's lines count
- * @log_of_service: by log, whether it belongs to a target of the service; a
- *	target that ran nothing counts too
- * @n_logs: how many logs
- * @n_windows: windows that had enough work
+ * @n_runs: number of lines
+ * @service: name of the service; other lines are ignored
+ * @log_of_service: by log, 1 when it belongs to a target of the service; a
+ *	target without runs counts as well
+ * @n_logs: number of logs
+ * @n_windows: set to the number of windows with enough runs
  *
- * Return: the mean of max over mean in windows of one second; 0 when no
- * window had enough work; negative -ENOMEM.
+ * Return: maximum over mean in windows of one second, averaged; 0 when no
+ * window has enough runs; -ENOMEM.
  */
 double tally_imbalance(const struct run_record *runs, uint32_t n_runs,
 		       const char *service, const uint8_t *log_of_service,
@@ -329,11 +332,11 @@
 			counts[w * n_logs + runs[i].log]++;
 	}
 	for (uint64_t w = 0; w < windows; w++) {
-		double r = window_ratio(counts + w * n_logs, log_of_service,
-					n_logs);
+		double ratio = window_ratio(counts + w * n_logs, log_of_service,
+					    n_logs);
 
-		*n_windows += r > 0;
-		sum += r;
+		*n_windows += ratio > 0;
+		sum += ratio;
 	}
 	free(counts);
 	return *n_windows ? sum / *n_windows : 0;
--- a/adapters/toml.cc
+++ b/adapters/toml.cc
@@ -16,9 +16,9 @@
 using value = toml::basic_value<toml::discard_comments, std::map, std::vector>;
 
 /*
- * Lines of values. toml11 counts the newlines before a value whenever it is
- * asked for one: the time for a document would grow with its square. One index of
- * newlines serves all values.
+ * Index of newlines, from which the lines of values are computed. toml11 counts
+ * the newlines before a value each time, which takes quadratic time for a
+ * document.
  */
 class line_index
 {
@@ -64,11 +64,11 @@
 	return p;
 }
 
-static void string_out(const value &v, struct toml_node *out)
+static void convert_string(const value &v, struct toml_node *out)
 {
 	const std::string &s = v.as_string().str;
 
-	/* C would see the text before the NUL alone, and check only that. */
+	/* C code sees and checks only the text before the NUL. */
 	if (s.find('\0') != std::string::npos)
 		throw toml::syntax_error("[error] NUL in a string",
 					 v.location());
@@ -76,20 +76,21 @@
 	out->text = copy(s);
 }
 
-static void out_node(const value &v, const std::string &key, line_index &lines,
-		     struct toml_node *out);
+static void convert_node(const value &v, const std::string &key,
+			 line_index &lines, struct toml_node *out);
 
-/* @out->document is set; each item takes it over. */
-static void item_out(const value &v, const std::string &key, line_index &lines,
-		     struct toml_node *out)
+/* Converts an item of an array or table; it inherits @out->document. */
+static void convert_item(const value &v, const std::string &key,
+			 line_index &lines, struct toml_node *out)
 {
 	struct toml_node *item = &out->items[out->n_items++];
 
 	item->document = out->document;
-	out_node(v, key, lines, item);
+	convert_node(v, key, lines, item);
 }
 
-static void table_out(const value &v, line_index &lines, struct toml_node *out)
+static void convert_table(const value &v, line_index &lines,
+			  struct toml_node *out)
 {
 	const auto &t = v.as_table();
 
@@ -97,10 +98,11 @@
 	out->items =
 		static_cast<toml_node *>(allocate(t.size(), sizeof(toml_node)));
 	for (const auto &kv : t)
-		item_out(kv.second, kv.first, lines, out);
+		convert_item(kv.second, kv.first, lines, out);
 }
 
-static void array_out(const value &v, line_index &lines, struct toml_node *out)
+static void convert_array(const value &v, line_index &lines,
+			  struct toml_node *out)
 {
 	const auto &a = v.as_array();
 
@@ -108,16 +110,16 @@
 	out->items =
 		static_cast<toml_node *>(allocate(a.size(), sizeof(toml_node)));
 	for (const auto &item : a)
-		item_out(item, "", lines, out);
+		convert_item(item, "", lines, out);
 }
 
-static void out_node(const value &v, const std::string &key, line_index &lines,
-		     struct toml_node *out)
+static void convert_node(const value &v, const std::string &key,
+			 line_index &lines, struct toml_node *out)
 {
 	out->key = copy(key);
 	out->line = lines.of(v);
 	if (v.is_string()) {
-		string_out(v, out);
+		convert_string(v, out);
 	} else if (v.is_floating()) {
 		out->kind = TOML_DECIMAL;
 		out->decimal = v.as_floating();
@@ -128,15 +130,15 @@
 		out->kind = TOML_BOOL;
 		out->number = v.as_boolean();
 	} else if (v.is_table()) {
-		table_out(v, lines, out);
+		convert_table(v, lines, out);
 	} else if (v.is_array()) {
-		array_out(v, lines, out);
+		convert_array(v, lines, out);
 	} else {
 		out->kind = TOML_OTHER;
 	}
 }
 
-/* First line of the parser's report, without its own tag and scope. */
+/* First line of the parser's message, without its tag and function name. */
 static std::string first_line(const char *what)
 {
 	std::string s(what);
@@ -164,47 +166,50 @@
 	line_index lines;
 
 	root->document = document;
-	out_node(v, "", lines, root);
+	convert_node(v, "", lines, root);
 }
 
 /**
- * toml_read() - parse a document
- * @document: its name, for mistakes; has to outlive the tree
- * @text: text, need not end in NUL
- * @size_bytes: its size
- * @m: a mistake is added for a text that isn't TOML
+ * toml_parse() - parse a document
+ * @document: name of the document for mistakes; not copied, has to outlive the
+ *	tree
+ * @text: text; need not end with NUL
+ * @size_bytes: size of the text
+ * @mistakes: a mistake is added when the text is not valid TOML or exceeds the
+ *	limits of toml_shape.h
  *
- * Return: the root table, to be freed with toml_free(), or NULL after a
- * mistake. No exception leaves this function.
+ * Throws no exception.
+ *
+ * Return: the root table, to be freed with toml_free(); NULL after a mistake.
  */
-struct toml_node *toml_read(const char *document, const char *text,
-			    size_t size_bytes, struct mistakes *m)
+struct toml_node *toml_parse(const char *document, const char *text,
+			     size_t size_bytes, struct mistakes *mistakes)
 {
 	struct toml_node *root = nullptr;
 
-	if (!toml_shape_check(document, text, size_bytes, m))
+	if (!toml_check_limits(document, text, size_bytes, mistakes))
 		return nullptr;
 	try {
 		root = static_cast<toml_node *>(allocate(1, sizeof(toml_node)));
 		parse(std::string(text, size_bytes), document, root);
 		return root;
 	} catch (const toml::exception &e) {
-		mistake_add(m, document,
+		mistake_add(mistakes, document,
 			    static_cast<uint32_t>(e.location().line()), "",
 			    first_line(e.what()).c_str(), "TOML");
 	} catch (const std::exception &e) {
-		mistake_add(m, document, 0, "", first_line(e.what()).c_str(),
-			    "TOML");
+		mistake_add(mistakes, document, 0, "",
+			    first_line(e.what()).c_str(), "TOML");
 	} catch (...) {
-		mistake_add(m, document, 0, "", "parser failed", "TOML");
+		mistake_add(mistakes, document, 0, "", "parser failed", "TOML");
 	}
 	toml_free(root);
 	return nullptr;
 }
 
 /**
- * toml_clear() - free what a node holds and zero it
- * @node: node
+ * toml_clear() - free the members and items of a node
+ * @node: node; zeroed afterwards
  */
 void toml_clear(struct toml_node *node)
 {
@@ -218,7 +223,7 @@
 
 /**
  * toml_free() - free a tree
- * @root: from toml_read(), or NULL
+ * @root: root from toml_parse(), or NULL
  */
 void toml_free(struct toml_node *root)
 {
@@ -229,11 +234,11 @@
 }
 
 /**
- * toml_find() - value of a key
- * @table: a table, or NULL
- * @key: name
+ * toml_find() - find the value of a key
+ * @table: node of any kind, or NULL
+ * @key: key
  *
- * Return: the value, or NULL when it isn't there or @table is no table.
+ * Return: the value; NULL when there is none or @table is not a table.
  */
 struct toml_node *toml_find(const struct toml_node *table, const char *key)
 {
@@ -246,7 +251,7 @@
 }
 
 /**
- * toml_kind_name() - a kind in words
+ * toml_kind_name() - description of a kind for messages
  * @kind: kind
  *
  * Return: a constant string with its article.
--- a/adapters/toml.h
+++ b/adapters/toml.h
@@ -1,6 +1,6 @@
 /*
- * TOML documents as a C tree with line numbers; toml11 parses. Debian packages
- * no TOML parser for C, so this one adapter is C++ inside.
+ * Trees of TOML documents with line numbers, parsed by toml11. Debian has no
+ * TOML parser for C; the implementation is therefore in C++.
  */
 #ifndef CB_TOML_H
 #define CB_TOML_H
@@ -24,21 +24,22 @@
 };
 
 /**
- * struct toml_node - a value
+ * struct toml_node - value in a document
  * @kind: enum toml_kind
- * @document: name given to toml_read(); not a copy
+ * @consumed: set by readers when they have used the value, so that unknown keys
+ *	can be reported; 0 after parsing
  * @line: line from 1
- * @key: name in its table; empty for an array's item and for the root
- * @text: a string's text, else NULL
- * @number: an integer, or 0 or 1 of a bool
- * @decimal: a number with a fraction
- * @items: a table's values sorted by key, or an array's in order
- * @n_items: how many
- * @taken: for the reader's own use; 0 at first
+ * @document: name that was passed to toml_parse(); not a copy
+ * @key: key in its table; "" for the root and for items of arrays
+ * @text: text of a string, otherwise NULL
+ * @number: value of an integer; 0 or 1 for a boolean
+ * @decimal: value of a number with a fraction
+ * @items: values of a table sorted by key, or items of an array in order; owned
+ * @n_items: number of @items
  */
 struct toml_node {
 	uint8_t kind;
-	uint8_t taken;
+	uint8_t consumed;
 	uint32_t line;
 	const char *document;
 	char *key;
@@ -49,8 +50,8 @@
 	uint32_t n_items;
 };
 
-struct toml_node *toml_read(const char *document, const char *text,
-			    size_t size_bytes, struct mistakes *m);
+struct toml_node *toml_parse(const char *document, const char *text,
+			     size_t size_bytes, struct mistakes *mistakes);
 void toml_free(struct toml_node *root);
 void toml_clear(struct toml_node *node);
 struct toml_node *toml_find(const struct toml_node *table, const char *key);
--- a/adapters/toml_shape.h
+++ b/adapters/toml_shape.h
@@ -1,4 +1,4 @@
-/* Refuses documents that the parser can't take in bounded stack and time. */
+/* Limits of documents, so that the parser needs bounded stack and time. */
 #ifndef CB_TOML_SHAPE_H
 #define CB_TOML_SHAPE_H
 
@@ -11,7 +11,7 @@
 #define TOML_LINE_MAX_BYTES 1024
 #define TOML_DEPTH_MAX 64
 
-bool toml_shape_check(const char *document, const char *text, size_t size_bytes,
-		      struct mistakes *m);
+bool toml_check_limits(const char *document, const char *text,
+		       size_t size_bytes, struct mistakes *mistakes);
 
 #endif
--- a/adapters/usage.c
+++ b/adapters/usage.c
@@ -10,10 +10,10 @@
 }
 
 /**
- * usage_read() - what this process uses now
- * @out: filled
+ * usage_read() - read the resource usage of this process
+ * @out: set to the usage
  *
- * Return: 0 or a negative error number of libuv.
+ * Return: 0 or a negative error of libuv.
  */
 int usage_read(struct usage *out)
 {
--- a/adapters/usage.h
+++ b/adapters/usage.h
@@ -1,13 +1,13 @@
-/* What this process uses of the machine, for its metrics. */
+/* Resource usage of this process, for its metrics. */
 #ifndef CB_USAGE_H
 #define CB_USAGE_H
 
 #include "types.h"
 
 /**
- * struct usage - a process's use of the machine
- * @resident_bytes: memory
- * @cpu_us: processor time since it started, microseconds
+ * struct usage - resource usage of a process
+ * @resident_bytes: resident memory
+ * @cpu_us: processor time in user and kernel mode since its start, microseconds
  */
 struct usage {
 	uint64_t resident_bytes;
