--- a/adapters/vips.c
+++ b/adapters/vips.c
@@ -10,23 +10,28 @@
 #define PROBLEM_BYTES 160
 
 /**
- * struct vips - endpoints by account and back
- * @holders: by VIP, names in order; the first holds it, as at every entry
- * @users: by target, names in order
- * @owned: by account, what it has in force
- * @n_doubled: VIPs of more than one account
+ * struct vips - VIPs and targets of the accounts in force
+ * @vip_accounts: by VIP, names of the accounts that have it, in order; the
+ *	first holds it, as at every entry
+ * @target_accounts: by address of a target, names of the accounts in order
+ * @endpoints: by name of an account, its endpoints in force
+ * @n_doubled: number of VIPs that more than one account has
  */
 struct vips {
-	GHashTable *holders;
-	GHashTable *users;
-	GHashTable *owned;
+	GHashTable *vip_accounts;
+	GHashTable *target_accounts;
+	GHashTable *endpoints;
 	uint32_t n_doubled;
 };
 
-/* One endpoint that an account has in force. */
-struct owned {
+/**
+ * struct endpoint - endpoint that an account has in force
+ * @addr: endpoint
+ * @is_vip: VIP of a service; otherwise the address of a target
+ */
+struct endpoint {
 	uint64_t addr;
-	bool vip;
+	bool is_vip;
 };
 
 static void free_names(gpointer names)
@@ -34,37 +39,41 @@
 	g_ptr_array_free(names, TRUE);
 }
 
-static void free_owned(gpointer list)
+static void free_endpoints(gpointer list)
 {
 	g_array_free(list, TRUE);
 }
 
 /**
- * vips_new() - nothing in force yet
+ * vips_new() - create an empty table
  *
- * Return: to be freed with vips_free().
+ * Return: the table, to be freed with vips_free().
  */
 struct vips *vips_new(void)
 {
-	struct vips *v = g_new0(struct vips, 1);
-
-	v->holders = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
-					   free_names);
-	v->users = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
-					 free_names);
-	v->owned = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
-					 free_owned);
-	return v;
+	struct vips *vips = g_new0(struct vips, 1);
+
+	vips->vip_accounts = g_hash_table_new_full(g_int64_hash, g_int64_equal,
+						   g_free, free_names);
+	vips->target_accounts = g_hash_table_new_full(
+		g_int64_hash, g_int64_equal, g_free, free_names);
+	vips->endpoints = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
+						free_endpoints);
+	return vips;
 }
 
-void vips_free(struct vips *v)
+/**
+ * vips_free() - free a table
+ * @vips: table, or NULL
+ */
+void vips_free(struct vips *vips)
 {
-	if (!v)
+	if (!vips)
 		return;
-	g_hash_table_destroy(v->holders);
-	g_hash_table_destroy(v->users);
-	g_hash_table_destroy(v->owned);
-	g_free(v);
+	g_hash_table_destroy(vips->vip_accounts);
+	g_hash_table_destroy(vips->target_accounts);
+	g_hash_table_destroy(vips->endpoints);
+	g_free(vips);
 }
 
 static gint by_name(gconstpointer a, gconstpointer b)
@@ -72,8 +81,8 @@
 	return strcmp(*(const char *const *)a, *(const char *const *)b);
 }
 
-/* Number of names that are left. */
-static guint name_drop(GHashTable *table, uint64_t addr, const char *account)
+/* Removes an account from an endpoint; returns the number of accounts left. */
+static guint remove_name(GHashTable *table, uint64_t addr, const char *account)
 {
 	GPtrArray *names = g_hash_table_lookup(table, &addr);
 	guint left;
@@ -89,8 +98,11 @@
 	return left;
 }
 
-/* Number of names that there are now; 0 when it was there before. */
-static guint name_add(GHashTable *table, uint64_t addr, const char *account)
+/*
+ * Adds an account to an endpoint; returns the number of accounts, or 0 when the
+ * account was there before.
+ */
+static guint add_name(GHashTable *table, uint64_t addr, const char *account)
 {
 	GPtrArray *names = g_hash_table_lookup(table, &addr);
 
@@ -106,89 +118,97 @@
 	return names->len;
 }
 
-static void drop(struct vips *v, const struct owned *o, const char *account)
+static void remove_endpoint(struct vips *vips, const struct endpoint *endpoint,
+			    const char *account)
 {
-	if (o->vip)
-		v->n_doubled -= name_drop(v->holders, o->addr, account) == 1;
+	if (endpoint->is_vip)
+		vips->n_doubled -= remove_name(vips->vip_accounts,
+					       endpoint->addr, account) == 1;
 	else
-		name_drop(v->users, o->addr, account);
+		remove_name(vips->target_accounts, endpoint->addr, account);
 }
 
-static void add(struct vips *v, GArray *list, uint64_t addr, bool vip,
-		const char *account)
+static void add_endpoint(struct vips *vips, GArray *list, uint64_t addr,
+			 bool is_vip, const char *account)
 {
-	struct owned o = { addr, vip };
-	guint n = name_add(vip ? v->holders : v->users, addr, account);
+	struct endpoint endpoint = { addr, is_vip };
+	guint n = add_name(is_vip ? vips->vip_accounts : vips->target_accounts,
+			   addr, account);
 
-	v->n_doubled += vip && n == 2;
-	g_array_append_val(list, o);
+	vips->n_doubled += is_vip && n == 2;
+	g_array_append_val(list, endpoint);
 }
 
-static GArray *add_all(struct vips *v, const struct account_conf *a,
-		       const char *account)
+static GArray *add_account(struct vips *vips, const struct account_conf *conf,
+			   const char *account)
 {
-	GArray *list = g_array_new(FALSE, FALSE, sizeof(struct owned));
+	GArray *list = g_array_new(FALSE, FALSE, sizeof(struct endpoint));
 
-	for (uint32_t i = 0; i < a->n_services; i++) {
-		const struct service_conf *s = &a->services[i];
+	for (uint32_t i = 0; i < conf->n_services; i++) {
+		const struct service_conf *s = &conf->services[i];
 
-		add(v, list, s->vip, true, account);
+		add_endpoint(vips, list, s->vip, true, account);
 		for (uint32_t j = 0; j < s->n_targets; j++)
-			add(v, list, s->targets[j].addr, false, account);
+			add_endpoint(vips, list, s->targets[j].addr, false,
+				     account);
 	}
 	return list;
 }
 
 /**
- * vips_put() - an account's version is in force
- * @v: table
- * @account: its name
- * @in_force: account, or NULL when it is withdrawn
+ * vips_set() - set the account that is in force under a name
+ * @vips: table
+ * @account: name of the account
+ * @in_force: account, or NULL when it is withdrawn; not kept
  */
-void vips_put(struct vips *v, const char *account,
+void vips_set(struct vips *vips, const char *account,
 	      const struct account_conf *in_force)
 {
-	GArray *old = g_hash_table_lookup(v->owned, account);
+	GArray *old = g_hash_table_lookup(vips->endpoints, account);
 
 	for (guint i = 0; old && i < old->len; i++)
-		drop(v, &g_array_index(old, struct owned, i), account);
-	g_hash_table_remove(v->owned, account);
+		remove_endpoint(vips, &g_array_index(old, struct endpoint, i),
+				account);
+	g_hash_table_remove(vips->endpoints, account);
 	if (in_force)
-		g_hash_table_insert(v->owned, g_strdup(account),
-				    add_all(v, in_force, account));
+		g_hash_table_insert(vips->endpoints, g_strdup(account),
+				    add_account(vips, in_force, account));
 }
 
 /**
- * vips_holder() - account that a VIP's callers belong to
- * @v: table
+ * vips_holder() - account to which the callers of a VIP belong
+ * @vips: table
  * @vip: VIP
  *
- * Should two have it in force, the first by name holds it, in whichever order
- * they came, so that every VM says the same.
+ * When two accounts in force have the VIP, the first by name holds it, whatever
+ * the order in which they came, so that all VMs agree.
  *
- * Return: name, good until the next vips_put(); NULL when none has it.
+ * Return: name, valid until the next vips_set(); NULL when no account has it.
  */
-const char *vips_holder(const struct vips *v, uint64_t vip)
+const char *vips_holder(const struct vips *vips, uint64_t vip)
 {
-	GPtrArray *names = g_hash_table_lookup(v->holders, &vip);
+	GPtrArray *names = g_hash_table_lookup(vips->vip_accounts, &vip);
 
 	return names ? g_ptr_array_index(names, 0) : NULL;
 }
 
 /**
- * vips_doubled() - how many VIPs two accounts have in force
- * @v: table
+ * vips_doubled() - number of VIPs that more than one account has in force
+ * @vips: table
+ *
+ * Two readers can accept one account each at the same time, before either
+ * receives the account of the other. Entries assign such a VIP to its holder.
  *
- * Two readers can accept one account each at the same instant, before either
- * hears of the other. Entries give such a VIP to its holder.
+ * Return: count.
  */
-uint32_t vips_doubled(const struct vips *v)
+uint32_t vips_doubled(const struct vips *vips)
 {
-	return v->n_doubled;
+	return vips->n_doubled;
 }
 
-/* First account but @account that has an endpoint, by one of the tables. */
-static const char *other(GHashTable *table, uint64_t addr, const char *account)
+/* First account other than @account that has an endpoint, or NULL. */
+static const char *other_account(GHashTable *table, uint64_t addr,
+				 const char *account)
 {
 	GPtrArray *names = g_hash_table_lookup(table, &addr);
 
@@ -198,79 +218,85 @@
 	return NULL;
 }
 
-static bool node_addr(const struct toml_node *node, uint64_t *addr)
+static bool parse_node(const struct toml_node *node, uint64_t *addr)
 {
 	return node && node->kind == TOML_STRING &&
 	       !addr_parse(node->text, addr);
 }
 
-static void mistake(struct mistakes *m, const struct toml_node *node,
-		    const char *prefix, const char *key, const char *what,
-		    const char *whose)
+static void add_conflict(struct mistakes *mistakes,
+			 const struct toml_node *node, const char *prefix,
+			 const char *key, const char *role, const char *holder)
 {
 	char problem[PROBLEM_BYTES];
 
 	g_snprintf(problem, sizeof(problem), "%s is %s of account %s",
-		   node->text, what, whose);
-	field_mistake(m, node, prefix, key, problem,
+		   node->text, role, holder);
+	field_mistake(mistakes, node, prefix, key, problem,
 		      "an endpoint that no other account has as a VIP");
 }
 
-static void vip_check(const struct vips *v, const char *account,
-		      const struct toml_node *node, struct mistakes *m)
+static void check_vip(const struct vips *vips, const char *account,
+		      const struct toml_node *node, struct mistakes *mistakes)
 {
-	const char *whose;
+	const char *holder;
 	uint64_t vip;
 
-	if (!node_addr(node, &vip))
+	if (!parse_node(node, &vip))
 		return;
-	whose = vips_holder(v, vip);
-	if (whose && strcmp(whose, account))
-		mistake(m, node, "service", "vip", "the VIP", whose);
-	whose = other(v->users, vip, account);
-	if (whose)
-		mistake(m, node, "service", "vip", "a target", whose);
+	holder = vips_holder(vips, vip);
+	if (holder && strcmp(holder, account))
+		add_conflict(mistakes, node, "service", "vip", "the VIP",
+			     holder);
+	holder = other_account(vips->target_accounts, vip, account);
+	if (holder)
+		add_conflict(mistakes, node, "service", "vip", "a target",
+			     holder);
 }
 
-static void targets_check(const struct vips *v, const char *account,
-			  const struct toml_node *list, struct mistakes *m)
+static void check_targets(const struct vips *vips, const char *account,
+			  const struct toml_node *list,
+			  struct mistakes *mistakes)
 {
 	if (!list || list->kind != TOML_ARRAY)
 		return;
 	for (uint32_t i = 0; i < list->n_items; i++) {
 		const struct toml_node *node =
 			toml_find(&list->items[i], "address");
-		const char *whose;
+		const char *holder;
 		uint64_t addr;
 
-		if (!node_addr(node, &addr))
+		if (!parse_node(node, &addr))
 			continue;
-		whose = other(v->holders, addr, account);
-		if (whose)
-			mistake(m, node, "target", "address", "the VIP", whose);
+		holder = other_account(vips->vip_accounts, addr, account);
+		if (holder)
+			add_conflict(mistakes, node, "target", "address",
+				     "the VIP", holder);
 	}
 }
 
-static void service_check(const struct vips *v, const char *account,
-			  const struct toml_node *service, struct mistakes *m)
+static void check_service(const struct vips *vips, const char *account,
+			  const struct toml_node *service,
+			  struct mistakes *mistakes)
 {
-	vip_check(v, account, toml_find(service, "vip"), m);
-	targets_check(v, account, toml_find(service, "target"), m);
+	check_vip(vips, account, toml_find(service, "vip"), mistakes);
+	check_targets(vips, account, toml_find(service, "target"), mistakes);
 }
 
-void vips_check(const struct vips *v, const char *name, const char *text,
+void vips_check(const struct vips *vips, const char *name, const char *text,
 		struct template_source templates, struct mistakes *mistakes)
 {
-	struct mistakes known = { 0 };
+	struct mistakes ignored = { 0 };
 	const struct toml_node *services = NULL;
-	struct merged merged;
+	struct merged_account merged;
 
-	merge_open(&merged, name, text, templates, &known);
+	merge_open(&merged, name, text, templates, &ignored);
 	if (merged.body)
 		services = toml_find(merged.body, "service");
 	if (services && services->kind == TOML_ARRAY)
 		for (uint32_t i = 0; i < services->n_items; i++)
-			service_check(v, name, &services->items[i], mistakes);
+			check_service(vips, name, &services->items[i],
+				      mistakes);
 	merge_close(&merged);
-	mistakes_free(&known);
+	mistakes_free(&ignored);
 }
--- a/adapters/wire.c
+++ b/adapters/wire.c
@@ -1,7 +1,7 @@
 /*
- * A datagram is the version byte, a run of msgpack scalars and the MAC. There
- * are no msgpack arrays: msgpack-c allocates for an array by the count that
- * the sender claims, before the elements are there.
+ * A datagram consists of the version byte, msgpack scalars and the MAC. There
+ * are no msgpack arrays: msgpack-c allocates an array by the count in its
+ * header, before it has seen the elements.
  */
 #include "wire.h"
 
@@ -17,11 +17,11 @@
 #define COVERED_BIT (1 << (STATE_BITS + 1))
 #define CLAIM_BITS_MAX ((1 << (STATE_BITS + 2)) - 1)
 
-/* Which fields a message carries; one that is all zero is left out. */
+/* Optional fields of a message; a field that is zero is omitted. */
 enum field {
 	FIELD_VIEW = 1 << 0,
 	FIELD_SEQ = 1 << 1,
-	FIELD_ABOUT = 1 << 2,
+	FIELD_SUBJECT = 1 << 2,
 	FIELD_HOPS = 1 << 3,
 	FIELD_KEY = 1 << 4,
 	FIELD_TARGET = 1 << 5,
@@ -35,7 +35,7 @@
 struct writer {
 	uint8_t *buf;
 	uint32_t size_bytes;
-	uint32_t cap_bytes;
+	uint32_t capacity_bytes;
 };
 
 struct reader {
@@ -49,27 +49,27 @@
 {
 	struct writer *w = ctx;
 
-	if (n > w->cap_bytes - w->size_bytes)
+	if (n > w->capacity_bytes - w->size_bytes)
 		return -1;
 	memcpy(w->buf + w->size_bytes, bytes, n);
 	w->size_bytes += n;
 	return 0;
 }
 
-static uint32_t fields_of(const struct peer_msg *m)
+static uint32_t fields_of(const struct peer_msg *msg)
 {
 	uint32_t f = 0;
 
-	f |= m->view ? FIELD_VIEW : 0;
-	f |= m->seq ? FIELD_SEQ : 0;
-	f |= m->subject ? FIELD_ABOUT : 0;
-	f |= m->hops ? FIELD_HOPS : 0;
-	f |= m->key.caller || m->key.vip ? FIELD_KEY : 0;
-	f |= m->target ? FIELD_TARGET : 0;
-	f |= m->token_len ? FIELD_TOKEN : 0;
-	f |= m->n_gossip ? FIELD_GOSSIP : 0;
-	f |= m->n_claims ? FIELD_CLAIMS : 0;
-	f |= m->size_bytes ? FIELD_DATA : 0;
+	f |= msg->view ? FIELD_VIEW : 0;
+	f |= msg->seq ? FIELD_SEQ : 0;
+	f |= msg->subject ? FIELD_SUBJECT : 0;
+	f |= msg->hops ? FIELD_HOPS : 0;
+	f |= msg->key.caller || msg->key.vip ? FIELD_KEY : 0;
+	f |= msg->target ? FIELD_TARGET : 0;
+	f |= msg->token_len ? FIELD_TOKEN : 0;
+	f |= msg->n_gossip ? FIELD_GOSSIP : 0;
+	f |= msg->n_claims ? FIELD_CLAIMS : 0;
+	f |= msg->size_bytes ? FIELD_DATA : 0;
 	return f;
 }
 
@@ -78,14 +78,14 @@
 	return msgpack_pack_bin(pk, n) | msgpack_pack_bin_body(pk, bytes, n);
 }
 
-static int pack_gossip(msgpack_packer *pk, const struct peer_msg *m)
+static int pack_gossip(msgpack_packer *pk, const struct peer_msg *msg)
 {
-	int err = msgpack_pack_uint8(pk, m->n_gossip);
+	int err = msgpack_pack_uint8(pk, msg->n_gossip);
 
-	for (uint32_t i = 0; i < m->n_gossip; i++) {
-		err |= msgpack_pack_uint64(pk, m->gossip[i].vm);
-		err |= msgpack_pack_uint64(pk, m->gossip[i].incarnation);
-		err |= msgpack_pack_uint8(pk, m->gossip[i].state);
+	for (uint32_t i = 0; i < msg->n_gossip; i++) {
+		err |= msgpack_pack_uint64(pk, msg->gossip[i].vm);
+		err |= msgpack_pack_uint64(pk, msg->gossip[i].incarnation);
+		err |= msgpack_pack_uint8(pk, msg->gossip[i].state);
 	}
 	return err;
 }
@@ -106,99 +106,103 @@
 	return err;
 }
 
-static int pack_claims(msgpack_packer *pk, const struct peer_msg *m)
+static int pack_claims(msgpack_packer *pk, const struct peer_msg *msg)
 {
-	int err = msgpack_pack_uint8(pk, m->n_claims);
+	int err = msgpack_pack_uint8(pk, msg->n_claims);
 
-	for (uint32_t i = 0; i < m->n_claims; i++)
-		err |= pack_claim(pk, &m->claims[i]);
+	for (uint32_t i = 0; i < msg->n_claims; i++)
+		err |= pack_claim(pk, &msg->claims[i]);
 	return err;
 }
 
-static int pack_head(msgpack_packer *pk, const struct peer_msg *m, uint32_t f)
+static int pack_head(msgpack_packer *pk, const struct peer_msg *msg, uint32_t f)
 {
 	int err = 0;
 
-	err |= msgpack_pack_uint8(pk, m->kind);
+	err |= msgpack_pack_uint8(pk, msg->kind);
 	err |= msgpack_pack_uint32(pk, f);
-	err |= msgpack_pack_uint64(pk, m->from);
-	err |= msgpack_pack_uint64(pk, m->incarnation);
+	err |= msgpack_pack_uint64(pk, msg->from);
+	err |= msgpack_pack_uint64(pk, msg->incarnation);
 	return err;
 }
 
-static int pack_fields(msgpack_packer *pk, const struct peer_msg *m, uint32_t f)
+static int pack_fields(msgpack_packer *pk, const struct peer_msg *msg,
+		       uint32_t f)
 {
 	int err = 0;
 
 	if (f & FIELD_VIEW)
-		err |= msgpack_pack_uint64(pk, m->view);
+		err |= msgpack_pack_uint64(pk, msg->view);
 	if (f & FIELD_SEQ)
-		err |= msgpack_pack_uint64(pk, m->seq);
-	if (f & FIELD_ABOUT)
-		err |= msgpack_pack_uint64(pk, m->subject);
+		err |= msgpack_pack_uint64(pk, msg->seq);
+	if (f & FIELD_SUBJECT)
+		err |= msgpack_pack_uint64(pk, msg->subject);
 	if (f & FIELD_HOPS)
-		err |= msgpack_pack_uint8(pk, m->hops);
+		err |= msgpack_pack_uint8(pk, msg->hops);
 	if (f & FIELD_KEY)
-		err |= msgpack_pack_uint64(pk, m->key.caller) |
-		       msgpack_pack_uint64(pk, m->key.vip);
+		err |= msgpack_pack_uint64(pk, msg->key.caller) |
+		       msgpack_pack_uint64(pk, msg->key.vip);
 	if (f & FIELD_TARGET)
-		err |= msgpack_pack_uint64(pk, m->target);
+		err |= msgpack_pack_uint64(pk, msg->target);
 	if (f & FIELD_TOKEN)
-		err |= pack_bytes(pk, m->token, m->token_len);
+		err |= pack_bytes(pk, msg->token, msg->token_len);
 	if (f & FIELD_GOSSIP)
-		err |= pack_gossip(pk, m);
+		err |= pack_gossip(pk, msg);
 	if (f & FIELD_CLAIMS)
-		err |= pack_claims(pk, m);
+		err |= pack_claims(pk, msg);
 	if (f & FIELD_DATA)
-		err |= pack_bytes(pk, m->data, m->size_bytes);
+		err |= pack_bytes(pk, msg->data, msg->size_bytes);
 	return err;
 }
 
-static bool in_bounds(const struct peer_msg *m)
+static bool in_bounds(const struct peer_msg *msg)
 {
-	if (m->kind == 0 || m->kind >= PEER_KIND_COUNT)
+	if (msg->kind == 0 || msg->kind >= PEER_KIND_COUNT)
 		return false;
-	if (m->token_len > TOKEN_MAX_BYTES)
+	if (msg->token_len > TOKEN_MAX_BYTES)
 		return false;
-	return m->n_gossip <= GOSSIP_UPDATES_MAX && m->n_claims <= CLAIMS_MAX;
+	return msg->n_gossip <= GOSSIP_UPDATES_MAX &&
+	       msg->n_claims <= CLAIMS_MAX;
 }
 
 /*
- * SipHash-2-4 with 128 bits out is made for short messages; it takes a key of
- * 16 bytes, the first half. docs/design/peer-protocol.md compares others.
+ * SipHash-2-4 with a 128-bit result, which is made for short messages. It uses
+ * a key of 16 bytes: the first half of the shared key.
+ * docs/design/peer-protocol.md compares alternatives.
  */
 static void sign(uint8_t *buf, uint32_t body_bytes, const uint8_t *key)
 {
 	crypto_shorthash_siphashx24(buf + body_bytes, buf, body_bytes, key);
 }
 
-int32_t wire_encode(const struct peer_msg *m, const uint8_t key[WIRE_KEY_BYTES],
-		    uint8_t *buf, uint32_t cap_bytes)
+int32_t wire_encode(const struct peer_msg *msg,
+		    const uint8_t key[WIRE_KEY_BYTES], uint8_t *buf,
+		    uint32_t capacity_bytes)
 {
 	struct writer w = { .buf = buf };
-	uint32_t f = fields_of(m);
+	uint32_t f = fields_of(msg);
 	msgpack_packer pk;
 
-	if (!in_bounds(m))
+	if (!in_bounds(msg))
 		return -EINVAL;
-	if (cap_bytes < 1 + MAC_BYTES)
+	if (capacity_bytes < 1 + MAC_BYTES)
 		return -EMSGSIZE;
-	w.cap_bytes = cap_bytes - MAC_BYTES;
+	w.capacity_bytes = capacity_bytes - MAC_BYTES;
 	buf[w.size_bytes++] = WIRE_VERSION;
 	msgpack_packer_init(&pk, &w, writer_append);
-	if (pack_head(&pk, m, f) || pack_fields(&pk, m, f))
+	if (pack_head(&pk, msg, f) || pack_fields(&pk, msg, f))
 		return -EMSGSIZE;
 	sign(buf, w.size_bytes, key);
 	return (int32_t)(w.size_bytes + MAC_BYTES);
 }
 
-/* Array and map headers: 0x80 to 0x9f, 0xdc to 0xdf. */
-static bool is_container(uint8_t head)
+/* First bytes of arrays and maps: 0x80 to 0x9f and 0xdc to 0xdf. */
+static bool is_container(uint8_t first_byte)
 {
-	return (head & 0xe0) == 0x80 || (head & 0xfc) == 0xdc;
+	return (first_byte & 0xe0) == 0x80 || (first_byte & 0xfc) == 0xdc;
 }
 
-/* After the first error every further read gives zeros and keeps it. */
+/* After an error all further reads return zeros and keep the error. */
 static msgpack_object next_scalar(struct reader *r, msgpack_object_type type)
 {
 	msgpack_unpacked u = { .zone = NULL };
@@ -213,7 +217,7 @@
 	if (is_container((uint8_t)r->buf[r->offset]))
 		return none;
 	ret = msgpack_unpack_next(&u, r->buf, r->size_bytes, &r->offset);
-	/* A scalar needs no zone; nothing to free unless one was made. */
+	/* A scalar needs no zone; frees one that msgpack-c may have created. */
 	msgpack_zone_free(msgpack_unpacked_release_zone(&u));
 	if (ret != MSGPACK_UNPACK_SUCCESS || u.data.type != type)
 		return none;
@@ -250,23 +254,23 @@
 	return (const uint8_t *)o.via.bin.ptr;
 }
 
-static void read_token(struct reader *r, struct peer_msg *m)
+static void read_token(struct reader *r, struct peer_msg *msg)
 {
 	uint32_t n;
 	const uint8_t *bytes = read_bytes(r, TOKEN_MAX_BYTES, &n);
 
 	if (n)
-		memcpy(m->token, bytes, n);
-	m->token_len = n;
+		memcpy(msg->token, bytes, n);
+	msg->token_len = n;
 }
 
-static void read_gossip(struct reader *r, struct peer_msg *m)
+static void read_gossip(struct reader *r, struct peer_msg *msg)
 {
-	m->n_gossip = read_uint(r, GOSSIP_UPDATES_MAX);
-	for (uint32_t i = 0; i < m->n_gossip && !r->err; i++) {
-		m->gossip[i].vm = read_uint(r, UINT64_MAX);
-		m->gossip[i].incarnation = read_uint(r, UINT64_MAX);
-		m->gossip[i].state = read_uint(r, MEMBER_DEAD);
+	msg->n_gossip = read_uint(r, GOSSIP_UPDATES_MAX);
+	for (uint32_t i = 0; i < msg->n_gossip && !r->err; i++) {
+		msg->gossip[i].vm = read_uint(r, UINT64_MAX);
+		msg->gossip[i].incarnation = read_uint(r, UINT64_MAX);
+		msg->gossip[i].state = read_uint(r, MEMBER_DEAD);
 	}
 }
 
@@ -287,50 +291,50 @@
 		r->err = -EPROTO;
 }
 
-static void read_claims(struct reader *r, struct peer_msg *m)
+static void read_claims(struct reader *r, struct peer_msg *msg)
 {
-	m->n_claims = read_uint(r, CLAIMS_MAX);
-	for (uint32_t i = 0; i < m->n_claims && !r->err; i++)
-		read_claim(r, &m->claims[i]);
+	msg->n_claims = read_uint(r, CLAIMS_MAX);
+	for (uint32_t i = 0; i < msg->n_claims && !r->err; i++)
+		read_claim(r, &msg->claims[i]);
 }
 
-static uint32_t read_head(struct reader *r, struct peer_msg *m)
+static uint32_t read_head(struct reader *r, struct peer_msg *msg)
 {
 	uint32_t f;
 
-	m->kind = read_uint(r, PEER_KIND_COUNT - 1);
+	msg->kind = read_uint(r, PEER_KIND_COUNT - 1);
 	f = read_uint(r, FIELD_ALL);
-	m->from = read_uint(r, UINT64_MAX);
-	m->incarnation = read_uint(r, UINT64_MAX);
-	if (m->kind == 0)
+	msg->from = read_uint(r, UINT64_MAX);
+	msg->incarnation = read_uint(r, UINT64_MAX);
+	if (msg->kind == 0)
 		r->err = -EPROTO;
 	return f;
 }
 
-static void read_fields(struct reader *r, struct peer_msg *m, uint32_t f)
+static void read_fields(struct reader *r, struct peer_msg *msg, uint32_t f)
 {
 	if (f & FIELD_VIEW)
-		m->view = read_uint(r, UINT64_MAX);
+		msg->view = read_uint(r, UINT64_MAX);
 	if (f & FIELD_SEQ)
-		m->seq = read_uint(r, UINT64_MAX);
-	if (f & FIELD_ABOUT)
-		m->subject = read_uint(r, UINT64_MAX);
+		msg->seq = read_uint(r, UINT64_MAX);
+	if (f & FIELD_SUBJECT)
+		msg->subject = read_uint(r, UINT64_MAX);
 	if (f & FIELD_HOPS)
-		m->hops = read_uint(r, UINT8_MAX);
+		msg->hops = read_uint(r, UINT8_MAX);
 	if (f & FIELD_KEY) {
-		m->key.caller = read_uint(r, UINT64_MAX);
-		m->key.vip = read_uint(r, UINT64_MAX);
+		msg->key.caller = read_uint(r, UINT64_MAX);
+		msg->key.vip = read_uint(r, UINT64_MAX);
 	}
 	if (f & FIELD_TARGET)
-		m->target = read_uint(r, UINT64_MAX);
+		msg->target = read_uint(r, UINT64_MAX);
 	if (f & FIELD_TOKEN)
-		read_token(r, m);
+		read_token(r, msg);
 	if (f & FIELD_GOSSIP)
-		read_gossip(r, m);
+		read_gossip(r, msg);
 	if (f & FIELD_CLAIMS)
-		read_claims(r, m);
+		read_claims(r, msg);
 	if (f & FIELD_DATA)
-		m->data = read_bytes(r, WIRE_MAX_BYTES, &m->size_bytes);
+		msg->data = read_bytes(r, WIRE_MAX_BYTES, &msg->size_bytes);
 }
 
 static int check_mac(const uint8_t *buf, uint32_t body_bytes,
@@ -343,24 +347,24 @@
 }
 
 int wire_decode(const uint8_t *buf, uint32_t size_bytes,
-		const uint8_t key[WIRE_KEY_BYTES], struct peer_msg *m)
+		const uint8_t key[WIRE_KEY_BYTES], struct peer_msg *msg)
 {
 	struct reader r = { .buf = (const char *)buf, .offset = 1 };
 	uint32_t f;
 	int err;
 
-	memset(m, 0, sizeof(*m));
+	memset(msg, 0, sizeof(*msg));
 	if (size_bytes < 1 + MAC_BYTES || size_bytes > WIRE_MAX_BYTES)
 		return -EPROTO;
-	/* An older or newer sender may have another MAC: version first. */
+	/* Checked first, since another version may have another MAC. */
 	if (buf[0] != WIRE_VERSION)
 		return -EPROTONOSUPPORT;
 	err = check_mac(buf, size_bytes - MAC_BYTES, key);
 	if (err)
 		return err;
 	r.size_bytes = size_bytes - MAC_BYTES;
-	f = read_head(&r, m);
-	read_fields(&r, m, f);
+	f = read_head(&r, msg);
+	read_fields(&r, msg, f);
 	if (r.offset != r.size_bytes)
 		return -EPROTO;
 	return r.err;
--- a/adapters/wire.h
+++ b/adapters/wire.h
@@ -1,4 +1,4 @@
-/* Codec of messages between entries: msgpack, version byte, keyed MAC. */
+/* Codec for messages between entries: version byte, msgpack, keyed MAC. */
 #ifndef CB_WIRE_H
 #define CB_WIRE_H
 
@@ -9,29 +9,30 @@
 #define WIRE_KEY_BYTES 32
 
 /**
- * wire_encode() - code and authenticate a message
- * @m: message
+ * wire_encode() - encode and authenticate a message
+ * @msg: message
  * @key: shared key of the data centre
- * @buf: room for the datagram
- * @cap_bytes: its size
+ * @buf: set to the datagram
+ * @capacity_bytes: size of @buf
  *
- * Return: bytes written, or -EMSGSIZE.
+ * Return: size of the datagram in bytes; -EMSGSIZE when @buf is too small;
+ * -EINVAL for a message of an unknown kind or out of bounds.
  */
-int32_t wire_encode(const struct peer_msg *m, const uint8_t key[WIRE_KEY_BYTES],
-		    uint8_t *buf, uint32_t cap_bytes);
+int32_t wire_encode(const struct peer_msg *msg,
+		    const uint8_t key[WIRE_KEY_BYTES], uint8_t *buf,
+		    uint32_t capacity_bytes);
 
 /**
- * wire_decode() - check and read a datagram from a peer
- * @buf: datagram
- * @size_bytes: its size
+ * wire_decode() - authenticate and decode a datagram from a peer
+ * @buf: datagram; has to outlive @msg
+ * @size_bytes: size of the datagram
  * @key: shared key of the data centre
- * @m: filled; @m->data points into @buf
+ * @msg: set to the message; @msg->data points into @buf
  *
- * Return: 0; -EBADMSG for a wrong MAC; -EPROTONOSUPPORT for another
- * version; -EPROTO for a message that is malformed, truncated or out of
- * bounds.
+ * Return: 0; -EBADMSG for a wrong MAC; -EPROTONOSUPPORT for another version;
+ * -EPROTO for a message that is malformed, truncated or out of bounds.
  */
 int wire_decode(const uint8_t *buf, uint32_t size_bytes,
-		const uint8_t key[WIRE_KEY_BYTES], struct peer_msg *m);
+		const uint8_t key[WIRE_KEY_BYTES], struct peer_msg *msg);
 
 #endif
--- a/adapters/zsock.c
+++ b/adapters/zsock.c
@@ -5,24 +5,35 @@
 #include <string.h>
 #include <zmq.h>
 
-/* Frames taken in one turn of the loop, so that a flood can't hold it. */
-#define FRAMES_PER_TURN 256
-#define SEND_QUEUE_FRAMES 10000
+/*
+ * Maximum number of frames that are received before other handles of the loop
+ * run.
+ */
+#define FRAMES_PER_ITERATION_MAX 256
+#define SEND_QUEUE_MAX_FRAMES 10000
 #define RECONNECT_MIN_MS 100
 #define RECONNECT_MAX_MS 1000
 #define CONNECT_TIMEOUT_MS 2000
-/* A peer whose machine vanished does not reset its connections. */
+/* A peer whose machine has failed does not reset its connections. */
 #define UNACKED_TIMEOUT_MS 5000
 
-/*
- * ZeroMQ's descriptor turns readable only at an edge, and sending may consume
- * that edge: frames would lie unread until the next one comes. So the events
- * are looked at before each wait of the loop (@prepare), and an idle handle
- * keeps the loop from waiting while frames are left.
+/**
+ * struct zsock - ZeroMQ socket on a libuv loop
+ * @socket: ZeroMQ socket
+ * @is_router: ROUTER, otherwise DEALER
+ * @handler: receives frames
+ * @poll: watches the descriptor of the socket
+ * @prepare: checks for frames before each wait of the loop
+ * @idle: active while frames are left, so that the loop does not wait
+ * @open_handles: number of handles that are not closed yet
+ *
+ * The descriptor of a ZeroMQ socket becomes readable only at an edge, and
+ * sending may consume that edge; received frames would then stay unread until
+ * the next one arrives. @prepare and @idle prevent this.
  */
 struct zsock {
 	void *socket;
-	bool router;
+	bool is_router;
 	struct zsock_handler handler;
 	uv_poll_t poll;
 	uv_prepare_t prepare;
@@ -41,7 +52,7 @@
 	int failed = 0;
 
 	failed |= set_int(socket, ZMQ_LINGER, 0);
-	failed |= set_int(socket, ZMQ_SNDHWM, SEND_QUEUE_FRAMES);
+	failed |= set_int(socket, ZMQ_SNDHWM, SEND_QUEUE_MAX_FRAMES);
 	failed |= set_int(socket, ZMQ_RECONNECT_IVL, RECONNECT_MIN_MS);
 	failed |= set_int(socket, ZMQ_RECONNECT_IVL_MAX, RECONNECT_MAX_MS);
 	failed |= set_int(socket, ZMQ_CONNECT_TIMEOUT, CONNECT_TIMEOUT_MS);
@@ -53,36 +64,40 @@
 	return failed ? -errno : 0;
 }
 
-static bool receive_part(struct zsock *z, zmq_msg_t *part)
+static bool receive_part(struct zsock *sock, zmq_msg_t *part)
 {
 	zmq_msg_init(part);
-	if (zmq_msg_recv(part, z->socket, ZMQ_DONTWAIT) >= 0)
+	if (zmq_msg_recv(part, sock->socket, ZMQ_DONTWAIT) >= 0)
 		return true;
 	zmq_msg_close(part);
 	return false;
 }
 
-/* Take one message: on a ROUTER the route comes first, then one frame. */
-static bool receive_one(struct zsock *z)
+/*
+ * Receives one message: on a ROUTER the route and then one frame, on a DEALER
+ * one frame. Other messages are dropped.
+ */
+static bool receive_message(struct zsock *sock)
 {
-	struct zroute route = { 0 };
-	uint32_t wanted = z->router ? 1 : 0;
+	struct zsock_route route = { 0 };
+	uint32_t frame_index = sock->is_router ? 1 : 0;
 	uint32_t index = 0;
 	zmq_msg_t part;
 	bool more = true;
 
-	while (more && receive_part(z, &part)) {
+	while (more && receive_part(sock, &part)) {
 		size_t size_bytes = zmq_msg_size(&part);
 
 		more = zmq_msg_more(&part);
-		if (index < wanted && size_bytes <= ZSOCK_ROUTE_MAX_BYTES) {
+		if (index < frame_index &&
+		    size_bytes <= ZSOCK_ROUTE_MAX_BYTES) {
 			route.size_bytes = (uint8_t)size_bytes;
 			memcpy(route.id, zmq_msg_data(&part), size_bytes);
-		} else if (index == wanted && !more) {
-			z->handler.frame(z->handler.ctx,
-					 z->router ? &route : NULL,
-					 zmq_msg_data(&part),
-					 (uint32_t)size_bytes);
+		} else if (index == frame_index && !more) {
+			sock->handler.frame(sock->handler.ctx,
+					    sock->is_router ? &route : NULL,
+					    zmq_msg_data(&part),
+					    (uint32_t)size_bytes);
 		}
 		index++;
 		zmq_msg_close(&part);
@@ -95,131 +110,133 @@
 	(void)idle;
 }
 
-static void drain(struct zsock *z)
+static void receive_frames(struct zsock *sock)
 {
 	uint32_t n = 0;
 
-	while (n < FRAMES_PER_TURN && receive_one(z))
+	while (n < FRAMES_PER_ITERATION_MAX && receive_message(sock))
 		n++;
-	if (n == FRAMES_PER_TURN)
-		uv_idle_start(&z->idle, on_idle);
+	if (n == FRAMES_PER_ITERATION_MAX)
+		uv_idle_start(&sock->idle, on_idle);
 	else
-		uv_idle_stop(&z->idle);
+		uv_idle_stop(&sock->idle);
 }
 
 static void on_readable(uv_poll_t *poll, int status, int events)
 {
 	(void)status;
 	(void)events;
-	drain(poll->data);
+	receive_frames(poll->data);
 }
 
 static void on_prepare(uv_prepare_t *prepare)
 {
-	drain(prepare->data);
+	receive_frames(prepare->data);
 }
 
-static int watch_events(struct zsock *z, uv_loop_t *loop)
+static int start_handles(struct zsock *sock, uv_loop_t *loop)
 {
 	size_t size_bytes = sizeof(int);
 	int fd;
 
-	if (zmq_getsockopt(z->socket, ZMQ_FD, &fd, &size_bytes))
+	if (zmq_getsockopt(sock->socket, ZMQ_FD, &fd, &size_bytes))
 		return -errno;
-	if (uv_poll_init(loop, &z->poll, fd))
+	if (uv_poll_init(loop, &sock->poll, fd))
 		return -EIO;
-	uv_prepare_init(loop, &z->prepare);
-	uv_idle_init(loop, &z->idle);
-	z->open_handles = 3;
-	z->poll.data = z;
-	z->prepare.data = z;
-	z->idle.data = z;
-	uv_poll_start(&z->poll, UV_READABLE, on_readable);
-	uv_prepare_start(&z->prepare, on_prepare);
+	uv_prepare_init(loop, &sock->prepare);
+	uv_idle_init(loop, &sock->idle);
+	sock->open_handles = 3;
+	sock->poll.data = sock;
+	sock->prepare.data = sock;
+	sock->idle.data = sock;
+	uv_poll_start(&sock->poll, UV_READABLE, on_readable);
+	uv_prepare_start(&sock->prepare, on_prepare);
 	return 0;
 }
 
 /**
  * zsock_open() - open a socket and bind or connect it
  * @loop: loop to run on
- * @conf: what to open
- * @handler: takes frames
+ * @conf: settings, copied
+ * @handler: receives frames
  * @out: set to the socket
  *
- * Return: 0 or a negative error of ZeroMQ (-EADDRINUSE...) or -ENOMEM.
+ * Return: 0, a negative error of ZeroMQ such as -EADDRINUSE, -EMFILE, -EIO or
+ * -ENOMEM.
  */
 int zsock_open(uv_loop_t *loop, const struct zsock_conf *conf,
 	       struct zsock_handler handler, struct zsock **out)
 {
-	struct zsock *z = calloc(1, sizeof(*z));
+	struct zsock *sock = calloc(1, sizeof(*sock));
 	int err;
 
-	if (!z)
+	if (!sock)
 		return -ENOMEM;
-	z->handler = handler;
-	z->router = conf->type == ZMQ_ROUTER;
-	z->socket = zmq_socket(conf->context, conf->type);
-	if (!z->socket) {
-		free(z);
+	sock->handler = handler;
+	sock->is_router = conf->type == ZMQ_ROUTER;
+	sock->socket = zmq_socket(conf->context, conf->type);
+	if (!sock->socket) {
+		free(sock);
 		return -EMFILE;
 	}
-	err = set_options(z->socket, conf);
-	if (!err && conf->bind && zmq_bind(z->socket, conf->endpoint))
+	err = set_options(sock->socket, conf);
+	if (!err && conf->bind && zmq_bind(sock->socket, conf->endpoint))
 		err = -zmq_errno();
-	if (!err && !conf->bind && zmq_connect(z->socket, conf->endpoint))
+	if (!err && !conf->bind && zmq_connect(sock->socket, conf->endpoint))
 		err = -zmq_errno();
 	if (!err)
-		err = watch_events(z, loop);
+		err = start_handles(sock, loop);
 	if (err) {
-		zmq_close(z->socket);
-		free(z);
+		zmq_close(sock->socket);
+		free(sock);
 		return err;
 	}
-	*out = z;
+	*out = sock;
 	return 0;
 }
 
 /**
- * zsock_send() - send a frame without waiting
- * @z: socket
- * @route: on a ROUTER, whom to; NULL on a DEALER
- * @data: frame
- * @size_bytes: its size
+ * zsock_send() - send a frame without blocking
+ * @sock: socket
+ * @route: on a ROUTER, route to the receiver; NULL on a DEALER
+ * @data: frame, copied
+ * @size_bytes: size of the frame
  *
- * Return: 0; -EAGAIN when the queue is full; -EHOSTUNREACH when the route is
- * gone; another negative error of ZeroMQ.
+ * Return: 0; -EAGAIN when the queue is full; -EHOSTUNREACH when the route does
+ * not exist any more; another negative error of ZeroMQ.
  */
-int zsock_send(struct zsock *z, const struct zroute *route, const uint8_t *data,
-	       uint32_t size_bytes)
+int zsock_send(struct zsock *sock, const struct zsock_route *route,
+	       const uint8_t *data, uint32_t size_bytes)
 {
-	if (route && zmq_send(z->socket, route->id, route->size_bytes,
+	if (route && zmq_send(sock->socket, route->id, route->size_bytes,
 			      ZMQ_DONTWAIT | ZMQ_SNDMORE) < 0)
 		return -zmq_errno();
-	if (zmq_send(z->socket, data, size_bytes, ZMQ_DONTWAIT) < 0)
+	if (zmq_send(sock->socket, data, size_bytes, ZMQ_DONTWAIT) < 0)
 		return -zmq_errno();
 	return 0;
 }
 
 static void on_closed(uv_handle_t *handle)
 {
-	struct zsock *z = handle->data;
+	struct zsock *sock = handle->data;
 
-	if (--z->open_handles == 0)
-		free(z);
+	if (--sock->open_handles == 0)
+		free(sock);
 }
 
 /**
- * zsock_close() - close the socket; memory goes when the loop turns again
- * @z: socket, or NULL
+ * zsock_close() - close a socket; its memory is freed by the next iteration of
+ *	the loop
+ * @sock: socket, or NULL
  */
-void zsock_close(struct zsock *z)
+void zsock_close(struct zsock *sock)
 {
-	if (!z)
+	if (!sock)
 		return;
-	uv_poll_stop(&z->poll);
-	uv_close((uv_handle_t *)&z->poll, on_closed);
-	uv_close((uv_handle_t *)&z->prepare, on_closed);
-	uv_close((uv_handle_t *)&z->idle, on_closed);
-	zmq_close(z->socket);
-	z->socket = NULL;
+	uv_poll_stop(&sock->poll);
+	uv_close((uv_handle_t *)&sock->poll, on_closed);
+	uv_close((uv_handle_t *)&sock->prepare, on_closed);
+	uv_close((uv_handle_t *)&sock->idle, on_closed);
+	zmq_close(sock->socket);
+	sock->socket = NULL;
 }
--- a/adapters/zsock.h
+++ b/adapters/zsock.h
@@ -1,4 +1,4 @@
-/* A ZeroMQ socket on a libuv loop. */
+/* ZeroMQ socket on a libuv loop. */
 #ifndef CB_ZSOCK_H
 #define CB_ZSOCK_H
 
@@ -11,33 +11,34 @@
 #define ZSOCK_ROUTE_MAX_BYTES 255
 
 /**
- * struct zroute - which connection of a ROUTER a frame came from
- * @size_bytes: 0 on a DEALER
- * @id: name that ZeroMQ gave it
+ * struct zsock_route - connection of a ROUTER from which a frame came
+ * @size_bytes: size of @id
+ * @id: identity that ZeroMQ assigned to the connection
  */
-struct zroute {
+struct zsock_route {
 	uint8_t size_bytes;
 	uint8_t id[ZSOCK_ROUTE_MAX_BYTES];
 };
 
 /**
- * struct zsock_handler - port that takes frames
- * @ctx: passed back
- * @frame: a frame; may send, may not close the socket
+ * struct zsock_handler - callback that receives frames
+ * @ctx: first argument of @frame
+ * @frame: receives a frame, valid during the call. @route is NULL on a DEALER.
+ *	The callback may send, but must not close the socket
  */
 struct zsock_handler {
 	void *ctx;
-	void (*frame)(void *ctx, const struct zroute *route,
+	void (*frame)(void *ctx, const struct zsock_route *route,
 		      const uint8_t *data, uint32_t size_bytes);
 };
 
 /**
- * struct zsock_conf - what to open
+ * struct zsock_conf - settings of a socket
  * @context: ZeroMQ context
  * @type: ZMQ_ROUTER or ZMQ_DEALER
- * @bind: bind to @endpoint, or connect
+ * @bind: bind to @endpoint; otherwise connect to it
  * @endpoint: tcp://IP:PORT
- * @frame_max_bytes: larger ones are refused by ZeroMQ
+ * @frame_max_bytes: ZeroMQ refuses larger frames and closes their connection
  */
 struct zsock_conf {
 	void *context;
@@ -51,8 +52,8 @@
 
 int zsock_open(uv_loop_t *loop, const struct zsock_conf *conf,
 	       struct zsock_handler handler, struct zsock **out);
-int zsock_send(struct zsock *z, const struct zroute *route, const uint8_t *data,
-	       uint32_t size_bytes);
-void zsock_close(struct zsock *z);
+int zsock_send(struct zsock *sock, const struct zsock_route *route,
+	       const uint8_t *data, uint32_t size_bytes);
+void zsock_close(struct zsock *sock);
 
 #endif
--- a/adapters/zstd_delta.c
+++ b/adapters/zstd_delta.c
@@ -3,12 +3,14 @@
 #include <stdlib.h>
 #include <zstd.h>
 
-/* The fastest: most of what it is for is repetition. */
-#define LEVEL 1
-/* Of a window that holds two values of a megabyte each. */
+/*
+ * The fastest level; most of the input is repetition, which every level finds.
+ */
+#define COMPRESSION_LEVEL 1
+/* Window that covers two values of a megabyte each. */
 #define WINDOW_LOG_MAX 23
 
-/* Least window from which all of @size_bytes is in reach. */
+/* Smallest window that covers @size_bytes. */
 static int window_log(uint64_t size_bytes)
 {
 	int log = 10;
@@ -18,8 +20,9 @@
 	return log;
 }
 
-/* Matches lie as far back as the base is long. */
-static void reach(ZSTD_CCtx *c, struct zstd_bytes base, struct zstd_bytes from)
+/* Enables matches in the base: their distance is up to the size of the base. */
+static void set_base(ZSTD_CCtx *c, struct zstd_bytes base,
+		     struct zstd_bytes from)
 {
 	uint64_t both = (uint64_t)base.size_bytes + from.size_bytes;
 
@@ -29,14 +32,16 @@
 }
 
 /**
- * zstd_pack() - compress
- * @base: an earlier value that the other side has; none for a whole one
+ * zstd_delta_compress() - compress a value, optionally as a delta
+ * @base: earlier value that the receiver has; with data NULL the value is
+ *	compressed by itself
  * @from: value
- * @out: replaced
+ * @out: replaced by the compressed bytes
  *
- * Return: whether; false without memory.
+ * Return: true; false after an error, such as lack of memory.
  */
-bool zstd_pack(struct zstd_bytes base, struct zstd_bytes from, GString *out)
+bool zstd_delta_compress(struct zstd_bytes base, struct zstd_bytes from,
+			 GString *out)
 {
 	size_t bound = ZSTD_compressBound(from.size_bytes);
 	ZSTD_CCtx *c = ZSTD_createCCtx();
@@ -45,16 +50,16 @@
 	if (!c)
 		return false;
 	g_string_set_size(out, bound);
-	ZSTD_CCtx_setParameter(c, ZSTD_c_compressionLevel, LEVEL);
+	ZSTD_CCtx_setParameter(c, ZSTD_c_compressionLevel, COMPRESSION_LEVEL);
 	if (base.data)
-		reach(c, base, from);
+		set_base(c, base, from);
 	n = ZSTD_compress2(c, out->str, bound, from.data, from.size_bytes);
 	ZSTD_freeCCtx(c);
 	g_string_truncate(out, ZSTD_isError(n) ? 0 : n);
 	return !ZSTD_isError(n);
 }
 
-static uint8_t *expand(ZSTD_DCtx *c, struct zstd_bytes from, size_t n)
+static uint8_t *decompress(ZSTD_DCtx *c, struct zstd_bytes from, size_t n)
 {
 	uint8_t *out = malloc(n + 1);
 
@@ -66,17 +71,17 @@
 }
 
 /**
- * zstd_unpack() - undo zstd_pack()
- * @base: the same
- * @from: what it made
- * @max_bytes: larger ones are refused
+ * zstd_delta_decompress() - decompress the result of zstd_delta_compress()
+ * @base: the base that was used for compression
+ * @from: compressed bytes
+ * @max_bytes: upper bound for the size of the value
  * @out_bytes: set to the size of the value
  *
- * Return: the value, to be freed, with room for one more byte; NULL when it is
- * none of ours.
+ * Return: the value, to be freed with free(), with room for one more byte; NULL
+ * when the input is invalid or the value too large, or without memory.
  */
-uint8_t *zstd_unpack(struct zstd_bytes base, struct zstd_bytes from,
-		     uint32_t max_bytes, uint32_t *out_bytes)
+uint8_t *zstd_delta_decompress(struct zstd_bytes base, struct zstd_bytes from,
+			       uint32_t max_bytes, uint32_t *out_bytes)
 {
 	unsigned long long n =
 		ZSTD_getFrameContentSize(from.data, from.size_bytes);
@@ -91,7 +96,7 @@
 	ZSTD_DCtx_setParameter(c, ZSTD_d_windowLogMax, WINDOW_LOG_MAX);
 	if (base.data)
 		ZSTD_DCtx_refPrefix(c, base.data, base.size_bytes);
-	out = expand(c, from, (size_t)n);
+	out = decompress(c, from, (size_t)n);
 	ZSTD_freeDCtx(c);
 	*out_bytes = (uint32_t)n;
 	return out;
--- a/adapters/zstd_delta.h
+++ b/adapters/zstd_delta.h
@@ -1,4 +1,4 @@
-/* Compression of a value, whole or as what changed since an earlier one. */
+/* Compression of a value, by itself or as a delta from an earlier value. */
 #ifndef CB_ZSTD_DELTA_H
 #define CB_ZSTD_DELTA_H
 
@@ -7,17 +7,18 @@
 #include <glib.h>
 
 /**
- * struct zstd_bytes - bytes that somebody else owns
+ * struct zstd_bytes - byte range, not owned
  * @data: bytes, or NULL
- * @size_bytes: how many
+ * @size_bytes: number of bytes
  */
 struct zstd_bytes {
 	const uint8_t *data;
 	uint32_t size_bytes;
 };
 
-bool zstd_pack(struct zstd_bytes base, struct zstd_bytes from, GString *out);
-uint8_t *zstd_unpack(struct zstd_bytes base, struct zstd_bytes from,
-		     uint32_t max_bytes, uint32_t *out_bytes);
+bool zstd_delta_compress(struct zstd_bytes base, struct zstd_bytes from,
+			 GString *out);
+uint8_t *zstd_delta_decompress(struct zstd_bytes base, struct zstd_bytes from,
+			       uint32_t max_bytes, uint32_t *out_bytes);
 
 #endif
--- a/cmd/cb-entry/intake.c
+++ b/cmd/cb-entry/intake.c
@@ -187,8 +187,9 @@
  */
 int intake_open(struct daemon *d)
 {
-	struct link_handler handler = { d, account, account_gone, roster };
-	struct link_conf conf = {
+	struct entry_link_handler handler = { d, account, account_gone,
+					      roster };
+	struct entry_link_conf conf = {
 		.endpoint = d->settings.watch,
 		.self = d->settings.peer,
 		.data_centre = d->settings.data_centre,
--- a/cmd/cb-entry/metrics.c
+++ b/cmd/cb-entry/metrics.c
@@ -105,7 +105,7 @@
 
 static void put_link(const struct daemon *d, GString *to)
 {
-	const struct link_counters *c;
+	const struct entry_link_counters *c;
 
 	if (!d->link)
 		return;
--- a/cmd/cb-packet/daemon.h
+++ b/cmd/cb-packet/daemon.h
@@ -60,7 +60,7 @@
 struct relay_cache {
 	GString *body;
 	uint64_t changes;
-	struct relay_delta delta;
+	struct relay_delta_cache delta;
 };
 
 struct probe {
--- a/cmd/cb-packet/operators.c
+++ b/cmd/cb-packet/operators.c
@@ -77,7 +77,7 @@
 			"cb_packet_verdicts_total{reason=\"%s\"} "
 			"%" G_GUINT64_FORMAT "\n",
 			path_reason_names[i], reasons[i]);
-	counter(out, "log_lines_lost", log_lost());
+	counter(out, "log_lines_lost", log_lost_line_count());
 	write_times(d, out);
 	gauge(out, "flows", path_flows(d->node->path));
 	gauge(out, "waiting", path_waiting(d->node->path));
--- a/cmd/cb-packet/probes.c
+++ b/cmd/cb-packet/probes.c
@@ -64,7 +64,7 @@
 	struct probe *p = connect->data;
 
 	if (status != UV_ECANCELED)
-		judge(p, probe_outcome(status));
+		judge(p, probe_outcome_from_status(status));
 }
 
 static uint32_t free_place(const struct packet_daemon *d)
@@ -121,7 +121,7 @@
 	err = uv_tcp_connect(&p->connect, &p->tcp, (struct sockaddr *)&to,
 			     on_connect);
 	if (err)
-		judge(p, probe_outcome(err));
+		judge(p, probe_outcome_from_status(err));
 }
 
 /**
--- a/cmd/cb-packet/reading.c
+++ b/cmd/cb-packet/reading.c
@@ -136,7 +136,7 @@
 static int take_documents(struct packet_daemon *d, const struct http_reply *r,
 			  struct relay_head *head)
 {
-	struct relay_port port = { d, begin_documents, known_value };
+	struct relay_receiver port = { d, begin_documents, known_value };
 
 	if (r->err)
 		return r->err;
@@ -171,7 +171,7 @@
 void reading_fetch(void *ctx, uint64_t peer, struct position after)
 {
 	struct packet_daemon *d = ctx;
-	struct relay_base base = relay_base(d->node->documents);
+	struct relay_base base = relay_select_base(d->node->documents);
 	char path[PATH_MAX_BYTES];
 	int err;
 
--- a/cmd/cb-watch/documents.c
+++ b/cmd/cb-watch/documents.c
@@ -44,7 +44,7 @@
 	for (uint32_t i = 0; i < m->n; i++) {
 		const struct mistake *one = &m->list[i];
 
-		if (one->warning)
+		if (one->is_warning)
 			continue;
 		g_string_append_printf(reason, "%s%s:%u: %s: %s, expected %s",
 				       reason->len ? "; " : "", one->document,
@@ -129,7 +129,7 @@
 
 	if (content && account_decode(name, 1, content, &a))
 		return;
-	vips_put(w->vips, name, a);
+	vips_set(w->vips, name, a);
 	account_free(a);
 }
 
@@ -299,7 +299,7 @@
 	err = account_decode(key + strlen(ACCOUNT_PREFIX), 1, content, &a);
 	/* Noted before it is in force, which waits until this VM serves. */
 	if (!err)
-		vips_put(w->vips, a->name, a);
+		vips_set(w->vips, a->name, a);
 	account_free(a);
 	return err;
 }
--- a/cmd/cb-watch/watch.c
+++ b/cmd/cb-watch/watch.c
@@ -53,7 +53,7 @@
 {
 	struct watch *w = timer->data;
 
-	watch_link_expire(w->link);
+	watch_link_close_idle(w->link);
 }
 
 static void on_signal(uv_signal_t *signal, int number)
@@ -83,7 +83,7 @@
 {
 	struct watch *w = ctx;
 
-	watch_link_send(w->link, vm, msg);
+	watch_link_send_to_peer(w->link, vm, msg);
 }
 
 static void in_force(void *ctx, const char *key, const struct version *version,
@@ -94,7 +94,7 @@
 	log_line(LOG_INFO, "in force", key, "generation %lu revision %lu%s",
 		 version->generation, version->revision,
 		 content ? "" : " withdrawn");
-	watch_link_entries(w->link, key, version, content);
+	watch_link_send_to_entries(w->link, key, version, content);
 	documents_in_force(w, key, content);
 }
 
@@ -133,7 +133,7 @@
 			 strerror(-err));
 		return err;
 	}
-	watch_link_spread(w->link, w->spread);
+	watch_link_set_spread(w->link, w->spread);
 	return 0;
 }
 
--- a/cmd/cbctl/check.c
+++ b/cmd/cbctl/check.c
@@ -48,7 +48,7 @@
 
 		vips_check(v, a->name, documents_find(d, "account", a->name),
 			   documents_templates(d), m);
-		vips_put(v, a->name, a);
+		vips_set(v, a->name, a);
 	}
 	vips_free(v);
 }
--- a/cmd/cbctl/diff.c
+++ b/cmd/cbctl/diff.c
@@ -45,7 +45,7 @@
 
 /* Accounts of both sides in turn; those of both are compared once. */
 static void each_account(const struct side *standing, const struct side *next,
-			 struct change_watch watch, struct mistakes *m)
+			 struct change_handler watch, struct mistakes *m)
 {
 	for (guint i = 0; i < standing->set.accounts->len; i++) {
 		const struct account_conf *a =
@@ -72,15 +72,15 @@
 
 	if (!r->json) {
 		each_account(standing, next,
-			     (struct change_watch){ NULL, change_print }, m);
+			     (struct change_handler){ NULL, change_print }, m);
 		mistakes_print(m, stderr);
 		g_string_free(json, TRUE);
 		return;
 	}
 	json_open(json, NULL, '{');
 	json_open(json, "changes", '[');
-	each_account(standing, next, (struct change_watch){ json, change_json },
-		     m);
+	each_account(standing, next,
+		     (struct change_handler){ json, change_json }, m);
 	json_close(json, ']');
 	mistakes_json(json, m);
 	json_close(json, '}');
--- a/cmd/cbctl/json.c
+++ b/cmd/cbctl/json.c
@@ -22,7 +22,7 @@
 		json_string(to, "key", x->key);
 		json_string(to, "problem", x->problem);
 		json_string(to, "expected", x->expected);
-		json_bool(to, "warning", x->warning);
+		json_bool(to, "warning", x->is_warning);
 		json_close(to, '}');
 	}
 	json_close(to, ']');
--- a/cmd/cbctl/render.c
+++ b/cmd/cbctl/render.c
@@ -1,7 +1,7 @@
 /* render: one account with its template filled in. */
 #include "cbctl.h"
 
-#include "publication_words.h"
+#include "publication_names.h"
 #include "settings.h"
 
 #include <stdio.h>
@@ -17,7 +17,7 @@
 {
 	json_open(to, NULL, '{');
 	address_json(to, "address", t->addr);
-	json_string(to, "state", state_words[t->state]);
+	json_string(to, "state", target_state_names[t->state]);
 	json_number(to, "weight", t->weight);
 	json_number(to, "slots", t->slots);
 	json_number(to, "connections", t->connections);
@@ -29,8 +29,8 @@
 	json_open(to, NULL, '{');
 	json_string(to, "name", s->name);
 	address_json(to, "vip", s->vip);
-	json_string(to, "protocol", protocol_words[s->protocol]);
-	json_string(to, "class", class_words[s->class]);
+	json_string(to, "protocol", service_protocol_names[s->protocol]);
+	json_string(to, "class", service_class_names[s->class]);
 	json_bool(to, "post_idempotent", s->post_idempotent);
 	json_bool(to, "target_dedups", s->target_dedups);
 	json_number(to, "request_timeout_ms",
@@ -75,7 +75,7 @@
 static bool print_text(struct documents *d, const char *name, const char *text,
 		       struct mistakes *m)
 {
-	char *out = publication_text(name, text, documents_templates(d), m);
+	char *out = publication_expand(name, text, documents_templates(d), m);
 
 	if (!out)
 		return false;
--- a/cmd/cbctl/replay.c
+++ b/cmd/cbctl/replay.c
@@ -78,7 +78,7 @@
 	const char *json = strchr(text, '{');
 	struct line *l = g_new0(struct line, 1);
 
-	if (json && !log_entry_read(json, &l->says)) {
+	if (json && !log_entry_parse(json, &l->says)) {
 		l->source = source_of(text, json, file);
 		return l;
 	}
--- a/cmd/cbctl/status.c
+++ b/cmd/cbctl/status.c
@@ -20,7 +20,7 @@
 {
 	json_open(json, NULL, '{');
 	json_string(json, "peer", peer);
-	lines_json(json, body);
+	lines_append_json(json, body);
 	json_close(json, '}');
 }
 
--- a/cmd/cbload/answer.c
+++ b/cmd/cbload/answer.c
@@ -41,8 +41,8 @@
 		return false;
 	r->answer_id = id;
 	memcpy(r->answer_service, service, sizeof(service));
-	if (id != r->id || strcmp(service, call_service(r->kind)) != 0)
-		r->crossed = 1;
+	if (id != r->id || strcmp(service, call_kind_service(r->kind)) != 0)
+		r->mismatched = 1;
 	return true;
 }
 
@@ -67,7 +67,7 @@
 		return;
 	number = stray.answer_id >> ID_CALLER_SHIFT & ID_CALLER_MASK;
 	if (number != caller->number)
-		call_record(caller)->crossed = 1;
+		call_record(caller)->mismatched = 1;
 }
 
 static void take_update(struct caller *caller)
--- a/cmd/cbload/logs.c
+++ b/cmd/cbload/logs.c
@@ -33,7 +33,7 @@
 		return err;
 	}
 	while (fgets(line, sizeof(line), f)) {
-		if (run_parse(line, &r) < 0)
+		if (run_record_parse(line, &r) < 0)
 			continue;
 		r.log = log;
 		g_array_append_val(l->runs, r);
--- a/cmd/cbload/main.c
+++ b/cmd/cbload/main.c
@@ -122,7 +122,7 @@
 	if (!err)
 		report_print(o, &report, records);
 	g_array_free(logs.runs, TRUE);
-	return err || !tally_clean(&report.tally) ? EXIT_UNCLEAN : 0;
+	return err || !tally_is_clean(&report.tally) ? EXIT_UNCLEAN : 0;
 }
 
 static int load_and_account(const struct options *o)
--- a/cmd/cbload/report.c
+++ b/cmd/cbload/report.c
@@ -101,9 +101,9 @@
 		print_row(call_kind_names[k], &r->tally.kind[k]);
 	print_row("all", &r->tally.sum);
 	printf("broken of \"all\" is feeds\n");
-	if (r->tally.strangers)
+	if (r->tally.unknown_runs)
 		printf("%" PRIu64 " lines of run logs are of other callers\n",
-		       r->tally.strangers);
+		       r->tally.unknown_runs);
 	printf("broken_weighted_ventolario %" PRIu64 "\n",
 	       tally_weighted_ventolario(&r->tally));
 	printf("broken_weighted_tshwane %" PRIu64 "\n",
--- a/fuzz/users_fuzz.c
+++ b/fuzz/users_fuzz.c
@@ -82,7 +82,7 @@
 {
 	struct facts_port to = { names, read_value };
 	struct answer_head head = { 0 };
-	struct relay_port port = { names, begin, nothing_known };
+	struct relay_receiver port = { names, begin, nothing_known };
 	struct relay_head relay;
 	struct hello hello;
 
--- a/sim/sim-experiment/read.c
+++ b/sim/sim-experiment/read.c
@@ -59,7 +59,7 @@
 			      "a text");
 		return;
 	}
-	node->taken = 1;
+	node->consumed = 1;
 }
 
 static uint32_t zone_named(const struct site *s, const char *name)
@@ -112,7 +112,7 @@
 			      "tables of it");
 		return;
 	}
-	list->taken = 1;
+	list->consumed = 1;
 	for (uint32_t i = 0; i < list->n_items; i++)
 		take(m, &list->items[i], x);
 }
--- a/sim/sim-experiment/read_site.c
+++ b/sim/sim-experiment/read_site.c
@@ -113,7 +113,7 @@
 			      "a number each, in their order");
 		return;
 	}
-	list->taken = 1;
+	list->consumed = 1;
 	for (uint32_t i = 0; i < n; i++) {
 		const struct toml_node *v = &list->items[i];
 
@@ -148,7 +148,7 @@
 			      "some tables of it");
 		return NULL;
 	}
-	list->taken = 1;
+	list->consumed = 1;
 	*n = list->n_items;
 	return list->items;
 }
--- a/test/json_test.c
+++ b/test/json_test.c
@@ -14,7 +14,7 @@
 	GString *to = g_string_new(NULL);
 
 	json_open(to, NULL, '{');
-	lines_json(to, body);
+	lines_append_json(to, body);
 	json_close(to, '}');
 	return g_string_free(to, FALSE);
 }
--- a/test/link_test.c
+++ b/test/link_test.c
@@ -1,4 +1,4 @@
-/* The link between cb-watch and cb-entry over ZeroMQ on loopback. */
+/* Link between cb-watch and cb-entry over ZeroMQ on loopback addresses. */
 #include "account_codec.h"
 #include "link.h"
 #include "link_watch.h"
@@ -17,7 +17,7 @@
 #define PORT 7002
 #define VM ADDR(loopback_host(), 7000)
 #define DATA_CENTRE "garda"
-#define GIVE_UP_MS 10000
+#define TIMEOUT_MS 10000
 
 static const uint8_t key[32] = { 1 };
 static const uint8_t other_key[32] = { 2 };
@@ -25,7 +25,7 @@
 struct entry_side {
 	uint64_t generation;
 	uint32_t n_accounts;
-	uint32_t n_gone;
+	uint32_t n_withdrawn;
 	uint32_t n_vms;
 };
 
@@ -37,8 +37,8 @@
 struct fixture {
 	char endpoint[64];
 	uv_loop_t loop;
-	uv_timer_t give_up;
-	bool gave_up;
+	uv_timer_t timeout;
+	bool timed_out;
 	struct entry_side entry;
 	struct watch_side watch;
 	struct entry_link *link;
@@ -46,37 +46,37 @@
 
 static void on_account(void *ctx, struct account_conf *a)
 {
-	struct entry_side *e = ctx;
+	struct entry_side *entry = ctx;
 
-	e->generation = a->generation;
-	e->n_accounts++;
+	entry->generation = a->generation;
+	entry->n_accounts++;
 	account_free(a);
 }
 
-static void on_gone(void *ctx, const char *name)
+static void on_withdrawn(void *ctx, const char *name)
 {
-	struct entry_side *e = ctx;
+	struct entry_side *entry = ctx;
 
 	assert_string_equal(name, "sailing");
-	e->n_gone++;
+	entry->n_withdrawn++;
 }
 
 static void on_roster(void *ctx, const uint64_t *vms, uint32_t n)
 {
-	struct entry_side *e = ctx;
+	struct entry_side *entry = ctx;
 
 	assert_int_equal(vms[0], VM);
-	e->n_vms = n;
+	entry->n_vms = n;
 }
 
-static void no_send(void *ctx, uint64_t vm, const struct spread_msg *msg)
+static void ignore_send(void *ctx, uint64_t vm, const struct spread_msg *msg)
 {
 	(void)ctx;
 	(void)vm;
 	(void)msg;
 }
 
-static int all_readable(void *ctx, const char *name, const struct content *c)
+static int accept_content(void *ctx, const char *name, const struct content *c)
 {
 	(void)ctx;
 	(void)name;
@@ -84,25 +84,25 @@
 	return 0;
 }
 
-static void in_force(void *ctx, const char *name, const struct version *v,
-		     const struct content *c)
+static void put_in_force(void *ctx, const char *name, const struct version *v,
+			 const struct content *c)
 {
-	struct watch_side *w = ctx;
+	struct watch_side *watch = ctx;
 
-	watch_link_entries(w->link, name, v, c);
+	watch_link_send_to_entries(watch->link, name, v, c);
 }
 
-static void no_peer(void *ctx, const struct spread_msg *msg)
+static void ignore_peer(void *ctx, const struct spread_msg *msg)
 {
 	(void)ctx;
 	(void)msg;
 }
 
-static void on_give_up(uv_timer_t *timer)
+static void on_timeout(uv_timer_t *timer)
 {
 	struct fixture *f = timer->data;
 
-	f->gave_up = true;
+	f->timed_out = true;
 }
 
 static void publish_account(struct fixture *f, uint64_t generation)
@@ -131,26 +131,27 @@
 	content_free(c);
 }
 
-/* A cb-watch process that knows of no peers and serves at once. */
+/* Starts a cb-watch that has no peers and serves at once. */
 static void watch_start(struct fixture *f, uint64_t generation)
 {
-	struct watch_side *w = &f->watch;
+	struct watch_side *watch = &f->watch;
 	struct watch_link_conf conf = { f->endpoint, PORT, VM, DATA_CENTRE,
 					key };
-	struct watch_link_handler handler = { w, no_peer };
+	struct watch_link_handler handler = { watch, ignore_peer };
 	struct spread_conf sconf = { .self = VM, .readers = 2 };
-	struct spread_port port = { w, no_send, all_readable, in_force };
+	struct spread_port port = { watch, ignore_send, accept_content,
+				    put_in_force };
 	struct rng rng = { 1 };
 
-	w->spread = spread_new(&sconf, port, rng, 1);
-	assert_int_equal(watch_link_open(&f->loop, &conf, handler, &w->link),
-			 0);
-	watch_link_spread(w->link, w->spread);
+	watch->spread = spread_new(&sconf, port, rng, 1);
+	assert_int_equal(
+		watch_link_open(&f->loop, &conf, handler, &watch->link), 0);
+	watch_link_set_spread(watch->link, watch->spread);
 	publish_account(f, generation);
-	spread_set_platform_state(w->spread, true, true, 1);
-	spread_set_roster(w->spread, NULL, 0, 1);
-	spread_tick(w->spread, 1);
-	assert_true(spread_is_serving(w->spread));
+	spread_set_platform_state(watch->spread, true, true, 1);
+	spread_set_roster(watch->spread, NULL, 0, 1);
+	spread_tick(watch->spread, 1);
+	assert_true(spread_is_serving(watch->spread));
 }
 
 static void watch_stop(struct fixture *f)
@@ -160,11 +161,12 @@
 	f->watch.spread = NULL;
 }
 
-static void entry_start(struct fixture *f, const uint8_t *with_key)
+static void entry_start(struct fixture *f, const uint8_t *shared_key)
 {
-	struct link_conf conf = { f->endpoint, VM, DATA_CENTRE, with_key };
-	struct link_handler handler = { &f->entry, on_account, on_gone,
-					on_roster };
+	struct entry_link_conf conf = { f->endpoint, VM, DATA_CENTRE,
+					shared_key };
+	struct entry_link_handler handler = { &f->entry, on_account,
+					      on_withdrawn, on_roster };
 
 	assert_int_equal(entry_link_start(&f->loop, &conf, handler, &f->link),
 			 0);
@@ -172,7 +174,7 @@
 
 static void wait_for(struct fixture *f, const uint64_t *value, uint64_t least)
 {
-	while (*value < least && !f->gave_up)
+	while (*value < least && !f->timed_out)
 		uv_run(&f->loop, UV_RUN_ONCE);
 	assert_true(*value >= least);
 }
@@ -180,7 +182,7 @@
 static void wait_for_u32(struct fixture *f, const uint32_t *value,
 			 uint32_t least)
 {
-	while (*value < least && !f->gave_up)
+	while (*value < least && !f->timed_out)
 		uv_run(&f->loop, UV_RUN_ONCE);
 	assert_true(*value >= least);
 }
@@ -194,9 +196,9 @@
 	snprintf(f.endpoint, sizeof(f.endpoint), "tcp://%s",
 		 addr_text(ADDR(loopback_host(), PORT), vm, sizeof(vm)));
 	uv_loop_init(&f.loop);
-	uv_timer_init(&f.loop, &f.give_up);
-	f.give_up.data = &f;
-	uv_timer_start(&f.give_up, on_give_up, GIVE_UP_MS, 0);
+	uv_timer_init(&f.loop, &f.timeout);
+	f.timeout.data = &f;
+	uv_timer_start(&f.timeout, on_timeout, TIMEOUT_MS, 0);
 	*state = &f;
 	return 0;
 }
@@ -208,12 +210,12 @@
 	if (f->watch.spread)
 		watch_stop(f);
 	entry_link_close(f->link);
-	uv_close((uv_handle_t *)&f->give_up, NULL);
+	uv_close((uv_handle_t *)&f->timeout, NULL);
 	uv_run(&f->loop, UV_RUN_DEFAULT);
 	return uv_loop_close(&f->loop);
 }
 
-static void accounts_and_roster_arrive(void **state)
+static void entry_receives_accounts_and_roster(void **state)
 {
 	char vm[32];
 	char vms[128];
@@ -233,16 +235,15 @@
 	wait_for_u32(f, &f->entry.n_vms, 1);
 	assert_int_equal(f->entry.n_vms, 1);
 	spread_withdraw(f->watch.spread, "account/sailing", 9, 1);
-	wait_for_u32(f, &f->entry.n_gone, 1);
+	wait_for_u32(f, &f->entry.n_withdrawn, 1);
 }
 
 /*
- * Symptom: an entry falls back to an older generation.
- * Events: cb-watch dies with generation 5 in force; the one that follows has
- * read a stale platform, and reached no peer.
- * Cause: the entry takes whatever its cb-watch sends.
+ * A cb-watch stops with generation 5 in force. Its successor has read a stale
+ * copy of the platform and reached no peer. An entry that applied whatever its
+ * cb-watch sends would return to an older generation.
  */
-static void watch_replaced_by_older(void **state)
+static void entry_keeps_generation_after_watch_restarts_with_older(void **state)
 {
 	struct fixture *f = *state;
 
@@ -260,12 +261,11 @@
 }
 
 /*
- * Symptom: an entry takes its configuration from a stranger, or gives its
- * list away.
- * Events: a process without the shared key answers at the endpoint.
- * Cause: frames are not authenticated.
+ * A process without the shared key answers at the endpoint. Without
+ * authentication of frames an entry would apply its configuration, or send it
+ * the list of versions in force.
  */
-static void wrong_key(void **state)
+static void frames_with_another_key_are_refused(void **state)
 {
 	struct fixture *f = *state;
 
@@ -279,11 +279,13 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test_setup_teardown(accounts_and_roster_arrive,
-						setup, teardown),
-		cmocka_unit_test_setup_teardown(watch_replaced_by_older, setup,
-						teardown),
-		cmocka_unit_test_setup_teardown(wrong_key, setup, teardown),
+		cmocka_unit_test_setup_teardown(
+			entry_receives_accounts_and_roster, setup, teardown),
+		cmocka_unit_test_setup_teardown(
+			entry_keeps_generation_after_watch_restarts_with_older,
+			setup, teardown),
+		cmocka_unit_test_setup_teardown(
+			frames_with_another_key_are_refused, setup, teardown),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/packet_relay_test.c
+++ b/test/packet_relay_test.c
@@ -70,7 +70,7 @@
 	struct document d = { .key = "a", .revision = 3, .created = 3 };
 	GString *body = g_string_new(NULL);
 	struct relay_base none = { 0 };
-	struct relay_delta delta = { 0 };
+	struct relay_delta_cache delta = { 0 };
 	struct relay_head head;
 
 	(void)state;
@@ -84,15 +84,15 @@
 	relay_encode(from, at(3), &none, &delta, body);
 	assert_int_equal(
 		relay_decode((uint8_t *)body->str, (uint32_t)body->len,
-			     (struct relay_port){ to, refuse, value_at },
+			     (struct relay_receiver){ to, refuse, value_at },
 			     &head),
 		-EBUSY);
 	assert_int_equal(documents_count(to), 0);
-	assert_int_equal(
-		relay_decode((uint8_t *)body->str, (uint32_t)body->len,
-			     (struct relay_port){ to, begin_collect, value_at },
-			     &head),
-		0);
+	assert_int_equal(relay_decode((uint8_t *)body->str, (uint32_t)body->len,
+				      (struct relay_receiver){
+					      to, begin_collect, value_at },
+				      &head),
+			 0);
 	assert_int_equal(head.through.revision, 6);
 	assert_int_equal(head.newest.revision, 5);
 	assert_false(head.whole);
@@ -101,8 +101,8 @@
 	for (uint32_t i = 0; i < body->len; i++)
 		assert_int_not_equal(
 			relay_decode((uint8_t *)body->str, i,
-				     (struct relay_port){ to, begin_collect,
-							  value_at },
+				     (struct relay_receiver){ to, begin_collect,
+							      value_at },
 				     &head),
 			0);
 	g_string_free(body, TRUE);
@@ -131,7 +131,7 @@
 struct pair {
 	struct documents *from;
 	struct documents *to;
-	struct relay_delta delta;
+	struct relay_delta_cache delta;
 	GString *body;
 };
 
@@ -163,15 +163,16 @@
 /* @p->to fetches the documents that it lacks from @p->from. */
 static int fetch(struct pair *p)
 {
-	struct relay_base base = relay_base(p->to);
+	struct relay_base base = relay_select_base(p->to);
 	struct relay_head head;
 	int err;
 
 	relay_encode(p->from, documents_synced(p->to), &base, &p->delta,
 		     p->body);
-	err = relay_decode(
-		(uint8_t *)p->body->str, (uint32_t)p->body->len,
-		(struct relay_port){ p->to, begin_collect, value_at }, &head);
+	err = relay_decode((uint8_t *)p->body->str, (uint32_t)p->body->len,
+			   (struct relay_receiver){ p->to, begin_collect,
+						    value_at },
+			   &head);
 	if (!err)
 		documents_advance_synced(p->to, head.through, NOW_NS);
 	return err;
@@ -254,15 +255,15 @@
 
 	put_large(p->from, 5);
 	fetch(p);
-	base = relay_base(p->to);
+	base = relay_select_base(p->to);
 	put_large(p->from, 9);
 	relay_encode(p->from, documents_synced(p->to), &base, &p->delta,
 		     p->body);
 	put_large(p->to, 8);
 	assert_int_equal(relay_decode((uint8_t *)p->body->str,
 				      (uint32_t)p->body->len,
-				      (struct relay_port){ p->to, begin_collect,
-							   value_at },
+				      (struct relay_receiver){
+					      p->to, begin_collect, value_at },
 				      &head),
 			 0);
 	assert_same(p);
@@ -275,13 +276,13 @@
 	struct relay_head head;
 
 	put_large(p->from, 5);
-	base = relay_base(p->from);
+	base = relay_select_base(p->from);
 	put_large(p->from, 9);
 	relay_encode(p->from, at(5), &base, &p->delta, p->body);
 	assert_int_equal(relay_decode((uint8_t *)p->body->str,
 				      (uint32_t)p->body->len,
-				      (struct relay_port){ p->to, begin_collect,
-							   value_at },
+				      (struct relay_receiver){
+					      p->to, begin_collect, value_at },
 				      &head),
 			 -ESTALE);
 	assert_int_equal(documents_count(p->to), 0);
@@ -294,7 +295,7 @@
 	struct relay_base base;
 
 	put_large(p->from, 5);
-	base = relay_base(p->from);
+	base = relay_select_base(p->from);
 	base.since.epoch = 1;
 	put_large(p->from, 9);
 	relay_encode(p->from, at(5), &base, &p->delta, p->body);
@@ -372,17 +373,17 @@
 
 	put_large(p->from, 5);
 	assert_int_equal(fetch(p), 0);
-	base = relay_base(p->to);
+	base = relay_select_base(p->to);
 	documents_advance_synced(p->from, (struct position){ 2, 23 }, NOW_NS);
 	relay_encode(p->from, documents_synced(p->to), &base, &p->delta,
 		     p->body);
 	asking = p->to;
-	assert_int_equal(relay_decode((uint8_t *)p->body->str,
-				      (uint32_t)p->body->len,
-				      (struct relay_port){ &named, begin_count,
-							   value_of_asking },
-				      &head),
-			 0);
+	assert_int_equal(
+		relay_decode((uint8_t *)p->body->str, (uint32_t)p->body->len,
+			     (struct relay_receiver){ &named, begin_count,
+						      value_of_asking },
+			     &head),
+		0);
 	assert_true(head.whole);
 	assert_int_equal(named, 1);
 	assert_true(p->body->len < 1000);
@@ -417,7 +418,7 @@
 	const GString *first;
 
 	put_large(p->from, 5);
-	base = relay_base(p->from);
+	base = relay_select_base(p->from);
 	put_large(p->from, 9);
 	relay_encode(p->from, at(5), &base, &p->delta, p->body);
 	first = p->delta.bytes;
@@ -445,8 +446,8 @@
 	for (uint32_t i = 0; i < p->body->len; i++)
 		assert_int_not_equal(
 			relay_decode((uint8_t *)p->body->str, i,
-				     (struct relay_port){ p->to, begin_collect,
-							  value_at },
+				     (struct relay_receiver){
+					     p->to, begin_collect, value_at },
 				     &head),
 			0);
 }
--- a/test/packet_settings_test.c
+++ b/test/packet_settings_test.c
@@ -1,4 +1,6 @@
-/* Settings of cb-packet: the example passes, every mistake is told. */
+/*
+ * Settings of cb-packet: the example is valid, and all mistakes are reported.
+ */
 #include "packet_settings.h"
 
 #include <errno.h>
@@ -13,7 +15,7 @@
 #define EXAMPLE "examples/settings/cb-packet.toml"
 #define TEMPLATE "platform/settings.template"
 
-static void test_example_passes(void **state)
+static void example_is_valid(void **state)
 {
 	struct packet_settings s;
 	struct mistakes m = { 0 };
@@ -29,8 +31,8 @@
 	mistakes_free(&m);
 }
 
-static uint32_t read_text(const char *text, int expected,
-			  struct packet_settings *s)
+static uint32_t read_settings(const char *text, int expected,
+			      struct packet_settings *s)
 {
 	struct mistakes m = { 0 };
 	char *path = NULL;
@@ -48,11 +50,11 @@
 	return n;
 }
 
-static uint32_t mistakes_in(const char *text, int expected)
+static uint32_t count_mistakes(const char *text, int expected)
 {
 	struct packet_settings s;
 
-	return read_text(text, expected, &s);
+	return read_settings(text, expected, &s);
 }
 
 #define COMPLETE                                                   \
@@ -62,77 +64,78 @@
 	"ready = \"127.0.0.1:4\"\n"
 
 /*
- * Symptom: no process starts on a deployment. Sequence: its bounds have
- * fractions, and go into the settings as they are. Cause: only whole seconds
- * were taken.
+ * A deployment has bounds with fractions of a second, which go into the
+ * settings unchanged. When only whole seconds are accepted, no process starts.
  */
-static void test_seconds_may_have_a_fraction(void **state)
+static void seconds_may_have_a_fraction(void **state)
 {
 	struct packet_settings s;
 
 	(void)state;
-	read_text(COMPLETE "[timing]\nflow_lifetime_s = 45.5\ngrace_s = 2.5\n",
-		  0, &s);
+	read_settings(COMPLETE
+		      "[timing]\nflow_lifetime_s = 45.5\ngrace_s = 2.5\n",
+		      0, &s);
 	assert_int_equal(s.flow_lifetime_ns, 45500 * NS_PER_MS);
 	assert_int_equal(s.grace_ns, 2500 * NS_PER_MS);
-	read_text(COMPLETE "[timing]\nflow_lifetime_s = 60.0\n", 0, &s);
+	read_settings(COMPLETE "[timing]\nflow_lifetime_s = 60.0\n", 0, &s);
 	assert_int_equal(s.flow_lifetime_ns, 60 * NS_PER_S);
-	assert_int_equal(mistakes_in(COMPLETE
-				     "[timing]\nflow_lifetime_s = nan\n"
-				     "grace_s = -1.5\n",
-				     -EINVAL),
+	assert_int_equal(count_mistakes(COMPLETE
+					"[timing]\nflow_lifetime_s = nan\n"
+					"grace_s = -1.5\n",
+					-EINVAL),
 			 2);
 }
 
-static void test_policy_keeps_what_is_not_set(void **state)
+static void unset_policy_keys_keep_defaults(void **state)
 {
 	struct packet_settings s;
 
 	(void)state;
-	assert_int_equal(read_text(COMPLETE "[policy]\nchoices = 3\n"
-					    "opening_due_ms = 80\n"
-					    "witness = false\n",
-				   0, &s),
+	assert_int_equal(read_settings(COMPLETE "[policy]\nchoices = 3\n"
+						"opening_due_ms = 80\n"
+						"witness = false\n",
+				       0, &s),
 			 0);
 	assert_int_equal(s.policy.choices, 3);
 	assert_int_equal(s.policy.opening_due_ns, 80 * NS_PER_MS);
 	assert_false(s.policy.witness);
 	assert_int_equal(s.policy.trial_odds, policy_default.trial_odds);
 	assert_true(s.policy.eject);
-	assert_int_equal(mistakes_in(COMPLETE "[policy]\nchoices = -1\n"
-					      "heartbeat_ms = 1\n"
-					      "witness = 1\nwitnes = true\n",
-				     -EINVAL),
+	assert_int_equal(count_mistakes(COMPLETE "[policy]\nchoices = -1\n"
+						 "heartbeat_ms = 1\n"
+						 "witness = 1\nwitnes = true\n",
+					-EINVAL),
 			 4);
-	assert_int_equal(mistakes_in("policy = 3\n" COMPLETE, -EINVAL), 1);
+	assert_int_equal(count_mistakes("policy = 3\n" COMPLETE, -EINVAL), 1);
 }
 
-static void test_every_mistake_is_told_at_once(void **state)
+static void all_mistakes_are_reported_at_once(void **state)
 {
 	(void)state;
 	assert_int_equal(
-		mistakes_in("[vm]\ndata_centre = 7\npeer = \"127.0.0.1\"\n"
-			    "[limits]\nflows = 5\nunknown = 1\n",
-			    -EINVAL),
+		count_mistakes("[vm]\ndata_centre = 7\npeer = \"127.0.0.1\"\n"
+			       "[limits]\nflows = 5\nunknown = 1\n",
+			       -EINVAL),
 		8);
-	assert_int_equal(mistakes_in("[vm\n", -EINVAL), 1);
+	assert_int_equal(count_mistakes("[vm\n", -EINVAL), 1);
 }
 
-static void test_two_listeners_on_one_address_clash(void **state)
+static void listeners_with_same_address_are_refused(void **state)
 {
 	(void)state;
 	assert_int_equal(
-		mistakes_in("[vm]\ndata_centre = \"g\"\n"
-			    "peer = \"127.0.0.1:1\"\nhttp = \"127.0.0.1:2\"\n"
-			    "[clients]\nlisten = \"127.0.0.1:1\"\n"
-			    "[platform]\naddress = \"127.0.0.2:1\"\n"
-			    "ready = \"127.0.0.1:2\"\n",
-			    -EINVAL),
+		count_mistakes(
+			"[vm]\ndata_centre = \"g\"\n"
+			"peer = \"127.0.0.1:1\"\nhttp = \"127.0.0.1:2\"\n"
+			"[clients]\nlisten = \"127.0.0.1:1\"\n"
+			"[platform]\naddress = \"127.0.0.2:1\"\n"
+			"ready = \"127.0.0.1:2\"\n",
+			-EINVAL),
 		2);
 }
 
-/* Every key that the platform's template fills in is one of ours. */
-static void test_template_names_our_keys(void **state)
+/* All keys in the settings template of the platform are known. */
+static void keys_of_platform_template_are_known(void **state)
 {
 	char *text = NULL;
 	GString *filled = g_string_new(NULL);
@@ -160,7 +163,7 @@
 					       (int)(open - lines[i]), lines[i],
 					       1000 + i);
 	}
-	assert_int_equal(mistakes_in(filled->str, 0), 0);
+	assert_int_equal(count_mistakes(filled->str, 0), 0);
 	g_strfreev(lines);
 	g_free(text);
 	g_string_free(filled, TRUE);
@@ -169,12 +172,12 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_example_passes),
-		cmocka_unit_test(test_seconds_may_have_a_fraction),
-		cmocka_unit_test(test_policy_keeps_what_is_not_set),
-		cmocka_unit_test(test_every_mistake_is_told_at_once),
-		cmocka_unit_test(test_two_listeners_on_one_address_clash),
-		cmocka_unit_test(test_template_names_our_keys),
+		cmocka_unit_test(example_is_valid),
+		cmocka_unit_test(seconds_may_have_a_fraction),
+		cmocka_unit_test(unset_policy_keys_keep_defaults),
+		cmocka_unit_test(all_mistakes_are_reported_at_once),
+		cmocka_unit_test(listeners_with_same_address_are_refused),
+		cmocka_unit_test(keys_of_platform_template_are_known),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/probe_outcome_test.c
+++ b/test/probe_outcome_test.c
@@ -1,4 +1,4 @@
-/* What connection attempts to doubted targets are taken for. */
+/* Outcomes of connection attempts to suspect targets. */
 #include "probe_outcome.h"
 
 #include <setjmp.h>
@@ -8,46 +8,51 @@
 #include <uv.h>
 
 /*
- * Symptom: thousands of live flows are reset while a fleet wakes. Sequence: a
- * target holds as many connections as it may, a request there goes unanswered,
- * and the entry that tries to connect is accepted and reset at once. Cause: that
- * was taken for a process that had ended, and all peers were told so.
+ * During a load spike a target has as many connections as it allows. A request
+ * there gets no answer, and the connection attempt of the entry is accepted and
+ * reset at once. If that counted as an ended process, the entry would report
+ * the target dead to all peers, and the flows of live targets would be reset.
  */
-static void test_reset_after_the_handshake_is_a_sign_of_life(void **state)
+static void reset_after_handshake_means_alive(void **state)
 {
 	(void)state;
-	assert_int_equal(probe_outcome(UV_ECONNRESET), PROBE_ACCEPTED);
+	assert_int_equal(probe_outcome_from_status(UV_ECONNRESET),
+			 PROBE_ACCEPTED);
 }
 
-static void test_nobody_listens(void **state)
+static void refused_connection_means_ended(void **state)
 {
 	(void)state;
-	assert_int_equal(probe_outcome(UV_ECONNREFUSED), PROBE_REFUSED);
+	assert_int_equal(probe_outcome_from_status(UV_ECONNREFUSED),
+			 PROBE_REFUSED);
 }
 
-static void test_no_answer(void **state)
+static void timeout_and_unreachable_mean_silent(void **state)
 {
 	(void)state;
-	assert_int_equal(probe_outcome(UV_ETIMEDOUT), PROBE_SILENT);
-	assert_int_equal(probe_outcome(UV_EHOSTUNREACH), PROBE_SILENT);
-	assert_int_equal(probe_outcome(UV_ENETUNREACH), PROBE_SILENT);
+	assert_int_equal(probe_outcome_from_status(UV_ETIMEDOUT), PROBE_SILENT);
+	assert_int_equal(probe_outcome_from_status(UV_EHOSTUNREACH),
+			 PROBE_SILENT);
+	assert_int_equal(probe_outcome_from_status(UV_ENETUNREACH),
+			 PROBE_SILENT);
 }
 
-static void test_own_shortage_says_nothing(void **state)
+static void local_resource_shortage_is_inconclusive(void **state)
 {
 	(void)state;
-	assert_int_equal(probe_outcome(UV_EMFILE), PROBE_INCONCLUSIVE);
-	assert_int_equal(probe_outcome(UV_ENOMEM), PROBE_INCONCLUSIVE);
+	assert_int_equal(probe_outcome_from_status(UV_EMFILE),
+			 PROBE_INCONCLUSIVE);
+	assert_int_equal(probe_outcome_from_status(UV_ENOMEM),
+			 PROBE_INCONCLUSIVE);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(
-			test_reset_after_the_handshake_is_a_sign_of_life),
-		cmocka_unit_test(test_nobody_listens),
-		cmocka_unit_test(test_no_answer),
-		cmocka_unit_test(test_own_shortage_says_nothing),
+		cmocka_unit_test(reset_after_handshake_means_alive),
+		cmocka_unit_test(refused_connection_means_ended),
+		cmocka_unit_test(timeout_and_unreachable_mean_silent),
+		cmocka_unit_test(local_resource_shortage_is_inconclusive),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/proxy2_test.c
+++ b/test/proxy2_test.c
@@ -12,7 +12,7 @@
 static const uint64_t caller = ADDR(0x7f460101, 40001);
 static const uint64_t vip = ADDR(0x7f46000a, 5683);
 
-static void test_round_trip(void **state)
+static void header_is_parsed_as_written(void **state)
 {
 	uint8_t buf[PROXY2_BYTES + 4] = { 0 };
 	uint64_t source;
@@ -27,11 +27,10 @@
 }
 
 /*
- * Symptom: the datagram's first bytes are read as part of the header.
- * Events: the fabric adds a field (TLV) behind the addresses.
- * Cause: the reader takes the header's size as fixed.
+ * The fabric adds a TLV field after the addresses. A parser that assumes a
+ * header of fixed size would read the field as the beginning of the datagram.
  */
-static void test_extra_fields_are_skipped(void **state)
+static void tlv_fields_are_skipped(void **state)
 {
 	uint8_t buf[PROXY2_BYTES + 5] = { 0 };
 	uint64_t source;
@@ -45,11 +44,11 @@
 }
 
 /*
- * Symptom: a read past the datagram, or a caller that nobody named.
- * Events: a datagram is cut short, or is no PROXY header at all.
- * Cause: a length taken from the datagram without a check.
+ * A datagram is truncated or has no PROXY header. A length that is used without
+ * a check would lead to a read past the datagram, or to the address of a caller
+ * that does not exist.
  */
-static void test_bad_headers_are_refused(void **state)
+static void malformed_headers_are_refused(void **state)
 {
 	uint8_t good[PROXY2_BYTES];
 	uint8_t bad[PROXY2_BYTES];
@@ -73,9 +72,9 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_round_trip),
-		cmocka_unit_test(test_extra_fields_are_skipped),
-		cmocka_unit_test(test_bad_headers_are_refused),
+		cmocka_unit_test(header_is_parsed_as_written),
+		cmocka_unit_test(tlv_fields_are_skipped),
+		cmocka_unit_test(malformed_headers_are_refused),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/publication_test.c
+++ b/test/publication_test.c
@@ -1,4 +1,7 @@
-/* Publications: rendered whole or refused whole, every mistake with its place. */
+/*
+ * Publications are rendered completely or refused; each mistake is reported
+ * with its document and line.
+ */
 #include <stdarg.h>
 #include <stddef.h>
 #include <stdint.h>
@@ -52,7 +55,7 @@
 	return publication_render("club", text, source, data_centre, m);
 }
 
-static struct account_conf *good(const char *text)
+static struct account_conf *render_valid(const char *text)
 {
 	struct mistakes m = { 0 };
 	struct account_conf *a = render(TEMPLATE, text, NULL, &m);
@@ -64,9 +67,9 @@
 	return a;
 }
 
-static void parameters_fill_a_template(void **unused)
+static void parameters_are_substituted_in_template(void **unused)
 {
-	struct account_conf *a = good(FILLED OWN_TARGET);
+	struct account_conf *a = render_valid(FILLED OWN_TARGET);
 	const struct service_conf *s = &a->services[0];
 
 	(void)unused;
@@ -85,7 +88,7 @@
 	account_free(a);
 }
 
-static void a_data_centre_gets_its_own_targets(void **unused)
+static void only_targets_of_data_centre_are_kept(void **unused)
 {
 	struct mistakes m = { 0 };
 	struct account_conf *a =
@@ -99,24 +102,25 @@
 	mistakes_free(&m);
 }
 
-static void rendered_text_stands_alone(void **unused)
+static void expanded_document_renders_to_same_account(void **unused)
 {
 	struct mistakes m = { 0 };
 	struct template_source source = { (void *)(uintptr_t)TEMPLATE, find };
-	char *text = publication_text("club", FILLED OWN_TARGET, source, &m);
-	struct account_conf *a = good(FILLED OWN_TARGET);
+	char *text = publication_expand("club", FILLED OWN_TARGET, source, &m);
+	struct account_conf *a = render_valid(FILLED OWN_TARGET);
 	struct account_conf *b = render(NULL, text, NULL, &m);
 
 	(void)unused;
 	assert_int_equal(m.n, 0);
 	assert_non_null(b);
-	assert_int_equal(publication_diff(a, b, (struct change_watch){ 0 }), 0);
+	assert_int_equal(publication_diff(a, b, (struct change_handler){ 0 }),
+			 0);
 	account_free(a);
 	account_free(b);
 	g_free(text);
 }
 
-struct bad {
+struct invalid {
 	const char *template;
 	const char *text;
 	const char *document;
@@ -132,7 +136,7 @@
 	"vip = \"127.1.0.1:1\"\n"
 #define WITH(line) ALONE line "\n"
 
-static const struct bad bads[] = {
+static const struct invalid invalid_cases[] = {
 	{ TEMPLATE, "generation = 7\ntemplate = \"u\"\n", "account/club", 2,
 	  "template", "no such template" },
 	{ TEMPLATE,
@@ -205,10 +209,10 @@
 	  "service", "a string" },
 };
 
-static bool told(const struct mistakes *m, const struct bad *b)
+static bool is_reported(const struct mistakes *m, const struct invalid *b)
 {
 	for (uint32_t i = 0; i < m->n; i++)
-		if (!m->list[i].warning &&
+		if (!m->list[i].is_warning &&
 		    !strcmp(m->list[i].document, b->document) &&
 		    m->list[i].line == b->line &&
 		    !strcmp(m->list[i].key, b->key) &&
@@ -219,30 +223,34 @@
 }
 
 /*
- * Symptom: half of a publication is in force. Events: one value of it is
- * wrong. Cause: a value was skipped instead of the whole being refused.
+ * A publication has one invalid value. If only that value were skipped, a part
+ * of the publication would be in force.
  */
-static void a_mistake_refuses_the_whole(void **unused)
+static void publication_with_a_mistake_is_refused_completely(void **unused)
 {
 	(void)unused;
-	for (size_t i = 0; i < sizeof(bads) / sizeof(bads[0]); i++) {
+	for (size_t i = 0; i < sizeof(invalid_cases) / sizeof(invalid_cases[0]);
+	     i++) {
 		struct mistakes m = { 0 };
 
-		assert_null(render(bads[i].template, bads[i].text, NULL, &m));
-		if (!told(&m, &bads[i])) {
+		assert_null(render(invalid_cases[i].template,
+				   invalid_cases[i].text, NULL, &m));
+		if (!is_reported(&m, &invalid_cases[i])) {
 			mistakes_print(&m, stderr);
-			fail_msg("case %zu not told: %s:%u %s: %s", i,
-				 bads[i].document, bads[i].line, bads[i].key,
-				 bads[i].problem);
+			fail_msg("case %zu is not reported: %s:%u %s: %s", i,
+				 invalid_cases[i].document,
+				 invalid_cases[i].line, invalid_cases[i].key,
+				 invalid_cases[i].problem);
 		}
 		mistakes_free(&m);
 	}
 }
 
-static bool warned(const struct mistakes *m, const char *key, const char *text)
+static bool has_warning(const struct mistakes *m, const char *key,
+			const char *text)
 {
 	for (uint32_t i = 0; i < m->n; i++)
-		if (m->list[i].warning && !strcmp(m->list[i].key, key) &&
+		if (m->list[i].is_warning && !strcmp(m->list[i].key, key) &&
 		    strstr(m->list[i].problem, text))
 			return true;
 	return false;
@@ -261,8 +269,8 @@
 
 static void compare(const char *old, const char *new, struct mistakes *m)
 {
-	struct account_conf *a = good(old);
-	struct account_conf *b = good(new);
+	struct account_conf *a = render_valid(old);
+	struct account_conf *b = render_valid(new);
 
 	publication_compare(a, b, m);
 	account_free(a);
@@ -270,18 +278,19 @@
 }
 
 /*
- * Symptom: feeds break at a planned change. Events: a target leaves the
- * publication while it still holds feeds. Cause: nobody said it has to drain.
+ * A target is removed from the publication while it still has feeds, which
+ * would break without a warning to the operator.
  */
-static void a_target_that_goes_undrained_is_warned_of(void **unused)
+static void removal_of_undrained_target_is_warned(void **unused)
 {
 	struct mistakes m = { 0 };
 
 	(void)unused;
 	compare("generation = 1\n" BOTH, "generation = 2\n" FIRST, &m);
 	assert_int_equal(m.n_errors, 0);
-	assert_true(warned(&m, "a.127.2.0.2:1", "undrained"));
-	assert_true(warned(&m, "a.connections", "offer 2000, before 4000"));
+	assert_true(has_warning(&m, "a.127.2.0.2:1", "undrained"));
+	assert_true(
+		has_warning(&m, "a.connections", "offer 2000, before 4000"));
 	mistakes_free(&m);
 	compare("generation = 1\n" BOTH "state = \"draining\"\n",
 		"generation = 2\n" FIRST, &m);
@@ -289,7 +298,7 @@
 	mistakes_free(&m);
 }
 
-static void a_service_that_moves_is_warned_of(void **unused)
+static void change_of_vip_or_protocol_is_warned(void **unused)
 {
 	struct mistakes m = { 0 };
 
@@ -298,20 +307,20 @@
 		"generation = 2\n[[service]]\nname = \"a\"\n"
 		"vip = \"127.1.0.9:1\"\nprotocol = \"udp\"\n",
 		&m);
-	assert_true(warned(&m, "a.vip", "orphaned"));
-	assert_true(warned(&m, "a.protocol", "another protocol"));
-	assert_true(warned(&m, "a", "no target is up"));
+	assert_true(has_warning(&m, "a.vip", "orphaned"));
+	assert_true(has_warning(&m, "a.protocol", "another protocol"));
+	assert_true(has_warning(&m, "a", "no target is up"));
 	mistakes_free(&m);
 	compare("generation = 1\n" FIRST, "generation = 2\n", &m);
-	assert_true(warned(&m, "a", "orphaned"));
+	assert_true(has_warning(&m, "a", "orphaned"));
 	mistakes_free(&m);
 }
 
 /*
- * Symptom: a change is published and no VM takes it. Events: the operator
- * left the generation as it was. Cause: VMs keep the highest they have seen.
+ * An account is changed without a higher generation. VMs keep the version with
+ * the highest generation, so the change would have no effect.
  */
-static void a_change_without_a_new_generation_is_refused(void **unused)
+static void change_without_higher_generation_is_refused(void **unused)
 {
 	struct mistakes m = { 0 };
 
@@ -319,22 +328,22 @@
 	compare("generation = 3\n" FIRST, "generation = 3\n" FIRST, &m);
 	assert_int_equal(m.n, 0);
 	compare("generation = 3\n" FIRST, "generation = 30000000\n" FIRST, &m);
-	assert_true(warned(&m, "generation", "jumps from 3"));
+	assert_true(has_warning(&m, "generation", "jumps from 3"));
 	mistakes_free(&m);
 	compare("generation = 3\n" FIRST, "generation = 3\n" BOTH, &m);
 	assert_int_equal(m.n_errors, 1);
 	mistakes_free(&m);
 }
 
-static void fleet_mistakes(const char *other, uint32_t n_errors)
+static void check_against_other_account(const char *other, uint32_t n_errors)
 {
 	struct template_source source = { (void *)(uintptr_t)TEMPLATE, find };
 	struct mistakes m = { 0 };
-	struct account_conf *a = good("generation = 1\n" FIRST);
-	struct account_conf *b = good(other);
+	struct account_conf *a = render_valid("generation = 1\n" FIRST);
+	struct account_conf *b = render_valid(other);
 	struct vips *v = vips_new();
 
-	vips_put(v, "club", a);
+	vips_set(v, "club", a);
 	vips_check(v, "other", other, source, &m);
 	assert_int_equal(m.n_errors, n_errors);
 	for (uint32_t i = 0; i < m.n; i++)
@@ -346,27 +355,31 @@
 }
 
 /*
- * Symptom: a request lands in another account's service. Events: two accounts
- * publish one VIP, or a VIP that is a target of the other. Cause: each account
- * is right by itself.
+ * Two accounts publish the same VIP, or one a VIP that is a target of the
+ * other. Each account is valid by itself, but requests would reach the service
+ * of the wrong account.
  */
-static void a_vip_belongs_to_one_service_of_the_fleet(void **unused)
+static void endpoint_conflicts_between_accounts_are_refused(void **unused)
 {
 	(void)unused;
-	fleet_mistakes("generation = 1\n[[service]]\nname = \"x\"\n"
-		       "vip = \"127.1.0.1:1\"\n",
-		       1);
-	fleet_mistakes("generation = 1\n[[service]]\nname = \"x\"\n"
-		       "vip = \"127.2.0.1:1\"\n",
-		       1);
-	fleet_mistakes("generation = 1\n[[service]]\nname = \"x\"\n"
-		       "vip = \"127.1.0.1:2\"\n",
-		       0);
-	fleet_mistakes("generation = 1\n[[service]]\nname = \"x\"\n"
-		       "vip = \"127.1.0.1:2\"\n"
-		       "[[service.target]]\naddress = \"127.1.0.1:1\"\n"
-		       "data_centre = \"garda\"\n",
-		       1);
+	check_against_other_account(
+		"generation = 1\n[[service]]\nname = \"x\"\n"
+		"vip = \"127.1.0.1:1\"\n",
+		1);
+	check_against_other_account(
+		"generation = 1\n[[service]]\nname = \"x\"\n"
+		"vip = \"127.2.0.1:1\"\n",
+		1);
+	check_against_other_account(
+		"generation = 1\n[[service]]\nname = \"x\"\n"
+		"vip = \"127.1.0.1:2\"\n",
+		0);
+	check_against_other_account(
+		"generation = 1\n[[service]]\nname = \"x\"\n"
+		"vip = \"127.1.0.1:2\"\n"
+		"[[service.target]]\naddress = \"127.1.0.1:1\"\n"
+		"data_centre = \"garda\"\n",
+		1);
 }
 
 static const char *find_example(void *ctx, const char *name)
@@ -375,8 +388,8 @@
 	return ctx;
 }
 
-static void example(const char *dir, const char *template, const char *account,
-		    uint32_t live, uint32_t ingest)
+static void check_example(const char *dir, const char *template,
+			  const char *account, uint32_t live, uint32_t ingest)
 {
 	char *t = NULL;
 	char *a = NULL;
@@ -400,26 +413,28 @@
 	g_free(a);
 }
 
-static void the_examples_render(void **unused)
+static void examples_are_rendered(void **unused)
 {
 	(void)unused;
-	example("demo", "sailing", "ventolario", 6, 3);
-	example("ventolario", "sailing", "ventolario", 15, 4);
-	example("tshwane", "pipewatch", "tshwane-metro-gas", 15, 4);
+	check_example("demo", "sailing", "ventolario", 6, 3);
+	check_example("ventolario", "sailing", "ventolario", 15, 4);
+	check_example("tshwane", "pipewatch", "tshwane-metro-gas", 15, 4);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(parameters_fill_a_template),
-		cmocka_unit_test(a_data_centre_gets_its_own_targets),
-		cmocka_unit_test(rendered_text_stands_alone),
-		cmocka_unit_test(a_mistake_refuses_the_whole),
-		cmocka_unit_test(a_target_that_goes_undrained_is_warned_of),
-		cmocka_unit_test(a_service_that_moves_is_warned_of),
-		cmocka_unit_test(a_change_without_a_new_generation_is_refused),
-		cmocka_unit_test(a_vip_belongs_to_one_service_of_the_fleet),
-		cmocka_unit_test(the_examples_render),
+		cmocka_unit_test(parameters_are_substituted_in_template),
+		cmocka_unit_test(only_targets_of_data_centre_are_kept),
+		cmocka_unit_test(expanded_document_renders_to_same_account),
+		cmocka_unit_test(
+			publication_with_a_mistake_is_refused_completely),
+		cmocka_unit_test(removal_of_undrained_target_is_warned),
+		cmocka_unit_test(change_of_vip_or_protocol_is_warned),
+		cmocka_unit_test(change_without_higher_generation_is_refused),
+		cmocka_unit_test(
+			endpoint_conflicts_between_accounts_are_refused),
+		cmocka_unit_test(examples_are_rendered),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/settings_test.c
+++ b/test/settings_test.c
@@ -1,4 +1,7 @@
-/* Settings: the examples pass; every mistake is told with its line. */
+/*
+ * Settings of cb-entry and cb-watch: the examples are valid, and each mistake
+ * is reported with its line.
+ */
 #include <stdarg.h>
 #include <stddef.h>
 #include <stdint.h>
@@ -16,13 +19,13 @@
 #define WATCH_EXAMPLE "examples/settings/cb-watch.toml"
 #define EXPECT_MAX 12
 
-struct expect {
+struct expected_mistake {
 	uint32_t line;
 	const char *key;
 	const char *problem;
 };
 
-static char *file_with(const char *text)
+static char *write_file(const char *text)
 {
 	char *path = NULL;
 	int fd = g_file_open_tmp("cb-settings-XXXXXX", &path, NULL);
@@ -33,7 +36,8 @@
 	return path;
 }
 
-static bool told(const struct mistakes *m, const struct expect *e)
+static bool is_reported(const struct mistakes *m,
+			const struct expected_mistake *e)
 {
 	for (uint32_t i = 0; i < m->n; i++)
 		if (m->list[i].line == e->line &&
@@ -44,14 +48,14 @@
 	return false;
 }
 
-static void expect_all(struct mistakes *m, const struct expect *e)
+static void check_mistakes(struct mistakes *m, const struct expected_mistake *e)
 {
 	uint32_t n = 0;
 
 	for (; e[n].problem; n++)
-		if (!told(m, &e[n])) {
+		if (!is_reported(m, &e[n])) {
 			mistakes_print(m, stderr);
-			fail_msg("not told: line %u %s: %s", e[n].line,
+			fail_msg("not reported: line %u %s: %s", e[n].line,
 				 e[n].key, e[n].problem);
 		}
 	if (m->n != n)
@@ -60,31 +64,33 @@
 	mistakes_free(m);
 }
 
-static void entry_mistakes(const char *text, const struct expect *e)
+static void check_entry_mistakes(const char *text,
+				 const struct expected_mistake *e)
 {
 	struct entry_settings s;
 	struct mistakes m = { 0 };
-	char *path = file_with(text);
+	char *path = write_file(text);
 
 	assert_int_equal(entry_settings_read(path, &s, &m), -EINVAL);
-	expect_all(&m, e);
+	check_mistakes(&m, e);
 	g_unlink(path);
 	g_free(path);
 }
 
-static void watch_mistakes(const char *text, const struct expect *e)
+static void check_watch_mistakes(const char *text,
+				 const struct expected_mistake *e)
 {
 	struct watch_settings s;
 	struct mistakes m = { 0 };
-	char *path = file_with(text);
+	char *path = write_file(text);
 
 	assert_int_equal(watch_settings_read(path, &s, &m), -EINVAL);
-	expect_all(&m, e);
+	check_mistakes(&m, e);
 	g_unlink(path);
 	g_free(path);
 }
 
-static void the_examples_are_read(void **unused)
+static void examples_are_valid(void **unused)
 {
 	struct entry_settings e;
 	struct watch_settings w;
@@ -108,7 +114,7 @@
 }
 
 #define KEY64 "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff"
-#define ENTRY_LEAST                          \
+#define ENTRY_MINIMUM                        \
 	"[vm]\n"                             \
 	"data_centre = \"garda\"\n"          \
 	"peer = \"127.0.1.1:7000\"\n"        \
@@ -116,9 +122,9 @@
 	"watch = \"tcp://127.0.1.1:7002\"\n" \
 	"key = \"" KEY64 "\"\n"
 
-static void what_is_left_out_takes_its_default(void **unused)
+static void missing_optional_keys_get_defaults(void **unused)
 {
-	char *path = file_with(ENTRY_LEAST "[callers]\nmode = \"direct\"\n");
+	char *path = write_file(ENTRY_MINIMUM "[callers]\nmode = \"direct\"\n");
 	struct entry_settings s;
 	struct mistakes m = { 0 };
 
@@ -136,69 +142,69 @@
 }
 
 /*
- * Symptom: an operator mends one line, starts again, is told of the next.
- * Events: a file with many mistakes. Cause: reading that stops at the first.
+ * A file has many mistakes. If reading stopped at the first, an operator would
+ * have to correct one and start again to see the next.
  */
-static void all_mistakes_are_told_at_once(void **unused)
+static void all_mistakes_are_reported_at_once(void **unused)
 {
 	(void)unused;
-	entry_mistakes(
-		"[vm]\n"
-		"data_centre = 3\n"
-		"peer = \"127.0.1.1\"\n"
-		"http = \"127.0.1.1:70800\"\n"
-		"watch = \"127.0.1.1:7002\"\n"
-		"key = \"0011\"\n"
-		"colour = \"red\"\n"
-		"[callers]\n"
-		"mode = \"fabrik\"\n"
-		"[limits]\n"
-		"feeds = 3\n"
-		"flows = \"many\"\n"
-		"[log]\n"
-		"level = \"loud\"\n"
-		"[extra]\n"
-		"a = 1\n",
-		(const struct expect[]){ { 2, "vm.data_centre", "an integer" },
-					 { 3, "vm.peer", "not valid" },
-					 { 4, "vm.http", "not valid" },
-					 { 5, "vm.watch", "not valid" },
-					 { 6, "vm.key", "not valid" },
-					 { 7, "vm.colour", "unknown key" },
-					 { 9, "callers.mode", "fabrik" },
-					 { 11, "limits.feeds", "out of range" },
-					 { 12, "limits.flows", "a string" },
-					 { 14, "log.level", "loud" },
-					 { 15, "extra", "unknown section" },
-					 { 0 } });
+	check_entry_mistakes("[vm]\n"
+			     "data_centre = 3\n"
+			     "peer = \"127.0.1.1\"\n"
+			     "http = \"127.0.1.1:70800\"\n"
+			     "watch = \"127.0.1.1:7002\"\n"
+			     "key = \"0011\"\n"
+			     "colour = \"red\"\n"
+			     "[callers]\n"
+			     "mode = \"fabrik\"\n"
+			     "[limits]\n"
+			     "feeds = 3\n"
+			     "flows = \"many\"\n"
+			     "[log]\n"
+			     "level = \"loud\"\n"
+			     "[extra]\n"
+			     "a = 1\n",
+			     (const struct expected_mistake[]){
+				     { 2, "vm.data_centre", "an integer" },
+				     { 3, "vm.peer", "not valid" },
+				     { 4, "vm.http", "not valid" },
+				     { 5, "vm.watch", "not valid" },
+				     { 6, "vm.key", "not valid" },
+				     { 7, "vm.colour", "unknown key" },
+				     { 9, "callers.mode", "fabrik" },
+				     { 11, "limits.feeds", "out of range" },
+				     { 12, "limits.flows", "a string" },
+				     { 14, "log.level", "loud" },
+				     { 15, "extra", "unknown section" },
+				     { 0 } });
 }
 
-static void missing_keys_are_told(void **unused)
+static void missing_required_keys_are_reported(void **unused)
 {
 	(void)unused;
-	entry_mistakes(
-		"[log]\nlevel = \"info\"\n",
-		(const struct expect[]){ { 1, "vm.data_centre", "missing" },
-					 { 1, "vm.peer", "missing" },
-					 { 1, "vm.http", "missing" },
-					 { 1, "vm.watch", "missing" },
-					 { 1, "vm.key", "missing" },
-					 { 0 } });
-	entry_mistakes(ENTRY_LEAST, (const struct expect[]){
-					    { 1, "callers.listen", "missing" },
-					    { 1, "callers.fabric", "missing" },
-					    { 0 } });
+	check_entry_mistakes("[log]\nlevel = \"info\"\n",
+			     (const struct expected_mistake[]){
+				     { 1, "vm.data_centre", "missing" },
+				     { 1, "vm.peer", "missing" },
+				     { 1, "vm.http", "missing" },
+				     { 1, "vm.watch", "missing" },
+				     { 1, "vm.key", "missing" },
+				     { 0 } });
+	check_entry_mistakes(ENTRY_MINIMUM,
+			     (const struct expected_mistake[]){
+				     { 1, "callers.listen", "missing" },
+				     { 1, "callers.fabric", "missing" },
+				     { 0 } });
 }
 
 /*
- * Symptom: one of two sockets can't be bound, at start or, worse, answers go
- * to the wrong one. Events: two keys name one endpoint. Cause: each key is
- * right by itself.
+ * Two keys have the same endpoint; each is valid by itself. One of the two
+ * sockets could not be bound, or answers would go to the wrong one.
  */
-static void endpoints_that_clash_are_told(void **unused)
+static void listeners_with_same_endpoint_are_refused(void **unused)
 {
 	(void)unused;
-	entry_mistakes(
+	check_entry_mistakes(
 		"[vm]\n"
 		"data_centre = \"garda\"\n"
 		"peer = \"127.0.1.1:7000\"\n"
@@ -208,61 +214,66 @@
 		"[callers]\n"
 		"listen = \"127.0.1.1:7000\"\n"
 		"fabric = \"127.0.0.2:7080\"\n",
-		(const struct expect[]){
+		(const struct expected_mistake[]){
 			{ 5, "vm.watch", "same address as vm.http" },
 			{ 8, "callers.listen", "same address as vm.peer" },
 			{ 0 } });
 }
 
-static void values_that_contradict_are_told(void **unused)
+static void contradictory_values_are_refused(void **unused)
 {
 	(void)unused;
-	entry_mistakes(ENTRY_LEAST "[callers]\nmode = \"direct\"\n"
-				   "[timing]\nprobe_timeout_ms = 200\n",
-		       (const struct expect[]){
-			       { 10, "timing.probe_timeout_ms", "not below" },
-			       { 0 } });
-	watch_mistakes("[vm]\n"
-		       "data_centre = \"garda\"\n"
-		       "peer = \"127.0.1.1:7000\"\n"
-		       "listen = \"tcp://127.0.1.1:7002\"\n"
-		       "port = 7003\n"
-		       "http = \"127.0.1.1:7081\"\n"
-		       "key = \"" KEY64 "\"\n"
-		       "[platform]\n"
-		       "url = \"http://127.0.0.1:7500\"\n",
-		       (const struct expect[]){ { 5, "vm.port", "differs" },
-						{ 0 } });
+	check_entry_mistakes(
+		ENTRY_MINIMUM "[callers]\nmode = \"direct\"\n"
+			      "[timing]\nprobe_timeout_ms = 200\n",
+		(const struct expected_mistake[]){
+			{ 10, "timing.probe_timeout_ms", "not below" },
+			{ 0 } });
+	check_watch_mistakes("[vm]\n"
+			     "data_centre = \"garda\"\n"
+			     "peer = \"127.0.1.1:7000\"\n"
+			     "listen = \"tcp://127.0.1.1:7002\"\n"
+			     "port = 7003\n"
+			     "http = \"127.0.1.1:7081\"\n"
+			     "key = \"" KEY64 "\"\n"
+			     "[platform]\n"
+			     "url = \"http://127.0.0.1:7500\"\n",
+			     (const struct expected_mistake[]){
+				     { 5, "vm.port", "differs" }, { 0 } });
 }
 
-static void text_that_is_no_toml_is_told(void **unused)
+static void invalid_toml_is_reported(void **unused)
 {
 	struct entry_settings s;
 	struct mistakes m = { 0 };
 
 	(void)unused;
-	entry_mistakes("[vm]\npeer = \n",
-		       (const struct expect[]){ { 2, "", "missing value" },
-						{ 0 } });
-	entry_mistakes("vm = 1\n", (const struct expect[]){
-					   { 1, "vm", "an integer" },
-					   { 1, "vm.data_centre", "missing" },
-					   { 1, "vm.peer", "missing" },
-					   { 1, "vm.http", "missing" },
-					   { 1, "vm.watch", "missing" },
-					   { 1, "vm.key", "missing" },
-					   { 0 } });
+	check_entry_mistakes("[vm]\npeer = \n",
+			     (const struct expected_mistake[]){
+				     { 2, "", "missing value" }, { 0 } });
+	check_entry_mistakes("vm = 1\n",
+			     (const struct expected_mistake[]){
+				     { 1, "vm", "an integer" },
+				     { 1, "vm.data_centre", "missing" },
+				     { 1, "vm.peer", "missing" },
+				     { 1, "vm.http", "missing" },
+				     { 1, "vm.watch", "missing" },
+				     { 1, "vm.key", "missing" },
+				     { 0 } });
 	assert_int_equal(entry_settings_read("no/such/file", &s, &m), -ENOENT);
 	assert_int_equal(m.n, 1);
 	mistakes_free(&m);
 }
 
-/* A key would stand in the log of whoever starts the program. */
-static void a_wrong_key_is_not_printed(void **unused)
+/*
+ * The message may be logged by whoever starts the program, and must not contain
+ * the shared key.
+ */
+static void invalid_shared_key_is_not_printed(void **unused)
 {
 	struct entry_settings s;
 	struct mistakes m = { 0 };
-	char *path = file_with("[vm]\nkey = \"5ec2e7\"\n");
+	char *path = write_file("[vm]\nkey = \"5ec2e7\"\n");
 
 	(void)unused;
 	assert_int_equal(entry_settings_read(path, &s, &m), -EINVAL);
@@ -273,7 +284,7 @@
 	g_free(path);
 }
 
-static void addresses_are_read_and_written(void **unused)
+static void addresses_are_parsed_and_formatted(void **unused)
 {
 	static const char *const bad[] = { "",
 					   "127.0.0.1",
@@ -304,15 +315,15 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(the_examples_are_read),
-		cmocka_unit_test(what_is_left_out_takes_its_default),
-		cmocka_unit_test(all_mistakes_are_told_at_once),
-		cmocka_unit_test(missing_keys_are_told),
-		cmocka_unit_test(endpoints_that_clash_are_told),
-		cmocka_unit_test(values_that_contradict_are_told),
-		cmocka_unit_test(text_that_is_no_toml_is_told),
-		cmocka_unit_test(a_wrong_key_is_not_printed),
-		cmocka_unit_test(addresses_are_read_and_written),
+		cmocka_unit_test(examples_are_valid),
+		cmocka_unit_test(missing_optional_keys_get_defaults),
+		cmocka_unit_test(all_mistakes_are_reported_at_once),
+		cmocka_unit_test(missing_required_keys_are_reported),
+		cmocka_unit_test(listeners_with_same_endpoint_are_refused),
+		cmocka_unit_test(contradictory_values_are_refused),
+		cmocka_unit_test(invalid_toml_is_reported),
+		cmocka_unit_test(invalid_shared_key_is_not_printed),
+		cmocka_unit_test(addresses_are_parsed_and_formatted),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/tally_test.c
+++ b/test/tally_test.c
@@ -1,4 +1,4 @@
-/* Comparison of callers' records with run logs. */
+/* Comparison of the records of callers with the run logs of targets. */
 #include "tally.h"
 
 #include <setjmp.h>
@@ -20,7 +20,7 @@
 	return t;
 }
 
-static void test_clean_run(void **state)
+static void clean_run_passes(void **state)
 {
 	const struct call_record calls[] = {
 		{ .id = 1,
@@ -41,20 +41,20 @@
 	struct tally t = compare(calls, 4, runs, 4);
 
 	(void)state;
-	assert_true(tally_clean(&t));
+	assert_true(tally_is_clean(&t));
 	assert_int_equal(t.sum.requests, 4);
 	assert_int_equal(t.sum.answered, 2);
 	assert_int_equal(t.sum.refused, 1);
 	assert_int_equal(t.sum.unknown, 1);
-	assert_int_equal(t.strangers, 1);
+	assert_int_equal(t.unknown_runs, 1);
 }
 
 /*
- * Symptom: a report stands twice in the logs although its caller got one
- * answer. Two entries each sent it, to different targets. A forecast that
- * ran twice is no fault: GET is idempotent.
+ * Two entries send a report to different targets: it runs twice, although its
+ * caller gets one answer. A forecast that runs twice is no fault, since GET is
+ * idempotent.
  */
-static void test_doubled(void **state)
+static void report_that_ran_twice_is_doubled(void **state)
 {
 	const struct call_record calls[] = {
 		{ .id = 1, .kind = CALL_REPORT, .end = CALL_ANSWERED },
@@ -68,14 +68,11 @@
 	assert_int_equal(t.sum.doubled, 1);
 	assert_int_equal(tally_weighted_ventolario(&t), 2);
 	assert_int_equal(tally_weighted_tshwane(&t), 1);
-	assert_false(tally_clean(&t));
+	assert_false(tally_is_clean(&t));
 }
 
-/*
- * Symptom: the caller was told "not run" but the target ran the request.
- * The balancer gave up on a request that was already under way.
- */
-static void test_false_not_run(void **state)
+/* The balancer refuses a request as not run after a target has started it. */
+static void refused_report_that_ran_fails_the_run(void **state)
 {
 	const struct call_record call = { .id = 1,
 					  .kind = CALL_REPORT,
@@ -86,15 +83,15 @@
 	(void)state;
 	assert_int_equal(t.sum.false_not_run, 1);
 	assert_int_equal(tally_weighted_ventolario(&t), 2);
-	assert_false(tally_clean(&t));
+	assert_false(tally_is_clean(&t));
 }
 
 /*
- * Symptoms: a report ran in the ingest service; an answer of another request
- * came; a service of another name answered. A token was given to two requests
- * at once, or an entry routed by an address list that had changed.
+ * A report runs at the ingest service, a caller gets the answer of another
+ * request, or a service of another name answers. This happens when a token is
+ * in use for two requests, or an entry routes by an outdated list of addresses.
  */
-static void test_misrouted(void **state)
+static void answers_and_runs_of_wrong_service_are_misrouted(void **state)
 {
 	const struct call_record calls[] = {
 		{ .id = 1, .kind = CALL_REPORT, .end = CALL_ANSWERED },
@@ -110,21 +107,21 @@
 		{ .id = 4,
 		  .kind = CALL_FEED,
 		  .end = CALL_ANSWERED,
-		  .crossed = 1 },
+		  .mismatched = 1 },
 	};
 	const struct run_record run = RUN(1, "ingest");
 	struct tally t = compare(calls, 4, &run, 1);
 
 	(void)state;
 	assert_int_equal(t.sum.misrouted, 4);
-	assert_false(tally_clean(&t));
+	assert_false(tally_is_clean(&t));
 }
 
 /*
- * Symptoms: no answer, half an upload, a feed that stalled. Each must fail
- * the run by itself, and only feeds count as broken flows.
+ * A request without an answer, a truncated upload and a stalled feed: each one
+ * fails the run by itself. The total of broken flows counts feeds only.
  */
-static void test_lost_cut_broken(void **state)
+static void lost_cut_and_stalled_requests_fail_the_run(void **state)
 {
 	const struct call_record lost = { .id = 1,
 					  .kind = CALL_REPORT,
@@ -144,36 +141,40 @@
 	assert_int_equal(t.sum.lost, 1);
 	assert_int_equal(t.sum.broken, 0);
 	assert_int_equal(t.kind[CALL_REPORT].broken, 1);
-	assert_false(tally_clean(&t));
+	assert_false(tally_is_clean(&t));
 	t = compare(&open, 1, NULL, 0);
 	assert_int_equal(t.sum.lost, 1);
 	t = compare(&cut, 1, NULL, 0);
 	assert_int_equal(t.sum.cut, 1);
-	assert_false(tally_clean(&t));
+	assert_false(tally_is_clean(&t));
 	t = compare(&stalled, 1, NULL, 0);
 	assert_int_equal(t.sum.broken, 1);
-	assert_false(tally_clean(&t));
+	assert_false(tally_is_clean(&t));
 }
 
-static void test_parse(void **state)
+static void truncated_lines_and_answers_are_refused(void **state)
 {
 	struct run_record r;
 	char service[SERVICE_MAX_BYTES];
 	uint64_t id;
 
 	(void)state;
-	assert_int_equal(run_parse("run 00000000000000ff live /report POST "
-				   "t1 77\n",
-				   &r),
-			 0);
+	assert_int_equal(
+		run_record_parse("run 00000000000000ff live /report POST "
+				 "t1 77\n",
+				 &r),
+		0);
 	assert_int_equal(r.id, 0xff);
 	assert_int_equal(r.at_ms, 77);
 	assert_string_equal(r.service, "live");
 	assert_string_equal(r.target, "t1");
-	/* A target was killed while it wrote: the line has no end. */
-	assert_true(run_parse("run 00000000000000ff live /report POST t1 7",
-			      &r) < 0);
-	assert_true(run_parse("target t1 live\n", &r) < 0);
+	/*
+	 * A target that is killed while it writes leaves a line without an end.
+	 */
+	assert_true(
+		run_record_parse("run 00000000000000ff live /report POST t1 7",
+				 &r) < 0);
+	assert_true(run_record_parse("target t1 live\n", &r) < 0);
 	assert_int_equal(answer_parse("00000000000000ff live t1 3", 26, &id,
 				      service),
 			 0);
@@ -184,11 +185,11 @@
 }
 
 /*
- * Symptom: one target of two is given all the work, and its idle neighbour
- * has an empty log. Were the mean taken over targets that ran something, the
- * figure would be 1.0, which is "even".
+ * One of two targets gets all requests, and the log of the other is empty. The
+ * mean has to include targets without runs; otherwise the imbalance would be
+ * 1.0, which means even.
  */
-static void test_imbalance(void **state)
+static void imbalance_includes_idle_targets(void **state)
 {
 	struct run_record runs[40];
 	const uint8_t live[] = { 1, 1, 0 };
@@ -205,7 +206,7 @@
 		runs[i].log = i % 2;
 	r = tally_imbalance(runs, 40, "live", live, 3, &windows);
 	assert_true(r == 1.0);
-	/* Too little work to tell. */
+	/* Too few runs for a result. */
 	r = tally_imbalance(runs, 10, "live", live, 3, &windows);
 	assert_int_equal(windows, 0);
 	assert_true(r == 0.0);
@@ -214,13 +215,14 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_clean_run),
-		cmocka_unit_test(test_doubled),
-		cmocka_unit_test(test_false_not_run),
-		cmocka_unit_test(test_misrouted),
-		cmocka_unit_test(test_lost_cut_broken),
-		cmocka_unit_test(test_parse),
-		cmocka_unit_test(test_imbalance),
+		cmocka_unit_test(clean_run_passes),
+		cmocka_unit_test(report_that_ran_twice_is_doubled),
+		cmocka_unit_test(refused_report_that_ran_fails_the_run),
+		cmocka_unit_test(
+			answers_and_runs_of_wrong_service_are_misrouted),
+		cmocka_unit_test(lost_cut_and_stalled_requests_fail_the_run),
+		cmocka_unit_test(truncated_lines_and_answers_are_refused),
+		cmocka_unit_test(imbalance_includes_idle_targets),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/toml_prop.cc
+++ b/test/toml_prop.cc
@@ -1,5 +1,5 @@
-// Properties of documents: no text stops the process, and a valid document
-// that was damaged renders or is refused with a mistake, never anything else.
+// Properties of documents: no text crashes the process, and a valid document
+// with random changes is rendered or refused with a mistake.
 #include <rapidcheck.h>
 
 #include <fstream>
@@ -7,7 +7,7 @@
 #include <string>
 
 extern "C" {
-#define class class_of_requests // C's member name is C++'s keyword
+#define class class_of_requests // a member's name, which is a C++ keyword
 #include "publication.h"
 #undef class
 #include "settings.h"
@@ -33,7 +33,7 @@
 	return static_cast<const std::string *>(ctx)->c_str();
 }
 
-// True when it rendered; a refusal without a mistake fails the property.
+// Whether the account is rendered; fails when it is refused without a mistake.
 static bool render(const std::string &account, std::string text_of_template)
 {
 	struct mistakes m = {};
@@ -73,45 +73,45 @@
 	return s;
 }
 
-static std::string pieces()
+static std::string random_tokens()
 {
-	static const std::vector<std::string> words = { "[",
-							"]",
-							"[[",
-							"]]",
-							"{",
-							"}",
-							"=",
-							"a",
-							"b.c",
-							"\"",
-							"'",
-							"\"\"\"",
-							"1",
-							"-0x",
-							"1e9",
-							"true",
-							"\n",
-							",",
-							"#",
-							"\\u0000",
-							"${a}",
-							"nan",
-							"99999999999999999999",
-							"1979-05-27",
-							" " };
+	static const std::vector<std::string> tokens = { "[",
+							 "]",
+							 "[[",
+							 "]]",
+							 "{",
+							 "}",
+							 "=",
+							 "a",
+							 "b.c",
+							 "\"",
+							 "'",
+							 "\"\"\"",
+							 "1",
+							 "-0x",
+							 "1e9",
+							 "true",
+							 "\n",
+							 ",",
+							 "#",
+							 "\\u0000",
+							 "${a}",
+							 "nan",
+							 "99999999999999999999",
+							 "1979-05-27",
+							 " " };
 	std::string s;
 
 	for (const auto &w : *rc::gen::container<std::vector<std::string>>(
-		     rc::gen::elementOf(words)))
+		     rc::gen::elementOf(tokens)))
 		s += w;
 	return s;
 }
 
-static void read_whole(const std::string &s)
+static void parse_document(const std::string &s)
 {
 	struct mistakes m = {};
-	struct toml_node *root = toml_read("d", s.data(), s.size(), &m);
+	struct toml_node *root = toml_parse("d", s.data(), s.size(), &m);
 
 	RC_ASSERT((root != nullptr) == (m.n_errors == 0));
 	toml_free(root);
@@ -124,17 +124,18 @@
 
 	ok &= rc::check("the example renders",
 			[] { RC_ASSERT(render(account_text, template_text)); });
-	ok &= rc::check("any bytes are a tree or a mistake",
-			[] { read_whole(*rc::gen::arbitrary<std::string>()); });
-	ok &= rc::check("any pieces of TOML are a tree or a mistake",
-			[] { read_whole(pieces()); });
+	ok &= rc::check("any bytes are a tree or a mistake", [] {
+		parse_document(*rc::gen::arbitrary<std::string>());
+	});
+	ok &= rc::check("any tokens of TOML are a tree or a mistake",
+			[] { parse_document(random_tokens()); });
 	ok &= rc::check("open brackets are a mistake, not a stack overflow",
 			[] {
 				const auto n = *rc::gen::inRange(1000, 200000);
 				const auto c = *rc::gen::element('[', '{');
 
-				read_whole("a = " + std::string(n, c));
-				read_whole(std::string(n, c));
+				parse_document("a = " + std::string(n, c));
+				parse_document(std::string(n, c));
 			});
 	ok &= rc::check("dotted keys are a mistake, not a stack overflow", [] {
 		const auto n = *rc::gen::inRange(100, 200000);
@@ -142,7 +143,7 @@
 
 		for (int i = 0; i < n; i++)
 			s += i % 100 ? ".a" : ".a = {\na";
-		read_whole(s + " = 1");
+		parse_document(s + " = 1");
 	});
 	ok &= rc::check("a damaged account renders or is refused",
 			[] { render(damage(account_text), template_text); });
--- a/test/toml_test.c
+++ b/test/toml_test.c
@@ -1,4 +1,4 @@
-/* Documents that would take the parser's stack or time are refused. */
+/* Documents that exceed the stack or time of the parser are refused. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <stdint.h>
@@ -11,22 +11,22 @@
 #include <glib.h>
 #include <string.h>
 
-static bool reads(const GString *text, struct mistakes *m)
+static bool is_parsed(const GString *text, struct mistakes *m)
 {
-	struct toml_node *root = toml_read("d", text->str, text->len, m);
+	struct toml_node *root = toml_parse("d", text->str, text->len, m);
 	bool ok = root != NULL;
 
 	toml_free(root);
 	return ok;
 }
 
-static void repeat(GString *to, const char *text, uint32_t n)
+static void append_repeated(GString *to, const char *text, uint32_t n)
 {
 	while (n--)
 		g_string_append(to, text);
 }
 
-struct repeated {
+struct document {
 	const char *before;
 	const char *text;
 	uint32_t n;
@@ -35,15 +35,15 @@
 	uint32_t line;
 };
 
-static void check(const struct repeated *r)
+static void check_document(const struct document *r)
 {
 	GString *text = g_string_new(r->before);
 	struct mistakes m = { 0 };
 	bool ok;
 
-	repeat(text, r->text, r->n);
+	append_repeated(text, r->text, r->n);
 	g_string_append(text, r->after);
-	ok = reads(text, &m);
+	ok = is_parsed(text, &m);
 	if (ok != !r->problem)
 		mistakes_print(&m, stderr);
 	assert_int_equal(ok, !r->problem);
@@ -56,13 +56,13 @@
 }
 
 /*
- * Symptom: cb-watch dies of SIGSEGV on every VM of the fleet at once, and again
- * after each restart. Events: a document of many nested values is published.
- * Cause: the parser recurses for each level.
+ * A document with many nested values is published. The parser recurses for each
+ * level: cb-watch would overflow its stack on all VMs at once, and again after
+ * each restart.
  */
-static void levels_are_bounded(void **unused)
+static void deep_nesting_is_refused(void **unused)
 {
-	static const struct repeated cases[] = {
+	static const struct document cases[] = {
 		{ "a", ".a", 400, "=1\n", "too deep", 1 },
 		{ "[a", ".a", 400, "]\n", "too deep", 1 },
 		{ "x=1\n[a", ".\"a.=\"", 90, "]\n", "too deep", 2 },
@@ -75,16 +75,16 @@
 
 	(void)unused;
 	for (size_t i = 0; i < G_N_ELEMENTS(cases); i++)
-		check(&cases[i]);
+		check_document(&cases[i]);
 }
 
 /*
- * Symptom: cb-watch answers nobody for minutes. Events: a document has a very
- * long line. Cause: the parser goes back to the line's start for each value.
+ * A document has a very long line. For each value the parser goes back to the
+ * start of its line, so that cb-watch would not answer for minutes.
  */
-static void lines_are_bounded(void **unused)
+static void long_lines_are_refused(void **unused)
 {
-	static const struct repeated cases[] = {
+	static const struct document cases[] = {
 		{ "x = 1\na = [", "1,", 600, "]\n", "line too long", 2 },
 		{ "#", "x", 2000, "\n", "line too long", 1 },
 		{ "a = [", "1,\n", 3000, "]\n", NULL, 0 },
@@ -92,13 +92,13 @@
 
 	(void)unused;
 	for (size_t i = 0; i < G_N_ELEMENTS(cases); i++)
-		check(&cases[i]);
+		check_document(&cases[i]);
 }
 
-/* What only looks like levels must not be refused. */
-static void comments_and_strings_have_no_levels(void **unused)
+/* Brackets and dots in comments and strings are not levels. */
+static void brackets_in_comments_and_strings_are_ignored(void **unused)
 {
-	static const struct repeated cases[] = {
+	static const struct document cases[] = {
 		{ "", "# [[[{{{ ...\n", 500, "a = 1\n", NULL, 0 },
 		{ "", "a = '[[[...'\n", 1, "b = \"]{{\\\"{\"\n", NULL, 0 },
 		{ "a = \"\"\"\n", "[[[ ... {{{ \\\"\n", 500, "\"\"\"\n", NULL,
@@ -109,24 +109,24 @@
 
 	(void)unused;
 	for (size_t i = 0; i < G_N_ELEMENTS(cases); i++)
-		check(&cases[i]);
+		check_document(&cases[i]);
 }
 
-static void size_is_bounded(void **unused)
+static void large_documents_are_refused(void **unused)
 {
 	GString *text = g_string_new(NULL);
 	struct mistakes m = { 0 };
 
 	(void)unused;
-	repeat(text, "#\n", TOML_MAX_BYTES / 2);
-	assert_true(reads(text, &m));
+	append_repeated(text, "#\n", TOML_MAX_BYTES / 2);
+	assert_true(is_parsed(text, &m));
 	g_string_append_c(text, '#');
-	assert_false(reads(text, &m));
+	assert_false(is_parsed(text, &m));
 	mistakes_free(&m);
 	g_string_free(text, TRUE);
 }
 
-static void values_have_kind_and_line(void **unused)
+static void nodes_have_kind_and_line(void **unused)
 {
 	static const char text[] = "s = \"x\"\n"
 				   "i = -7\n"
@@ -135,7 +135,7 @@
 				   "[t]\n"
 				   "k = [1,\n2]\n";
 	struct mistakes m = { 0 };
-	struct toml_node *r = toml_read("d", text, strlen(text), &m);
+	struct toml_node *r = toml_parse("d", text, strlen(text), &m);
 
 	(void)unused;
 	assert_non_null(r);
@@ -153,27 +153,27 @@
 }
 
 /*
- * Symptom: a check passes on a value that is used otherwise. Events: a string
- * holds a NUL. Cause: C sees the text before it alone.
+ * A string contains a NUL. C code would check only the text before it, and the
+ * rest would be used unchecked.
  */
-static void a_string_with_nul_is_refused(void **unused)
+static void string_with_nul_is_refused(void **unused)
 {
-	static const struct repeated nul = { "a = 1\nb = \"x", "\\u0000", 1,
+	static const struct document nul = { "a = 1\nb = \"x", "\\u0000", 1,
 					     "y\"\n",	       "NUL",	  2 };
 
 	(void)unused;
-	check(&nul);
+	check_document(&nul);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(levels_are_bounded),
-		cmocka_unit_test(lines_are_bounded),
-		cmocka_unit_test(comments_and_strings_have_no_levels),
-		cmocka_unit_test(size_is_bounded),
-		cmocka_unit_test(values_have_kind_and_line),
-		cmocka_unit_test(a_string_with_nul_is_refused),
+		cmocka_unit_test(deep_nesting_is_refused),
+		cmocka_unit_test(long_lines_are_refused),
+		cmocka_unit_test(brackets_in_comments_and_strings_are_ignored),
+		cmocka_unit_test(large_documents_are_refused),
+		cmocka_unit_test(nodes_have_kind_and_line),
+		cmocka_unit_test(string_with_nul_is_refused),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/vips_test.c
+++ b/test/vips_test.c
@@ -1,4 +1,7 @@
-/* A VIP belongs to one client account, whichever order accounts come in. */
+/*
+ * A VIP belongs to one client account, in whichever order accounts are put in
+ * force.
+ */
 #include <stdarg.h>
 #include <stddef.h>
 #include <stdint.h>
@@ -23,15 +26,15 @@
 
 static const struct template_source no_templates;
 
-static void put(struct vips *v, const char *name, uint64_t vip)
+static void put_in_force(struct vips *v, const char *name, uint64_t vip)
 {
 	struct service_conf s = { .vip = vip };
 	struct account_conf a = { .services = &s, .n_services = 1 };
 
-	vips_put(v, name, &a);
+	vips_set(v, name, &a);
 }
 
-static uint32_t mistakes_of(const struct vips *v, const char *name)
+static uint32_t count_mistakes(const struct vips *v, const char *name)
 {
 	struct mistakes m = { 0 };
 	uint32_t n;
@@ -43,18 +46,18 @@
 }
 
 /*
- * Symptom: callers of one client account get answers of another's targets.
- * Sequence: ventolario serves a VIP; a second account is published that names
- * the same VIP by mistake, and sorts before it.
- * Cause: accounts were checked one by one, so both came in force.
+ * ventolario serves a VIP; a second account, which sorts before it, is
+ * published with the same VIP by mistake. If accounts were checked only one by
+ * one, both would be in force, and callers of one would get answers from
+ * targets of the other.
  */
-static void vip_in_force_is_refused_to_another(void **unused)
+static void vip_in_force_is_refused_for_another_account(void **unused)
 {
 	struct vips *v = vips_new();
 	struct mistakes m = { 0 };
 
 	(void)unused;
-	put(v, "ventolario", VIP);
+	put_in_force(v, "ventolario", VIP);
 	vips_check(v, "tshwane", TEXT, no_templates, &m);
 	assert_int_equal(m.n_errors, 1);
 	assert_string_equal(m.list[0].document, "account/tshwane");
@@ -62,22 +65,22 @@
 	assert_string_equal(m.list[0].key, "service.vip");
 	assert_non_null(strstr(m.list[0].problem, "account ventolario"));
 	mistakes_free(&m);
-	assert_int_equal(mistakes_of(v, "ventolario"), 0);
-	put(v, "ventolario", VIP + 1);
-	assert_int_equal(mistakes_of(v, "tshwane"), 0);
-	put(v, "ventolario", VIP);
-	vips_put(v, "ventolario", NULL);
-	assert_int_equal(mistakes_of(v, "tshwane"), 0);
+	assert_int_equal(count_mistakes(v, "ventolario"), 0);
+	put_in_force(v, "ventolario", VIP + 1);
+	assert_int_equal(count_mistakes(v, "tshwane"), 0);
+	put_in_force(v, "ventolario", VIP);
+	vips_set(v, "ventolario", NULL);
+	assert_int_equal(count_mistakes(v, "tshwane"), 0);
 	vips_free(v);
 }
 
 /*
- * Symptom: an account's harmless changes are refused, on some VMs only.
- * Sequence: two readers accept one account each before they hear of the other,
- * so that both are in force, in another order at each VM.
- * Cause: the VIP given to whichever came last.
+ * Two readers accept one account each before either receives the account of the
+ * other: both are in force, in a different order on each VM. If the VIP
+ * belonged to the latest account, valid changes of an account would be refused
+ * on some VMs only.
  */
-static void first_by_name_holds_it_in_any_order(void **unused)
+static void first_account_by_name_holds_vip_in_any_order(void **unused)
 {
 	static const char *const order[][2] = { { "tshwane", "ventolario" },
 						{ "ventolario", "tshwane" } };
@@ -86,13 +89,13 @@
 	for (size_t i = 0; i < 2; i++) {
 		struct vips *v = vips_new();
 
-		put(v, order[i][0], VIP);
-		put(v, order[i][1], VIP);
+		put_in_force(v, order[i][0], VIP);
+		put_in_force(v, order[i][1], VIP);
 		assert_int_equal(vips_doubled(v), 1);
 		assert_string_equal(vips_holder(v, VIP), "tshwane");
-		assert_int_equal(mistakes_of(v, "tshwane"), 0);
-		assert_int_equal(mistakes_of(v, "ventolario"), 1);
-		put(v, "ventolario", VIP + 1);
+		assert_int_equal(count_mistakes(v, "tshwane"), 0);
+		assert_int_equal(count_mistakes(v, "ventolario"), 1);
+		put_in_force(v, "ventolario", VIP + 1);
 		assert_int_equal(vips_doubled(v), 0);
 		vips_free(v);
 	}
@@ -101,8 +104,8 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(vip_in_force_is_refused_to_another),
-		cmocka_unit_test(first_by_name_holds_it_in_any_order),
+		cmocka_unit_test(vip_in_force_is_refused_for_another_account),
+		cmocka_unit_test(first_account_by_name_holds_vip_in_any_order),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/test/wire_prop.cc
+++ b/test/wire_prop.cc
@@ -85,7 +85,10 @@
 	if (x.size_bytes && memcmp(x.data, y.data, x.size_bytes))
 		return false;
 	x.data = y.data = nullptr;
-	/* Padding is equal: both were cleared, and fields set one by one. */
+	/*
+	 * Padding is equal, since both were zeroed and then set member by
+	 * member.
+	 */
 	return memcmp(&x, &y, offsetof(peer_msg, claims)) == 0 &&
 	       std::equal(x.claims, x.claims + x.n_claims, y.claims,
 			  [](const claim &p, const claim &q) {
@@ -126,7 +129,7 @@
 	return m.n_claims <= CLAIMS_MAX && m.size_bytes <= WIRE_MAX_BYTES;
 }
 
-/* A copy on the heap, as long as the datagram, lets ASan see any overrun. */
+/* A heap copy of exactly the size of the datagram lets ASan detect overruns. */
 static int decode(const std::vector<uint8_t> &buf, peer_msg &m)
 {
 	std::vector<uint8_t> tight(buf.begin(), buf.end());
--- a/test/wire_test.c
+++ b/test/wire_test.c
@@ -31,7 +31,10 @@
 	return m;
 }
 
-/* A datagram with body @body, authentic: the sender itself is hostile. */
+/*
+ * Decodes an authentic datagram with body @body, as from a hostile peer that
+ * has the key.
+ */
 static int decode_body(const uint8_t *body, uint32_t n, struct peer_msg *m)
 {
 	uint8_t buf[WIRE_MAX_BYTES] = { WIRE_VERSION };
@@ -41,7 +44,7 @@
 	return wire_decode(buf, 1 + n + MAC_BYTES, key, m);
 }
 
-static void test_claim_round_trip(void **state)
+static void claim_survives_round_trip(void **state)
 {
 	struct peer_msg m = claim_msg();
 	struct peer_msg got;
@@ -54,7 +57,7 @@
 	assert_memory_equal(&got, &m, sizeof(m));
 }
 
-static void test_data_points_into_datagram(void **state)
+static void data_points_into_datagram(void **state)
 {
 	static const uint8_t datagram[] = { 0x40, 1, 2, 3 };
 	struct peer_msg m = { .kind = PEER_FORWARD,
@@ -71,7 +74,7 @@
 	assert_true(got.data > buf && got.data < buf + n);
 }
 
-static void test_no_room(void **state)
+static void small_buffer_is_refused(void **state)
 {
 	struct peer_msg m = claim_msg();
 	uint8_t buf[WIRE_MAX_BYTES];
@@ -84,11 +87,11 @@
 }
 
 /*
- * Symptom: an entry acts on a claim that no entry made.
- * Events: a datagram is forged, or a bit of it turns on the way.
- * Cause: UDP's checksum is weak, and no proof of the sender.
+ * A datagram is forged, or a bit of it flips in transit. The checksum of UDP is
+ * weak and does not prove the sender; an entry would act on a claim that no
+ * entry made.
  */
-static void test_any_flipped_bit_is_refused(void **state)
+static void flipped_bit_is_refused(void **state)
 {
 	struct peer_msg m = claim_msg();
 	struct peer_msg got;
@@ -106,13 +109,11 @@
 }
 
 /*
- * Symptom: memory past an array of the message is overwritten, or the
- *	process asks for gigabytes.
- * Events: a peer with the key (another release, a fault) sends counts,
- *	lengths or types that the message can't hold.
- * Cause: counts are used before they are checked.
+ * A peer with the key, of another release or faulty, sends counts, lengths or
+ * types that the message cannot hold. Used without a check, they would
+ * overwrite memory past an array, or let the process allocate gigabytes.
  */
-static void test_out_of_bounds_is_refused(void **state)
+static void out_of_bounds_values_are_refused(void **state)
 {
 	static const struct {
 		uint8_t n;
@@ -127,7 +128,7 @@
 		{ 9, { 1, 1, 1, 1, 0xdd, 0xff, 0xff, 0xff, 0xff } }, /* array */
 		{ 9, { 1, 1, 1, 1, 0xdf, 0xff, 0xff, 0xff, 0xff } }, /* map */
 		{ 5, { 1, 0, 1, 1, 0 } }, /* bytes left over */
-		{ 3, { 1, 0, 1 } }, /* cut short */
+		{ 3, { 1, 0, 1 } }, /* truncated */
 		{ 9, { 1, 0x40, 1, 1, 0xc6, 0xff, 0xff, 0xff, 0xff } },
 	};
 	struct peer_msg got;
@@ -138,8 +139,8 @@
 				 -EPROTO);
 }
 
-/* The lists are whole, one element longer than the message has room for. */
-static void test_long_lists_are_refused(void **state)
+/* Complete lists with one element more than the message can hold. */
+static void lists_that_exceed_the_message_are_refused(void **state)
 {
 	uint8_t body[256] = { 1, 0xcc, 0x80, 1, 1, GOSSIP_UPDATES_MAX + 1 };
 	struct peer_msg got;
@@ -158,12 +159,12 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_claim_round_trip),
-		cmocka_unit_test(test_data_points_into_datagram),
-		cmocka_unit_test(test_no_room),
-		cmocka_unit_test(test_any_flipped_bit_is_refused),
-		cmocka_unit_test(test_out_of_bounds_is_refused),
-		cmocka_unit_test(test_long_lists_are_refused),
+		cmocka_unit_test(claim_survives_round_trip),
+		cmocka_unit_test(data_points_into_datagram),
+		cmocka_unit_test(small_buffer_is_refused),
+		cmocka_unit_test(flipped_bit_is_refused),
+		cmocka_unit_test(out_of_bounds_values_are_refused),
+		cmocka_unit_test(lists_that_exceed_the_message_are_refused),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
