--- a/cmd/cb-packet/reading.c
+++ b/cmd/cb-packet/reading.c
@@ -15,12 +15,11 @@
 #define HTTP_OK 200
 #define HTTP_GONE 410
 
-static enum source_outcome take(struct packet_daemon *d,
-				const struct http_reply *r, uint64_t now_ns,
-				struct answer_head *head)
+static enum source_outcome take(struct packet_daemon *d, const struct http_reply *r, uint64_t now_ns, struct answer_head *head)
 {
 	bool list = d->node->step == SOURCE_LIST;
-	struct facts_port to = { d->node, list ? node_listed : node_changed };
+	struct document_sink to = { d->node, list ? node_take_listed
+						  : node_take_changed };
 	uint64_t epoch;
 	int err;
 
@@ -32,11 +31,10 @@
 		return SOURCE_FAILED;
 	if (d->platform->read_epoch(r->header, &epoch))
 		return SOURCE_FAILED;
-	if (!node_answering(d->node, epoch, now_ns))
+	if (!node_answer_begin(d->node, epoch, now_ns))
 		return SOURCE_GONE;
 	err = list ? d->platform->read_list(r->body, r->size_bytes, to, head)
-		   : d->platform->read_changes(r->body, r->size_bytes, to,
-					       head);
+		   : d->platform->read_changes(r->body, r->size_bytes, to, head);
 	return err ? SOURCE_FAILED : SOURCE_OK;
 }
 
@@ -48,24 +46,22 @@
 	enum source_outcome outcome;
 
 	outcome = take(d, r, now_ns, &head);
-	head.came_ns = r->came_ns;
+	head.transfer_ns = r->came_ns;
 	if (outcome == SOURCE_FAILED && !d->node->source.failures)
-		log_line(LOG_WARNING, "platform", NULL, "lost: %s, status %d",
-			 r->err ? uv_strerror(r->err) : "answered", r->status);
-	node_answer(d->node, outcome, &head, now_ns);
+		log_line(LOG_WARNING, "platform", NULL, "lost: %s, status %d", r->err ? uv_strerror(r->err) : "answered", r->status);
+	node_answer_end(d->node, outcome, &head, now_ns);
 }
 
 static bool on_connected(void *ctx, uint64_t took_ns)
 {
 	struct packet_daemon *d = ctx;
 
-	return node_connected(d->node, took_ns, daemon_turn(d));
+	return node_platform_connected(d->node, took_ns, daemon_turn(d));
 }
 
 static void call(struct packet_daemon *d, const char *path, uint64_t timeout_ms)
 {
-	int err = http_call(d->platform_caller, d->settings.platform, path,
-			    timeout_ms);
+	int err = http_call(d->platform_caller, d->settings.platform, path, timeout_ms);
 
 	if (err)
 		on_platform(d, &(struct http_reply){
@@ -81,7 +77,7 @@
 void reading_list(void *ctx, const char *after_key, bool exact)
 {
 	struct packet_daemon *d = ctx;
-	char path[PATH_MAX_BYTES];
+	char path[URL_PATH_MAX_BYTES];
 
 	d->platform->list_path(after_key, exact, path);
 	call(d, path, LIST_TIMEOUT_MS);
@@ -97,7 +93,7 @@
 {
 	struct packet_daemon *d = ctx;
 	uint32_t wait_ms = (uint32_t)(wait_ns / NS_PER_MS);
-	char path[PATH_MAX_BYTES];
+	char path[URL_PATH_MAX_BYTES];
 
 	d->platform->watch_path(after, wait_ms, path);
 	call(d, path, wait_ms + WATCH_SLACK_MS);
@@ -114,18 +110,17 @@
 	http_cancel(d->platform_caller);
 }
 
-static bool begin_documents(void *ctx, const struct relay_head *head,
-			    struct facts_port *to)
+static bool begin_documents(void *ctx, const struct relay_head *head, struct document_sink *to)
 {
 	struct packet_daemon *d = ctx;
 
-	*to = (struct facts_port){ d->node, head->whole ? node_relay_listed
-							: node_relayed };
-	return node_fetching(d->node, head, uv_hrtime());
+	*to = (struct document_sink){ d->node, head->whole
+						       ? node_take_relay_listed
+						       : node_take_relayed };
+	return node_fetch_begin(d->node, head, uv_hrtime());
 }
 
-static struct document_value known_value(void *ctx, uint64_t key_hash,
-					 struct position since)
+static struct document_value known_value(void *ctx, uint64_t key_hash, struct position since)
 {
 	struct packet_daemon *d = ctx;
 
@@ -133,8 +128,7 @@
 }
 
 /* Return: 0 when the documents were taken. */
-static int take_documents(struct packet_daemon *d, const struct http_reply *r,
-			  struct relay_head *head)
+static int take_documents(struct packet_daemon *d, const struct http_reply *r, struct relay_head *head)
 {
 	struct relay_receiver port = { d, begin_documents, known_value };
 
@@ -142,8 +136,7 @@
 		return r->err;
 	if (r->status != HTTP_OK)
 		return -EPROTO;
-	return relay_decode((const uint8_t *)r->body, (uint32_t)r->size_bytes,
-			    port, head);
+	return relay_decode((const uint8_t *)r->body, (uint32_t)r->size_bytes, port, head);
 }
 
 static void on_peer(void *ctx, const struct http_reply *r)
@@ -155,11 +148,8 @@
 	int err = take_documents(d, r, &head);
 
 	if (err)
-		log_line(LOG_WARNING, "fetch",
-			 addr_text(d->peer_call_from, addr, sizeof(addr)),
-			 "no documents: %s, status %d", strerror(-err),
-			 r->status);
-	node_fetched(d->node, err ? NULL : &head, now_ns);
+		log_line(LOG_WARNING, "fetch", addr_text(d->peer_call_from, addr, sizeof(addr)), "no documents: %s, status %d", strerror(-err), r->status);
+	node_fetch_end(d->node, err ? NULL : &head, now_ns);
 }
 
 /**
@@ -172,20 +162,12 @@
 {
 	struct packet_daemon *d = ctx;
 	struct relay_base base = relay_select_base(d->node->documents);
-	char path[PATH_MAX_BYTES];
+	char path[URL_PATH_MAX_BYTES];
 	int err;
 
-	g_snprintf(path, sizeof(path),
-		   "/documents?epoch=%" G_GUINT64_FORMAT
-		   "&after=%" G_GUINT64_FORMAT "&key=%" G_GUINT64_FORMAT
-		   "&since_epoch=%" G_GUINT64_FORMAT
-		   "&since=%" G_GUINT64_FORMAT,
-		   after.epoch, after.revision, base.key_hash, base.since.epoch,
-		   base.since.revision);
+	g_snprintf(path, sizeof(path), "/documents?epoch=%" G_GUINT64_FORMAT "&after=%" G_GUINT64_FORMAT "&key=%" G_GUINT64_FORMAT "&since_epoch=%" G_GUINT64_FORMAT "&since=%" G_GUINT64_FORMAT, after.epoch, after.revision, base.key_hash, base.since.epoch, base.since.revision);
 	d->peer_call_from = peer;
-	err = http_call(d->peer_caller,
-			ADDR(ADDR_IP(peer), ADDR_PORT(d->settings.http)), path,
-			PEER_TIMEOUT_MS);
+	err = http_call(d->peer_caller, ADDR(ADDR_IP(peer), ADDR_PORT(d->settings.http)), path, PEER_TIMEOUT_MS);
 	if (err)
 		on_peer(d, &(struct http_reply){ .err = err, .body = "" });
 }
@@ -203,8 +185,7 @@
 	int err = http_caller_open(d->loop, platform, &d->platform_caller);
 
 	if (!err)
-		http_caller_header(d->platform_caller,
-				   d->platform->epoch_header);
+		http_caller_header(d->platform_caller, d->platform->epoch_header);
 	return err ? err : http_caller_open(d->loop, peer, &d->peer_caller);
 }
 
--- a/test/packet_cold_test.c
+++ b/test/packet_cold_test.c
@@ -154,8 +154,8 @@
 	bed_open(&b);
 	t = bed_target(&b, 1, SERVICE, ZONE);
 	t->health = HEALTH_DEAD;
-	bed_pass(&b, 20 * MS);
-	bed_answer(&b, 1, PROBE_ACCEPTED);
+	bed_advance(&b, 20 * MS);
+	bed_end_probes(&b, 1, PROBE_ACCEPTED);
 	assert_int_equal(t->health, HEALTH_GOOD);
 	assert_int_equal(t->recovered_ns, b.now_ns);
 	bed_close(&b);
