--- a/adapters/relay_codec.c
+++ b/adapters/relay_codec.c
@@ -44,7 +44,8 @@
 }
 
 /* Whether a document is the one that the requesting peer has, unchanged. */
-static bool is_base(const struct document *document, const struct relay_base *base)
+static bool is_base(const struct document *document,
+		    const struct relay_base *base)
 {
 	return base->key_hash &&
 	       !position_compare(document_position(document), base->since) &&
@@ -57,14 +58,18 @@
  * to every VM; a series of changes would saturate their links and delay the
  * advertisements of targets.
  */
-static const GString *delta_of(const struct document *document, const struct relay_base *base, struct relay_delta_cache *cache)
+static const GString *delta_of(const struct document *document,
+			       const struct relay_base *base,
+			       struct relay_delta_cache *cache)
 {
 	struct position to = document_position(document);
 	struct document_value from;
 
-	if (!base->key_hash || hash_text(document->key) != base->key_hash || document->deleted || !position_compare(base->since, to))
+	if (!base->key_hash || hash_text(document->key) != base->key_hash ||
+	    document->deleted || !position_compare(base->since, to))
 		return NULL;
-	if (cache->bytes && bases_equal(&cache->base, base) && !position_compare(cache->to, to))
+	if (cache->bytes && bases_equal(&cache->base, base) &&
+	    !position_compare(cache->to, to))
 		return cache->bytes;
 	from = document_value_at(document, base->since);
 	if (!from.bytes)
@@ -73,7 +78,8 @@
 		cache->bytes = g_string_new(NULL);
 	cache->base = *base;
 	cache->to = (struct position){ 0 };
-	if (!zstd_delta_compress(value_bytes(from), (struct zstd_bytes){ document->value,
+	if (!zstd_delta_compress(value_bytes(from),
+				 (struct zstd_bytes){ document->value,
 						      document->size_bytes },
 				 cache->bytes))
 		return NULL;
@@ -81,7 +87,9 @@
 	return cache->bytes;
 }
 
-static void pack_document(msgpack_packer *p, const struct document *document, const struct relay_base *base, struct relay_delta_cache *cache)
+static void pack_document(msgpack_packer *p, const struct document *document,
+			  const struct relay_base *base,
+			  struct relay_delta_cache *cache)
 {
 	const GString *delta = delta_of(document, base, cache);
 	bool is_unchanged = is_base(document, base) && !document->deleted;
@@ -102,7 +110,9 @@
 	if (delta)
 		msgpack_pack_bin_with_body(p, delta->str, delta->len);
 	else
-		msgpack_pack_bin_with_body(p, document->value, is_unchanged ? 0 : document->size_bytes);
+		msgpack_pack_bin_with_body(p, document->value,
+					   is_unchanged ? 0
+							: document->size_bytes);
 }
 
 /*
@@ -110,14 +120,18 @@
  * is retained from an earlier epoch. A complete state contains the base as
  * well, since the peer deletes all documents that are missing in it.
  */
-static bool peer_needs(const struct documents *docs, struct position after, const struct relay_base *base, const struct document *document)
+static bool peer_needs(const struct documents *docs, struct position after,
+		       const struct relay_base *base,
+		       const struct document *document)
 {
 	if (after.revision && is_base(document, base))
 		return false;
 	return documents_peer_lacks(docs, after, document);
 }
 
-static void pack_documents(msgpack_packer *p, const struct documents *docs, struct position after, const struct relay_base *base, struct relay_delta_cache *cache)
+static void pack_documents(msgpack_packer *p, const struct documents *docs,
+			   struct position after, const struct relay_base *base,
+			   struct relay_delta_cache *cache)
 {
 	uint32_t n = 0;
 
@@ -133,7 +147,9 @@
  * A deleted document keeps its last value: it allows even new processes to
  * distinguish the flows of an absent target from forged ones.
  */
-void relay_encode(const struct documents *docs, struct position after, const struct relay_base *base, struct relay_delta_cache *cache, GString *out)
+void relay_encode(const struct documents *docs, struct position after,
+		  const struct relay_base *base,
+		  struct relay_delta_cache *cache, GString *out)
 {
 	bool is_complete = documents_peer_needs_full(docs, after);
 	struct position through = documents_synced(docs);
@@ -159,12 +175,26 @@
 	msgpack_sbuffer_destroy(&buf);
 }
 
-static bool unpack_document(const msgpack_object *o, struct document *document, struct position *base)
+static bool unpack_document(const msgpack_object *o, struct document *document,
+			    struct position *base)
 {
 	const msgpack_object *f = o->via.array.ptr;
 	uint64_t deleted;
 
-	if (o->type != MSGPACK_OBJECT_ARRAY || o->via.array.size != ITEM_FIELDS || f[0].type != MSGPACK_OBJECT_STR || f[0].via.str.size > DOCUMENT_KEY_MAX_BYTES || !msgpack_get_uint(&f[1], UINT64_MAX, &document->epoch) || !msgpack_get_uint(&f[2], UINT64_MAX, &document->revision) || !msgpack_get_uint(&f[3], UINT64_MAX, &document->created) || !msgpack_get_uint(&f[4], UINT64_MAX, &document->stale_at.epoch) || !msgpack_get_uint(&f[5], UINT64_MAX, &document->stale_at.revision) || !msgpack_get_uint(&f[6], 1, &deleted) || !msgpack_get_uint(&f[7], UINT64_MAX, &base->epoch) || !msgpack_get_uint(&f[8], UINT64_MAX, &base->revision) || f[9].type != MSGPACK_OBJECT_BIN)
+	if (o->type != MSGPACK_OBJECT_ARRAY ||
+	    o->via.array.size != ITEM_FIELDS ||
+	    f[0].type != MSGPACK_OBJECT_STR ||
+	    f[0].via.str.size > DOCUMENT_KEY_MAX_BYTES ||
+	    !msgpack_get_uint(&f[1], UINT64_MAX, &document->epoch) ||
+	    !msgpack_get_uint(&f[2], UINT64_MAX, &document->revision) ||
+	    !msgpack_get_uint(&f[3], UINT64_MAX, &document->created) ||
+	    !msgpack_get_uint(&f[4], UINT64_MAX, &document->stale_at.epoch) ||
+	    !msgpack_get_uint(&f[5], UINT64_MAX,
+			      &document->stale_at.revision) ||
+	    !msgpack_get_uint(&f[6], 1, &deleted) ||
+	    !msgpack_get_uint(&f[7], UINT64_MAX, &base->epoch) ||
+	    !msgpack_get_uint(&f[8], UINT64_MAX, &base->revision) ||
+	    f[9].type != MSGPACK_OBJECT_BIN)
 		return false;
 	memcpy(document->key, f[0].via.str.ptr, f[0].via.str.size);
 	document->deleted = deleted;
@@ -179,9 +209,11 @@
  *
  * Return: 0; -ESTALE when this process does not have the base value; -EPROTO.
  */
-static int apply_delta(struct document *document, struct position base, struct relay_receiver receiver, struct document_sink to)
+static int apply_delta(struct document *document, struct position base,
+		       struct relay_receiver receiver, struct document_sink to)
 {
-	struct document_value from = receiver.find_value(receiver.ctx, hash_text(document->key), base);
+	struct document_value from = receiver.find_value(
+		receiver.ctx, hash_text(document->key), base);
 	struct zstd_bytes delta = { document->value, document->size_bytes };
 
 	if (!from.bytes)
@@ -193,7 +225,8 @@
 		return 0;
 	}
 	document->value =
-		zstd_delta_decompress(value_bytes(from), delta, VALUE_MAX_BYTES, &document->size_bytes);
+		zstd_delta_decompress(value_bytes(from), delta, VALUE_MAX_BYTES,
+				      &document->size_bytes);
 	if (!document->value)
 		return -EPROTO;
 	to.take(to.ctx, document);
@@ -206,14 +239,25 @@
 	const msgpack_object *f = o->via.array.ptr;
 	uint64_t version, is_complete;
 
-	if (o->type != MSGPACK_OBJECT_ARRAY || o->via.array.size != RELAY_FIELDS || !msgpack_get_uint(&f[0], UINT64_MAX, &version) || version != RELAY_VERSION || !msgpack_get_uint(&f[1], UINT64_MAX, &head->through.epoch) || !msgpack_get_uint(&f[2], UINT64_MAX, &head->through.revision) || !msgpack_get_uint(&f[3], UINT64_MAX, &head->newest.revision) || !msgpack_get_uint(&f[4], UINT64_MAX, &head->floor.revision) || !msgpack_get_uint(&f[5], 1, &is_complete) || !msgpack_is_array(&f[6], DOCUMENTS_MAX))
+	if (o->type != MSGPACK_OBJECT_ARRAY ||
+	    o->via.array.size != RELAY_FIELDS ||
+	    !msgpack_get_uint(&f[0], UINT64_MAX, &version) ||
+	    version != RELAY_VERSION ||
+	    !msgpack_get_uint(&f[1], UINT64_MAX, &head->through.epoch) ||
+	    !msgpack_get_uint(&f[2], UINT64_MAX, &head->through.revision) ||
+	    !msgpack_get_uint(&f[3], UINT64_MAX, &head->newest.revision) ||
+	    !msgpack_get_uint(&f[4], UINT64_MAX, &head->floor.revision) ||
+	    !msgpack_get_uint(&f[5], 1, &is_complete) ||
+	    !msgpack_is_array(&f[6], DOCUMENTS_MAX))
 		return false;
 	head->newest.epoch = head->floor.epoch = head->through.epoch;
 	head->whole = is_complete;
 	return true;
 }
 
-static int unpack_documents(const msgpack_object *o, struct relay_receiver receiver, struct document_sink to)
+static int unpack_documents(const msgpack_object *o,
+			    struct relay_receiver receiver,
+			    struct document_sink to)
 {
 	const msgpack_object_array *all = &o->via.array.ptr[6].via.array;
 	int err = 0;
@@ -232,7 +276,8 @@
 	return err;
 }
 
-static int unpack_relay(const msgpack_object *o, struct relay_receiver receiver, struct relay_head *head)
+static int unpack_relay(const msgpack_object *o, struct relay_receiver receiver,
+			struct relay_head *head)
 {
 	struct document_sink to;
 
@@ -254,7 +299,8 @@
  * value of a delta is not known any more; -EPROTO. Documents before an invalid
  * one have been passed on.
  */
-int relay_decode(const uint8_t *data, uint32_t size_bytes, struct relay_receiver receiver, struct relay_head *head)
+int relay_decode(const uint8_t *data, uint32_t size_bytes,
+		 struct relay_receiver receiver, struct relay_head *head)
 {
 	struct zstd_bytes packed = { data, size_bytes };
 	msgpack_unpacked u;
--- a/adapters/relay_codec.h
+++ b/adapters/relay_codec.h
@@ -42,12 +42,17 @@
  */
 struct relay_receiver {
 	void *ctx;
-	bool (*begin)(void *ctx, const struct relay_head *head, struct document_sink *to);
-	struct document_value (*find_value)(void *ctx, uint64_t key_hash, struct position since);
+	bool (*begin)(void *ctx, const struct relay_head *head,
+		      struct document_sink *to);
+	struct document_value (*find_value)(void *ctx, uint64_t key_hash,
+					    struct position since);
 };
 
 struct relay_base relay_select_base(const struct documents *docs);
-void relay_encode(const struct documents *docs, struct position after, const struct relay_base *base, struct relay_delta_cache *cache, GString *out);
-int relay_decode(const uint8_t *data, uint32_t size_bytes, struct relay_receiver receiver, struct relay_head *head);
+void relay_encode(const struct documents *docs, struct position after,
+		  const struct relay_base *base,
+		  struct relay_delta_cache *cache, GString *out);
+int relay_decode(const uint8_t *data, uint32_t size_bytes,
+		 struct relay_receiver receiver, struct relay_head *head);
 
 #endif
--- a/cmd/cb-packet/daemon.h
+++ b/cmd/cb-packet/daemon.h
@@ -137,14 +137,17 @@
 void clients_discard(struct packet_daemon *d);
 void clients_flush(struct packet_daemon *d);
 void clients_pace(struct packet_daemon *d);
-void clients_reset(struct packet_daemon *d, const struct flow_key *flow, uint32_t ack);
-void clients_send(void *ctx, const struct flow_state *f, const uint8_t *bytes, uint32_t n_bytes);
+void clients_reset(struct packet_daemon *d, const struct flow_key *flow,
+		   uint32_t ack);
+void clients_send(void *ctx, const struct flow_state *f, const uint8_t *bytes,
+		  uint32_t n_bytes);
 void clients_again(struct packet_daemon *d, const struct flow_state *f);
 
 /* peers.c: heartbeats. */
 int peers_open(struct packet_daemon *d);
 void peers_close(struct packet_daemon *d);
-void peers_send(void *ctx, const uint64_t *to, uint32_t n, const struct hello *h);
+void peers_send(void *ctx, const uint64_t *to, uint32_t n,
+		const struct hello *h);
 
 /* reading.c: the platform and the peers' documents. */
 int reading_open(struct packet_daemon *d);
@@ -164,9 +167,11 @@
 void operators_close(struct packet_daemon *d);
 
 /* decisions.c: log lines about flows and targets. */
-void decisions_packet(struct packet_daemon *d, const struct packet *k, const struct path_verdict *v);
+void decisions_packet(struct packet_daemon *d, const struct packet *k,
+		      const struct path_verdict *v);
 void decisions_health(void *ctx, const struct target *t, uint8_t before);
 void decisions_reset(struct packet_daemon *d, const struct flow_state *f);
-void decisions_again(struct packet_daemon *d, const struct flow_state *f, uint8_t reason);
+void decisions_again(struct packet_daemon *d, const struct flow_state *f,
+		     uint8_t reason);
 
 #endif
--- a/cmd/cb-packet/probes.c
+++ b/cmd/cb-packet/probes.c
@@ -23,7 +23,8 @@
 	uv_close((uv_handle_t *)&p->tcp, on_closed);
 }
 
-static void tell(struct packet_daemon *d, const struct incarnation *who, enum probe_outcome outcome, uint64_t since_ns)
+static void tell(struct packet_daemon *d, const struct incarnation *who,
+		 enum probe_outcome outcome, uint64_t since_ns)
 {
 	d->counters.probes_refused += outcome == PROBE_REFUSED;
 	d->counters.probes_silent += outcome == PROBE_SILENT;
@@ -103,7 +104,8 @@
 	int err;
 
 	if (!p) {
-		node_probe_ended(d->node, &who, PROBE_INCONCLUSIVE, d->now_ns, d->now_ns);
+		node_probe_ended(d->node, &who, PROBE_INCONCLUSIVE, d->now_ns,
+				 d->now_ns);
 		return;
 	}
 	d->counters.probes++;
@@ -116,7 +118,8 @@
 	uv_tcp_init(d->loop, &p->tcp);
 	p->tcp.data = p;
 	p->connect.data = p;
-	err = uv_tcp_connect(&p->connect, &p->tcp, (struct sockaddr *)&to, on_connect);
+	err = uv_tcp_connect(&p->connect, &p->tcp, (struct sockaddr *)&to,
+			     on_connect);
 	if (err)
 		judge(p, probe_outcome_from_status(err));
 }
--- a/cmd/cb-packet/reading.c
+++ b/cmd/cb-packet/reading.c
@@ -15,7 +15,9 @@
 #define HTTP_OK 200
 #define HTTP_GONE 410
 
-static enum source_outcome take(struct packet_daemon *d, const struct http_reply *r, uint64_t now_ns, struct answer_head *head)
+static enum source_outcome take(struct packet_daemon *d,
+				const struct http_reply *r, uint64_t now_ns,
+				struct answer_head *head)
 {
 	bool list = d->node->step == SOURCE_LIST;
 	struct document_sink to = { d->node, list ? node_take_listed
@@ -34,7 +36,8 @@
 	if (!node_answer_begin(d->node, epoch, now_ns))
 		return SOURCE_GONE;
 	err = list ? d->platform->read_list(r->body, r->size_bytes, to, head)
-		   : d->platform->read_changes(r->body, r->size_bytes, to, head);
+		   : d->platform->read_changes(r->body, r->size_bytes, to,
+					       head);
 	return err ? SOURCE_FAILED : SOURCE_OK;
 }
 
@@ -48,7 +51,8 @@
 	outcome = take(d, r, now_ns, &head);
 	head.transfer_ns = r->came_ns;
 	if (outcome == SOURCE_FAILED && !d->node->source.failures)
-		log_line(LOG_WARNING, "platform", NULL, "lost: %s, status %d", r->err ? uv_strerror(r->err) : "answered", r->status);
+		log_line(LOG_WARNING, "platform", NULL, "lost: %s, status %d",
+			 r->err ? uv_strerror(r->err) : "answered", r->status);
 	node_answer_end(d->node, outcome, &head, now_ns);
 }
 
@@ -61,7 +65,8 @@
 
 static void call(struct packet_daemon *d, const char *path, uint64_t timeout_ms)
 {
-	int err = http_call(d->platform_caller, d->settings.platform, path, timeout_ms);
+	int err = http_call(d->platform_caller, d->settings.platform, path,
+			    timeout_ms);
 
 	if (err)
 		on_platform(d, &(struct http_reply){
@@ -110,7 +115,8 @@
 	http_cancel(d->platform_caller);
 }
 
-static bool begin_documents(void *ctx, const struct relay_head *head, struct document_sink *to)
+static bool begin_documents(void *ctx, const struct relay_head *head,
+			    struct document_sink *to)
 {
 	struct packet_daemon *d = ctx;
 
@@ -120,7 +126,8 @@
 	return node_fetch_begin(d->node, head, uv_hrtime());
 }
 
-static struct document_value known_value(void *ctx, uint64_t key_hash, struct position since)
+static struct document_value known_value(void *ctx, uint64_t key_hash,
+					 struct position since)
 {
 	struct packet_daemon *d = ctx;
 
@@ -128,7 +135,8 @@
 }
 
 /* Return: 0 when the documents were taken. */
-static int take_documents(struct packet_daemon *d, const struct http_reply *r, struct relay_head *head)
+static int take_documents(struct packet_daemon *d, const struct http_reply *r,
+			  struct relay_head *head)
 {
 	struct relay_receiver port = { d, begin_documents, known_value };
 
@@ -136,7 +144,8 @@
 		return r->err;
 	if (r->status != HTTP_OK)
 		return -EPROTO;
-	return relay_decode((const uint8_t *)r->body, (uint32_t)r->size_bytes, port, head);
+	return relay_decode((const uint8_t *)r->body, (uint32_t)r->size_bytes,
+			    port, head);
 }
 
 static void on_peer(void *ctx, const struct http_reply *r)
@@ -148,7 +157,10 @@
 	int err = take_documents(d, r, &head);
 
 	if (err)
-		log_line(LOG_WARNING, "fetch", addr_text(d->peer_call_from, addr, sizeof(addr)), "no documents: %s, status %d", strerror(-err), r->status);
+		log_line(LOG_WARNING, "fetch",
+			 addr_text(d->peer_call_from, addr, sizeof(addr)),
+			 "no documents: %s, status %d", strerror(-err),
+			 r->status);
 	node_fetch_end(d->node, err ? NULL : &head, now_ns);
 }
 
@@ -165,9 +177,17 @@
 	char path[URL_PATH_MAX_BYTES];
 	int err;
 
-	g_snprintf(path, sizeof(path), "/documents?epoch=%" G_GUINT64_FORMAT "&after=%" G_GUINT64_FORMAT "&key=%" G_GUINT64_FORMAT "&since_epoch=%" G_GUINT64_FORMAT "&since=%" G_GUINT64_FORMAT, after.epoch, after.revision, base.key_hash, base.since.epoch, base.since.revision);
+	g_snprintf(path, sizeof(path),
+		   "/documents?epoch=%" G_GUINT64_FORMAT
+		   "&after=%" G_GUINT64_FORMAT "&key=%" G_GUINT64_FORMAT
+		   "&since_epoch=%" G_GUINT64_FORMAT
+		   "&since=%" G_GUINT64_FORMAT,
+		   after.epoch, after.revision, base.key_hash, base.since.epoch,
+		   base.since.revision);
 	d->peer_call_from = peer;
-	err = http_call(d->peer_caller, ADDR(ADDR_IP(peer), ADDR_PORT(d->settings.http)), path, PEER_TIMEOUT_MS);
+	err = http_call(d->peer_caller,
+			ADDR(ADDR_IP(peer), ADDR_PORT(d->settings.http)), path,
+			PEER_TIMEOUT_MS);
 	if (err)
 		on_peer(d, &(struct http_reply){ .err = err, .body = "" });
 }
@@ -185,7 +205,8 @@
 	int err = http_caller_open(d->loop, platform, &d->platform_caller);
 
 	if (!err)
-		http_caller_header(d->platform_caller, d->platform->epoch_header);
+		http_caller_header(d->platform_caller,
+				   d->platform->epoch_header);
 	return err ? err : http_caller_open(d->loop, peer, &d->peer_caller);
 }
 
--- a/fuzz/users_fuzz.c
+++ b/fuzz/users_fuzz.c
@@ -27,7 +27,8 @@
 		route_table_free(news.routes);
 }
 
-static bool begin(void *ctx, const struct relay_head *head, struct document_sink *to)
+static bool begin(void *ctx, const struct relay_head *head,
+		  struct document_sink *to)
 {
 	(void)head;
 	*to = (struct document_sink){ ctx, read_value };
@@ -38,11 +39,13 @@
 {
 	struct packet k;
 
-	if (!users_read_packet(data, size, &k) && k.size_bytes + 32U != k.n_bytes)
+	if (!users_read_packet(data, size, &k) &&
+	    k.size_bytes + 32U != k.n_bytes)
 		abort();
 }
 
-static void document(const uint8_t *data, uint32_t size, const char *key, struct directory *names)
+static void document(const uint8_t *data, uint32_t size, const char *key,
+		     struct directory *names)
 {
 	struct document d = { .revision = 1 };
 	uint8_t *copy = malloc(size + 1);
@@ -65,7 +68,8 @@
 	users_read_epoch(text, &read);
 }
 
-static struct document_value nothing_known(void *ctx, uint64_t key_hash, struct position since)
+static struct document_value nothing_known(void *ctx, uint64_t key_hash,
+					   struct position since)
 {
 	(void)ctx;
 	(void)key_hash;
@@ -73,7 +77,8 @@
 	return (struct document_value){ 0 };
 }
 
-static void choose(uint8_t what, const uint8_t *data, uint32_t size, struct directory *names)
+static void choose(uint8_t what, const uint8_t *data, uint32_t size,
+		   struct directory *names)
 {
 	struct document_sink to = { names, read_value };
 	struct answer_head head = { 0 };
--- a/test/packet_relay_test.c
+++ b/test/packet_relay_test.c
@@ -39,14 +39,16 @@
 	documents_put(ctx, d, DOCUMENT_CHANGED, NOW_NS);
 }
 
-static bool begin_collect(void *ctx, const struct relay_head *head, struct document_sink *to)
+static bool begin_collect(void *ctx, const struct relay_head *head,
+			  struct document_sink *to)
 {
 	(void)head;
 	*to = (struct document_sink){ ctx, collect };
 	return true;
 }
 
-static bool refuse(void *ctx, const struct relay_head *head, struct document_sink *to)
+static bool refuse(void *ctx, const struct relay_head *head,
+		   struct document_sink *to)
 {
 	(void)ctx;
 	(void)head;
@@ -54,7 +56,8 @@
 	return false;
 }
 
-static struct document_value value_at(void *ctx, uint64_t key_hash, struct position since)
+static struct document_value value_at(void *ctx, uint64_t key_hash,
+				      struct position since)
 {
 	return documents_value_at(ctx, key_hash, since);
 }
@@ -79,7 +82,9 @@
 	documents_put(from, &d, DOCUMENT_CHANGED, 1);
 	documents_advance_synced(from, at(6), NOW_NS);
 	relay_encode(from, at(3), &none, &delta, body);
-	assert_int_equal(relay_decode((uint8_t *)body->str, (uint32_t)body->len, (struct relay_receiver){ to, refuse, value_at },
+	assert_int_equal(
+		relay_decode((uint8_t *)body->str, (uint32_t)body->len,
+			     (struct relay_receiver){ to, refuse, value_at },
 			     &head),
 		-EBUSY);
 	assert_int_equal(documents_count(to), 0);
@@ -162,8 +167,10 @@
 	struct relay_head head;
 	int err;
 
-	relay_encode(p->from, documents_synced(p->to), &base, &p->delta, p->body);
-	err = relay_decode((uint8_t *)p->body->str, (uint32_t)p->body->len, (struct relay_receiver){ p->to, begin_collect,
+	relay_encode(p->from, documents_synced(p->to), &base, &p->delta,
+		     p->body);
+	err = relay_decode((uint8_t *)p->body->str, (uint32_t)p->body->len,
+			   (struct relay_receiver){ p->to, begin_collect,
 						    value_at },
 			   &head);
 	if (!err)
@@ -250,9 +257,12 @@
 	fetch(p);
 	base = relay_select_base(p->to);
 	put_large(p->from, 9);
-	relay_encode(p->from, documents_synced(p->to), &base, &p->delta, p->body);
+	relay_encode(p->from, documents_synced(p->to), &base, &p->delta,
+		     p->body);
 	put_large(p->to, 8);
-	assert_int_equal(relay_decode((uint8_t *)p->body->str, (uint32_t)p->body->len, (struct relay_receiver){
+	assert_int_equal(relay_decode((uint8_t *)p->body->str,
+				      (uint32_t)p->body->len,
+				      (struct relay_receiver){
 					      p->to, begin_collect, value_at },
 				      &head),
 			 0);
@@ -269,7 +279,9 @@
 	base = relay_select_base(p->from);
 	put_large(p->from, 9);
 	relay_encode(p->from, at(5), &base, &p->delta, p->body);
-	assert_int_equal(relay_decode((uint8_t *)p->body->str, (uint32_t)p->body->len, (struct relay_receiver){
+	assert_int_equal(relay_decode((uint8_t *)p->body->str,
+				      (uint32_t)p->body->len,
+				      (struct relay_receiver){
 					      p->to, begin_collect, value_at },
 				      &head),
 			 -ESTALE);
@@ -333,13 +345,15 @@
 
 static struct documents *asking;
 
-static struct document_value value_of_asking(void *ctx, uint64_t key_hash, struct position since)
+static struct document_value value_of_asking(void *ctx, uint64_t key_hash,
+					     struct position since)
 {
 	(void)ctx;
 	return documents_value_at(asking, key_hash, since);
 }
 
-static bool begin_count(void *ctx, const struct relay_head *head, struct document_sink *to)
+static bool begin_count(void *ctx, const struct relay_head *head,
+			struct document_sink *to)
 {
 	(void)head;
 	*to = (struct document_sink){ ctx, count_large };
@@ -365,7 +379,8 @@
 		     p->body);
 	asking = p->to;
 	assert_int_equal(
-		relay_decode((uint8_t *)p->body->str, (uint32_t)p->body->len, (struct relay_receiver){ &named, begin_count,
+		relay_decode((uint8_t *)p->body->str, (uint32_t)p->body->len,
+			     (struct relay_receiver){ &named, begin_count,
 						      value_of_asking },
 			     &head),
 		0);
@@ -429,7 +444,9 @@
 	put_large(p->from, 9);
 	fetch(p);
 	for (uint32_t i = 0; i < p->body->len; i++)
-		assert_int_not_equal(relay_decode((uint8_t *)p->body->str, i, (struct relay_receiver){
+		assert_int_not_equal(
+			relay_decode((uint8_t *)p->body->str, i,
+				     (struct relay_receiver){
 					     p->to, begin_collect, value_at },
 				     &head),
 			0);
@@ -440,11 +457,20 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test_setup_teardown(test_retained_document_that_peer_has_is_not_sent, setup, teardown),
-		cmocka_unit_test_setup_teardown(test_unchanged_document_of_new_epoch_is_sent_as_delta, setup, teardown),
-		cmocka_unit_test_setup_teardown(test_full_state_names_document_that_peer_has, setup, teardown),
-		cmocka_unit_test_setup_teardown(test_relay_sends_position_of_stale_version_at_platform, setup, teardown),
-		cmocka_unit_test_setup_teardown(test_base_of_other_epoch_is_ignored, setup, teardown),
+		cmocka_unit_test_setup_teardown(
+			test_retained_document_that_peer_has_is_not_sent, setup,
+			teardown),
+		cmocka_unit_test_setup_teardown(
+			test_unchanged_document_of_new_epoch_is_sent_as_delta,
+			setup, teardown),
+		cmocka_unit_test_setup_teardown(
+			test_full_state_names_document_that_peer_has, setup,
+			teardown),
+		cmocka_unit_test_setup_teardown(
+			test_relay_sends_position_of_stale_version_at_platform,
+			setup, teardown),
+		cmocka_unit_test_setup_teardown(
+			test_base_of_other_epoch_is_ignored, setup, teardown),
 		cmocka_unit_test(test_relay_sends_documents_that_peer_lacks),
 		TEST(test_change_of_large_document_is_sent_as_delta),
 		TEST(test_two_changes_are_sent_as_one_delta),
