--- a/adapters/lines_json.c
+++ b/adapters/lines_json.c
@@ -37,7 +37,7 @@
  * hashes, and JSON readers that store numbers as doubles would lose their last
  * digits.
  */
-static const char *const string_keys[] = { "view", "digest", NULL };
+static const char *const hash_keys[] = { "view", "digest", NULL };
 
 static const char *const phases[] = { "ready", "starting", "leaving" };
 
@@ -47,7 +47,7 @@
 	guint64 number = g_ascii_strtoull(text, &end, 10);
 
 	if (g_ascii_isdigit(text[0]) && !*end &&
-	    !g_strv_contains(string_keys, key))
+	    !g_strv_contains(hash_keys, key))
 		json_number(json, key, number);
 	else
 		json_string(json, key, text);
--- a/adapters/link.c
+++ b/adapters/link.c
@@ -55,6 +55,7 @@
 	free(frame);
 }
 
+/* Digest of all versions in force, as spread_store_digest() at cb-watch. */
 static uint64_t in_force_digest(const struct entry_link *link)
 {
 	uint64_t digest = 0;
@@ -85,6 +86,11 @@
 	send_message(link, &msg);
 }
 
+/*
+ * Version in force of a key. For a new key, the free slot after the last one,
+ * which the caller counts when the version is in force; NULL when the table is
+ * full.
+ */
 static struct spread_offer *find_or_init_version(struct entry_link *link,
 						 const char *key)
 {
--- a/adapters/msgpack_bound.h
+++ b/adapters/msgpack_bound.h
@@ -12,7 +12,7 @@
  * msgpack-c allocates an array or map by the size in its header: a frame of a
  * few bytes could request 64 GB, and the process would be killed for lack of
  * memory. Maps, extension types and arrays nested deeper than 8 levels are
- * refused; the messages use none.
+ * refused; no message contains them.
  *
  * Return: 0, or -EPROTO.
  */
--- a/adapters/platform.c
+++ b/adapters/platform.c
@@ -13,32 +13,40 @@
 #define WATCH_MS 20000U
 #define WATCH_TIMEOUT_MS (WATCH_MS + CALL_TIMEOUT_MS)
 
+/**
+ * struct platform - HTTP client of the platform
+ * @client: HTTP client
+ * @server: endpoint of the platform
+ * @handler: receives answers
+ * @failure_timer: reports a call that could not be started. The handler must
+ *	not be called from within platform_call()
+ */
 struct platform {
-	struct http_caller *caller;
+	struct http_caller *client;
 	uint64_t server;
 	struct platform_handler handler;
-	uv_timer_t failure_timer; /* reports a call that could not be started */
+	uv_timer_t failure_timer;
 };
 
 static void on_done(void *ctx, const struct http_reply *reply)
 {
 	struct platform *platform = ctx;
-	struct reader_answer a = {
+	struct reader_answer answer = {
 		.status = reply->status,
 		.revision = g_ascii_strtoull(reply->header, NULL, 10),
 		.body = reply->body,
 		.size_bytes = (uint32_t)reply->size_bytes,
 	};
 
-	platform->handler.answer(platform->handler.ctx, &a);
+	platform->handler.answer(platform->handler.ctx, &answer);
 }
 
 static void on_failed(uv_timer_t *timer)
 {
-	struct reader_answer none = { .body = "" };
+	struct reader_answer no_answer = { .body = "" };
 	struct platform *platform = timer->data;
 
-	platform->handler.answer(platform->handler.ctx, &none);
+	platform->handler.answer(platform->handler.ctx, &no_answer);
 }
 
 int platform_open(uv_loop_t *loop, const char *url,
@@ -55,12 +63,12 @@
 	platform->handler = handler;
 	err = addr_parse(address, &platform->server);
 	if (!err)
-		err = http_caller_open(loop, done, &platform->caller);
+		err = http_caller_open(loop, done, &platform->client);
 	if (err) {
 		free(platform);
 		return err;
 	}
-	http_caller_header(platform->caller, "X-Revision");
+	http_caller_header(platform->client, "X-Revision");
 	uv_timer_init(loop, &platform->failure_timer);
 	platform->failure_timer.data = platform;
 	*out = platform;
@@ -91,7 +99,7 @@
 {
 	GString *path = call_path(call, key, after);
 
-	if (http_call(platform->caller, platform->server, path->str,
+	if (http_call(platform->client, platform->server, path->str,
 		      call == CALL_WATCH ? WATCH_TIMEOUT_MS : CALL_TIMEOUT_MS))
 		uv_timer_start(&platform->failure_timer, on_failed, 0, 0);
 	g_string_free(path, TRUE);
@@ -103,7 +111,7 @@
  */
 void platform_cancel(struct platform *platform)
 {
-	http_cancel(platform->caller);
+	http_cancel(platform->client);
 	uv_timer_stop(&platform->failure_timer);
 }
 
@@ -122,6 +130,6 @@
 	if (!platform)
 		return;
 	platform_cancel(platform);
-	http_caller_close(platform->caller);
+	http_caller_close(platform->client);
 	uv_close((uv_handle_t *)&platform->failure_timer, on_closed);
 }
--- a/adapters/publication.h
+++ b/adapters/publication.h
@@ -8,8 +8,9 @@
 /**
  * struct template_source - callback that finds templates
  * @ctx: first argument of @find
- * @find: text of template @name, or NULL; has to stay valid during the call
- *	that got this struct. NULL: there are no templates
+ * @find: returns the text of template @name, or NULL; the text has to stay
+ *	valid until the function that was given this struct returns. NULL when
+ *	there are no templates
  */
 struct template_source {
 	void *ctx;
--- a/adapters/publication_compare.c
+++ b/adapters/publication_compare.c
@@ -91,6 +91,12 @@
 		check_value(c, change);
 }
 
+/**
+ * struct capacity - capacity of the targets of a service that are up
+ * @connections: sum of their connections
+ * @slots: sum of their slots
+ * @n_up: number of these targets
+ */
 struct capacity {
 	uint64_t connections;
 	uint64_t slots;
--- a/adapters/publication_diff.c
+++ b/adapters/publication_diff.c
@@ -11,6 +11,12 @@
 
 static const char *const bool_names[] = { "false", "true" };
 
+/**
+ * struct differ - state of publication_diff()
+ * @handler: receives the differences
+ * @at: account, service and target that are being compared
+ * @n: number of differences so far
+ */
 struct differ {
 	struct change_handler handler;
 	struct change at;
--- a/adapters/spread_codec.c
+++ b/adapters/spread_codec.c
@@ -108,7 +108,11 @@
 	msgpack_pack_uint64(p, msg->store_digest);
 }
 
-/* Fields of a message that are still to be decoded. */
+/**
+ * struct fields - fields of an array that are still to be decoded
+ * @at: next field
+ * @end: end of the array
+ */
 struct fields {
 	const msgpack_object *at;
 	const msgpack_object *end;
@@ -314,6 +318,7 @@
 	return get_u64(f, UINT64_MAX, &msg->store_digest);
 }
 
+/* Number of fields after the common ones, and their codec, by kind. */
 static const struct {
 	uint32_t n_fields;
 	void (*pack)(msgpack_packer *p, const struct spread_msg *msg);
@@ -330,6 +335,7 @@
 	[SPREAD_VERSIONS] = { 1, pack_offers, unpack_offers },
 };
 
+/* Fields of every message: kind and sender. */
 #define COMMON_FIELDS 2
 
 int spread_encode(const struct spread_msg *msg, const struct spread_auth *auth,
--- a/adapters/tally.h
+++ b/adapters/tally.h
@@ -45,7 +45,7 @@
  * @answer_service: service in the body of the answer; "" when there is none
  * @kind: enum call_kind
  * @end: enum call_end
- * @mismatched: 1 when an answer for another id or service came for it
+ * @mismatched: 1 when it got an answer for another id or service
  * @stalled: 1 for a feed without a notification for longer than allowed
  */
 struct call_record {
@@ -81,7 +81,7 @@
  * @requests: all requests
  * @answered: requests that were answered
  * @refused: requests that were refused as not run
- * @unknown: requests of which the caller was told that the outcome is unknown
+ * @unknown: requests that ended with an error which says that they may have run
  * @lost: requests without a result
  * @cut: requests that ended incomplete, or with another error
  * @doubled: requests that ran more than once without being idempotent
--- a/adapters/vips.c
+++ b/adapters/vips.c
@@ -25,7 +25,7 @@
 };
 
 /**
- * struct endpoint - endpoint that an account has in force
+ * struct endpoint - endpoint of an account in force
  * @addr: endpoint
  * @is_vip: VIP of a service; otherwise the address of a target
  */
--- a/adapters/wire.c
+++ b/adapters/wire.c
@@ -32,12 +32,25 @@
 	FIELD_ALL = (1 << 10) - 1
 };
 
+/**
+ * struct writer - datagram that is being encoded
+ * @buf: datagram
+ * @size_bytes: bytes written so far
+ * @capacity_bytes: size of @buf without the MAC
+ */
 struct writer {
 	uint8_t *buf;
 	uint32_t size_bytes;
 	uint32_t capacity_bytes;
 };
 
+/**
+ * struct reader - datagram that is being decoded
+ * @buf: datagram
+ * @size_bytes: size without the MAC
+ * @offset: offset of the next value
+ * @err: first error, or 0
+ */
 struct reader {
 	const char *buf;
 	size_t size_bytes;
