--- a/cmd/cb-entry/intake.c
+++ b/cmd/cb-entry/intake.c
@@ -94,7 +94,7 @@
  */
 static bool is_older(const struct config *c, const struct account_conf *a)
 {
-	const struct account_conf *now = config_account(c, a->name);
+	const struct account_conf *now = config_find_account(c, a->name);
 
 	return now && a->generation < now->generation;
 }
@@ -107,26 +107,22 @@
 
 	g_strlcpy(name, take->name, sizeof(name));
 	if (is_older(c, take)) {
-		log_line(LOG_WARNING, "intake.account", name,
-			 "generation %llu is older than the one in force",
-			 (unsigned long long)generation);
+		log_line(LOG_WARNING, "intake.account", name, "generation %llu is older than the one in force", (unsigned long long)generation);
 		account_free(take);
 		return;
 	}
 	err = config_put(c, take);
 	if (err) {
-		log_line(LOG_ERROR, "intake.account", name, "%s",
-			 strerror(-err));
+		log_line(LOG_ERROR, "intake.account", name, "%s", strerror(-err));
 		account_free(take);
 		return;
 	}
-	log_line(LOG_INFO, "intake.account", name, "generation %llu in force",
-		 (unsigned long long)generation);
+	log_line(LOG_INFO, "intake.account", name, "generation %llu in force", (unsigned long long)generation);
 }
 
 static void drop_account(struct config *c, const char *name)
 {
-	const struct account_conf *found = config_account(c, name);
+	const struct account_conf *found = config_find_account(c, name);
 	uint32_t at;
 
 	if (!found)
@@ -134,8 +130,7 @@
 	at = (uint32_t)(found - c->accounts);
 	account_clear(&c->accounts[at]);
 	c->n_accounts--;
-	memmove(&c->accounts[at], &c->accounts[at + 1],
-		(c->n_accounts - at) * sizeof(*c->accounts));
+	memmove(&c->accounts[at], &c->accounts[at + 1], (c->n_accounts - at) * sizeof(*c->accounts));
 	log_line(LOG_INFO, "intake.account", name, "withdrawn");
 }
 
@@ -203,8 +198,7 @@
 	uv_timer_init(d->loop, &d->apply_timer);
 	err = entry_link_start(d->loop, &conf, handler, &d->link);
 	if (err)
-		log_line(LOG_ERROR, "intake.link", d->settings.watch, "%s",
-			 strerror(-err));
+		log_line(LOG_ERROR, "intake.link", d->settings.watch, "%s", strerror(-err));
 	return err;
 }
 
--- a/core/balance/balance.c
+++ b/core/balance/balance.c
@@ -3,138 +3,149 @@
 #include <errno.h>
 #include <stdlib.h>
 
-#define EJECT_ROUND_NS (500 * NS_PER_MS)
+#define EJECT_ROUND_INTERVAL_NS (500 * NS_PER_MS)
 
 /**
- * balance_new() - make a balancer that has no configuration yet
- * @work_max: handles of work are below this
- * @rng: random source
+ * balance_new() - allocate a balancer without a configuration
+ * @work_max: handles of work are numbers below this
+ * @rng: seeded pseudo-random generator, copied
  *
- * Return: the balancer, NULL without memory.
+ * Return: balancer, to be freed with balance_free(), or NULL when out of
+ * memory.
  */
 struct balancer *balance_new(uint32_t work_max, struct rng rng)
 {
-	struct balancer *b = calloc(1, sizeof(*b));
+	struct balancer *balancer = calloc(1, sizeof(*balancer));
 
-	if (!b)
+	if (!balancer)
 		return NULL;
-	b->items = calloc(work_max, sizeof(*b->items));
-	if (!b->items || deadline_heap_init(&b->deadlines, work_max)) {
-		free(b->items);
-		free(b);
+	balancer->items = calloc(work_max, sizeof(*balancer->items));
+	if (!balancer->items ||
+	    deadline_heap_init(&balancer->deadlines, work_max)) {
+		free(balancer->items);
+		free(balancer);
 		return NULL;
 	}
-	queue_init(&b->doomed);
-	b->work_max = work_max;
-	b->ready = INDEX_NONE;
-	b->n_entries = 1;
-	b->rng = rng;
-	return b;
+	queue_init(&balancer->refused);
+	balancer->work_max = work_max;
+	balancer->recheck_head = INDEX_NONE;
+	balancer->n_entries = 1;
+	balancer->rng = rng;
+	return balancer;
 }
 
 /**
- * balance_free() - free it, with all that waits
- * @b: balancer, or NULL
+ * balance_free() - free a balancer and all queued work
+ * @balancer: balancer, or NULL
  */
-void balance_free(struct balancer *b)
+void balance_free(struct balancer *balancer)
 {
-	if (!b)
+	if (!balancer)
 		return;
-	tables_clear(&b->t);
-	deadline_heap_clear(&b->deadlines);
-	free(b->items);
-	free(b);
+	tables_clear(&balancer->tables);
+	deadline_heap_destroy(&balancer->deadlines);
+	free(balancer->items);
+	free(balancer);
 }
 
 /**
- * balance_config() - put a configuration in force
- * @b: balancer
- * @c: configuration, read only during the call
- * @now_ns: time
+ * balance_set_config() - put a configuration in force
+ * @balancer: balancer
+ * @config: configuration; not used after the call
+ * @now_ns: current time
  *
- * Waiting work stays in its queues. Work of a service, or pinned to a target,
- * that is gone comes out of balance_next() as refused.
+ * Queued work remains queued. balance_next() returns it as refused when its
+ * service, or the target it is pinned to, was removed.
  *
- * Return: 0, or -ENOMEM with the old configuration in force.
+ * Return: 0, or -ENOMEM; then the previous configuration remains in force.
  */
-int balance_config(struct balancer *b, const struct config *c, uint64_t now_ns)
+int balance_set_config(struct balancer *balancer, const struct config *config,
+		       uint64_t now_ns)
 {
-	return tables_build(b, c, now_ns);
+	return tables_build(balancer, config, now_ns);
 }
 
 /**
- * balance_peers() - tell the entries among which targets are shared
- * @b: balancer
- * @n_entries: entries of the data centre, this one included
- * @self_rank: this entry's place among them in an order that all agree on
+ * balance_set_entries() - set the entries that share the targets
+ * @balancer: balancer
+ * @n_entries: entries of the data centre, including this one; 0 counts as 1
+ * @self_rank: rank of this entry among them, in an order that all entries
+ *	share
  */
-void balance_peers(struct balancer *b, uint32_t n_entries, uint32_t self_rank)
+void balance_set_entries(struct balancer *balancer, uint32_t n_entries,
+			 uint32_t self_rank)
 {
 	uint32_t n = n_entries ? n_entries : 1;
 
-	if (b->n_entries == n && b->rank == self_rank % n)
+	if (balancer->n_entries == n && balancer->rank == self_rank % n)
 		return;
-	b->n_entries = n;
-	b->rank = self_rank % n;
-	shares_deal(b);
+	balancer->n_entries = n;
+	balancer->rank = self_rank % n;
+	shares_allocate(balancer);
 }
 
-static struct ruling refuse(struct balancer *b, uint32_t service, uint8_t class,
-			    uint8_t reason, uint64_t now_ns)
+static struct decision refuse(struct balancer *balancer, uint32_t service,
+			      uint8_t class, uint8_t reason, uint64_t now_ns)
 {
-	struct ruling r = { .verdict = VERDICT_REFUSED, .reason = reason };
+	struct decision decision = { .verdict = VERDICT_REFUSED,
+				     .reason = reason };
 	struct service *s;
 
 	if (service == INDEX_NONE) {
-		r.retry_after_s = 1;
-		return r;
+		decision.retry_after_s = 1;
+		return decision;
 	}
-	s = &b->t.services[service];
-	stats_of(b, s, class)->refused[reason]++;
-	r.retry_after_s = admit_retry_after_s(b, s, now_ns);
-	return r;
+	s = &balancer->tables.services[service];
+	class_stats_of(balancer, s, class)->refused[reason]++;
+	decision.retry_after_s = admit_retry_after_s(balancer, s, now_ns);
+	return decision;
 }
 
-static struct ruling go(struct balancer *b, uint32_t place, uint8_t class,
-			uint64_t now_ns)
+static struct decision admit(struct balancer *balancer, uint32_t backend,
+			     uint8_t class, uint64_t now_ns)
 {
-	struct place *p = &b->t.places[place];
-	struct ruling r = { .verdict = VERDICT_GO };
-
-	pick_count(b, place, now_ns);
-	fair_charge(b, p);
-	stats_of(b, &b->t.services[p->service], class)->admitted++;
-	r.target = b->t.targets[p->target].addr;
-	return r;
+	struct backend *be = &balancer->tables.backends[backend];
+	struct decision decision = { .verdict = VERDICT_ADMITTED };
+
+	select_record(balancer, backend, now_ns);
+	fair_queue_charge(balancer, be);
+	class_stats_of(balancer, &balancer->tables.services[be->service], class)
+		->admitted++;
+	decision.target = balancer->tables.targets[be->target].addr;
+	return decision;
 }
 
-/* Find room for the work now; REFUSE_QUEUE says that it has to wait. */
-static uint8_t find_room(struct balancer *b, struct service *s,
-			 const struct work *w, uint64_t now_ns, uint32_t *place)
+/* Find a backend that accepts the work now; REFUSE_QUEUE: queue the work. */
+static uint8_t find_backend(struct balancer *balancer, struct service *s,
+			    const struct work *work, uint64_t now_ns,
+			    uint32_t *backend)
 {
-	if (w->pinned != ADDR_NONE) {
-		struct place *p;
+	if (work->pinned != ADDR_NONE) {
+		struct backend *be;
 
-		*place = tables_place(&b->t, s, w->pinned);
-		if (*place == INDEX_NONE)
+		*backend =
+			tables_find_backend(&balancer->tables, s, work->pinned);
+		if (*backend == INDEX_NONE)
 			return REFUSE_NO_TARGET;
-		p = &b->t.places[*place];
-		if (p->pinned.n ||
-		    !pick_pinned_room(s, &b->t.targets[p->target], w, now_ns))
+		be = &balancer->tables.backends[*backend];
+		if (be->pinned.n ||
+		    !select_allows_pinned(s,
+					  &balancer->tables.targets[be->target],
+					  work, now_ns))
 			return REFUSE_QUEUE;
 		return REFUSE_NONE;
 	}
-	*place = INDEX_NONE;
+	*backend = INDEX_NONE;
 	if (!s->n_candidates)
 		return REFUSE_NO_TARGET;
 	if (s->queue.n)
 		return REFUSE_QUEUE;
-	switch (pick_place(b, s, w, now_ns, place)) {
-	case PICK_FOUND:
+	switch (select_backend(balancer, s, work, now_ns, backend)) {
+	case SELECTION_FOUND:
 		return REFUSE_NONE;
-	case PICK_CONNECTIONS:
+	case SELECTION_CONNECTIONS:
 		return REFUSE_CONNECTIONS;
-	case PICK_NONE:
+	case SELECTION_NONE:
 		return REFUSE_NO_TARGET;
 	default:
 		return REFUSE_QUEUE;
@@ -142,204 +153,220 @@
 }
 
 /**
- * balance_submit() - a request or a feed wants a target
- * @b: balancer
- * @w: what it wants; copied when it has to wait
- * @now_ns: time
+ * balance_submit() - admit, queue or refuse a request or feed
+ * @balancer: balancer
+ * @work: request or feed; copied when it is queued
+ * @now_ns: current time
  *
- * Return: VERDICT_GO with the target, VERDICT_QUEUED when balance_next() will
- * tell, or VERDICT_REFUSED with the reason and when to come back.
+ * Return: VERDICT_ADMITTED with the target; VERDICT_QUEUED when balance_next()
+ * returns the decision later; VERDICT_REFUSED with the reason and the time
+ * after which the caller should retry.
  */
-struct ruling balance_submit(struct balancer *b, const struct work *w,
-			     uint64_t now_ns)
+struct decision balance_submit(struct balancer *balancer,
+			       const struct work *work, uint64_t now_ns)
 {
-	uint32_t service = tables_service(&b->t, w->vip);
-	uint32_t place;
+	uint32_t service = tables_find_service(&balancer->tables, work->vip);
+	uint32_t backend;
 	uint8_t reason;
 
 	if (service == INDEX_NONE)
-		return refuse(b, service, w->class, REFUSE_NO_TARGET, now_ns);
-	if (w->handle >= b->work_max)
-		return refuse(b, service, w->class, REFUSE_MEMORY, now_ns);
-	if (now_ns >= w->deadline_ns)
-		return refuse(b, service, w->class, REFUSE_DEADLINE, now_ns);
-	reason = find_room(b, &b->t.services[service], w, now_ns, &place);
+		return refuse(balancer, service, work->class, REFUSE_NO_TARGET,
+			      now_ns);
+	if (work->handle >= balancer->work_max)
+		return refuse(balancer, service, work->class, REFUSE_MEMORY,
+			      now_ns);
+	if (now_ns >= work->deadline_ns)
+		return refuse(balancer, service, work->class, REFUSE_DEADLINE,
+			      now_ns);
+	reason = find_backend(balancer, &balancer->tables.services[service],
+			      work, now_ns, &backend);
 	if (reason == REFUSE_NONE) {
-		histogram_add(&stats_of(b, &b->t.services[service], w->class)
-				       ->wait_us,
-			      0);
-		return go(b, place, w->class, now_ns);
+		histogram_add(
+			&class_stats_of(balancer,
+					&balancer->tables.services[service],
+					work->class)
+				 ->wait_us,
+			0);
+		return admit(balancer, backend, work->class, now_ns);
 	}
 	if (reason == REFUSE_QUEUE)
-		reason = admit_wait(b, service, place, w, now_ns);
+		reason =
+			admit_enqueue(balancer, service, backend, work, now_ns);
 	if (reason != REFUSE_NONE)
-		return refuse(b, service, w->class, reason, now_ns);
-	stats_of(b, &b->t.services[service], w->class)->queued++;
-	return (struct ruling){ .verdict = VERDICT_QUEUED };
+		return refuse(balancer, service, work->class, reason, now_ns);
+	class_stats_of(balancer, &balancer->tables.services[service],
+		       work->class)
+		->queued++;
+	return (struct decision){ .verdict = VERDICT_QUEUED };
 }
 
-static void round_due(struct balancer *b, uint64_t now_ns)
+static void run_due_round(struct balancer *balancer, uint64_t now_ns)
 {
-	if (now_ns < b->round_deadline_ns)
+	if (now_ns < balancer->next_round_ns)
 		return;
-	b->round_deadline_ns = now_ns + ROUND_NS;
-	if (now_ns >= b->eject_deadline_ns) {
-		b->eject_deadline_ns = now_ns + EJECT_ROUND_NS;
-		eject_round(b, now_ns);
+	balancer->next_round_ns = now_ns + ROUND_INTERVAL_NS;
+	if (now_ns >= balancer->next_eject_ns) {
+		balancer->next_eject_ns = now_ns + EJECT_ROUND_INTERVAL_NS;
+		eject_slow_targets(balancer, now_ns);
 	}
-	if (!b->n_waiting)
+	if (!balancer->n_queued)
 		return;
-	admit_sweep(b, now_ns);
-	for (uint32_t i = 0; i < b->t.n_targets; i++)
-		fair_ready(b, i);
+	admit_refuse_late(balancer, now_ns);
+	for (uint32_t i = 0; i < balancer->tables.n_targets; i++)
+		fair_queue_recheck(balancer, i);
 }
 
-static void doom_expired(struct balancer *b, uint64_t now_ns)
+static void refuse_expired(struct balancer *balancer, uint64_t now_ns)
 {
-	while (deadline_heap_first_ns(&b->deadlines) <= now_ns)
-		admit_doom(b, b->deadlines.handle[0], REFUSE_DEADLINE);
+	while (deadline_heap_earliest_ns(&balancer->deadlines) <= now_ns)
+		admit_refuse_queued(balancer, balancer->deadlines.handles[0],
+				    REFUSE_DEADLINE);
 }
 
-static bool next_doomed(struct balancer *b, uint64_t now_ns, uint32_t *handle,
-			struct ruling *r)
+static bool next_refused(struct balancer *balancer, uint64_t now_ns,
+			 uint32_t *handle, struct decision *decision)
 {
-	struct item *it;
+	struct item *item;
 
-	if (b->doomed.head == INDEX_NONE)
+	if (balancer->refused.head == INDEX_NONE)
 		return false;
-	*handle = b->doomed.head;
-	it = &b->items[*handle];
-	queue_take(b, &b->doomed, *handle);
-	it->state = ITEM_FREE;
-	*r = refuse(b, it->service, it->work.class, it->reason, now_ns);
+	*handle = balancer->refused.head;
+	item = &balancer->items[*handle];
+	queue_remove(balancer, &balancer->refused, *handle);
+	item->state = ITEM_FREE;
+	*decision = refuse(balancer, item->service, item->work.class,
+			   item->reason, now_ns);
 	return true;
 }
 
-static void start_waiting(struct balancer *b, uint32_t handle, uint32_t place,
-			  uint64_t now_ns, struct ruling *r)
+static void start_queued(struct balancer *balancer, uint32_t handle,
+			 uint32_t backend, uint64_t now_ns,
+			 struct decision *decision)
 {
-	struct item *it = &b->items[handle];
-	struct service *s = &b->t.services[it->service];
-
-	admit_leave(b, handle);
-	admit_started(b, s, now_ns);
-	histogram_add(&stats_of(b, s, it->work.class)->wait_us,
-		      (now_ns - it->queued_ns) / 1000);
-	*r = go(b, place, it->work.class, now_ns);
+	struct item *item = &balancer->items[handle];
+	struct service *s = &balancer->tables.services[item->service];
+
+	admit_dequeue(balancer, handle);
+	admit_record_start(balancer, s, now_ns);
+	histogram_add(&class_stats_of(balancer, s, item->work.class)->wait_us,
+		      (now_ns - item->queued_ns) / 1000);
+	*decision = admit(balancer, backend, item->work.class, now_ns);
 }
 
 /**
- * balance_next() - what has become of waiting work; call it after each event
- *	and when balance_next_ns() is due, until it returns false
- * @b: balancer
- * @now_ns: time
- * @handle: the work
- * @r: VERDICT_GO or VERDICT_REFUSED
+ * balance_next() - return the decision about one queued item
+ * @balancer: balancer
+ * @now_ns: current time
+ * @handle: set to the handle of the work
+ * @decision: set to the decision, VERDICT_ADMITTED or VERDICT_REFUSED
  *
- * When it returns false, nothing waits past its deadline and no queue stands
- * before a free slot that it may use.
+ * To be called after each other call that changes the balancer, and at
+ * balance_next_ns(), until it returns false. Then no queued work is past its
+ * deadline, and none could use a free slot.
  *
- * Return: true when @handle and @r were set.
+ * Return: true when @handle and @decision were set.
  */
-bool balance_next(struct balancer *b, uint64_t now_ns, uint32_t *handle,
-		  struct ruling *r)
+bool balance_next(struct balancer *balancer, uint64_t now_ns, uint32_t *handle,
+		  struct decision *decision)
 {
-	doom_expired(b, now_ns);
-	round_due(b, now_ns);
-	if (next_doomed(b, now_ns, handle, r))
+	refuse_expired(balancer, now_ns);
+	run_due_round(balancer, now_ns);
+	if (next_refused(balancer, now_ns, handle, decision))
 		return true;
-	while (b->ready != INDEX_NONE) {
-		struct target *t = &b->t.targets[b->ready];
-		uint32_t place;
+	while (balancer->recheck_head != INDEX_NONE) {
+		struct target *t =
+			&balancer->tables.targets[balancer->recheck_head];
+		uint32_t backend;
 
-		*handle = fair_next(b, t, now_ns, &place);
+		*handle = fair_queue_next(balancer, t, now_ns, &backend);
 		if (*handle != INDEX_NONE) {
-			start_waiting(b, *handle, place, now_ns, r);
+			start_queued(balancer, *handle, backend, now_ns,
+				     decision);
 			return true;
 		}
-		t->ready = false;
-		b->ready = t->ready_next;
+		t->needs_recheck = false;
+		balancer->recheck_head = t->recheck_next;
 	}
 	return false;
 }
 
 /**
- * balance_cancel() - the caller gave up on work that waits
- * @b: balancer
- * @handle: the work; nothing happens when it does not wait
+ * balance_cancel() - remove queued work that its caller cancelled
+ * @balancer: balancer
+ * @handle: handle of the work; ignored when it is not queued
  */
-void balance_cancel(struct balancer *b, uint32_t handle)
+void balance_cancel(struct balancer *balancer, uint32_t handle)
 {
-	struct item *it;
+	struct item *item;
 
-	if (handle >= b->work_max)
+	if (handle >= balancer->work_max)
 		return;
-	it = &b->items[handle];
-	if (it->state == ITEM_WAITING)
-		admit_leave(b, handle);
-	else if (it->state == ITEM_DOOMED)
-		queue_take(b, &b->doomed, handle);
-	it->state = ITEM_FREE;
+	item = &balancer->items[handle];
+	if (item->state == ITEM_QUEUED)
+		admit_dequeue(balancer, handle);
+	else if (item->state == ITEM_REFUSED)
+		queue_remove(balancer, &balancer->refused, handle);
+	item->state = ITEM_FREE;
 }
 
 /**
- * balance_feed() - a feed opened or closed, or was taken over
- * @b: balancer
- * @vip: service
- * @target: its target
+ * balance_change_feeds() - count a feed that opened, closed or moved here
+ * @balancer: balancer
+ * @vip: address of the service; not used
+ * @target: address of the target
  * @change: +1 or -1
  */
-void balance_feed(struct balancer *b, uint64_t vip, uint64_t target,
-		  int32_t change)
+void balance_change_feeds(struct balancer *balancer, uint64_t vip,
+			  uint64_t target, int32_t change)
 {
-	uint32_t index = tables_target(&b->t, target);
+	uint32_t index = tables_find_target(&balancer->tables, target);
 	struct target *t;
 
 	(void)vip;
 	if (index == INDEX_NONE)
 		return;
-	t = &b->t.targets[index];
+	t = &balancer->tables.targets[index];
 	if (change < 0 && t->feeds < (uint32_t)-change)
 		t->feeds = 0;
 	else
 		t->feeds += (uint32_t)change;
-	fair_ready(b, index);
+	fair_queue_recheck(balancer, index);
 }
 
 /**
- * balance_report() - a target told its load
- * @b: balancer
- * @target: the target
- * @report: what it told
- * @now_ns: time
+ * balance_record_load() - record a load report of a target
+ * @balancer: balancer
+ * @target: address of the target; ignored when it is not known
+ * @report: report
+ * @now_ns: current time
  */
-void balance_report(struct balancer *b, uint64_t target,
-		    const struct load_report *report, uint64_t now_ns)
+void balance_record_load(struct balancer *balancer, uint64_t target,
+			 const struct load_report *report, uint64_t now_ns)
 {
-	uint32_t index = tables_target(&b->t, target);
+	uint32_t index = tables_find_target(&balancer->tables, target);
 	struct target *t;
 
 	if (index == INDEX_NONE)
 		return;
-	t = &b->t.targets[index];
-	view_report(&t->view, report, t->inflight, now_ns);
-	fair_ready(b, index);
+	t = &balancer->tables.targets[index];
+	load_view_record_report(&t->load_view, report, t->inflight, now_ns);
+	fair_queue_recheck(balancer, index);
 }
 
 /**
- * balance_next_ns() - when balance_next() has to be called at the latest
- * @b: balancer
+ * balance_next_ns() - time at which balance_next() must be called at the latest
+ * @balancer: balancer
  *
- * Return: time, UINT64_MAX while nothing waits.
+ * Return: the time, 0 for at once, or UINT64_MAX when nothing is queued.
  */
-uint64_t balance_next_ns(const struct balancer *b)
+uint64_t balance_next_ns(const struct balancer *balancer)
 {
-	uint64_t first_ns = deadline_heap_first_ns(&b->deadlines);
+	uint64_t first_ns = deadline_heap_earliest_ns(&balancer->deadlines);
 
-	if (b->doomed.n)
+	if (balancer->refused.n)
 		return 0;
-	if (!b->n_waiting)
+	if (!balancer->n_queued)
 		return UINT64_MAX;
-	return first_ns < b->round_deadline_ns ? first_ns
-					       : b->round_deadline_ns;
+	return first_ns < balancer->next_round_ns ? first_ns
+						  : balancer->next_round_ns;
 }
