--- a/cmd/cb-entry/intake.c
+++ b/cmd/cb-entry/intake.c
@@ -107,17 +107,21 @@
 
 	g_strlcpy(name, take->name, sizeof(name));
 	if (is_older(c, take)) {
-		log_line(LOG_WARNING, "intake.account", name, "generation %llu is older than the one in force", (unsigned long long)generation);
+		log_line(LOG_WARNING, "intake.account", name,
+			 "generation %llu is older than the one in force",
+			 (unsigned long long)generation);
 		account_free(take);
 		return;
 	}
 	err = config_put(c, take);
 	if (err) {
-		log_line(LOG_ERROR, "intake.account", name, "%s", strerror(-err));
+		log_line(LOG_ERROR, "intake.account", name, "%s",
+			 strerror(-err));
 		account_free(take);
 		return;
 	}
-	log_line(LOG_INFO, "intake.account", name, "generation %llu in force", (unsigned long long)generation);
+	log_line(LOG_INFO, "intake.account", name, "generation %llu in force",
+		 (unsigned long long)generation);
 }
 
 static void drop_account(struct config *c, const char *name)
@@ -130,7 +134,8 @@
 	at = (uint32_t)(found - c->accounts);
 	account_clear(&c->accounts[at]);
 	c->n_accounts--;
-	memmove(&c->accounts[at], &c->accounts[at + 1], (c->n_accounts - at) * sizeof(*c->accounts));
+	memmove(&c->accounts[at], &c->accounts[at + 1],
+		(c->n_accounts - at) * sizeof(*c->accounts));
 	log_line(LOG_INFO, "intake.account", name, "withdrawn");
 }
 
@@ -198,7 +203,8 @@
 	uv_timer_init(d->loop, &d->apply_timer);
 	err = entry_link_start(d->loop, &conf, handler, &d->link);
 	if (err)
-		log_line(LOG_ERROR, "intake.link", d->settings.watch, "%s", strerror(-err));
+		log_line(LOG_ERROR, "intake.link", d->settings.watch, "%s",
+			 strerror(-err));
 	return err;
 }
 
--- a/cmd/cb-watch/watch.c
+++ b/cmd/cb-watch/watch.c
@@ -86,11 +86,14 @@
 	watch_link_send_to_peer(w->link, vm, msg);
 }
 
-static void in_force(void *ctx, const char *key, const struct version *version, const struct content *content)
+static void in_force(void *ctx, const char *key, const struct version *version,
+		     const struct content *content)
 {
 	struct watch *w = ctx;
 
-	log_line(LOG_INFO, "in force", key, "generation %lu revision %lu%s", version->generation, version->revision, content ? "" : " withdrawn");
+	log_line(LOG_INFO, "in force", key, "generation %lu revision %lu%s",
+		 version->generation, version->revision,
+		 content ? "" : " withdrawn");
 	watch_link_send_to_entries(w->link, key, version, content);
 	documents_in_force(w, key, content);
 }
@@ -107,7 +110,8 @@
 	g_strlcpy(conf.roster_key, w->vms_key, sizeof(conf.roster_key));
 	w->spread = spread_new(&conf, port, rng, now_ns);
 	rng.state = rng_next(&rng) | 1;
-	w->reader = reader_new(w->settings.data_centre, documents_port(w), rng, now_ns);
+	w->reader = reader_new(w->settings.data_centre, documents_port(w), rng,
+			       now_ns);
 	w->vms = calloc(VMS_MAX, sizeof(*w->vms));
 	return w->spread && w->reader && w->vms ? 0 : -ENOMEM;
 }
@@ -125,7 +129,8 @@
 	int err = watch_link_open(w->loop, &conf, handler, &w->link);
 
 	if (err) {
-		log_line(LOG_ERROR, "listen", w->settings.listen, "%s", strerror(-err));
+		log_line(LOG_ERROR, "listen", w->settings.listen, "%s",
+			 strerror(-err));
 		return err;
 	}
 	watch_link_set_spread(w->link, w->spread);
@@ -139,7 +144,9 @@
 	int err = http_open(w->loop, w->settings.http, handler, &w->http);
 
 	if (err)
-		log_line(LOG_ERROR, "http", addr_text(w->settings.http, addr, sizeof(addr)), "%s", strerror(-err));
+		log_line(LOG_ERROR, "http",
+			 addr_text(w->settings.http, addr, sizeof(addr)), "%s",
+			 strerror(-err));
 	return err;
 }
 
@@ -153,7 +160,8 @@
 	w->expire.data = w;
 	w->sigterm.data = w;
 	w->sigint.data = w;
-	uv_timer_start(&w->expire, on_expire, EXPIRE_PERIOD_MS, EXPIRE_PERIOD_MS);
+	uv_timer_start(&w->expire, on_expire, EXPIRE_PERIOD_MS,
+		       EXPIRE_PERIOD_MS);
 	uv_signal_start(&w->sigterm, on_signal, SIGTERM);
 	uv_signal_start(&w->sigint, on_signal, SIGINT);
 }
@@ -166,20 +174,23 @@
  *
  * Return: 0, or a negative error that was logged with its step.
  */
-int watch_open(struct watch *w, uv_loop_t *loop, const struct watch_settings *settings)
+int watch_open(struct watch *w, uv_loop_t *loop,
+	       const struct watch_settings *settings)
 {
 	struct platform_handler answers = { w, on_answer };
 	int err;
 
 	w->loop = loop;
 	w->settings = *settings;
-	snprintf(w->vms_key, sizeof(w->vms_key), "vms/%s", settings->data_centre);
+	snprintf(w->vms_key, sizeof(w->vms_key), "vms/%s",
+		 settings->data_centre);
 	w->refused =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	w->vips = vips_new();
 	err = make_core(w, uv_hrtime());
 	if (!err)
-		err = platform_open(loop, settings->platform_url, answers, &w->platform);
+		err = platform_open(loop, settings->platform_url, answers,
+				    &w->platform);
 	if (err) {
 		log_line(LOG_ERROR, "start", NULL, "%s", strerror(-err));
 		return err;
