--- a/adapters/platform.c
+++ b/adapters/platform.c
@@ -1,6 +1,6 @@
 #include "platform.h"
 
-#include "http_call.h"
+#include "http_client.h"
 #include "settings.h"
 
 #include <errno.h>
@@ -22,7 +22,7 @@
  *	not be called from within platform_call()
  */
 struct platform {
-	struct http_caller *client;
+	struct http_client *client;
 	uint64_t server;
 	struct platform_handler handler;
 	uv_timer_t failure_timer;
@@ -53,7 +53,7 @@
 		  struct platform_handler handler, struct platform **out)
 {
 	struct platform *platform = calloc(1, sizeof(*platform));
-	struct http_call_handler done = { platform, on_done, NULL };
+	struct http_client_handler done = { platform, on_done, NULL };
 	const char *address =
 		g_str_has_prefix(url, SCHEME) ? url + strlen(SCHEME) : url;
 	int err;
@@ -63,12 +63,12 @@
 	platform->handler = handler;
 	err = addr_parse(address, &platform->server);
 	if (!err)
-		err = http_caller_open(loop, done, &platform->client);
+		err = http_client_open(loop, done, &platform->client);
 	if (err) {
 		free(platform);
 		return err;
 	}
-	http_caller_header(platform->client, "X-Revision");
+	http_client_capture_header(platform->client, "X-Revision");
 	uv_timer_init(loop, &platform->failure_timer);
 	platform->failure_timer.data = platform;
 	*out = platform;
@@ -99,8 +99,9 @@
 {
 	GString *path = call_path(call, key, after);
 
-	if (http_call(platform->client, platform->server, path->str,
-		      call == CALL_WATCH ? WATCH_TIMEOUT_MS : CALL_TIMEOUT_MS))
+	if (http_client_get(platform->client, platform->server, path->str,
+			    call == CALL_WATCH ? WATCH_TIMEOUT_MS
+					       : CALL_TIMEOUT_MS))
 		uv_timer_start(&platform->failure_timer, on_failed, 0, 0);
 	g_string_free(path, TRUE);
 }
@@ -111,7 +112,7 @@
  */
 void platform_cancel(struct platform *platform)
 {
-	http_cancel(platform->client);
+	http_client_cancel(platform->client);
 	uv_timer_stop(&platform->failure_timer);
 }
 
@@ -130,6 +131,6 @@
 	if (!platform)
 		return;
 	platform_cancel(platform);
-	http_caller_close(platform->client);
+	http_client_close(platform->client);
 	uv_close((uv_handle_t *)&platform->failure_timer, on_closed);
 }
--- a/adapters/publication.c
+++ b/adapters/publication.c
@@ -99,7 +99,7 @@
 				  const char *prefix, const char *key,
 				  uint64_t addr)
 {
-	char problem[DOTTED_BYTES];
+	char problem[DOTTED_KEY_MAX_BYTES];
 	char text[32];
 	const char *before;
 	const struct toml_node *node = toml_find(table, key);
@@ -114,8 +114,8 @@
 	}
 	g_snprintf(problem, sizeof(problem), "%s is used twice, before by a %s",
 		   addr_text(addr, text, sizeof(text)), before);
-	field_mistake(parser->mistakes, node, prefix, key, problem,
-		      "an endpoint not used elsewhere in the account");
+	field_add_mistake(parser->mistakes, node, prefix, key, problem,
+			  "an endpoint not used elsewhere in the account");
 }
 
 static void parse_target(struct parser *parser, struct toml_node *node,
@@ -124,12 +124,12 @@
 	struct parsed_target target = { 0 };
 
 	if (node->kind != TOML_TABLE) {
-		field_mistake(parser->mistakes, node, "service", "target",
-			      toml_kind_name(node->kind), "a table");
+		field_add_mistake(parser->mistakes, node, "service", "target",
+				  toml_kind_name(node->kind), "a table");
 		return;
 	}
-	fields_take(parser->mistakes, "target", node, target_fields, &target);
-	fields_unknown(parser->mistakes, "target", node);
+	fields_parse(parser->mistakes, "target", node, target_fields, &target);
+	fields_report_unknown(parser->mistakes, "target", node);
 	check_endpoint_unique(parser, node, "target", "address",
 			      target.conf.addr);
 	if (!parser->data_centre ||
@@ -144,16 +144,16 @@
 static uint32_t array_size(struct parser *parser, struct toml_node *node,
 			   const char *prefix, uint32_t max)
 {
-	char expected[DOTTED_BYTES];
+	char expected[DOTTED_KEY_MAX_BYTES];
 
 	node->consumed = 1;
 	if (node->kind == TOML_ARRAY && node->n_items <= max)
 		return node->n_items;
 	g_snprintf(expected, sizeof(expected), "at most %u tables", max);
-	field_mistake(parser->mistakes, node, prefix, node->key,
-		      node->kind == TOML_ARRAY ? "too many"
-					       : toml_kind_name(node->kind),
-		      expected);
+	field_add_mistake(parser->mistakes, node, prefix, node->key,
+			  node->kind == TOML_ARRAY ? "too many"
+						   : toml_kind_name(node->kind),
+			  expected);
 	return 0;
 }
 
@@ -182,7 +182,7 @@
 	for (const struct service_conf *other = parser->account->services;
 	     other != service; other++)
 		if (service->name[0] && !strcmp(other->name, service->name))
-			field_mistake(
+			field_add_mistake(
 				parser->mistakes, toml_find(table, "name"),
 				"service", "name", "name is used twice",
 				"a name not used elsewhere in the account");
@@ -207,17 +207,18 @@
 	struct service_conf *service;
 
 	if (node->kind != TOML_TABLE) {
-		field_mistake(parser->mistakes, node, "", "service",
-			      toml_kind_name(node->kind), "a table");
+		field_add_mistake(parser->mistakes, node, "", "service",
+				  toml_kind_name(node->kind), "a table");
 		return;
 	}
 	service = &parser->account->services[parser->account->n_services++];
-	fields_take(parser->mistakes, "service", node, service_fields, service);
+	fields_parse(parser->mistakes, "service", node, service_fields,
+		     service);
 	check_name_unique(parser, node, service);
 	check_endpoint_unique(parser, node, "service", "vip", service->vip);
 	warn_unsupported_protocol(parser, node, service);
 	parse_targets(parser, node, service);
-	fields_unknown(parser->mistakes, "service", node);
+	fields_report_unknown(parser->mistakes, "service", node);
 }
 
 static void parse_services(struct parser *parser, struct toml_node *body)
@@ -242,14 +243,14 @@
 {
 	if (!merged->account)
 		return;
-	field_take(parser->mistakes, merged->account, "", merged->account,
-		   &generation_field, parser->account);
+	field_parse(parser->mistakes, merged->account, "", merged->account,
+		    &generation_field, parser->account);
 	if (!merged->body)
 		return;
-	fields_take(parser->mistakes, "", merged->body, account_fields,
-		    parser->account);
+	fields_parse(parser->mistakes, "", merged->body, account_fields,
+		     parser->account);
 	parse_services(parser, merged->body);
-	fields_unknown(parser->mistakes, "", merged->body);
+	fields_report_unknown(parser->mistakes, "", merged->body);
 }
 
 struct account_conf *publication_render(const char *name, const char *text,
@@ -264,7 +265,7 @@
 	parser.account = allocate(1, sizeof(*parser.account));
 	parser.seen = g_hash_table_new_full(NULL, NULL, NULL, g_free);
 	merge_open(&merged, name, text, templates, mistakes);
-	if (!field_name_valid(name))
+	if (!field_name_is_valid(name))
 		mistake_add(mistakes, merged.account_document, 0, "",
 			    "account's name is not valid",
 			    "letters, digits, \"-\", \"_\" and \".\"");
--- a/adapters/publication_merge.c
+++ b/adapters/publication_merge.c
@@ -26,18 +26,18 @@
 {
 	const char *text = NULL;
 
-	if (name->kind != TOML_STRING || !field_name_valid(name->text)) {
-		field_mistake(mistakes, name, "", "template", "not a name",
-			      "a name of letters, digits, \"-\", \"_\" and "
-			      "\".\"");
+	if (name->kind != TOML_STRING || !field_name_is_valid(name->text)) {
+		field_add_mistake(mistakes, name, "", "template", "not a name",
+				  "a name of letters, digits, \"-\", \"_\" and "
+				  "\".\"");
 		return NULL;
 	}
 	if (templates.find)
 		text = templates.find(templates.ctx, name->text);
 	if (!text)
-		field_mistake(mistakes, name, "", "template",
-			      "no such template",
-			      "a template that is published");
+		field_add_mistake(mistakes, name, "", "template",
+				  "no such template",
+				  "a template that is published");
 	return text;
 }
 
@@ -110,17 +110,18 @@
 	struct toml_node *targets;
 
 	if (target->kind != TOML_TABLE || !name || name->kind != TOML_STRING) {
-		field_mistake(mistakes, target, "target", "service", "missing",
-			      "the name of the service that it serves");
+		field_add_mistake(mistakes, target, "target", "service",
+				  "missing",
+				  "the name of the service that it serves");
 		return;
 	}
 	name->consumed = 1;
 	if (services && services->kind == TOML_ARRAY)
 		service = find_service(services, name->text);
 	if (!service) {
-		field_mistake(mistakes, name, "target", "service",
-			      "unknown service",
-			      "the name of a service of this account");
+		field_add_mistake(mistakes, name, "target", "service",
+				  "unknown service",
+				  "the name of a service of this account");
 		return;
 	}
 	targets = target_array_of(service);
@@ -141,8 +142,9 @@
 		return;
 	list->consumed = 1;
 	if (list->kind != TOML_ARRAY) {
-		field_mistake(mistakes, list, "", "target",
-			      toml_kind_name(list->kind), "tables [[target]]");
+		field_add_mistake(mistakes, list, "", "target",
+				  toml_kind_name(list->kind),
+				  "tables [[target]]");
 		return;
 	}
 	for (uint32_t i = 0; i < list->n_items; i++)
@@ -175,7 +177,7 @@
 		merged->body = merged->account;
 	} else {
 		mark_account_keys(merged->account);
-		fields_unknown(mistakes, "", merged->account);
+		fields_report_unknown(mistakes, "", merged->account);
 		merged->body =
 			parse_template(merged, template, templates, mistakes);
 		if (!merged->body)
--- a/adapters/publication_parameters.c
+++ b/adapters/publication_parameters.c
@@ -74,8 +74,8 @@
 		return;
 	problem = value_problem(kind, value);
 	if (problem)
-		field_mistake(mistakes, value, "parameters", value->key,
-			      problem, expected[kind]);
+		field_add_mistake(mistakes, value, "parameters", value->key,
+				  problem, expected[kind]);
 }
 
 /*
@@ -91,13 +91,14 @@
 			toml_find(sub->values, declared->key);
 
 		if (kind_of(declared) == PARAMETER_UNKNOWN)
-			field_mistake(sub->mistakes, declared, "parameters",
-				      declared->key, "unknown kind",
-				      "\"string\", \"address\" or \"integer\"");
+			field_add_mistake(
+				sub->mistakes, declared, "parameters",
+				declared->key, "unknown kind",
+				"\"string\", \"address\" or \"integer\"");
 		if (value)
 			check_value(declared, value, sub->mistakes);
 		else
-			field_mistake(
+			field_add_mistake(
 				sub->mistakes,
 				sub->values ? sub->values : account,
 				"parameters", declared->key, "missing",
@@ -111,9 +112,9 @@
 		const struct toml_node *value = &sub->values->items[i];
 
 		if (!toml_find(sub->kinds, value->key))
-			field_mistake(sub->mistakes, value, "parameters",
-				      value->key, "unknown parameter",
-				      "a parameter of the template");
+			field_add_mistake(sub->mistakes, value, "parameters",
+					  value->key, "unknown parameter",
+					  "a parameter of the template");
 	}
 }
 
@@ -122,13 +123,13 @@
 					  const struct toml_node *node,
 					  const char *name)
 {
-	char problem[DOTTED_BYTES];
+	char problem[DOTTED_KEY_MAX_BYTES];
 
 	if (!toml_find(sub->kinds, name)) {
 		g_snprintf(problem, sizeof(problem), "${%.60s} is not declared",
 			   name);
-		field_mistake(sub->mistakes, node, "", node->key, problem,
-			      "a name of the template's [parameters]");
+		field_add_mistake(sub->mistakes, node, "", node->key, problem,
+				  "a name of the template's [parameters]");
 		return NULL;
 	}
 	return toml_find(sub->values, name);
@@ -182,8 +183,8 @@
 		char *name;
 
 		if (!end) {
-			field_mistake(sub->mistakes, node, "", node->key,
-				      "${ without }", "${NAME}");
+			field_add_mistake(sub->mistakes, node, "", node->key,
+					  "${ without }", "${NAME}");
 			break;
 		}
 		name = g_strndup(start + 2, (gsize)(end - start - 2));
@@ -216,8 +217,8 @@
 {
 	if (!node || node->kind == TOML_TABLE)
 		return node;
-	field_mistake(mistakes, node, "", node->key, toml_kind_name(node->kind),
-		      "a table");
+	field_add_mistake(mistakes, node, "", node->key,
+			  toml_kind_name(node->kind), "a table");
 	return NULL;
 }
 
--- a/adapters/roster_codec.c
+++ b/adapters/roster_codec.c
@@ -26,8 +26,8 @@
 	if (strcmp(state, "live") && strcmp(state, "leaving"))
 		return -EPROTO;
 	item_begin(list, ITEM_VM, VM_FIELDS);
-	item_u64(list, addr);
-	item_u64(list, !strcmp(state, "leaving"));
+	item_add_u64(list, addr);
+	item_add_u64(list, !strcmp(state, "leaving"));
 	item_end(list);
 	return 0;
 }
@@ -50,7 +50,7 @@
 	*out = NULL;
 	err = item_list_open(&list, 1 + count_lines(text, size_bytes));
 	if (!err)
-		item_header(&list, 0);
+		item_add_header(&list, 0);
 	while (!err && text < end) {
 		const char *newline = memchr(text, '\n', end - text);
 		const char *stop = newline ? newline : end;
@@ -59,7 +59,7 @@
 			err = append_vm(&list, text, (uint32_t)(stop - text));
 		text = stop + 1;
 	}
-	finish_err = item_list_close(&list, out);
+	finish_err = item_list_finish(&list, out);
 	if (!err && !finish_err)
 		return 0;
 	content_free(*out);
@@ -89,12 +89,12 @@
 		uint64_t addr, leaving;
 		struct item_fields fields;
 
-		err = item_read(&content->items[i], &u, &fields);
+		err = item_decode(&content->items[i], &u, &fields);
 		if (err || i == 0) {
 			if (!err)
 				err = fields.kind == ITEM_HEADER
-					      ? item_read_header(&fields,
-								 &weight)
+					      ? item_decode_header(&fields,
+								   &weight)
 					      : -EPROTO;
 			continue;
 		}
--- a/adapters/settings_table.c
+++ b/adapters/settings_table.c
@@ -50,7 +50,8 @@
 
 	if (!node)
 		node = table ? table : reader->root;
-	field_mistake(reader->mistakes, node, section, key, problem, expected);
+	field_add_mistake(reader->mistakes, node, section, key, problem,
+			  expected);
 }
 
 static bool has_section(const struct setting *table, const char *section)
@@ -70,15 +71,17 @@
 		if (section->consumed)
 			continue;
 		if (!has_section(table, section->key))
-			field_mistake(reader->mistakes, section, section->key,
-				      "", "unknown section",
-				      "a section of these settings");
+			field_add_mistake(reader->mistakes, section,
+					  section->key, "", "unknown section",
+					  "a section of these settings");
 		else if (section->kind != TOML_TABLE)
-			field_mistake(reader->mistakes, section, section->key,
-				      "", toml_kind_name(section->kind),
-				      "a table");
+			field_add_mistake(reader->mistakes, section,
+					  section->key, "",
+					  toml_kind_name(section->kind),
+					  "a table");
 		else
-			fields_unknown(reader->mistakes, section->key, section);
+			fields_report_unknown(reader->mistakes, section->key,
+					      section);
 	}
 }
 
@@ -99,7 +102,7 @@
 			   const struct setting *table,
 			   const struct setting *setting, const void *out)
 {
-	char problem[DOTTED_BYTES];
+	char problem[DOTTED_KEY_MAX_BYTES];
 
 	for (const struct setting *other = table; other != setting; other++) {
 		if (other->listener != setting->listener ||
@@ -130,12 +133,12 @@
 		return;
 	table->consumed = 1;
 	if (table->kind != TOML_TABLE) {
-		field_mistake(reader->mistakes, table, section, "",
-			      toml_kind_name(table->kind), "a table");
+		field_add_mistake(reader->mistakes, table, section, "",
+				  toml_kind_name(table->kind), "a table");
 		return;
 	}
-	fields_take(reader->mistakes, section, table, fields, out);
-	fields_unknown(reader->mistakes, section, table);
+	fields_parse(reader->mistakes, section, table, fields, out);
+	fields_report_unknown(reader->mistakes, section, table);
 }
 
 /**
@@ -151,9 +154,9 @@
 		    void *out)
 {
 	for (const struct setting *setting = table; setting->section; setting++)
-		field_take(reader->mistakes, reader->root, setting->section,
-			   toml_find(reader->root, setting->section),
-			   &setting->field, out);
+		field_parse(reader->mistakes, reader->root, setting->section,
+			    toml_find(reader->root, setting->section),
+			    &setting->field, out);
 	report_unknown(reader, table);
 	for (const struct setting *setting = table; setting->section; setting++)
 		if (setting->listener && endpoint_of(setting, out))
--- a/adapters/vips.c
+++ b/adapters/vips.c
@@ -232,8 +232,8 @@
 
 	g_snprintf(problem, sizeof(problem), "%s is %s of account %s",
 		   node->text, role, holder);
-	field_mistake(mistakes, node, prefix, key, problem,
-		      "an endpoint that no other account has as a VIP");
+	field_add_mistake(mistakes, node, prefix, key, problem,
+			  "an endpoint that no other account has as a VIP");
 }
 
 static void check_vip(const struct vips *vips, const char *account,
