--- a/adapters/fields.c
+++ b/adapters/fields.c
@@ -315,7 +315,7 @@
 	if (!node && !field->required)
 		return;
 	if (node) {
-		node->taken = 1;
+		node->consumed = 1;
 		if (parse_value(field, node, member, problem, sizeof(problem)))
 			return;
 	}
@@ -353,7 +353,7 @@
 			   const struct toml_node *table)
 {
 	for (uint32_t i = 0; i < table->n_items; i++)
-		if (!table->items[i].taken)
+		if (!table->items[i].consumed)
 			field_add_mistake(mistakes, &table->items[i], prefix,
 					  table->items[i].key, "unknown key",
 					  "a key that is documented");
--- a/adapters/hello_codec.c
+++ b/adapters/hello_codec.c
@@ -105,7 +105,8 @@
 	if (o->type != MSGPACK_OBJECT_ARRAY || o->via.array.size != n)
 		return false;
 	for (uint32_t i = 0; i < n; i++)
-		if (!msgpack_number(&o->via.array.ptr[i], UINT64_MAX, &out[i]))
+		if (!msgpack_get_uint(&o->via.array.ptr[i], UINT64_MAX,
+				      &out[i]))
 			return false;
 	return true;
 }
@@ -117,7 +118,7 @@
 static int unpack_rows(const msgpack_object *o, uint32_t max, uint32_t fields,
 		       uint64_t *out)
 {
-	if (!msgpack_list(o, max))
+	if (!msgpack_is_array(o, max))
 		return -EPROTO;
 	for (uint32_t i = 0; i < o->via.array.size; i++)
 		if (!unpack_row(&o->via.array.ptr[i], fields, out + i * fields))
@@ -195,17 +196,17 @@
 
 	if (o->type != MSGPACK_OBJECT_ARRAY ||
 	    o->via.array.size != HELLO_FIELDS ||
-	    !msgpack_number(&f[0], UINT64_MAX, &version) ||
+	    !msgpack_get_uint(&f[0], UINT64_MAX, &version) ||
 	    version != HELLO_VERSION ||
-	    !msgpack_number(&f[1], UINT64_MAX, &hello->from) ||
-	    !msgpack_number(&f[2], UINT32_MAX, &zone) ||
-	    !msgpack_number(&f[3], UINT64_MAX, &hello->boot) ||
-	    !msgpack_number(&f[4], UINT32_MAX, &flags) ||
-	    !msgpack_number(&f[5], UINT64_MAX, &hello->newest.epoch) ||
-	    !msgpack_number(&f[6], UINT64_MAX, &hello->newest.revision) ||
-	    !msgpack_number(&f[7], UINT64_MAX, &hello->retained_digest) ||
-	    !msgpack_number(&f[8], UINT32_MAX, &epoch_age_ms) ||
-	    !msgpack_number(&f[9], UINT32_MAX, &platform_failed_age_ms))
+	    !msgpack_get_uint(&f[1], UINT64_MAX, &hello->from) ||
+	    !msgpack_get_uint(&f[2], UINT32_MAX, &zone) ||
+	    !msgpack_get_uint(&f[3], UINT64_MAX, &hello->boot) ||
+	    !msgpack_get_uint(&f[4], UINT32_MAX, &flags) ||
+	    !msgpack_get_uint(&f[5], UINT64_MAX, &hello->newest.epoch) ||
+	    !msgpack_get_uint(&f[6], UINT64_MAX, &hello->newest.revision) ||
+	    !msgpack_get_uint(&f[7], UINT64_MAX, &hello->retained_digest) ||
+	    !msgpack_get_uint(&f[8], UINT32_MAX, &epoch_age_ms) ||
+	    !msgpack_get_uint(&f[9], UINT32_MAX, &platform_failed_age_ms))
 		return false;
 	hello->zone = (uint32_t)zone;
 	hello->leaving = flags & HELLO_FLAG_LEAVING;
@@ -234,7 +235,7 @@
 	int err = -EPROTO;
 
 	*out = (struct hello){ 0 };
-	if (msgpack_bound(data, size_bytes))
+	if (msgpack_check_bounds(data, size_bytes))
 		return -EPROTO;
 	msgpack_unpacked_init(&unpacked);
 	if (msgpack_unpack_next(&unpacked, (const char *)data, size_bytes,
--- a/cmd/cb-entry/intake.c
+++ b/cmd/cb-entry/intake.c
@@ -201,9 +201,9 @@
  */
 int intake_open(struct daemon *d)
 {
-	struct link_handler handler = { d, on_account, on_account_withdrawn,
-					on_roster };
-	struct link_conf conf = {
+	struct entry_link_handler handler = { d, on_account,
+					      on_account_withdrawn, on_roster };
+	struct entry_link_conf conf = {
 		.endpoint = d->settings.watch,
 		.self = d->settings.peer,
 		.data_centre = d->settings.data_centre,
--- a/cmd/cb-packet/daemon.h
+++ b/cmd/cb-packet/daemon.h
@@ -74,7 +74,7 @@
 struct relay_cache {
 	GString *body;
 	uint64_t change_count;
-	struct relay_delta delta;
+	struct relay_delta_cache delta;
 };
 
 /**
--- a/cmd/cb-packet/probes.c
+++ b/cmd/cb-packet/probes.c
@@ -69,7 +69,7 @@
 	struct probe *p = connect->data;
 
 	if (status != UV_ECANCELED)
-		finish_probe(p, probe_outcome(status));
+		finish_probe(p, probe_outcome_from_status(status));
 }
 
 static uint32_t find_free_slot(const struct packet_daemon *d)
@@ -133,7 +133,7 @@
 	err = uv_tcp_connect(&p->connect, &p->tcp, (struct sockaddr *)&to,
 			     on_connect);
 	if (err)
-		finish_probe(p, probe_outcome(err));
+		finish_probe(p, probe_outcome_from_status(err));
 }
 
 /**
--- a/cmd/cb-packet/sync.c
+++ b/cmd/cb-packet/sync.c
@@ -150,7 +150,7 @@
 			       const struct http_reply *reply,
 			       struct relay_head *head)
 {
-	struct relay_port port = { d, begin_relay, find_base_value };
+	struct relay_receiver port = { d, begin_relay, find_base_value };
 
 	if (reply->err)
 		return reply->err;
@@ -185,7 +185,7 @@
 void sync_fetch(void *ctx, uint64_t peer, struct position after)
 {
 	struct packet_daemon *d = ctx;
-	struct relay_base base = relay_base(d->node->documents);
+	struct relay_base base = relay_select_base(d->node->documents);
 	char path[URL_PATH_MAX_BYTES];
 	int err;
 
--- a/cmd/cb-watch/documents.c
+++ b/cmd/cb-watch/documents.c
@@ -49,7 +49,7 @@
 	for (uint32_t i = 0; i < mistakes->n; i++) {
 		const struct mistake *mistake = &mistakes->list[i];
 
-		if (mistake->warning)
+		if (mistake->is_warning)
 			continue;
 		g_string_append_printf(reason, "%s%s:%u: %s: %s, expected %s",
 				       reason->len ? "; " : "",
@@ -137,7 +137,7 @@
 
 	if (content && account_decode(name, 1, content, &account))
 		return;
-	vips_put(w->vips, name, account);
+	vips_set(w->vips, name, account);
 	account_free(account);
 }
 
@@ -324,7 +324,7 @@
 			     &account);
 	/* Stored before it is in force, which waits until this VM serves. */
 	if (!err)
-		vips_put(w->vips, account->name, account);
+		vips_set(w->vips, account->name, account);
 	account_free(account);
 	return err;
 }
--- a/cmd/cbctl/check.c
+++ b/cmd/cbctl/check.c
@@ -51,7 +51,7 @@
 		vips_check(vips, a->name,
 			   documents_find(documents, "account", a->name),
 			   documents_templates(documents), mistakes);
-		vips_put(vips, a->name, a);
+		vips_set(vips, a->name, a);
 	}
 	vips_free(vips);
 }
--- a/cmd/cbctl/diff.c
+++ b/cmd/cbctl/diff.c
@@ -52,7 +52,7 @@
 /* An account that both sources have is compared in the first loop only. */
 static void compare_accounts(const struct publications *standing,
 			     const struct publications *next,
-			     struct change_watch watch,
+			     struct change_handler watch,
 			     struct mistakes *mistakes)
 {
 	for (guint i = 0; i < standing->set.accounts->len; i++) {
@@ -82,7 +82,7 @@
 
 	if (!args->json) {
 		compare_accounts(standing, next,
-				 (struct change_watch){ NULL, change_print },
+				 (struct change_handler){ NULL, change_print },
 				 mistakes);
 		mistakes_print(mistakes, stderr);
 		g_string_free(json, TRUE);
@@ -91,7 +91,8 @@
 	json_open(json, NULL, '{');
 	json_open(json, "changes", '[');
 	compare_accounts(standing, next,
-			 (struct change_watch){ json, json_change }, mistakes);
+			 (struct change_handler){ json, json_change },
+			 mistakes);
 	json_close(json, ']');
 	json_mistakes(json, mistakes);
 	json_close(json, '}');
--- a/cmd/cbctl/json.c
+++ b/cmd/cbctl/json.c
@@ -22,7 +22,7 @@
 		json_string(json, "key", mistake->key);
 		json_string(json, "problem", mistake->problem);
 		json_string(json, "expected", mistake->expected);
-		json_bool(json, "warning", mistake->warning);
+		json_bool(json, "warning", mistake->is_warning);
 		json_close(json, '}');
 	}
 	json_close(json, ']');
--- a/cmd/cbctl/render.c
+++ b/cmd/cbctl/render.c
@@ -1,7 +1,7 @@
 /* render: prints one account with its template filled in. */
 #include "cbctl.h"
 
-#include "publication_words.h"
+#include "publication_names.h"
 #include "settings.h"
 
 #include <stdio.h>
@@ -17,7 +17,7 @@
 {
 	json_open(json, NULL, '{');
 	json_address(json, "address", target->addr);
-	json_string(json, "state", state_words[target->state]);
+	json_string(json, "state", target_state_names[target->state]);
 	json_number(json, "weight", target->weight);
 	json_number(json, "slots", target->slots);
 	json_number(json, "connections", target->connections);
@@ -29,8 +29,9 @@
 	json_open(json, NULL, '{');
 	json_string(json, "name", service->name);
 	json_address(json, "vip", service->vip);
-	json_string(json, "protocol", protocol_words[service->protocol]);
-	json_string(json, "class", class_words[service->class]);
+	json_string(json, "protocol",
+		    service_protocol_names[service->protocol]);
+	json_string(json, "class", service_class_names[service->class]);
 	json_bool(json, "post_idempotent", service->post_idempotent);
 	json_bool(json, "target_dedups", service->target_dedups);
 	json_number(json, "request_timeout_ms",
@@ -75,8 +76,8 @@
 static bool print_account_text(struct documents *documents, const char *name,
 			       const char *text, struct mistakes *mistakes)
 {
-	char *out = publication_text(name, text, documents_templates(documents),
-				     mistakes);
+	char *out = publication_expand(
+		name, text, documents_templates(documents), mistakes);
 
 	if (!out)
 		return false;
--- a/cmd/cbctl/replay.c
+++ b/cmd/cbctl/replay.c
@@ -78,7 +78,7 @@
 	const char *json = strchr(text, '{');
 	struct line *l = g_new0(struct line, 1);
 
-	if (json && !log_entry_read(json, &l->record)) {
+	if (json && !log_entry_parse(json, &l->record)) {
 		l->entry = entry_name(text, json, file);
 		return l;
 	}
--- a/cmd/cbload/answer.c
+++ b/cmd/cbload/answer.c
@@ -46,8 +46,8 @@
 	record->answer_id = id;
 	memcpy(record->answer_service, service, sizeof(service));
 	if (id != record->id ||
-	    strcmp(service, call_service(record->kind)) != 0)
-		record->crossed = 1;
+	    strcmp(service, call_kind_service(record->kind)) != 0)
+		record->mismatched = 1;
 	return true;
 }
 
@@ -72,7 +72,7 @@
 		return;
 	number = unexpected.answer_id >> ID_CALLER_SHIFT & ID_CALLER_MASK;
 	if (number != caller->number)
-		caller_record(caller)->crossed = 1;
+		caller_record(caller)->mismatched = 1;
 }
 
 static void handle_update(struct caller *caller)
--- a/cmd/cbload/logs.c
+++ b/cmd/cbload/logs.c
@@ -35,7 +35,7 @@
 		return err;
 	}
 	while (fgets(line, sizeof(line), f)) {
-		if (run_parse(line, &record) < 0)
+		if (run_record_parse(line, &record) < 0)
 			continue;
 		record.log = log;
 		g_array_append_val(logs->runs, record);
--- a/cmd/cbload/main.c
+++ b/cmd/cbload/main.c
@@ -129,7 +129,7 @@
 	if (!err)
 		report_print(options, &report, records);
 	g_array_free(logs.runs, TRUE);
-	return err || !tally_clean(&report.tally) ? EXIT_FAULTS_FOUND : 0;
+	return err || !tally_is_clean(&report.tally) ? EXIT_FAULTS_FOUND : 0;
 }
 
 static int run_and_report(const struct options *options)
--- a/cmd/cbload/report.c
+++ b/cmd/cbload/report.c
@@ -101,9 +101,9 @@
 		print_row(call_kind_names[k], &report->tally.kind[k]);
 	print_row("all", &report->tally.sum);
 	printf("broken of \"all\" is feeds\n");
-	if (report->tally.strangers)
+	if (report->tally.unknown_runs)
 		printf("%" PRIu64 " lines of run logs are of other callers\n",
-		       report->tally.strangers);
+		       report->tally.unknown_runs);
 	printf("broken_weighted_ventolario %" PRIu64 "\n",
 	       tally_weighted_ventolario(&report->tally));
 	printf("broken_weighted_tshwane %" PRIu64 "\n",
--- a/fuzz/users_fuzz.c
+++ b/fuzz/users_fuzz.c
@@ -82,7 +82,8 @@
 {
 	struct document_sink to = { directory, apply_document };
 	struct answer_head head = { 0 };
-	struct relay_port port = { directory, begin_answer, no_known_value };
+	struct relay_receiver port = { directory, begin_answer,
+				       no_known_value };
 	struct relay_head relay;
 	struct hello hello;
 
--- a/sim/sim-experiment/read.c
+++ b/sim/sim-experiment/read.c
@@ -60,7 +60,7 @@
 				  "a string");
 		return;
 	}
-	node->taken = 1;
+	node->consumed = 1;
 }
 
 static uint32_t find_zone(const struct site *s, const char *name)
@@ -116,7 +116,7 @@
 				  "an array of tables");
 		return;
 	}
-	list->taken = 1;
+	list->consumed = 1;
 	for (uint32_t i = 0; i < list->n_items; i++)
 		parse(m, &list->items[i], experiment);
 }
--- a/sim/sim-experiment/read_site.c
+++ b/sim/sim-experiment/read_site.c
@@ -116,7 +116,7 @@
 			"one number each, in order");
 		return;
 	}
-	list->taken = 1;
+	list->consumed = 1;
 	for (uint32_t i = 0; i < n; i++) {
 		const struct toml_node *v = &list->items[i];
 
@@ -152,7 +152,7 @@
 				  "an array of tables");
 		return NULL;
 	}
-	list->taken = 1;
+	list->consumed = 1;
 	*n = list->n_items;
 	return list->items;
 }
--- a/test/json_test.c
+++ b/test/json_test.c
@@ -14,7 +14,7 @@
 	GString *out = g_string_new(NULL);
 
 	json_open(out, NULL, '{');
-	lines_json(out, body);
+	lines_append_json(out, body);
 	json_close(out, '}');
 	return g_string_free(out, FALSE);
 }
