--- a/sim/sim-experiment/incidents.c
+++ b/sim/sim-experiment/incidents.c
@@ -217,7 +217,7 @@
 	{ "crowd", "clients send factor times the requests for for_s",
 	  load_spike },
 	{ "shift", "share of a data centre's load moves to the next for for_s",
-	  shift },
+	  shift_load },
 };
 
 const char *const incident_names[] = {
