--- a/bench/bench-config/main.c
+++ b/bench/bench-config/main.c
@@ -1,7 +1,8 @@
 /*
- * Time for which one changed account holds up the data path: all accounts of a
- * data centre are in force, and the tables are built anew. Each line:
- * accounts, services, targets, milliseconds.
+ * Measures for how long the change of one account blocks the data path of an
+ * entry that has all accounts of a data centre in force: the entry rebuilds its
+ * tables. Each line gives the accounts, services, targets and milliseconds, the
+ * shortest of REPEATS runs.
  */
 #include "entry.h"
 
@@ -16,7 +17,7 @@
 #define FIRST_VIP_IP 0x0a000001
 #define FIRST_TARGET_IP 0x0b000001
 
-static struct actions out;
+static struct actions actions;
 
 static uint64_t now_ns(void)
 {
@@ -65,7 +66,7 @@
 	return a;
 }
 
-static struct entry *entry_of_size(void)
+static struct entry *new_entry(void)
 {
 	const struct entry_conf conf = {
 		.member = { .self = ADDR(0x7f460001, 7000),
@@ -92,19 +93,20 @@
 	return entry_new(&conf, NS_PER_S);
 }
 
-static double change_one(struct entry *e, struct config *c, uint32_t n_targets)
+static double time_account_change_ms(struct entry *e, struct config *c,
+				     uint32_t n_targets)
 {
 	uint64_t start_ns = now_ns();
 
 	if (config_put(c, account(0, n_targets)))
 		exit(EXIT_FAILURE);
-	entry_config(e, c, start_ns, &out);
+	entry_config(e, c, start_ns, &actions);
 	return (double)(now_ns() - start_ns) / NS_PER_MS;
 }
 
 static void measure(uint32_t n_accounts, uint32_t n_targets)
 {
-	struct entry *e = entry_of_size();
+	struct entry *e = new_entry();
 	struct config c = { 0 };
 	double best_ms = 1e9;
 
@@ -112,9 +114,9 @@
 		if (config_put(&c, account(i, n_targets)))
 			exit(EXIT_FAILURE);
 	}
-	entry_config(e, &c, NS_PER_S, &out);
+	entry_config(e, &c, NS_PER_S, &actions);
 	for (uint32_t i = 0; i < REPEATS; i++) {
-		double ms = change_one(e, &c, n_targets);
+		double ms = time_account_change_ms(e, &c, n_targets);
 
 		best_ms = ms < best_ms ? ms : best_ms;
 	}
--- a/bench/bench-faults/baseline.c
+++ b/bench/bench-faults/baseline.c
@@ -3,23 +3,25 @@
 #include <glib.h>
 #include <string.h>
 
-#define LINGER_NS (2 * NS_PER_S) /* a planned stop still relays answers */
+/* Time for which an entry still relays answers after a planned stop began. */
+#define DRAIN_NS (2 * NS_PER_S)
 #define RETRY_AFTER_S 1
 
-/* A flow's place among n; the two baselines differ in it. */
-typedef uint32_t placement(const struct flow_key *key, const uint64_t *at,
-			   uint32_t n);
+/* Maps a flow to an index below n; the baselines differ in this function. */
+typedef uint32_t select_fn(const struct flow_key *key,
+			   const uint64_t *addresses, uint32_t n);
 
 /**
  * struct exchange - a request or feed that an entry remembers
  * @key: flow
- * @id: caller's message ID
- * @token: caller's token, used towards the target as well
- * @target: target it went to
+ * @id: message ID of the caller's request
+ * @token: the caller's token, also used towards the target
+ * @target: address of the target that got the request
  * @update_id: last message ID from the target
- * @answered: the answer has gone to the caller
- * @size_bytes: of @answer
- * @answer: kept for a repeat
+ * @was_answered: the answer was sent to the caller
+ * @type: enum wire_type of the answer
+ * @size_bytes: size of @answer
+ * @answer: last answer, sent again for a retransmitted request
  */
 struct exchange {
 	struct flow_key key;
@@ -27,7 +29,7 @@
 	uint8_t token[TOKEN_MAX_BYTES];
 	uint64_t target;
 	uint16_t update_id;
-	bool answered;
+	bool was_answered;
 	uint8_t type;
 	uint32_t size_bytes;
 	uint8_t answer[DATAGRAM_MAX_BYTES];
@@ -35,8 +37,8 @@
 
 struct baseline {
 	uint64_t self;
-	placement *place;
-	bool drops_repeats;
+	select_fn *select;
+	bool is_deduplicating;
 	uint32_t n_vms;
 	uint64_t vms[TESTBED_NODES_MAX];
 	const struct config *config;
@@ -46,21 +48,21 @@
 	struct actions *out;
 };
 
-static uint32_t place_modulo(const struct flow_key *key, const uint64_t *at,
-			     uint32_t n)
+static uint32_t select_modulo(const struct flow_key *key,
+			      const uint64_t *addresses, uint32_t n)
 {
-	(void)at;
+	(void)addresses;
 	return flow_hash(key) % n;
 }
 
-static uint32_t place_rendezvous(const struct flow_key *key, const uint64_t *at,
-				 uint32_t n)
+static uint32_t select_rendezvous(const struct flow_key *key,
+				  const uint64_t *addresses, uint32_t n)
 {
 	uint64_t best = 0;
 	uint32_t chosen = 0;
 
 	for (uint32_t i = 0; i < n; i++) {
-		uint64_t score = hash_u64(flow_hash(key), at[i]);
+		uint64_t score = hash_u64(flow_hash(key), addresses[i]);
 
 		if (score < best)
 			continue;
@@ -70,13 +72,13 @@
 	return chosen;
 }
 
-static struct baseline *as_baseline(struct entry *e)
+static struct baseline *to_baseline(struct entry *e)
 {
 	return (struct baseline *)e;
 }
 
-static struct action *act(struct baseline *b, uint8_t kind,
-			  const struct flow_key *key, uint64_t target)
+static struct action *add_action(struct baseline *b, uint8_t kind,
+				 const struct flow_key *key, uint64_t target)
 {
 	struct action *a = &b->out->list[b->out->n++];
 
@@ -95,15 +97,16 @@
 	return t;
 }
 
-static struct exchange *remembered(struct baseline *b, const uint8_t *token)
+static struct exchange *find_exchange(struct baseline *b, const uint8_t *token)
 {
 	gpointer k = GSIZE_TO_POINTER(token_hash(token));
 
 	return g_hash_table_lookup(b->by_token, k);
 }
 
-static struct exchange *remember(struct baseline *b, const struct flow_key *key,
-				 const struct message *msg, uint64_t target)
+static struct exchange *add_exchange(struct baseline *b,
+				     const struct flow_key *key,
+				     const struct message *msg, uint64_t target)
 {
 	struct exchange *x = g_new0(struct exchange, 1);
 
@@ -116,9 +119,13 @@
 	return x;
 }
 
-/* The flow's last exchange: callers signal by message ID alone. */
-static struct exchange *last_of(struct baseline *b, const struct flow_key *key,
-				uint16_t update_id)
+/*
+ * Finds the exchange by the last message ID from its target, as a caller's
+ * acknowledgement or reset carries no token.
+ */
+static struct exchange *find_exchange_by_update(struct baseline *b,
+						const struct flow_key *key,
+						uint16_t update_id)
 {
 	GHashTableIter it;
 	gpointer value;
@@ -156,10 +163,10 @@
 		if (s->targets[i].state == TARGET_UP)
 			up[n++] = s->targets[i].addr;
 	}
-	return n ? up[b->place(key, up, n)] : ADDR_NONE;
+	return n ? up[b->select(key, up, n)] : ADDR_NONE;
 }
 
-static void put_message(struct action *a, const struct message *msg,
+static void set_message(struct action *a, const struct message *msg,
 			uint8_t type)
 {
 	a->type = type;
@@ -173,9 +180,9 @@
 static void refuse(struct baseline *b, const struct flow_key *key,
 		   const struct message *msg)
 {
-	struct action *a = act(b, ACT_ANSWER_CALLER, key, ADDR_NONE);
+	struct action *a = add_action(b, ACT_ANSWER_CALLER, key, ADDR_NONE);
 
-	put_message(a, msg, WIRE_ACK);
+	set_message(a, msg, WIRE_ACK);
 	a->data = NULL;
 	a->answer = ANSWER_NOT_RUN;
 	a->retry_after_s = RETRY_AFTER_S;
@@ -183,7 +190,7 @@
 
 static void replay(struct baseline *b, struct exchange *x)
 {
-	struct action *a = act(b, ACT_TO_CALLER, &x->key, x->target);
+	struct action *a = add_action(b, ACT_TO_CALLER, &x->key, x->target);
 
 	a->type = x->type;
 	a->id = x->type == WIRE_ACK ? x->id : x->update_id;
@@ -193,14 +200,14 @@
 	a->size_bytes = x->size_bytes;
 }
 
-static void requested(struct baseline *b, const struct flow_key *key,
-		      const struct message *msg)
+static void handle_request(struct baseline *b, const struct flow_key *key,
+			   const struct message *msg)
 {
-	struct exchange *x = remembered(b, msg->token);
+	struct exchange *x = find_exchange(b, msg->token);
 	uint64_t target = target_for(b, key);
 
-	if (x && x->id == msg->id && b->drops_repeats) {
-		if (x->answered)
+	if (x && x->id == msg->id && b->is_deduplicating) {
+		if (x->was_answered)
 			replay(b, x);
 		return;
 	}
@@ -208,19 +215,20 @@
 		refuse(b, key, msg);
 		return;
 	}
-	remember(b, key, msg, target);
-	put_message(act(b, ACT_TO_TARGET, key, target), msg, WIRE_CONFIRM);
+	add_exchange(b, key, msg, target);
+	set_message(add_action(b, ACT_TO_TARGET, key, target), msg,
+		    WIRE_CONFIRM);
 }
 
-static void signalled(struct baseline *b, const struct flow_key *key,
-		      const struct message *msg)
+static void handle_signal(struct baseline *b, const struct flow_key *key,
+			  const struct message *msg)
 {
-	struct exchange *x = last_of(b, key, msg->id);
+	struct exchange *x = find_exchange_by_update(b, key, msg->id);
 	struct action *a;
 
 	if (!x)
 		return;
-	a = act(b, ACT_SIGNAL_TARGET, key, x->target);
+	a = add_action(b, ACT_SIGNAL_TARGET, key, x->target);
 	a->type = msg->kind == MESSAGE_ACK ? WIRE_ACK : WIRE_RESET;
 	a->id = msg->id;
 }
@@ -229,12 +237,12 @@
 		  const struct message *msg)
 {
 	if (msg->kind == MESSAGE_REQUEST)
-		requested(b, key, msg);
+		handle_request(b, key, msg);
 	else
-		signalled(b, key, msg);
+		handle_signal(b, key, msg);
 }
 
-static void begin(struct baseline *b, uint64_t now_ns, struct actions *out)
+static void begin_call(struct baseline *b, uint64_t now_ns, struct actions *out)
 {
 	b->now_ns = now_ns;
 	b->out = out;
@@ -245,18 +253,18 @@
 		      const struct message *msg, uint64_t now_ns,
 		      struct actions *out)
 {
-	struct baseline *b = as_baseline(e);
+	struct baseline *b = to_baseline(e);
 	uint64_t owner = b->self;
 	struct action *a;
 
-	begin(b, now_ns, out);
+	begin_call(b, now_ns, out);
 	if (b->n_vms > 0)
-		owner = b->vms[b->place(key, b->vms, b->n_vms)];
+		owner = b->vms[b->select(key, b->vms, b->n_vms)];
 	if (owner == b->self) {
 		serve(b, key, msg);
 		return;
 	}
-	a = act(b, ACT_PEER, key, ADDR_NONE);
+	a = add_action(b, ACT_PEER, key, ADDR_NONE);
 	a->vm = owner;
 	a->peer.kind = PEER_FORWARD;
 	a->peer.from = b->self;
@@ -269,24 +277,27 @@
 		    const struct message *forwarded, uint64_t now_ns,
 		    struct actions *out)
 {
-	struct baseline *b = as_baseline(e);
+	struct baseline *b = to_baseline(e);
 
-	begin(b, now_ns, out);
+	begin_call(b, now_ns, out);
 	if (forwarded)
 		serve(b, &msg->key, forwarded);
 }
 
-/* An update's ID serves towards the caller too: its acknowledgement has it. */
-static void answered(struct baseline *b, uint64_t target,
-		     const struct message *msg)
+/*
+ * Relays an answer under the target's message ID, which the caller's
+ * acknowledgement then repeats.
+ */
+static void handle_answer(struct baseline *b, uint64_t target,
+			  const struct message *msg)
 {
-	struct exchange *x = remembered(b, msg->token);
+	struct exchange *x = find_exchange(b, msg->token);
 	struct action *a;
 
 	if (!x) {
 		struct flow_key none = { 0 };
 
-		a = act(b, ACT_SIGNAL_TARGET, &none, target);
+		a = add_action(b, ACT_SIGNAL_TARGET, &none, target);
 		a->type = WIRE_RESET;
 		a->id = msg->id;
 		return;
@@ -296,7 +307,7 @@
 						 : WIRE_PLAIN;
 	if (x->type != WIRE_ACK)
 		x->update_id = msg->id;
-	x->answered = true;
+	x->was_answered = true;
 	x->size_bytes = msg->size_bytes;
 	memcpy(x->answer, msg->data, msg->size_bytes);
 	replay(b, x);
@@ -306,46 +317,46 @@
 		      const struct message *msg, uint64_t now_ns,
 		      struct actions *out)
 {
-	struct baseline *b = as_baseline(e);
+	struct baseline *b = to_baseline(e);
 
-	begin(b, now_ns, out);
+	begin_call(b, now_ns, out);
 	if (msg->kind == MESSAGE_ANSWER)
-		answered(b, target, msg);
+		handle_answer(b, target, msg);
 }
 
 static void on_config(struct entry *e, const struct config *c, uint64_t now_ns,
 		      struct actions *out)
 {
-	struct baseline *b = as_baseline(e);
+	struct baseline *b = to_baseline(e);
 
-	begin(b, now_ns, out);
+	begin_call(b, now_ns, out);
 	b->config = c;
 }
 
 static void on_roster(struct entry *e, const uint64_t *vms, uint32_t n,
 		      uint64_t now_ns, struct actions *out)
 {
-	struct baseline *b = as_baseline(e);
+	struct baseline *b = to_baseline(e);
 
-	begin(b, now_ns, out);
+	begin_call(b, now_ns, out);
 	b->n_vms = n;
 	memcpy(b->vms, vms, n * sizeof(*vms));
 }
 
 static void on_tick(struct entry *e, uint64_t now_ns, struct actions *out)
 {
-	begin(as_baseline(e), now_ns, out);
+	begin_call(to_baseline(e), now_ns, out);
 }
 
 static void on_leave(struct entry *e, uint64_t now_ns, struct actions *out)
 {
-	struct baseline *b = as_baseline(e);
+	struct baseline *b = to_baseline(e);
 
-	begin(b, now_ns, out);
-	b->leave_deadline_ns = now_ns + LINGER_NS;
+	begin_call(b, now_ns, out);
+	b->leave_deadline_ns = now_ns + DRAIN_NS;
 }
 
-static bool left(const struct entry *e)
+static bool has_left(const struct entry *e)
 {
 	const struct baseline *b = (const struct baseline *)e;
 
@@ -359,44 +370,44 @@
 	return b->leave_deadline_ns ? b->leave_deadline_ns : UINT64_MAX;
 }
 
-static struct entry *make(const struct entry_conf *conf, placement *place,
-			  bool drops_repeats)
+static struct entry *new_baseline(const struct entry_conf *conf,
+				  select_fn *select, bool is_deduplicating)
 {
 	struct baseline *b = g_new0(struct baseline, 1);
 
 	b->self = conf->member.self;
-	b->place = place;
-	b->drops_repeats = drops_repeats;
+	b->select = select;
+	b->is_deduplicating = is_deduplicating;
 	b->by_token = g_hash_table_new_full(NULL, NULL, NULL, g_free);
 	return (struct entry *)b;
 }
 
-static struct entry *make_modulo(const struct entry_conf *conf, uint64_t now_ns)
+static struct entry *new_modulo(const struct entry_conf *conf, uint64_t now_ns)
 {
 	(void)now_ns;
-	return make(conf, place_modulo, false);
+	return new_baseline(conf, select_modulo, false);
 }
 
-static struct entry *make_consistent(const struct entry_conf *conf,
-				     uint64_t now_ns)
+static struct entry *new_consistent(const struct entry_conf *conf,
+				    uint64_t now_ns)
 {
 	(void)now_ns;
-	return make(conf, place_rendezvous, true);
+	return new_baseline(conf, select_rendezvous, true);
 }
 
-static void release(struct entry *e)
+static void free_baseline(struct entry *e)
 {
-	g_hash_table_destroy(as_baseline(e)->by_token);
+	g_hash_table_destroy(to_baseline(e)->by_token);
 	g_free(e);
 }
 
-#define BASELINE(how)                                                          \
+#define BASELINE(new_fn)                                                       \
 	{                                                                      \
-		.make = how, .free = release, .config = on_config,             \
+		.make = new_fn, .free = free_baseline, .config = on_config,    \
 		.roster = on_roster, .caller = on_caller, .target = on_target, \
 		.peer = on_peer, .tick = on_tick, .leave = on_leave,           \
-		.left = left, .next_ns = next_ns,                              \
+		.left = has_left, .next_ns = next_ns,                          \
 	}
 
-const struct testbed_system baseline_modulo = BASELINE(make_modulo);
-const struct testbed_system baseline_consistent = BASELINE(make_consistent);
+const struct testbed_system baseline_modulo = BASELINE(new_modulo);
+const struct testbed_system baseline_consistent = BASELINE(new_consistent);
--- a/bench/bench-faults/baseline.h
+++ b/bench/bench-faults/baseline.h
@@ -1,13 +1,19 @@
-/* Baselines that stand in the entries' place: little state, no second copy. */
+/* Baseline balancers that run in place of the entries; none keeps second copies. */
 #ifndef CB_BASELINE_H
 #define CB_BASELINE_H
 
 #include "../../test/testbed.h"
 
-/* Owner and target by hash modulo their number; repeats run again. */
+/*
+ * Selects owner and target by flow hash modulo their number. A retransmitted
+ * request runs again.
+ */
 extern const struct testbed_system baseline_modulo;
 
-/* Both by rendezvous hash; the owner drops repeats, and keeps all to itself. */
+/*
+ * Selects owner and target by rendezvous hashing. The owner suppresses
+ * retransmissions, but shares its state with no other entry.
+ */
 extern const struct testbed_system baseline_consistent;
 
 #endif
--- a/bench/bench-faults/main.c
+++ b/bench/bench-faults/main.c
@@ -1,6 +1,7 @@
 /*
- * What each fault costs callers, for the product and two baselines in the
- * same run, on the test bed. Prints a table and one JSON line.
+ * Compares what callers lose by each fault under cactusbeam and under two
+ * baselines, on the simulated test bed with the same seeds. Prints a table and
+ * one line of JSON.
  */
 #include "baseline.h"
 
@@ -13,7 +14,7 @@
 #define FAULT_NS (23 * NS_PER_S)
 #define RUN_NS (39 * NS_PER_S)
 #define FINISH_NS (14 * NS_PER_S)
-#define LIST_LAG_MS 2000 /* the platform's list follows a change */
+#define LIST_LAG_MS 2000 /* delay from a change to the platform's list of VMs */
 #define ARRAY_LEN(a) (sizeof(a) / sizeof((a)[0]))
 
 enum { PRODUCT, MODULO, CONSISTENT, SYSTEMS };
@@ -28,9 +29,9 @@
 };
 
 /*
- * Weights of a broken flow by class, and of broken flows against imbalance:
- * Ventolario counts reports double and imbalance more, Tshwane broken flows
- * more. "More" is taken as double.
+ * Weights of a broken flow by class, and of broken flows relative to imbalance.
+ * Ventolario counts reports double and gives imbalance more weight; Tshwane gives
+ * broken flows more weight. "More" stands for a factor of two.
  */
 static const struct {
 	const char *name;
@@ -44,11 +45,11 @@
 
 /**
  * struct tally - sums over the runs of one system
- * @v: sums of the verdicts
- * @broken: broken flows by class
- * @unknown: of these, told that the outcome is unknown
- * @imbalance: sum of the runs' work on the busiest target over the mean
- * @runs: how many
+ * @v: sums of the counters of the runs' verdicts
+ * @broken: broken flows by enum op_class
+ * @unknown: flows by class that ended with "outcome unknown"; part of @broken
+ * @imbalance: sum over the runs of the busiest target's work over the mean
+ * @runs: number of runs
  */
 struct tally {
 	struct testbed_verdict v;
@@ -58,7 +59,7 @@
 	uint32_t runs;
 };
 
-/* "Outcome unknown" leaves a caller without an answer: broken as well. */
+/* "Outcome unknown" counts as broken, as it leaves the caller without an answer. */
 static bool is_broken(const struct op *op)
 {
 	bool idempotent = op->class_ == OP_FEED || op->class_ == OP_GET;
@@ -70,7 +71,7 @@
 	       (!idempotent && op->runs > 1);
 }
 
-/* Busiest over mean, the worse of the two services. */
+/* Work of the busiest target over the mean, of the worse of the two services. */
 static double imbalance(const struct testbed_verdict *v,
 			const uint32_t *targets)
 {
@@ -91,8 +92,8 @@
 	return worst;
 }
 
-static void add(struct tally *t, struct testbed *f,
-		const struct testbed_verdict *v, const uint32_t *targets)
+static void tally_add(struct tally *t, struct testbed *f,
+		      const struct testbed_verdict *v, const uint32_t *targets)
 {
 	for (uint32_t i = 0; i < testbed_op_next(f); i++) {
 		const struct op *op = testbed_op(f, i);
@@ -137,8 +138,8 @@
 	fault->apply(f, &scene);
 	testbed_run(f, RUN_NS);
 	v = testbed_finish(f);
-	add(row, f, &v, plan.targets);
-	add(total, f, &v, plan.targets);
+	tally_add(row, f, &v, plan.targets);
+	tally_add(total, f, &v, plan.targets);
 	testbed_free(f);
 }
 
@@ -160,7 +161,8 @@
 	       v->up ? (double)v->forwards / v->up : 0, bytes_per_s(t));
 }
 
-static double weigh(const struct tally *t, const uint32_t *count, size_t d)
+static double weighted_per_1000(const struct tally *t, const uint32_t *count,
+				size_t d)
 {
 	double sum = 0;
 
@@ -169,28 +171,28 @@
 	return 1000 * sum / t->v.ops;
 }
 
-static double weighted(const struct tally *t, size_t d)
+static double weighted_broken(const struct tally *t, size_t d)
 {
-	return weigh(t, t->broken, d);
+	return weighted_per_1000(t, t->broken, d);
 }
 
-/* Cost against a baseline: below 1 the product is better. */
+/* Weighted cost relative to a baseline; below 1, cactusbeam is better. */
 static double ratio(const struct tally *t, const struct tally *base, size_t d)
 {
 	double wb = deployments[d].broken;
 	double wi = deployments[d].imbalance;
-	double broken = weighted(base, d);
+	double broken = weighted_broken(base, d);
 	double over = base->imbalance / base->runs - 1;
 	double sum = 0;
 
 	if (broken > 0)
-		sum += wb * weighted(t, d) / broken;
+		sum += wb * weighted_broken(t, d) / broken;
 	if (over > 0)
 		sum += wi * (t->imbalance / t->runs - 1) / over;
 	return sum / (wb + wi);
 }
 
-static void sum_up(const struct tally total[SYSTEMS])
+static void print_summary(const struct tally total[SYSTEMS])
 {
 	for (int s = 0; s < SYSTEMS; s++)
 		print_row("all faults", systems[s].name, &total[s]);
@@ -201,8 +203,9 @@
 		for (int s = 0; s < SYSTEMS; s++)
 			printf("%-12s %-11s %22.3f %8.3f %11.3f %8.3f %8.3f\n",
 			       deployments[d].name, systems[s].name,
-			       weighted(&total[s], d),
-			       weigh(&total[s], total[s].unknown, d),
+			       weighted_broken(&total[s], d),
+			       weighted_per_1000(&total[s], total[s].unknown,
+						 d),
 			       total[s].imbalance / total[s].runs,
 			       ratio(&total[s], &total[MODULO], d),
 			       ratio(&total[s], &total[CONSISTENT], d));
@@ -227,7 +230,7 @@
 	printf("}\n");
 }
 
-static void bench(int seeds)
+static void run_all(int seeds)
 {
 	struct tally total[SYSTEMS] = { 0 };
 
@@ -244,7 +247,7 @@
 			print_row(faults[i].name, systems[s].name, &t);
 		}
 	}
-	sum_up(total);
+	print_summary(total);
 	print_json(total, seeds);
 }
 
@@ -263,7 +266,7 @@
 	} else if (help->count > 0) {
 		arg_print_glossary(stdout, table, "  %-20s %s\n");
 	} else {
-		bench(seeds->ival[0]);
+		run_all(seeds->ival[0]);
 	}
 	arg_freetable(table, ARRAY_LEN(table));
 	return status;
--- a/bench/bench-packet/main.c
+++ b/bench/bench-packet/main.c
@@ -1,6 +1,7 @@
 /*
- * Time that the codecs take for one datagram, in nanoseconds, and the sizes of
- * the messages between entries. Each line: name, figure, unit.
+ * Measures the time that the codecs take for one datagram, in nanoseconds, and
+ * the sizes of the messages between entries. Each line gives a name, a value and
+ * a unit.
  */
 #include "coap_wire.h"
 #include "proxy2.h"
@@ -31,7 +32,7 @@
 				 "0123456789012345678901234567890123456789";
 #define REQUEST_BYTES (sizeof(request) - 1)
 
-/* Keeps results alive, so that the compiler can't drop the work. */
+/* Results are added here, so that the compiler can't optimise the calls away. */
 static volatile uint64_t sink;
 
 static uint64_t now_ns(void)
@@ -42,7 +43,7 @@
 	return (uint64_t)t.tv_sec * NS_PER_S + (uint64_t)t.tv_nsec;
 }
 
-/* Best of several runs: the machine's other work only ever adds. */
+/* Takes the fastest of several runs, as other work on the machine only adds time. */
 static void measure(const char *name, void (*one)(void))
 {
 	uint64_t best_ns = UINT64_MAX;
@@ -192,7 +193,7 @@
 				  .view = 0x9574a3b1c2d4e5f6ULL };
 }
 
-static struct peer_msg with_claims(uint8_t kind, uint8_t n)
+static struct peer_msg message_with_claims(uint8_t kind, uint8_t n)
 {
 	struct peer_msg m = message(kind);
 
@@ -207,7 +208,7 @@
 	return m;
 }
 
-static struct peer_msg with_gossip(uint8_t kind, uint8_t n)
+static struct peer_msg message_with_gossip(uint8_t kind, uint8_t n)
 {
 	struct peer_msg m = message(kind);
 
@@ -220,7 +221,7 @@
 	return m;
 }
 
-static struct peer_msg of_flow(uint8_t kind, uint8_t token_len)
+static struct peer_msg message_of_flow(uint8_t kind, uint8_t token_len)
 {
 	struct peer_msg m = message(kind);
 
@@ -252,18 +253,21 @@
 		const char *name;
 		struct peer_msg m;
 	} rows[] = {
-		{ "ping", with_gossip(PEER_PING, 0) },
-		{ "ping_8_news", with_gossip(PEER_PING, GOSSIP_UPDATES_MAX) },
-		{ "ack", with_gossip(PEER_ACK, 0) },
-		{ "forward_overhead", with_data(of_flow(PEER_FORWARD, 0), 0) },
-		{ "claim_1", with_claims(PEER_CLAIM, 1) },
-		{ "claim_32", with_claims(PEER_CLAIM, CLAIMS_MAX) },
-		{ "grant_1", with_claims(PEER_GRANT, 1) },
-		{ "settle_1", with_claims(PEER_SETTLE, 1) },
-		{ "record_32", with_claims(PEER_RECORD, CLAIMS_MAX) },
-		{ "feed_40_opening", with_data(of_flow(PEER_FEED, 4), 40) },
-		{ "feed_close", of_flow(PEER_FEED_CLOSE, 4) },
-		{ "unpin", of_flow(PEER_UNPIN, 0) },
+		{ "ping", message_with_gossip(PEER_PING, 0) },
+		{ "ping_8_news",
+		  message_with_gossip(PEER_PING, GOSSIP_UPDATES_MAX) },
+		{ "ack", message_with_gossip(PEER_ACK, 0) },
+		{ "forward_overhead",
+		  with_data(message_of_flow(PEER_FORWARD, 0), 0) },
+		{ "claim_1", message_with_claims(PEER_CLAIM, 1) },
+		{ "claim_32", message_with_claims(PEER_CLAIM, CLAIMS_MAX) },
+		{ "grant_1", message_with_claims(PEER_GRANT, 1) },
+		{ "settle_1", message_with_claims(PEER_SETTLE, 1) },
+		{ "record_32", message_with_claims(PEER_RECORD, CLAIMS_MAX) },
+		{ "feed_40_opening",
+		  with_data(message_of_flow(PEER_FEED, 4), 40) },
+		{ "feed_close", message_of_flow(PEER_FEED_CLOSE, 4) },
+		{ "unpin", message_of_flow(PEER_UNPIN, 0) },
 		{ "handover", message(PEER_HANDOVER) },
 	};
 
@@ -279,9 +283,9 @@
 	refusal.answer = ANSWER_NOT_RUN;
 	refusal.reason = REFUSE_QUEUE;
 	refusal.retry_after_s = 30;
-	forward = with_data(of_flow(PEER_FORWARD, 0), REQUEST_BYTES);
-	claim = with_claims(PEER_CLAIM, 1);
-	claims = with_claims(PEER_CLAIM, CLAIMS_MAX);
+	forward = with_data(message_of_flow(PEER_FORWARD, 0), REQUEST_BYTES);
+	claim = message_with_claims(PEER_CLAIM, 1);
+	claims = message_with_claims(PEER_CLAIM, CLAIMS_MAX);
 	forward_bytes = (uint32_t)wire_encode(&forward, key, forward_wire,
 					      sizeof(forward_wire));
 	claim_bytes = (uint32_t)wire_encode(&claim, key, claim_wire,
@@ -317,7 +321,8 @@
 		return EXIT_FAILURE;
 	prepare();
 	if (coap_wire_parse(request, REQUEST_BYTES, &m)) {
-		fputs("bench-packet: its own request is malformed\n", stderr);
+		fputs("bench-packet: the built-in request does not parse\n",
+		      stderr);
 		return EXIT_FAILURE;
 	}
 	printf("request %zu bytes\nforward %u bytes\n", REQUEST_BYTES,
--- a/bench/bench-publication/main.c
+++ b/bench/bench-publication/main.c
@@ -1,6 +1,6 @@
 /*
- * Cost of rendering and comparing one account's publication:
- * publication TARGETS BYTES RENDER_US COMPARE_US
+ * Measures the time that rendering and comparing one account's publication
+ * takes. Prints lines "publication TARGETS BYTES RENDER_US COMPARE_US".
  */
 #include "publication.h"
 
@@ -10,7 +10,7 @@
 #include <time.h>
 
 #define TARGETS_PER_SERVICE 500
-#define REPEATS_TARGETS 20000
+#define RENDERED_TARGETS 20000
 
 static uint64_t clock_ns(void)
 {
@@ -20,7 +20,7 @@
 	return t.tv_sec * NS_PER_S + t.tv_nsec;
 }
 
-static char *document(uint32_t n_targets, uint64_t generation)
+static char *make_document(uint32_t n_targets, uint64_t generation)
 {
 	GString *to = g_string_new(NULL);
 
@@ -51,7 +51,7 @@
 	return a;
 }
 
-static double time_render(const char *text, uint32_t repeats)
+static double render_us(const char *text, uint32_t repeats)
 {
 	uint64_t start_ns = clock_ns();
 
@@ -60,8 +60,7 @@
 	return (double)(clock_ns() - start_ns) / 1e3 / repeats;
 }
 
-static double time_compare(const char *text, const char *later,
-			   uint32_t repeats)
+static double compare_us(const char *text, const char *later, uint32_t repeats)
 {
 	struct account_conf *a = render(text);
 	struct account_conf *b = render(later);
@@ -78,12 +77,12 @@
 
 static void measure(uint32_t n_targets)
 {
-	uint32_t repeats = REPEATS_TARGETS / n_targets;
-	char *text = document(n_targets, 1);
-	char *later = document(n_targets, 2);
+	uint32_t repeats = RENDERED_TARGETS / n_targets;
+	char *text = make_document(n_targets, 1);
+	char *later = make_document(n_targets, 2);
 
 	printf("publication %u %zu %.0f %.0f\n", n_targets, strlen(text),
-	       time_render(text, repeats), time_compare(text, later, repeats));
+	       render_us(text, repeats), compare_us(text, later, repeats));
 	g_free(text);
 	g_free(later);
 }
--- a/bench/slopes-fit/main.c
+++ b/bench/slopes-fit/main.c
@@ -1,7 +1,8 @@
 /*
- * Reads lines "NAME SIZE VALUE UNIT" and prints, by name, the straight line
- * through them: "fit NAME SLOPE INTERCEPT R2 UNIT POINTS". A name with fewer
- * than three sizes has no fit. Other lines are passed over.
+ * Reads lines "NAME SIZE VALUE UNIT" and fits a straight line to the points of
+ * each name by least squares. Prints "fit NAME SLOPE INTERCEPT R2 UNIT POINTS".
+ * A name with fewer than three points, or with one size only, gets no fit. Input
+ * lines of another form are ignored.
  */
 #include <glib.h>
 #include <gsl/gsl_fit.h>
@@ -20,8 +21,8 @@
 	GArray *y;
 };
 
-static struct series *series_of(GPtrArray *all, const char *name,
-				const char *unit)
+static struct series *find_or_add_series(GPtrArray *all, const char *name,
+					 const char *unit)
 {
 	struct series *s;
 
@@ -48,12 +49,12 @@
 
 	if (sscanf(line, "%127s %lf %lf %127s", name, &x, &y, unit) != 4)
 		return;
-	s = series_of(all, name, unit);
+	s = find_or_add_series(all, name, unit);
 	g_array_append_val(s->x, x);
 	g_array_append_val(s->y, y);
 }
 
-static double square_sum(const double *y, size_t n)
+static double sum_of_squared_deviations(const double *y, size_t n)
 {
 	double mean = 0;
 	double sum = 0;
@@ -69,15 +70,17 @@
 {
 	const double *x = (const double *)(void *)s->x->data;
 	const double *y = (const double *)(void *)s->y->data;
-	double slope, intercept, c00, c01, c11, rest;
-	double spread = square_sum(y, s->y->len);
+	double slope, intercept, c00, c01, c11, residual_sum;
+	double total_sum = sum_of_squared_deviations(y, s->y->len);
 
-	if (s->x->len < POINTS_MIN || square_sum(x, s->x->len) <= 0)
+	if (s->x->len < POINTS_MIN ||
+	    sum_of_squared_deviations(x, s->x->len) <= 0)
 		return;
 	gsl_fit_linear(x, 1, y, 1, s->x->len, &intercept, &slope, &c00, &c01,
-		       &c11, &rest);
+		       &c11, &residual_sum);
 	printf("fit %s %.6g %.6g %.4f %s %u\n", s->name, slope, intercept,
-	       spread > 0 ? 1 - rest / spread : 1, s->unit, s->x->len);
+	       total_sum > 0 ? 1 - residual_sum / total_sum : 1, s->unit,
+	       s->x->len);
 }
 
 static void series_free(struct series *s)
--- a/bench/slopes-member/fleet.c
+++ b/bench/slopes-member/fleet.c
@@ -1,2 +1,2 @@
-/* The tests' fake network, so that both measure and prove the same thing. */
+/* Uses the tests' simulated network, so that the code measured is the code tested. */
 #include "../../test/fleet.c"
--- a/bench/slopes-member/main.c
+++ b/bench/slopes-member/main.c
@@ -1,7 +1,8 @@
 /*
- * Slopes of membership and of the ring, by entries of a data centre. Time is
- * the fake network's, size is the real codec's, microseconds are this
- * machine's.
+ * Measures how the cost of membership and of the ring grows with the number of
+ * entries of a data centre. Delays are simulated time, message sizes come from
+ * the real codec, and processor times (ns, us) are wall-clock time on the machine
+ * that runs this program.
  */
 #include "../../test/fleet.h"
 #include "ring.h"
@@ -13,13 +14,13 @@
 #include <time.h>
 
 #define SEED 20261202
-/* News of a start of the whole fleet has gone round by then. */
-#define BOOT_NS (90 * NS_PER_S)
-#define CALLS 20000
-#define LOAD_S 10
-#define STEP_NS NS_PER_MS
-#define WATCH_MS 10000
-#define RACK 20
+/* Time after which the updates of a start of all entries have spread. */
+#define SETTLE_NS (90 * NS_PER_S)
+#define CALL_REPEATS 20000
+#define LOAD_SECONDS 10
+#define POLL_NS NS_PER_MS
+#define OBSERVATION_MS 10000
+#define RACK_NODES 20
 #define UDP_IP_BYTES 28
 
 static uint64_t clock_ns(void)
@@ -38,18 +39,18 @@
 	return UDP_IP_BYTES + wire_encode(msg, key, buf, sizeof(buf));
 }
 
-static struct fleet *fleet_up(uint32_t n)
+static struct fleet *new_settled_fleet(uint32_t n)
 {
 	struct fleet *f = fleet_new(n, SEED);
 
 	f->incarnation = 1796000000ULL * NS_PER_S;
 	fleet_start_all(f);
-	fleet_run(f, BOOT_NS);
+	fleet_run(f, SETTLE_NS);
 	f->size_bytes = datagram_bytes;
 	return f;
 }
 
-static void sum(const struct fleet *f, uint64_t *messages, uint64_t *bytes)
+static void sum_sent(const struct fleet *f, uint64_t *messages, uint64_t *bytes)
 {
 	uint32_t i;
 
@@ -61,13 +62,13 @@
 	}
 }
 
-static void boot(uint32_t n)
+static void measure_cold_start(uint32_t n)
 {
 	struct fleet *f = fleet_new(n, SEED);
 	uint32_t ms = 0;
 
 	fleet_start_all(f);
-	while (!fleet_converged(f) && ms < WATCH_MS) {
+	while (!fleet_converged(f) && ms < OBSERVATION_MS) {
 		fleet_run(f, 10 * NS_PER_MS);
 		ms += 10;
 	}
@@ -75,68 +76,68 @@
 	fleet_free(f);
 }
 
-static void load(uint32_t n)
+static void measure_load(uint32_t n)
 {
-	struct fleet *f = fleet_up(n);
+	struct fleet *f = new_settled_fleet(n);
 	uint64_t m0, b0, m1, b1;
 
-	sum(f, &m0, &b0);
-	fleet_run(f, LOAD_S * NS_PER_S);
-	sum(f, &m1, &b1);
+	sum_sent(f, &m0, &b0);
+	fleet_run(f, LOAD_SECONDS * NS_PER_S);
+	sum_sent(f, &m1, &b1);
 	printf("member_load_per_node %u messages_per_s %.1f bytes_per_s %.0f\n",
-	       n, (double)(m1 - m0) / LOAD_S / n,
-	       (double)(b1 - b0) / LOAD_S / n);
+	       n, (double)(m1 - m0) / LOAD_SECONDS / n,
+	       (double)(b1 - b0) / LOAD_SECONDS / n);
 	fleet_free(f);
 }
 
-/* Entries that have found @dead dead, and the times of the first and last. */
-struct spread {
+/* Times from a death until the first and the last survivor know of it. */
+struct detection {
 	uint32_t first_ms;
 	uint32_t last_ms;
 };
 
-static void watch(const struct fleet *f, uint32_t dead, uint32_t alive,
-		  uint32_t ms, struct spread *s)
+static void record_detection(const struct fleet *f, uint32_t dead,
+			     uint32_t alive, uint32_t ms, struct detection *s)
 {
-	uint32_t holders;
+	uint32_t n_aware;
 
 	if (s->last_ms)
 		return;
-	holders = fleet_holders(f, dead, MEMBER_DEAD);
-	if (holders && !s->first_ms)
+	n_aware = fleet_holders(f, dead, MEMBER_DEAD);
+	if (n_aware && !s->first_ms)
 		s->first_ms = ms;
-	if (holders == alive)
+	if (n_aware == alive)
 		s->last_ms = ms;
 }
 
-static void deaths(uint32_t n, uint32_t count, uint32_t loss_percent)
+static void measure_deaths(uint32_t n, uint32_t count, uint32_t loss_percent)
 {
-	struct fleet *f = fleet_up(n);
-	struct spread s[RACK] = { { 0 } };
-	uint32_t i, ms, last = 0, apart = 0;
+	struct fleet *f = new_settled_fleet(n);
+	struct detection s[RACK_NODES] = { { 0 } };
+	uint32_t i, ms, max_last_ms = 0, max_spread_ms = 0;
 	uint64_t m0, b0, m1, b1 = 0;
 
 	f->loss_percent = loss_percent;
 	for (i = 0; i < count; i++)
 		fleet_kill(f, i);
-	sum(f, &m0, &b0);
-	for (ms = 1; ms <= WATCH_MS; ms++) {
-		fleet_run(f, STEP_NS);
+	sum_sent(f, &m0, &b0);
+	for (ms = 1; ms <= OBSERVATION_MS; ms++) {
+		fleet_run(f, POLL_NS);
 		for (i = 0; i < count; i++)
-			watch(f, i, n - count, ms, &s[i]);
+			record_detection(f, i, n - count, ms, &s[i]);
 		if (ms == 3000)
-			sum(f, &m1, &b1);
+			sum_sent(f, &m1, &b1);
 	}
 	for (i = 0; i < count; i++) {
-		if (s[i].last_ms > last)
-			last = s[i].last_ms;
-		if (s[i].last_ms - s[i].first_ms > apart)
-			apart = s[i].last_ms - s[i].first_ms;
+		if (s[i].last_ms > max_last_ms)
+			max_last_ms = s[i].last_ms;
+		if (s[i].last_ms - s[i].first_ms > max_spread_ms)
+			max_spread_ms = s[i].last_ms - s[i].first_ms;
 	}
 	printf("member_self_deaths %u dead %u loss_percent %u first_ms %u "
 	       "all_know_ms %u apart_ms %u bytes_per_s %.0f\n",
-	       n, count, loss_percent, s[0].first_ms, last, apart,
-	       (double)(b1 - b0) / 3 / (n - count));
+	       n, count, loss_percent, s[0].first_ms, max_last_ms,
+	       max_spread_ms, (double)(b1 - b0) / 3 / (n - count));
 	fleet_free(f);
 }
 
@@ -147,12 +148,12 @@
 	(void)msg;
 }
 
-/* What one node computes a second: rounds, and pings that it answers. */
-static void processor(uint32_t n)
+/* Measures the processor time of a probe round and of a received ping. */
+static void measure_processor_time(uint32_t n)
 {
 	struct peer_out out = { .send = discard };
 	struct rng rng = { .state = SEED };
-	struct fleet *f = fleet_up(n);
+	struct fleet *f = new_settled_fleet(n);
 	struct peer_msg msg = { .kind = PEER_PING, .incarnation = 1 };
 	uint64_t start_ns, round_ns, ping_ns, now_ns = f->now_ns;
 	struct membership *m;
@@ -165,18 +166,18 @@
 		member_receive(m, &msg, now_ns);
 	}
 	start_ns = clock_ns();
-	for (i = 0; i < CALLS; i++) {
+	for (i = 0; i < CALL_REPEATS; i++) {
 		msg.from = fleet_vm(i % n);
 		msg.seq = i;
 		member_receive(m, &msg, now_ns);
 	}
-	ping_ns = (clock_ns() - start_ns) / CALLS;
+	ping_ns = (clock_ns() - start_ns) / CALL_REPEATS;
 	start_ns = clock_ns();
-	for (i = 0; i < CALLS; i++) {
+	for (i = 0; i < CALL_REPEATS; i++) {
 		now_ns = member_next_ns(m);
 		member_tick(m, now_ns);
 	}
-	round_ns = (clock_ns() - start_ns) / CALLS;
+	round_ns = (clock_ns() - start_ns) / CALL_REPEATS;
 	printf("member_call_ns %u ping %llu tick %llu\n", n,
 	       (unsigned long long)ping_ns, (unsigned long long)round_ns);
 	member_free(m);
@@ -206,7 +207,7 @@
 	return (double)(clock_ns() - start_ns) / 1000;
 }
 
-static void ring(uint32_t n)
+static void measure_ring(uint32_t n)
 {
 	struct ring_observer none = { 0 };
 	struct ring *r = ring_new(RING_BUCKETS, fleet_vm(0), 500 * NS_PER_MS,
@@ -236,14 +237,14 @@
 	if (sodium_init() < 0)
 		return 1;
 	for (i = 0; i < sizeof(sizes) / sizeof(*sizes); i++) {
-		boot(sizes[i]);
-		load(sizes[i]);
-		processor(sizes[i]);
-		deaths(sizes[i], 1, 0);
-		deaths(sizes[i], 1, 1);
-		ring(sizes[i]);
+		measure_cold_start(sizes[i]);
+		measure_load(sizes[i]);
+		measure_processor_time(sizes[i]);
+		measure_deaths(sizes[i], 1, 0);
+		measure_deaths(sizes[i], 1, 1);
+		measure_ring(sizes[i]);
 	}
-	deaths(458, RACK, 0);
-	deaths(458, RACK, 1);
+	measure_deaths(458, RACK_NODES, 0);
+	measure_deaths(458, RACK_NODES, 1);
 	return 0;
 }
--- a/bench/slopes-packets/main.c
+++ b/bench/slopes-packets/main.c
@@ -1,7 +1,8 @@
 /*
- * Slopes of cb-packet: processor time of a packet, an opening packet, a tick
- * and a heartbeat, and memory of a flow, at several sizes. Decisions and codecs
- * only, no system calls. Prints "NAME SIZE VALUE UNIT".
+ * Measures how the cost of cb-packet grows with the number of targets:
+ * processor time of a packet of an open flow, a packet that opens a flow, a tick
+ * and a heartbeat, and memory of a flow and a target. Runs decisions and codecs
+ * without system calls. Prints lines "NAME SIZE VALUE UNIT".
  */
 #include "hello_codec.h"
 #include "node.h"
@@ -20,26 +21,26 @@
 
 static const uint32_t sizes[] = { 5, 50, 500, 5000 };
 
-static void no_target(void *ctx, const struct target *t)
+static void ignore_target(void *ctx, const struct target *t)
 {
 	(void)ctx;
 	(void)t;
 }
 
-static void no_flow(void *ctx, const struct flow_state *f)
+static void ignore_flow(void *ctx, const struct flow_state *f)
 {
 	(void)ctx;
 	(void)f;
 }
 
-static void no_again(void *ctx, const struct flow_state *f, uint8_t reason)
+static void ignore_resend(void *ctx, const struct flow_state *f, uint8_t reason)
 {
 	(void)ctx;
 	(void)f;
 	(void)reason;
 }
 
-static void no_health(void *ctx, const struct target *t, uint8_t before)
+static void ignore_health(void *ctx, const struct target *t, uint8_t before)
 {
 	(void)ctx;
 	(void)t;
@@ -61,7 +62,7 @@
 	uint64_t now_ns;
 };
 
-static void make_routes(struct fixture *f)
+static void set_routes(struct fixture *f)
 {
 	struct route_table *t = calloc(1, sizeof(*t));
 
@@ -76,8 +77,8 @@
 	directory_set_routes(f->directory, t, f->now_ns);
 }
 
-static void no_send(void *ctx, const struct flow_state *f, const uint8_t *bytes,
-		    uint32_t n_bytes)
+static void ignore_send(void *ctx, const struct flow_state *f,
+			const uint8_t *bytes, uint32_t n_bytes)
 {
 	(void)ctx;
 	(void)f;
@@ -85,31 +86,32 @@
 	(void)n_bytes;
 }
 
-static void no_eject(void *ctx, const struct target *t, float others_failures)
+static void ignore_eject(void *ctx, const struct target *t,
+			 float others_failures)
 {
 	(void)ctx;
 	(void)t;
 	(void)others_failures;
 }
 
-static void make(struct fixture *f, uint32_t targets)
+static void init_fixture(struct fixture *f, uint32_t targets)
 {
 	struct directory_conf dir = { 60 * NS_PER_S, NS_PER_S };
 	struct path_conf conf = { .flows_max = FLOWS,
 				  .flow_lifetime_ns = 60 * NS_PER_S };
 	struct path_port port = {
-		.health = { NULL, no_target, no_target, no_health },
-		.resend = no_again,
-		.send_queued = no_send,
-		.reset = no_flow,
-		.eject = no_eject,
+		.health = { NULL, ignore_target, ignore_target, ignore_health },
+		.resend = ignore_resend,
+		.send_queued = ignore_send,
+		.reset = ignore_flow,
+		.eject = ignore_eject,
 	};
 
 	f->now_ns = 1000 * NS_PER_S;
 	f->directory = directory_new(&dir);
-	make_routes(f);
+	set_routes(f);
 	for (uint32_t i = 1; i <= targets; i++) {
-		struct target_advertisement news = {
+		struct target_advertisement advertisement = {
 			.id = i,
 			.addr = ADDR(i, 80),
 			.service = directory_add_service(f->directory, "s"),
@@ -119,52 +121,52 @@
 
 		enum target_change change;
 
-		directory_update_target(f->directory, &news, f->now_ns,
+		directory_update_target(f->directory, &advertisement, f->now_ns,
 					&change);
 	}
 	f->path = path_new(&conf, f->directory, port, (struct rng){ 7 });
 }
 
-static void open_flows(struct fixture *f, const char *name, uint32_t size)
+static void measure_opening(struct fixture *f, const char *name, uint32_t size)
 {
 	static const uint8_t bytes[32];
 	uint64_t start_ns = clock_ns();
 	struct path_verdict v;
 
 	for (uint32_t i = 0; i < FLOWS; i++) {
-		struct packet k = { .flow = { ADDR(i + 1, 1000), VIP },
-				    .flags = PACKET_SYN,
-				    .bytes = bytes,
-				    .n_bytes = sizeof(bytes) };
+		struct packet packet = { .flow = { ADDR(i + 1, 1000), VIP },
+					 .flags = PACKET_SYN,
+					 .bytes = bytes,
+					 .n_bytes = sizeof(bytes) };
 
-		path_packet(f->path, &k, true, f->now_ns, &v);
+		path_packet(f->path, &packet, true, f->now_ns, &v);
 		f->cookies[i] = v.target->cookie;
 	}
 	printf("%s %u %.1f ns\n", name, size,
 	       (double)(clock_ns() - start_ns) / FLOWS);
 }
 
-static void carry(struct fixture *f, uint32_t size)
+static void measure_open_flows(struct fixture *f, uint32_t size)
 {
 	uint64_t start_ns = clock_ns();
 	struct path_verdict v;
 
 	for (uint32_t i = 0; i < ROUNDS; i++) {
 		uint32_t flow = i % FLOWS;
-		struct packet k = { .flow = { ADDR(flow + 1, 1000), VIP },
-				    .cookie = f->cookies[flow],
-				    .seq = i,
-				    .ack = i,
-				    .size_bytes = 900,
-				    .flags = PACKET_ACK };
-
-		path_packet(f->path, &k, true, f->now_ns, &v);
+		struct packet packet = { .flow = { ADDR(flow + 1, 1000), VIP },
+					 .cookie = f->cookies[flow],
+					 .seq = i,
+					 .ack = i,
+					 .size_bytes = 900,
+					 .flags = PACKET_ACK };
+
+		path_packet(f->path, &packet, true, f->now_ns, &v);
 	}
 	printf("ns_packet_targets %u %.1f ns\n", size,
 	       (double)(clock_ns() - start_ns) / ROUNDS);
 }
 
-static void tick(struct fixture *f, uint32_t size)
+static void measure_tick(struct fixture *f, uint32_t size)
 {
 	uint64_t start_ns = clock_ns();
 
@@ -174,10 +176,10 @@
 	       (double)(clock_ns() - start_ns) / TICKS / 1000);
 }
 
-static void heartbeat(struct fixture *f, uint32_t size)
+static void measure_heartbeat(struct fixture *f, uint32_t size)
 {
 	uint8_t data[HELLO_MAX_BYTES];
-	struct hello h = { .from = 1 }, got;
+	struct hello h = { .from = 1 }, decoded;
 	uint64_t start_ns;
 	uint32_t n;
 
@@ -186,7 +188,7 @@
 	start_ns = clock_ns();
 	for (uint32_t i = 0; i < TICKS; i++) {
 		hello_encode(&h, data);
-		hello_decode(data, n, &got);
+		hello_decode(data, n, &decoded);
 	}
 	printf("us_hello_targets %u %.2f us\n", size,
 	       (double)(clock_ns() - start_ns) / TICKS / 1000);
@@ -196,13 +198,13 @@
 int main(void)
 {
 	for (uint32_t i = 0; i < sizeof(sizes) / sizeof(sizes[0]); i++) {
-		static struct fixture f; /* large for a stack */
+		static struct fixture f; /* too large for the stack */
 
-		make(&f, sizes[i]);
-		open_flows(&f, "ns_open_targets", sizes[i]);
-		carry(&f, sizes[i]);
-		tick(&f, sizes[i]);
-		heartbeat(&f, sizes[i]);
+		init_fixture(&f, sizes[i]);
+		measure_opening(&f, "ns_open_targets", sizes[i]);
+		measure_open_flows(&f, sizes[i]);
+		measure_tick(&f, sizes[i]);
+		measure_heartbeat(&f, sizes[i]);
 		path_free(f.path);
 		directory_free(f.directory);
 	}
--- a/bench/slopes-rack/main.c
+++ b/bench/slopes-rack/main.c
@@ -1,7 +1,8 @@
 /*
- * The worst minute of the spread of configuration: a rack is lost while a
- * change spreads, the readers of the platform with it, and changes go on.
- * "rack_in_force_ms ENTRIES MS unit": the slowest survivor's delay, by change.
+ * Measures how configuration changes spread after a rack is lost. The rack
+ * fails while a change spreads, the readers of the platform fail with it, and
+ * further changes are published. "rack_in_force_change_N_ms ENTRIES MS ms" is
+ * the delay until change N is in force at the slowest surviving cb-watch.
  */
 #include "../../test/spread_net.h"
 
@@ -9,11 +10,11 @@
 
 #define ACCOUNT "account/sailing"
 #define READERS 2
-#define RACK 20
+#define RACK_NODES 20
 #define SEED 7
-#define STEP (5 * NET_MS)
+#define POLL_NS (5 * NET_MS)
 #define WAIT_MS 20000
-#define SPACING (9400 * NET_MS)
+#define CHANGE_INTERVAL_NS (9400 * NET_MS)
 #define CHANGES 6
 #define TEXT_MAX_BYTES 64
 
@@ -27,7 +28,8 @@
 	net_publish(net, ACCOUNT, text);
 }
 
-static bool in_force(const struct net *net, uint32_t n, uint64_t generation)
+static bool is_in_force_everywhere(const struct net *net, uint32_t n,
+				   uint64_t generation)
 {
 	for (uint32_t i = 0; i < n; i++)
 		if (net_is_running(net, i) &&
@@ -36,16 +38,18 @@
 	return true;
 }
 
-static uint32_t wait_for(struct net *net, uint32_t n, uint64_t generation)
+static uint32_t wait_until_in_force_ms(struct net *net, uint32_t n,
+				       uint64_t generation)
 {
 	uint32_t ms = 0;
 
-	for (; !in_force(net, n, generation) && ms < WAIT_MS; ms += 5)
-		net_run(net, STEP);
+	for (; !is_in_force_everywhere(net, n, generation) && ms < WAIT_MS;
+	     ms += 5)
+		net_run(net, POLL_NS);
 	return ms;
 }
 
-/* The readers and their neighbours, until @count are gone. */
+/* Kills the readers and then other nodes, @count in all. */
 static void lose_rack(struct net *net, uint32_t n, uint32_t count)
 {
 	for (uint32_t i = 0; i < n; i++) {
@@ -73,14 +77,14 @@
 	calls = net_platform_calls(net);
 	net_reset_bytes_sent(net);
 	publish(net, 2);
-	net_run(net, STEP);
-	lose_rack(net, n, RACK);
+	net_run(net, POLL_NS);
+	lose_rack(net, n, RACK_NODES);
 	for (uint64_t g = 2; g < 2 + CHANGES; g++) {
 		if (g > 2)
 			publish(net, g);
-		ms = wait_for(net, n, g);
+		ms = wait_until_in_force_ms(net, n, g);
 		printf("rack_in_force_change_%lu_ms %u %u ms\n", g - 1, n, ms);
-		net_run(net, SPACING);
+		net_run(net, CHANGE_INTERVAL_NS);
 	}
 	printf("rack_minute_bytes_most %u %.0f bytes\n", n,
 	       (double)net_bytes_sent_max(net));
--- a/bench/slopes-spread/main.c
+++ b/bench/slopes-spread/main.c
@@ -1,8 +1,9 @@
 /*
- * Slopes of the spread of configuration: what a change costs each cb-watch,
- * what it costs when nothing changes, and how often the platform is called.
- * Real core and codec on a fake clock and network; frames are counted as
- * ZeroMQ is given them, without the headers of TCP.
+ * Measures how the cost of spreading configuration grows with the number of
+ * cb-watch processes: bytes and processor time of each for a change and while
+ * idle, and calls to the platform. The real core and codec run on a simulated
+ * clock and network. Frames are counted as they are passed to ZeroMQ, without
+ * TCP headers.
  */
 #include "../../test/spread_net.h"
 
@@ -15,10 +16,10 @@
 #define READERS 2
 #define SEED 1
 #define CHANGES 20
-#define SPACING (9400 * NET_MS)
+#define CHANGE_INTERVAL_NS (9400 * NET_MS)
 #define IDLE_S 60
 #define TEXT_MAX_BYTES (1 << 20)
-/* As large as a target's item in adapters/account_codec.c. */
+/* Has the size of a target's item in adapters/account_codec.c. */
 #define ITEM_FORMAT "|t%05u-%016lu-slots"
 
 static const uint32_t nodes[] = { 8, 64, 458 };
@@ -29,7 +30,7 @@
 	double cpu_us_per_s;
 };
 
-/* An account of @targets whose target 0 differs with each generation. */
+/* Publishes an account of @targets; each generation changes target 0 only. */
 static void publish(struct net *net, uint64_t generation, uint32_t targets)
 {
 	char *text = malloc(TEXT_MAX_BYTES);
@@ -50,14 +51,14 @@
 static struct idle measure_idle(struct net *net, uint32_t n)
 {
 	uint64_t calls = net_platform_calls(net);
-	double began_us = cpu_us();
+	double start_us = cpu_us();
 	struct idle idle;
 
 	net_reset_bytes_sent(net);
 	net_run(net, IDLE_S * NET_S);
 	idle.bytes_per_s = (double)net_bytes_sent(net) / n / IDLE_S;
 	idle.calls_per_s = (double)(net_platform_calls(net) - calls) / IDLE_S;
-	idle.cpu_us_per_s = (cpu_us() - began_us) / n / IDLE_S;
+	idle.cpu_us_per_s = (cpu_us() - start_us) / n / IDLE_S;
 	printf("spread_idle_bytes_per_s %u %.0f\n", n, idle.bytes_per_s);
 	printf("spread_idle_bytes_per_s_max %u %.0f\n", n,
 	       (double)net_bytes_sent_max(net) / IDLE_S);
@@ -66,7 +67,8 @@
 	return idle;
 }
 
-static bool all_have(const struct net *net, uint32_t n, uint64_t generation)
+static bool is_in_force_everywhere(const struct net *net, uint32_t n,
+				   uint64_t generation)
 {
 	for (uint32_t i = 0; i < n; i++)
 		if (net_generation(net, i, ACCOUNT) != generation)
@@ -79,19 +81,19 @@
 {
 	uint64_t calls = net_platform_calls(net);
 	uint64_t slowest_ms = 0;
-	double seconds = CHANGES * (double)SPACING / NET_S;
-	double began_us = cpu_us();
+	double seconds = CHANGES * (double)CHANGE_INTERVAL_NS / NET_S;
+	double start_us = cpu_us();
 
 	net_reset_bytes_sent(net);
 	for (uint64_t g = 2; g < 2 + CHANGES; g++) {
 		uint64_t ms = 0;
 
 		publish(net, g, targets);
-		for (; !all_have(net, n, g); ms += 5)
+		for (; !is_in_force_everywhere(net, n, g); ms += 5)
 			net_run(net, 5 * NET_MS);
 		if (ms > slowest_ms)
 			slowest_ms = ms;
-		net_run(net, SPACING - ms * NET_MS);
+		net_run(net, CHANGE_INTERVAL_NS - ms * NET_MS);
 	}
 	printf("spread_bytes_per_change %u %.0f\n", n,
 	       ((double)net_bytes_sent(net) / n - idle.bytes_per_s * seconds) /
@@ -100,7 +102,7 @@
 	       ((double)net_bytes_sent_max(net) - idle.bytes_per_s * seconds) /
 		       CHANGES);
 	printf("spread_cpu_us_per_change %u %.1f\n", n,
-	       ((cpu_us() - began_us) / n - idle.cpu_us_per_s * seconds) /
+	       ((cpu_us() - start_us) / n - idle.cpu_us_per_s * seconds) /
 		       CHANGES);
 	printf("spread_calls_per_change %u %.1f\n", n,
 	       ((double)(net_platform_calls(net) - calls) -
