--- a/bench/bench-balance/changes.c
+++ b/bench/bench-balance/changes.c
@@ -1,4 +1,4 @@
-/* Time of a change of configuration and of the number of entries. */
+/* Measures the time of changes of configuration and of the number of entries. */
 #include "changes.h"
 
 #include "balance.h"
@@ -9,16 +9,17 @@
 
 #define SLOTS 2
 #define CONNECTIONS 2000
-#define ROUNDS 20
+#define REPEATS 20
 #define N_ENTRIES 458
 
-struct sized {
+struct account_set {
 	struct config c;
 	struct service_conf *services;
 	struct target_conf *targets;
 };
 
-static void make(struct sized *s, uint32_t n_accounts, uint32_t n_targets)
+static void account_set_init(struct account_set *s, uint32_t n_accounts,
+			     uint32_t n_targets)
 {
 	s->c.accounts = calloc(n_accounts, sizeof(*s->c.accounts));
 	s->c.n_accounts = n_accounts;
@@ -54,31 +55,31 @@
 }
 
 /**
- * changes_run() - print the times at one size
+ * changes_run() - measure and print the times at one size
  * @n_accounts: client accounts, each with one service
- * @n_targets: targets of each
+ * @n_targets: targets of each service
  */
 void changes_run(uint32_t n_accounts, uint32_t n_targets)
 {
 	struct balancer *b = balance_new(1024, (struct rng){ 1 });
-	struct sized s = { 0 };
+	struct account_set s = { 0 };
 	uint64_t config_ns;
-	uint64_t peers_ns;
+	uint64_t entries_ns;
 
-	make(&s, n_accounts, n_targets);
+	account_set_init(&s, n_accounts, n_targets);
 	balance_set_config(b, &s.c, 0);
 	config_ns = wall_ns();
-	for (uint32_t i = 0; i < ROUNDS; i++)
+	for (uint32_t i = 0; i < REPEATS; i++)
 		balance_set_config(b, &s.c, i);
 	config_ns = wall_ns() - config_ns;
-	peers_ns = wall_ns();
-	for (uint32_t i = 0; i < ROUNDS; i++)
+	entries_ns = wall_ns();
+	for (uint32_t i = 0; i < REPEATS; i++)
 		balance_set_entries(b, N_ENTRIES - i % 2, 100);
-	peers_ns = wall_ns() - peers_ns;
+	entries_ns = wall_ns() - entries_ns;
 	printf("change accounts %u targets %u config_ms %.3f entries_ms %.3f\n",
 	       n_accounts, n_accounts * n_targets,
-	       (double)config_ns / ROUNDS / NS_PER_MS,
-	       (double)peers_ns / ROUNDS / NS_PER_MS);
+	       (double)config_ns / REPEATS / NS_PER_MS,
+	       (double)entries_ns / REPEATS / NS_PER_MS);
 	balance_free(b);
 	free(s.c.accounts);
 	free(s.services);
--- a/bench/bench-balance/changes.h
+++ b/bench/bench-balance/changes.h
@@ -1,4 +1,4 @@
-/* Time of changes. */
+/* Measures the time of changes of configuration and of the number of entries. */
 #ifndef CB_BENCH_CHANGES_H
 #define CB_BENCH_CHANGES_H
 
--- a/bench/bench-balance/events.c
+++ b/bench/bench-balance/events.c
@@ -2,7 +2,7 @@
 
 #include <stdlib.h>
 
-static bool earlier(const struct event *a, const struct event *b)
+static bool is_earlier(const struct event *a, const struct event *b)
 {
 	if (a->at_ns != b->at_ns)
 		return a->at_ns < b->at_ns;
@@ -18,14 +18,14 @@
 		q->max = q->max ? 2 * q->max : 1024;
 		q->heap = realloc(q->heap, q->max * sizeof(*q->heap));
 	}
-	while (at && earlier(&e, &q->heap[(at - 1) / 2])) {
+	while (at && is_earlier(&e, &q->heap[(at - 1) / 2])) {
 		q->heap[at] = q->heap[(at - 1) / 2];
 		at = (at - 1) / 2;
 	}
 	q->heap[at] = e;
 }
 
-struct event events_take(struct events *q)
+struct event events_pop(struct events *q)
 {
 	struct event first = q->heap[0];
 	struct event last = q->heap[--q->n];
@@ -37,9 +37,9 @@
 		if (child >= q->n)
 			break;
 		if (child + 1 < q->n &&
-		    earlier(&q->heap[child + 1], &q->heap[child]))
+		    is_earlier(&q->heap[child + 1], &q->heap[child]))
 			child++;
-		if (!earlier(&q->heap[child], &last))
+		if (!is_earlier(&q->heap[child], &last))
 			break;
 		q->heap[at] = q->heap[child];
 		at = child;
--- a/bench/bench-balance/feeds.c
+++ b/bench/bench-balance/feeds.c
@@ -1,6 +1,6 @@
 /*
- * Long feeds: how evenly they lie on the targets, and how much of the targets'
- * connections can be used before an entry refuses.
+ * Measures how evenly long feeds are distributed over the targets, and which
+ * part of the targets' connections is in use when an entry first refuses a feed.
  */
 #include "feeds.h"
 
@@ -15,17 +15,17 @@
 #define ENTRIES_MAX 16
 #define TARGETS_MAX 32
 #define CONNECTIONS 2000
-#define GAP_NS NS_PER_MS
+#define OPEN_NS NS_PER_MS
 #define SEED 20261202
 
-struct fleet {
+struct feed_model {
 	uint32_t n_entries;
 	uint32_t n_targets;
-	struct balancer *b[ENTRIES_MAX];
+	struct balancer *balancers[ENTRIES_MAX];
 	uint32_t feeds[TARGETS_MAX];
 };
 
-static void open_fleet(struct fleet *f, uint32_t slots)
+static void feed_model_init(struct feed_model *f, uint32_t slots)
 {
 	struct target_conf targets[TARGETS_MAX];
 	struct service_conf s = { .vip = VIP, .queue_max = 100 };
@@ -43,24 +43,24 @@
 	a.services = &s;
 	a.n_services = 1;
 	for (uint32_t i = 0; i < f->n_entries; i++) {
-		f->b[i] = balance_new(64, (struct rng){ i + 1 });
-		balance_set_config(f->b[i], &c, 0);
-		balance_set_entries(f->b[i], f->n_entries, i);
+		f->balancers[i] = balance_new(64, (struct rng){ i + 1 });
+		balance_set_config(f->balancers[i], &c, 0);
+		balance_set_entries(f->balancers[i], f->n_entries, i);
 	}
 }
 
-static bool open_feed(struct fleet *f, uint32_t entry, uint64_t now_ns)
+static bool open_feed(struct feed_model *f, uint32_t entry, uint64_t now_ns)
 {
 	struct work w = { .vip = VIP, .feed = true };
 	struct decision r;
 
 	w.deadline_ns = now_ns + NS_PER_S;
-	r = balance_submit(f->b[entry], &w, now_ns);
+	r = balance_submit(f->balancers[entry], &w, now_ns);
 	if (r.verdict != VERDICT_ADMITTED)
 		return false;
-	balance_record_end(f->b[entry], VIP, r.target, OUTCOME_OK, GAP_NS,
-			   now_ns + GAP_NS);
-	balance_change_feeds(f->b[entry], VIP, r.target, 1);
+	balance_record_end(f->balancers[entry], VIP, r.target, OUTCOME_OK,
+			   OPEN_NS, now_ns + OPEN_NS);
+	balance_change_feeds(f->balancers[entry], VIP, r.target, 1);
 	f->feeds[TARGET_INDEX(r.target)]++;
 	return true;
 }
@@ -68,36 +68,39 @@
 static double imbalance(const uint32_t *feeds, uint32_t n)
 {
 	uint64_t sum = 0;
-	uint32_t most = 0;
+	uint32_t max = 0;
 
 	for (uint32_t i = 0; i < n; i++) {
 		sum += feeds[i];
-		if (feeds[i] > most)
-			most = feeds[i];
+		if (feeds[i] > max)
+			max = feeds[i];
 	}
-	return sum ? (double)most * n / sum : 0;
+	return sum ? (double)max * n / sum : 0;
 }
 
-/* Open feeds at random entries until one refuses or @most are open. */
-static uint32_t fill(struct fleet *f, uint32_t most)
+/*
+ * Opens feeds at random entries until an entry refuses or @max are open.
+ * Returns the number of feeds opened.
+ */
+static uint32_t open_feeds(struct feed_model *f, uint32_t max)
 {
 	struct rng rng = { SEED };
 	uint64_t now_ns = NS_PER_S;
 
-	for (uint32_t n = 0; n < most; n++) {
+	for (uint32_t n = 0; n < max; n++) {
 		uint32_t entry = (uint32_t)(rng_next(&rng) % f->n_entries);
 
-		now_ns += 2 * GAP_NS;
+		now_ns += 2 * OPEN_NS;
 		if (!open_feed(f, entry, now_ns))
 			return n;
 	}
-	return most;
+	return max;
 }
 
-static void close_fleet(struct fleet *f)
+static void feed_model_release(struct feed_model *f)
 {
 	for (uint32_t i = 0; i < f->n_entries; i++)
-		balance_free(f->b[i]);
+		balance_free(f->balancers[i]);
 }
 
 static double hashed_imbalance(uint32_t n_targets, uint32_t n)
@@ -110,30 +113,31 @@
 }
 
 /**
- * feeds_run() - print the figures of one service
- * @deployment: name
- * @n_entries: entries
- * @n_targets: targets
- * @slots: of each
+ * feeds_run() - measure and print the distribution of feeds of one service
+ * @deployment: name printed with the results
+ * @n_entries: number of entries, at most ENTRIES_MAX
+ * @n_targets: number of targets, at most TARGETS_MAX
+ * @slots: slots of each target
  */
 void feeds_run(const char *deployment, uint32_t n_entries, uint32_t n_targets,
 	       uint32_t slots)
 {
-	struct fleet f = { .n_entries = n_entries, .n_targets = n_targets };
+	struct feed_model f = { .n_entries = n_entries,
+				.n_targets = n_targets };
 	uint32_t capacity = n_targets * CONNECTIONS;
 	uint32_t half = capacity / 2;
 	uint32_t opened;
-	double ours;
+	double balancer_imbalance;
 
-	open_fleet(&f, slots);
-	fill(&f, half);
-	ours = imbalance(f.feeds, n_targets);
-	close_fleet(&f);
+	feed_model_init(&f, slots);
+	open_feeds(&f, half);
+	balancer_imbalance = imbalance(f.feeds, n_targets);
+	feed_model_release(&f);
 	memset(f.feeds, 0, sizeof(f.feeds));
-	open_fleet(&f, slots);
-	opened = fill(&f, 2 * capacity);
-	close_fleet(&f);
+	feed_model_init(&f, slots);
+	opened = open_feeds(&f, 2 * capacity);
+	feed_model_release(&f);
 	printf("feeds %s ours imbalance %.3f used %.3f hash imbalance %.3f\n",
-	       deployment, ours, (double)opened / capacity,
+	       deployment, balancer_imbalance, (double)opened / capacity,
 	       hashed_imbalance(n_targets, half));
 }
--- a/bench/bench-balance/feeds.h
+++ b/bench/bench-balance/feeds.h
@@ -1,4 +1,4 @@
-/* Figures of long feeds. */
+/* Measures the distribution of long feeds over the targets. */
 #ifndef CB_BENCH_FEEDS_H
 #define CB_BENCH_FEEDS_H
 
--- a/bench/bench-balance/main.c
+++ b/bench/bench-balance/main.c
@@ -1,10 +1,11 @@
 /*
- * bench-balance: our choice of target against round robin, plain hash, local
- * least-loaded and two random choices, over the same callers.
+ * bench-balance: compares cactusbeam's selection of targets with round robin,
+ * plain hashing, local least-loaded and power of two random choices, over the
+ * same callers. An argument selects a deployment, a scenario, "feeds" or "change".
  */
 #include "changes.h"
 #include "feeds.h"
-#include "world.h"
+#include "model.h"
 
 #include <stdio.h>
 #include <string.h>
@@ -13,12 +14,13 @@
 #define MS NS_PER_MS
 
 static const struct policy *const POLICIES[] = {
-	&policy_ours, &policy_round, &policy_hash, &policy_least, &policy_two,
+	&policy_balancer, &policy_round, &policy_hash,
+	&policy_least,	  &policy_two,
 };
 #define N_POLICIES (sizeof(POLICIES) / sizeof(POLICIES[0]))
 
-/* A deployment's service, before a scene is chosen. */
-static const struct scene SERVICES[] = {
+/* Services of the deployments, without load and incidents. */
+static const struct scenario SERVICES[] = {
 	{ .deployment = "ventolario-forecast",
 	  .n_entries = 8,
 	  .n_targets = 15,
@@ -46,8 +48,8 @@
 };
 #define N_SERVICES (sizeof(SERVICES) / sizeof(SERVICES[0]))
 
-/* What happens, laid over a service. */
-static const struct scene SCENES[] = {
+/* Load and incidents, combined with each service. */
+static const struct scenario SCENARIOS[] = {
 	{ .name = "quiet",
 	  .load_milli = 300,
 	  .warmup_ns = 2 * S,
@@ -77,23 +79,23 @@
 	  .end_ns = 40 * S },
 	{ .name = "crawl",
 	  .load_milli = 600,
-	  .crawl_ns = 5 * S,
+	  .slow_from_ns = 5 * S,
 	  .warmup_ns = 5 * S,
 	  .end_ns = 45 * S },
 	{ .name = "lie",
 	  .load_milli = 700,
-	  .lie = true,
+	  .reports_idle = true,
 	  .warmup_ns = 2 * S,
 	  .end_ns = 42 * S },
 	{ .name = "skew",
 	  .load_milli = 600,
-	  .skew = true,
+	  .is_skewed = true,
 	  .warmup_ns = 2 * S,
 	  .end_ns = 42 * S },
 };
-#define N_SCENES (sizeof(SCENES) / sizeof(SCENES[0]))
+#define N_SCENARIOS (sizeof(SCENARIOS) / sizeof(SCENARIOS[0]))
 
-static const struct scene GROWTH[] = {
+static const struct scenario LARGE_SCENARIOS[] = {
 	{ .deployment = "growth-8",
 	  .name = "busy",
 	  .n_entries = 8,
@@ -125,18 +127,19 @@
 	  .warmup_ns = 10 * S,
 	  .end_ns = 50 * S },
 };
-#define N_GROWTH (sizeof(GROWTH) / sizeof(GROWTH[0]))
+#define N_LARGE_SCENARIOS (sizeof(LARGE_SCENARIOS) / sizeof(LARGE_SCENARIOS[0]))
 
-static void print_run(const struct scene *s, const struct policy *p,
-		      const struct figures *f)
+static void print_run(const struct scenario *s, const struct policy *p,
+		      const struct results *f)
 {
 	printf("balance %s %s %s imbalance %.3f held %.3f wait_p50_ms %.1f "
 	       "wait_p99_ms "
 	       "%.1f refused %.4f late %.4f goodput %.1f excess %.0f even_s "
 	       "%.0f decide_ns %.0f\n",
-	       s->deployment, s->name, p->name, f->imbalance, f->held,
-	       f->wait_p50_ms, f->wait_p99_ms, f->refused, f->late, f->goodput,
-	       f->excess, f->even_s, f->decide_ns);
+	       s->deployment, s->name, p->name, f->imbalance,
+	       f->occupancy_imbalance, f->wait_p50_ms, f->wait_p99_ms,
+	       f->refused, f->late, f->goodput, f->excess, f->balanced_after_s,
+	       f->decision_ns);
 }
 
 static double ratio(double ours, double other)
@@ -144,13 +147,13 @@
 	return other > 0 ? ours / other : 0;
 }
 
-static void run(const struct scene *s)
+static void run(const struct scenario *s)
 {
-	struct figures f[N_POLICIES];
+	struct results f[N_POLICIES];
 
 	for (uint32_t i = 0; i < N_POLICIES; i++) {
 		memset(&f[i], 0, sizeof(f[i]));
-		world_run(s, POLICIES[i], &f[i]);
+		model_run(s, POLICIES[i], &f[i]);
 		print_run(s, POLICIES[i], &f[i]);
 	}
 	for (uint32_t i = 1; i < N_POLICIES; i++)
@@ -159,16 +162,17 @@
 		       "%.3f goodput %.3f\n",
 		       s->deployment, s->name, POLICIES[i]->name,
 		       ratio(f[0].imbalance, f[i].imbalance),
-		       ratio(f[0].held, f[i].held),
+		       ratio(f[0].occupancy_imbalance,
+			     f[i].occupancy_imbalance),
 		       ratio(f[0].wait_p99_ms, f[i].wait_p99_ms),
 		       ratio(f[0].goodput, f[i].goodput));
 	fflush(stdout);
 }
 
-static struct scene lay_over(const struct scene *service,
-			     const struct scene *scene)
+static struct scenario combine(const struct scenario *service,
+			       const struct scenario *scenario)
 {
-	struct scene s = *scene;
+	struct scenario s = *scenario;
 
 	s.deployment = service->deployment;
 	s.n_entries = service->n_entries;
@@ -184,8 +188,9 @@
 	const char *only = argc > 1 ? argv[1] : "";
 
 	for (uint32_t i = 0; i < N_SERVICES; i++) {
-		for (uint32_t j = 0; j < N_SCENES; j++) {
-			struct scene s = lay_over(&SERVICES[i], &SCENES[j]);
+		for (uint32_t j = 0; j < N_SCENARIOS; j++) {
+			struct scenario s =
+				combine(&SERVICES[i], &SCENARIOS[j]);
 
 			if (!*only || !strcmp(only, s.deployment) ||
 			    !strcmp(only, s.name))
@@ -201,8 +206,8 @@
 		changes_run(960, 6);
 		changes_run(3840, 6);
 	}
-	for (uint32_t i = 0; i < N_GROWTH; i++)
-		if (!*only || !strcmp(only, GROWTH[i].deployment))
-			run(&GROWTH[i]);
+	for (uint32_t i = 0; i < N_LARGE_SCENARIOS; i++)
+		if (!*only || !strcmp(only, LARGE_SCENARIOS[i].deployment))
+			run(&LARGE_SCENARIOS[i]);
 	return 0;
 }
