--- a/bench/bench-packet/main.c
+++ b/bench/bench-packet/main.c
@@ -43,7 +43,7 @@
 	return (uint64_t)t.tv_sec * NS_PER_S + (uint64_t)t.tv_nsec;
 }
 
-/* Takes the fastest of several runs, as other work on the machine only adds time. */
+/* Takes the fastest of several runs, as other work on the machine adds time. */
 static void measure(const char *name, void (*one)(void))
 {
 	uint64_t best_ns = UINT64_MAX;
--- a/bench/slopes-entry/feeds.c
+++ b/bench/slopes-entry/feeds.c
@@ -1,15 +1,18 @@
-/* Microseconds and control bytes of feeds: opening, updates, changing hands. */
-#include "pump.h"
+/*
+ * Measures the time and the control bytes of feeds: opening, updates, handover,
+ * takeover and revalidation.
+ */
+#include "cluster.h"
 
 #include <stdlib.h>
 
 #define SIZES 3
 #define NODES 3
 #define TARGETS 16
-#define SPACING_NS (NS_PER_S / 100)
-#define WATCH_NS (40 * NS_PER_S)
+#define REQUEST_INTERVAL_NS (NS_PER_S / 100)
+#define OBSERVATION_NS (40 * NS_PER_S)
 
-static uint64_t spent_ns(const struct pump *p)
+static uint64_t spent_ns(const struct cluster *p)
 {
 	uint64_t sum = 0;
 
@@ -18,122 +21,129 @@
 	return sum;
 }
 
-static struct pump *pump_of_feeds(uint32_t n, uint64_t probe_idle_ns)
+static struct cluster *cluster_with_feeds(uint32_t n, uint64_t probe_idle_ns)
 {
-	struct entry_conf conf = pump_conf();
-	struct pump *p;
+	struct entry_conf conf = cluster_conf();
+	struct cluster *p;
 
 	conf.probe_idle_ns = probe_idle_ns;
-	p = pump_new(NODES, &conf, TARGETS);
+	p = cluster_new(NODES, &conf, TARGETS);
 	for (uint32_t i = 0; i < n; i++) {
-		struct flow_key key = pump_key(i);
+		struct flow_key key = cluster_flow_key(i);
 		struct entry_explanation v = entry_explain(p->nodes[0].e, &key);
 
-		pump_run(p, SPACING_NS);
-		pump_caller(p, pump_node_of(p, v.pair.owner), &key, PUMP_FEED,
-			    (uint16_t)i);
+		cluster_run(p, REQUEST_INTERVAL_NS);
+		cluster_caller_request(p, cluster_node_of(p, v.pair.owner),
+				       &key, REQUEST_FEED, (uint16_t)i);
 	}
 	return p;
 }
 
-static uint64_t copies(const struct pump *p)
+static uint64_t feed_copy_bytes(const struct cluster *p)
 {
 	return p->sent[PEER_FEED].bytes + p->sent[PEER_FEED_CLOSE].bytes;
 }
 
-/* Time that a pump with nothing to do spends on its own. */
-static uint64_t idle_ns(struct pump *p, uint64_t for_ns)
+/* Returns the time that the entries spend in @duration_ns without traffic. */
+static uint64_t idle_ns(struct cluster *p, uint64_t duration_ns)
 {
-	pump_reset(p);
-	pump_run(p, for_ns);
+	cluster_reset_counters(p);
+	cluster_run(p, duration_ns);
 	return spent_ns(p);
 }
 
-static uint32_t held(const struct pump *p, uint32_t node)
+static uint32_t n_feeds_held(const struct cluster *p, uint32_t node)
 {
 	return entry_gauges(p->nodes[node].e).feeds_held;
 }
 
-static void opens_and_updates(uint32_t n)
+static void measure_opens_and_updates(uint32_t n)
 {
 	static const uint8_t kinds[] = { PEER_FEED };
-	struct pump *p = pump_of_feeds(n, 3600 * NS_PER_S);
-	uint64_t before;
-	uint64_t idle;
-
-	pump_report_sent(p, kinds, sizeof(kinds));
-	report("bytes_feed_open", n, (double)copies(p), "bytes");
-	before = spent_ns(p);
-	idle = idle_ns(p, n * SPACING_NS);
+	struct cluster *p = cluster_with_feeds(n, 3600 * NS_PER_S);
+	uint64_t open_ns;
+	uint64_t baseline_ns;
+
+	cluster_report_sent(p, kinds, sizeof(kinds));
+	report("bytes_feed_open", n, (double)feed_copy_bytes(p), "bytes");
+	open_ns = spent_ns(p);
+	baseline_ns = idle_ns(p, n * REQUEST_INTERVAL_NS);
 	report("us_feed_open_all", n,
-	       before > idle ? (double)(before - idle) / 1000 : 0, "us");
-	pump_reset(p);
+	       open_ns > baseline_ns ? (double)(open_ns - baseline_ns) / 1000
+				     : 0,
+	       "us");
+	cluster_reset_counters(p);
 	for (uint32_t i = 0; i < n; i++)
-		pump_update(p, &p->feeds[i]);
+		cluster_feed_update(p, &p->feeds[i]);
 	report("us_feed_update", n, (double)spent_ns(p) / 1000, "us");
-	pump_free(p);
+	cluster_free(p);
 }
 
-static void takeovers(uint32_t n, bool planned)
+static void measure_takeover(uint32_t n, bool is_planned)
 {
-	struct pump *p = pump_of_feeds(n, 3600 * NS_PER_S);
-	uint64_t idle = idle_ns(p, WATCH_NS);
-	uint32_t moved = held(p, 0);
-	uint64_t began_ns = p->now_ns;
-
-	pump_reset(p);
-	if (planned)
-		pump_leave(p, 0);
+	struct cluster *p = cluster_with_feeds(n, 3600 * NS_PER_S);
+	uint64_t baseline_ns = idle_ns(p, OBSERVATION_NS);
+	uint32_t moved = n_feeds_held(p, 0);
+	uint64_t start_ns = p->now_ns;
+
+	cluster_reset_counters(p);
+	if (is_planned)
+		cluster_leave(p, 0);
 	else
-		pump_kill(p, 0);
-	while (held(p, 1) + held(p, 2) < n && p->now_ns < began_ns + WATCH_NS)
-		pump_run(p, NS_PER_S / 100);
-	report(planned ? "ms_feeds_handed_over" : "ms_feeds_taken_over", moved,
-	       (double)(p->now_ns - began_ns) / NS_PER_MS, "ms");
-	pump_run(p, WATCH_NS - (p->now_ns - began_ns));
-	report(planned ? "us_feed_handover" : "us_feed_takeover", moved,
-	       spent_ns(p) > idle ? (double)(spent_ns(p) - idle) / 1000 : 0,
+		cluster_kill(p, 0);
+	while (n_feeds_held(p, 1) + n_feeds_held(p, 2) < n &&
+	       p->now_ns < start_ns + OBSERVATION_NS)
+		cluster_run(p, NS_PER_S / 100);
+	report(is_planned ? "ms_feeds_handed_over" : "ms_feeds_taken_over",
+	       moved, (double)(p->now_ns - start_ns) / NS_PER_MS, "ms");
+	cluster_run(p, OBSERVATION_NS - (p->now_ns - start_ns));
+	report(is_planned ? "us_feed_handover" : "us_feed_takeover", moved,
+	       spent_ns(p) > baseline_ns
+		       ? (double)(spent_ns(p) - baseline_ns) / 1000
+		       : 0,
 	       "us");
-	report(planned ? "bytes_feed_handover" : "bytes_feed_takeover", moved,
-	       (double)copies(p), "bytes");
-	if (planned)
+	report(is_planned ? "bytes_feed_handover" : "bytes_feed_takeover",
+	       moved, (double)feed_copy_bytes(p), "bytes");
+	if (is_planned)
 		report("bytes_feed_handover_leaver", moved,
 		       (double)p->nodes[0].sent_bytes, "bytes");
-	report(planned ? "feeds_held_after_leave" : "feeds_held_after_death", n,
-	       held(p, 1) + held(p, 2), "feeds");
-	pump_free(p);
+	report(is_planned ? "feeds_held_after_leave" : "feeds_held_after_death",
+	       n, n_feeds_held(p, 1) + n_feeds_held(p, 2), "feeds");
+	cluster_free(p);
 }
 
-/* Feeds that no update comes for are asked for again. */
-static void silences(uint32_t n)
+/* Measures the revalidation of feeds that get no updates. */
+static void measure_revalidation(uint32_t n)
 {
-	struct pump *p = pump_of_feeds(n, 10 * NS_PER_S);
-	struct pump *quiet = pump_of_feeds(1, 3600 * NS_PER_S);
-	uint64_t asked = 0;
-	uint64_t idle = idle_ns(quiet, WATCH_NS);
+	struct cluster *p = cluster_with_feeds(n, 10 * NS_PER_S);
+	struct cluster *quiet = cluster_with_feeds(1, 3600 * NS_PER_S);
+	uint64_t n_revalidated = 0;
+	uint64_t baseline_ns = idle_ns(quiet, OBSERVATION_NS);
 
 	for (uint32_t i = 0; i < NODES; i++)
-		asked -= entry_counters(p->nodes[i].e)->feeds_revalidated;
-	pump_reset(p);
-	pump_run(p, WATCH_NS);
+		n_revalidated -=
+			entry_counters(p->nodes[i].e)->feeds_revalidated;
+	cluster_reset_counters(p);
+	cluster_run(p, OBSERVATION_NS);
 	for (uint32_t i = 0; i < NODES; i++)
-		asked += entry_counters(p->nodes[i].e)->feeds_revalidated;
-	report("us_feed_revalidated", (double)asked,
-	       (double)(spent_ns(p) - idle) / 1000, "us");
-	pump_free(p);
-	pump_free(quiet);
+		n_revalidated +=
+			entry_counters(p->nodes[i].e)->feeds_revalidated;
+	report("us_feed_revalidated", (double)n_revalidated,
+	       (double)(spent_ns(p) - baseline_ns) / 1000, "us");
+	cluster_free(p);
+	cluster_free(quiet);
 }
 
-void feed_slopes(void)
+void measure_feeds(void)
 {
 	static const uint32_t sizes[SIZES] = { 600, 1500, 4500 };
 
 	for (uint32_t i = 0; i < SIZES; i++)
-		opens_and_updates(sizes[i]);
+		measure_opens_and_updates(sizes[i]);
 	for (uint32_t i = 0; i < SIZES; i++)
-		takeovers(sizes[i], false);
+		measure_takeover(sizes[i], false);
 	for (uint32_t i = 0; i < SIZES; i++)
-		takeovers(sizes[i], true);
+		measure_takeover(sizes[i], true);
 	for (uint32_t i = 0; i < SIZES; i++)
-		silences(sizes[i]);
+		measure_revalidation(sizes[i]);
 }
--- a/bench/slopes-entry/main.c
+++ b/bench/slopes-entry/main.c
@@ -1,9 +1,11 @@
 /*
- * Slopes of the data path and of the entries' control: lines "NAME SIZE VALUE
- * UNIT". Time is this machine's, decisions and codecs are the product's; system
- * calls are left out but for the group "socket". Names select: slopes-entry memory work.
+ * Measures how the cost of cb-entry's data path and of the messages between
+ * entries grows with size. Prints lines "NAME SIZE VALUE UNIT". Processor times
+ * (us) are wall-clock time of the real decisions and codecs on the machine that
+ * runs this program; only the group "socket" makes system calls. Arguments select
+ * groups: slopes-entry memory work.
  */
-#include "pump.h"
+#include "cluster.h"
 
 #include <sodium.h>
 #include <stdlib.h>
@@ -13,9 +15,9 @@
 	const char *name;
 	void (*run)(void);
 } groups[] = {
-	{ "memory", memory_slopes }, { "config", config_slopes },
-	{ "work", work_slopes },     { "socket", socket_slopes },
-	{ "feeds", feed_slopes },    { "fleet", fleet_slopes },
+	{ "memory", measure_memory }, { "config", measure_config },
+	{ "work", measure_work },     { "socket", measure_socket },
+	{ "feeds", measure_feeds },   { "fleet", measure_fleet },
 };
 
 static bool selected(const char *name, int argc, char **argv)
--- a/bench/slopes-entry/memory.c
+++ b/bench/slopes-entry/memory.c
@@ -1,5 +1,5 @@
-/* Bytes that a flow, a feed, a record and a published thing take. */
-#include "pump.h"
+/* Measures the memory of flows, feeds, claims, requests and configuration. */
+#include "cluster.h"
 
 #include "account_codec.h"
 #include "balance.h"
@@ -18,17 +18,17 @@
 
 static uint64_t entry_bytes(const struct entry_conf *conf)
 {
-	uint64_t before = allocated_bytes();
+	uint64_t before_bytes = allocated_bytes();
 	struct entry *e = entry_new(conf, NS_PER_S);
-	uint64_t taken = allocated_bytes() - before;
+	uint64_t used_bytes = allocated_bytes() - before_bytes;
 
 	entry_free(e);
-	return taken;
+	return used_bytes;
 }
 
 static struct entry_conf small_conf(void)
 {
-	struct entry_conf c = pump_conf();
+	struct entry_conf c = cluster_conf();
 
 	c.requests_max = 1024;
 	c.feeds_max = 1024;
@@ -37,8 +37,8 @@
 	return c;
 }
 
-/* What one limit of the settings takes, by size. */
-static void limit_slope(const char *name, size_t offset)
+/* Measures the memory of an entry, by the limit at @offset of its settings. */
+static void measure_limit(const char *name, size_t offset)
 {
 	static const uint32_t sizes[SIZES] = { 16384, 65536, 262144 };
 
@@ -50,7 +50,7 @@
 	}
 }
 
-static void bucket_slope(void)
+static void measure_buckets(void)
 {
 	static const uint32_t sizes[SIZES] = { 4096, 8192, 16384 };
 
@@ -69,19 +69,19 @@
 	struct actions *out = calloc(1, sizeof(*out));
 	struct entry_conf conf = small_conf();
 	struct entry *e = entry_new(&conf, NS_PER_S);
-	uint64_t before = allocated_bytes();
-	struct config c = pump_config(accounts, services, targets);
-	uint64_t taken;
+	uint64_t before_bytes = allocated_bytes();
+	struct config c = cluster_config(accounts, services, targets);
+	uint64_t used_bytes;
 
 	entry_config(e, &c, NS_PER_S, out);
-	taken = allocated_bytes() - before;
+	used_bytes = allocated_bytes() - before_bytes;
 	entry_free(e);
 	config_free(&c);
 	free(out);
-	return taken;
+	return used_bytes;
 }
 
-static void configuration(void)
+static void measure_configuration(void)
 {
 	static const uint32_t targets[SIZES] = { 10, 100, 1000 };
 	static const uint32_t services[SIZES] = { 100, 400, 1000 };
@@ -98,38 +98,39 @@
 		       (double)config_bytes(accounts[i], 0, 0), "bytes");
 }
 
-/* What cb-watch keeps of an account, and what of it goes over the wire. */
-static void content(uint32_t services, uint32_t targets, uint32_t size,
-		    const char *kept_name, const char *items_name)
+/* Measures the memory of an account at cb-watch and its size on the wire. */
+static void measure_content(uint32_t services, uint32_t targets, uint32_t size,
+			    const char *kept_name, const char *items_name)
 {
-	struct config c = pump_config(1, services, targets);
-	uint64_t before = allocated_bytes();
+	struct config c = cluster_config(1, services, targets);
+	uint64_t before_bytes = allocated_bytes();
 	struct content *content;
 
 	if (account_encode(&c.accounts[0], &content) < 0)
 		exit(EXIT_FAILURE);
-	report(kept_name, size, (double)(allocated_bytes() - before), "bytes");
+	report(kept_name, size, (double)(allocated_bytes() - before_bytes),
+	       "bytes");
 	report(items_name, size, (double)content->size_bytes, "bytes");
 	content_free(content);
 	config_free(&c);
 }
 
-static void contents(void)
+static void measure_contents(void)
 {
 	static const uint32_t sizes[SIZES] = { 100, 300, 1000 };
 
 	for (uint32_t i = 0; i < SIZES; i++)
-		content(1, sizes[i], sizes[i], "bytes_watch_targets",
-			"bytes_item_targets");
+		measure_content(1, sizes[i], sizes[i], "bytes_watch_targets",
+				"bytes_item_targets");
 	for (uint32_t i = 0; i < SIZES; i++)
-		content(sizes[i], 0, sizes[i], "bytes_watch_services",
-			"bytes_item_services");
+		measure_content(sizes[i], 0, sizes[i], "bytes_watch_services",
+				"bytes_item_services");
 }
 
-/* An entry whose settings file names no limits, see adapters/settings.c. */
-static void usual_limits(void)
+/* Measures an entry with the default limits, see adapters/settings.c. */
+static void measure_default_limits(void)
 {
-	struct entry_conf c = pump_conf();
+	struct entry_conf c = cluster_conf();
 
 	c.requests_max = 16384;
 	c.feeds_max = 262144;
@@ -138,15 +139,15 @@
 	report("bytes_usual_limits", 1, (double)entry_bytes(&c), "bytes");
 }
 
-void memory_slopes(void)
+void measure_memory(void)
 {
-	limit_slope("bytes_pins", offsetof(struct entry_conf, flows_max));
-	limit_slope("bytes_feeds", offsetof(struct entry_conf, feeds_max));
-	limit_slope("bytes_claims", offsetof(struct entry_conf, claims_max));
-	limit_slope("bytes_requests",
-		    offsetof(struct entry_conf, requests_max));
-	bucket_slope();
-	usual_limits();
-	configuration();
-	contents();
+	measure_limit("bytes_pins", offsetof(struct entry_conf, flows_max));
+	measure_limit("bytes_feeds", offsetof(struct entry_conf, feeds_max));
+	measure_limit("bytes_claims", offsetof(struct entry_conf, claims_max));
+	measure_limit("bytes_requests",
+		      offsetof(struct entry_conf, requests_max));
+	measure_buckets();
+	measure_default_limits();
+	measure_configuration();
+	measure_contents();
 }
--- a/bench/slopes-entry/socket.c
+++ b/bench/slopes-entry/socket.c
@@ -1,6 +1,5 @@
-/* What the system takes for one datagram: a send and a receive on loopback. */
-
-#include "pump.h"
+/* Measures the time of one send and one receive of a datagram on loopback. */
+#include "cluster.h"
 
 #include <arpa/inet.h>
 #include <stdlib.h>
@@ -24,7 +23,7 @@
 	return fd;
 }
 
-static void datagrams(uint32_t n)
+static void measure_datagrams(uint32_t n)
 {
 	uint8_t buf[DATAGRAM_BYTES] = { 0 };
 	struct sockaddr_in to, from;
@@ -47,10 +46,10 @@
 	close(receiver);
 }
 
-void socket_slopes(void)
+void measure_socket(void)
 {
 	static const uint32_t sizes[SIZES] = { 3200, 12800, 51200 };
 
 	for (uint32_t i = 0; i < SIZES; i++)
-		datagrams(sizes[i]);
+		measure_datagrams(sizes[i]);
 }
--- a/bench/slopes-entry/traffic.c
+++ b/bench/slopes-entry/traffic.c
@@ -1,5 +1,5 @@
-/* Callers and targets of the pump, and the configuration. */
-#include "pump_impl.h"
+/* Callers, targets and configuration of the simulated cluster. */
+#include "cluster_impl.h"
 
 #include "coap_wire.h"
 
@@ -18,8 +18,8 @@
 #define OBSERVE_DELTA 0x60
 #define CODE_CONTENT 0x45
 
-/* As cb-entry's settings stand when a file names none of them. */
-struct entry_conf pump_conf(void)
+/* Returns settings of an entry with the default times of cb-entry. */
+struct entry_conf cluster_conf(void)
 {
 	return (struct entry_conf){
 		.member = { .incarnation = 1796234231031ULL,
@@ -61,9 +61,9 @@
 					      .connections = 100000 };
 }
 
-/* @services of each account, @targets of each service. */
-struct config pump_config(uint32_t accounts, uint32_t services,
-			  uint32_t targets)
+/* Makes @accounts with @services each, every service with @targets. */
+struct config cluster_config(uint32_t accounts, uint32_t services,
+			     uint32_t targets)
 {
 	struct config c = { 0 };
 
@@ -84,10 +84,10 @@
 	return c;
 }
 
-static void feed_known(struct pump *p, const struct packet *k,
-		       const struct message *m)
+static void record_feed(struct cluster *p, const struct packet *k,
+			const struct message *m)
 {
-	struct pump_feed *f = &p->feeds[p->n_feeds % PUMP_FEED_MAX];
+	struct cluster_feed *f = &p->feeds[p->n_feeds % CLUSTER_FEED_MAX];
 
 	f->node = k->node;
 	f->target = k->target;
@@ -96,8 +96,8 @@
 	p->n_feeds++;
 }
 
-static uint32_t put_answer(uint8_t *buf, uint8_t type, uint16_t id,
-			   const uint8_t *token, uint8_t token_len, bool feed)
+static uint32_t make_answer(uint8_t *buf, uint8_t type, uint16_t id,
+			    const uint8_t *token, uint8_t token_len, bool feed)
 {
 	uint32_t n = 0;
 
@@ -117,8 +117,8 @@
 	return n + PAYLOAD_BYTES;
 }
 
-/* A target: the answer rides on the acknowledgement. */
-void target_takes(struct pump *p, const struct packet *k)
+/* Delivers a request to its target, which piggybacks the answer on the ACK. */
+void deliver_to_target(struct cluster *p, const struct packet *k)
 {
 	uint8_t buf[128];
 	struct message m;
@@ -130,29 +130,30 @@
 		return;
 	feed = m.flags & MESSAGE_FEED_OPEN;
 	if (feed)
-		feed_known(p, k, &m);
-	n = put_answer(buf, WIRE_ACK, m.id, m.token, m.token_len, feed);
-	pump_push(p, FROM_TARGET, k->node, k->target, NULL, buf, (int32_t)n);
+		record_feed(p, k, &m);
+	n = make_answer(buf, WIRE_ACK, m.id, m.token, m.token_len, feed);
+	cluster_queue_packet(p, FROM_TARGET, k->node, k->target, NULL, buf,
+			     (int32_t)n);
 }
 
-uint64_t pump_target(uint32_t i)
+uint64_t cluster_target(uint32_t i)
 {
 	return TARGET(i);
 }
 
-struct flow_key pump_key(uint32_t i)
+struct flow_key cluster_flow_key(uint32_t i)
 {
 	return (struct flow_key){ CALLER(i), VIP(0) };
 }
 
-static uint32_t put(uint8_t *buf, uint32_t n, const char *bytes, size_t size)
+static uint32_t append(uint8_t *buf, uint32_t n, const char *bytes, size_t size)
 {
 	memcpy(&buf[n], bytes, size);
 	return n + (uint32_t)size;
 }
 
-static uint32_t put_head(uint8_t *buf, const struct flow_key *key, bool post,
-			 uint16_t id)
+static uint32_t make_header(uint8_t *buf, const struct flow_key *key, bool post,
+			    uint16_t id)
 {
 	const uint8_t head[] = { 0x40 | CALLER_TOKEN_BYTES, post ? 2 : 1,
 				 (uint8_t)(id >> 8), (uint8_t)id };
@@ -162,70 +163,75 @@
 	return sizeof(head) + CALLER_TOKEN_BYTES;
 }
 
-static uint32_t put_payload(uint8_t *buf, uint32_t n, uint32_t size_bytes)
+static uint32_t append_payload(uint8_t *buf, uint32_t n, uint32_t size_bytes)
 {
 	buf[n++] = PAYLOAD_MARK;
 	memset(&buf[n], 'p', size_bytes);
 	return n + size_bytes;
 }
 
-/* Hands an entry a caller's datagram; all that follows from it happens. */
-void pump_caller(struct pump *p, uint32_t node, const struct flow_key *key,
-		 enum pump_request kind, uint16_t id)
+/* Delivers a caller's request to entry @node and processes all that follows. */
+void cluster_caller_request(struct cluster *p, uint32_t node,
+			    const struct flow_key *key, enum request_kind kind,
+			    uint16_t id)
 {
 	uint8_t buf[128];
-	uint32_t n = put_head(buf, key, kind == PUMP_POST, id);
+	uint32_t n = make_header(buf, key, kind == REQUEST_POST, id);
 
-	if (kind == PUMP_FEED)
-		n = put(buf, n,
-			"\x60\x54"
-			"feed",
-			6);
+	if (kind == REQUEST_FEED)
+		n = append(buf, n,
+			   "\x60\x54"
+			   "feed",
+			   6);
 	else
-		n = put(buf, n, "\xb6report", 7);
-	n = put(buf, n, "\x4d\x06id=0123456789abcdef", 21);
-	if (kind == PUMP_POST)
-		n = put_payload(buf, n, PAYLOAD_BYTES);
-	pump_push(p, FROM_CALLER, node, ADDR_NONE, key, buf, (int32_t)n);
-	pump_drain(p);
+		n = append(buf, n, "\xb6report", 7);
+	n = append(buf, n, "\x4d\x06id=0123456789abcdef", 21);
+	if (kind == REQUEST_POST)
+		n = append_payload(buf, n, PAYLOAD_BYTES);
+	cluster_queue_packet(p, FROM_CALLER, node, ADDR_NONE, key, buf,
+			     (int32_t)n);
+	cluster_deliver_all(p);
 }
 
-/* The same with one block of an upload of @blocks. */
-void pump_block(struct pump *p, uint32_t node, const struct flow_key *key,
-		uint32_t nth, uint32_t blocks, uint16_t id)
+/* Delivers block @nth of an upload of @blocks in the same way. */
+void cluster_caller_block(struct cluster *p, uint32_t node,
+			  const struct flow_key *key, uint32_t nth,
+			  uint32_t blocks, uint16_t id)
 {
 	uint32_t block = nth << 4 | (nth + 1 < blocks) << 3 | 6;
 	const char option[] = { '\xc2', (char)(block >> 8), (char)block };
 	uint8_t buf[128 + BLOCK_BYTES];
-	uint32_t n = put_head(buf, key, true, id);
-
-	n = put(buf, n, "\xb6report", 7);
-	n = put(buf, n, "\x4d\x06id=0123456789abcdef", 21);
-	n = put(buf, n, option, sizeof(option));
-	n = put_payload(buf, n, BLOCK_BYTES);
-	pump_push(p, FROM_CALLER, node, ADDR_NONE, key, buf, (int32_t)n);
-	pump_drain(p);
+	uint32_t n = make_header(buf, key, true, id);
+
+	n = append(buf, n, "\xb6report", 7);
+	n = append(buf, n, "\x4d\x06id=0123456789abcdef", 21);
+	n = append(buf, n, option, sizeof(option));
+	n = append_payload(buf, n, BLOCK_BYTES);
+	cluster_queue_packet(p, FROM_CALLER, node, ADDR_NONE, key, buf,
+			     (int32_t)n);
+	cluster_deliver_all(p);
 }
 
-/* A caller's empty acknowledgement of an update. */
-void pump_ack(struct pump *p, uint32_t node, const struct flow_key *key,
-	      uint16_t id)
+/* Delivers a caller's empty acknowledgement of an update. */
+void cluster_caller_ack(struct cluster *p, uint32_t node,
+			const struct flow_key *key, uint16_t id)
 {
 	const uint8_t buf[] = { 0x40 | WIRE_ACK << 4, 0, (uint8_t)(id >> 8),
 				(uint8_t)id };
 
-	pump_push(p, FROM_CALLER, node, ADDR_NONE, key, buf, sizeof(buf));
-	pump_drain(p);
+	cluster_queue_packet(p, FROM_CALLER, node, ADDR_NONE, key, buf,
+			     sizeof(buf));
+	cluster_deliver_all(p);
 }
 
-/* An update of a feed, from its target. */
-void pump_update(struct pump *p, const struct pump_feed *feed)
+/* Delivers an update of a feed from its target. */
+void cluster_feed_update(struct cluster *p, const struct cluster_feed *feed)
 {
 	uint8_t buf[128];
-	uint32_t n = put_answer(buf, WIRE_PLAIN, ++p->next_id, feed->token,
-				feed->token_len, true);
+	uint32_t n = make_answer(buf, WIRE_PLAIN, ++p->next_id, feed->token,
+				 feed->token_len, true);
 
-	pump_push(p, FROM_TARGET, feed->node, feed->target, NULL, buf,
-		  (int32_t)n);
-	pump_drain(p);
+	cluster_queue_packet(p, FROM_TARGET, feed->node, feed->target, NULL,
+			     buf, (int32_t)n);
+	cluster_deliver_all(p);
 }
