--- a/bench/bench-balance/changes.c
+++ b/bench/bench-balance/changes.c
@@ -1,4 +1,6 @@
-/* Measures the time of changes of configuration and of the number of entries. */
+/*
+ * Measures the time of changes of configuration and of the number of entries.
+ */
 #include "changes.h"
 
 #include "balance.h"
--- a/bench/bench-balance/changes.h
+++ b/bench/bench-balance/changes.h
@@ -1,4 +1,6 @@
-/* Measures the time of changes of configuration and of the number of entries. */
+/*
+ * Measures the time of changes of configuration and of the number of entries.
+ */
 #ifndef CB_BENCH_CHANGES_H
 #define CB_BENCH_CHANGES_H
 
--- a/bench/bench-balance/feeds.c
+++ b/bench/bench-balance/feeds.c
@@ -1,6 +1,7 @@
 /*
  * Measures how evenly long feeds are distributed over the targets, and which
- * part of the targets' connections is in use when an entry first refuses a feed.
+ * part of the targets' connections is in use when an entry first refuses a
+ * feed.
  */
 #include "feeds.h"
 
--- a/bench/bench-balance/main.c
+++ b/bench/bench-balance/main.c
@@ -1,7 +1,8 @@
 /*
  * bench-balance: compares cactusbeam's selection of targets with round robin,
  * plain hashing, local least-loaded and power of two random choices, over the
- * same callers. An argument selects a deployment, a scenario, "feeds" or "change".
+ * same callers. An argument selects a deployment, a scenario, "feeds" or
+ * "change".
  */
 #include "changes.h"
 #include "feeds.h"
--- a/bench/bench-balance/measure.c
+++ b/bench/bench-balance/measure.c
@@ -1,8 +1,8 @@
 #include "model_state.h"
 
 /*
- * A target that joined has its share of the load when it starts this part of the
- * mean number of requests in BALANCED_WINDOWS windows in a row.
+ * A target that joined has its share of the load when it starts this part of
+ * the mean number of requests in BALANCED_WINDOWS windows in a row.
  */
 #define BALANCED_SHARE 0.8
 #define BALANCED_WINDOWS 3
--- a/bench/bench-balance/model.c
+++ b/bench/bench-balance/model.c
@@ -11,7 +11,9 @@
 #define TICK_NS (20 * NS_PER_MS)
 #define REPORT_NS (500 * NS_PER_MS)
 #define SLOW_FACTOR 10
-/* A target that joins starts this many times slower and warms up over COLD_NS. */
+/*
+ * A target that joins starts this many times slower and warms up over COLD_NS.
+ */
 #define COLD_FACTOR 4
 #define COLD_NS (8 * NS_PER_S)
 
--- a/bench/bench-balance/model.h
+++ b/bench/bench-balance/model.h
@@ -26,7 +26,8 @@
  * @entry: index of the entry that selects the target
  * @target: index of the target that it was last sent to
  * @avoid: index of the target that shed it, or NONE
- * @handle: handle of the request at the entry's balancer, set by policy_balancer
+ * @handle: handle of the request at the entry's balancer, set by
+ *	policy_balancer
  * @tries: number of tries so far
  * @is_shed: the target answered that it sheds the request
  * @is_expired: the target dropped it from its queue after @deadline_ns
--- a/bench/bench-balance/policy_simple.c
+++ b/bench/bench-balance/policy_simple.c
@@ -1,4 +1,7 @@
-/* Baselines: select a target at once; requests queue and are shed at the target. */
+/*
+ * Baselines: select a target at once; requests queue and are shed at the
+ * target.
+ */
 #include "model.h"
 
 #include <stdlib.h>
--- a/bench/bench-faults/baseline.h
+++ b/bench/bench-faults/baseline.h
@@ -1,4 +1,7 @@
-/* Baseline balancers that run in place of the entries; none keeps second copies. */
+/*
+ * Baseline balancers that run in place of the entries; none keeps second
+ * copies.
+ */
 #ifndef CB_BASELINE_H
 #define CB_BASELINE_H
 
--- a/bench/bench-faults/main.c
+++ b/bench/bench-faults/main.c
@@ -30,8 +30,8 @@
 
 /*
  * Weights of a broken flow by class, and of broken flows relative to imbalance.
- * Ventolario counts reports double and gives imbalance more weight; Tshwane gives
- * broken flows more weight. "More" stands for a factor of two.
+ * Ventolario counts reports double and gives imbalance more weight; Tshwane
+ * gives broken flows more weight. "More" stands for a factor of two.
  */
 static const struct {
 	const char *name;
@@ -59,7 +59,10 @@
 	uint32_t runs;
 };
 
-/* "Outcome unknown" counts as broken, as it leaves the caller without an answer. */
+/*
+ * "Outcome unknown" counts as broken, as it leaves the caller without an
+ * answer.
+ */
 static bool is_broken(const struct op *op)
 {
 	bool idempotent = op->class_ == OP_FEED || op->class_ == OP_GET;
@@ -71,7 +74,9 @@
 	       (!idempotent && op->runs > 1);
 }
 
-/* Work of the busiest target over the mean, of the worse of the two services. */
+/*
+ * Work of the busiest target over the mean, of the worse of the two services.
+ */
 static double imbalance(const struct testbed_verdict *v,
 			const uint32_t *targets)
 {
--- a/bench/bench-packet/main.c
+++ b/bench/bench-packet/main.c
@@ -1,7 +1,7 @@
 /*
  * Measures the time that the codecs take for one datagram, in nanoseconds, and
- * the sizes of the messages between entries. Each line gives a name, a value and
- * a unit.
+ * the sizes of the messages between entries. Each line gives a name, a value
+ * and a unit.
  */
 #include "coap_wire.h"
 #include "proxy2.h"
@@ -32,7 +32,9 @@
 				 "0123456789012345678901234567890123456789";
 #define REQUEST_BYTES (sizeof(request) - 1)
 
-/* Results are added here, so that the compiler can't optimise the calls away. */
+/*
+ * Results are added here, so that the compiler can't optimise the calls away.
+ */
 static volatile uint64_t sink;
 
 static uint64_t now_ns(void)
--- a/bench/pairs-fit/main.c
+++ b/bench/pairs-fit/main.c
@@ -1,9 +1,9 @@
 /*
  * pairs-fit FIRST SECOND: reads lines "BUILD SITE DAY SEED VALUE BROKEN" of two
  * builds and pairs the runs of the same site, day and seed. Prints each pair,
- * then, for each site and for all sites, the mean difference (SECOND minus FIRST)
- * with its 95 % confidence interval by Student's t. A run that failed has "-" for
- * its value and makes no pair.
+ * then, for each site and for all sites, the mean difference (SECOND minus
+ * FIRST) with its 95 % confidence interval by Student's t. A run that failed
+ * has "-" for its value and makes no pair.
  */
 #include <glib.h>
 #include <gsl/gsl_cdf.h>
--- a/bench/slopes-entry/change.c
+++ b/bench/slopes-entry/change.c
@@ -102,7 +102,9 @@
 	return (double)start_ns / CALL_REPEATS / 1000;
 }
 
-/* Measures the codec of a changed account: cb-watch encodes, cb-entry decodes. */
+/*
+ * Measures the codec of a changed account: cb-watch encodes, cb-entry decodes.
+ */
 static void measure_codec(uint32_t targets)
 {
 	struct config c = cluster_config(1, 1, targets);
@@ -133,7 +135,10 @@
 	config_free(&c);
 }
 
-/* Sums the requests that the entries together may have at targets with 30 slots. */
+/*
+ * Sums the requests that the entries together may have at targets with 30
+ * slots.
+ */
 static void measure_shares(uint32_t entries)
 {
 	struct config c = cluster_config(1, 1, SHARE_TARGETS);
--- a/bench/slopes-entry/cluster.c
+++ b/bench/slopes-entry/cluster.c
@@ -288,7 +288,10 @@
 	free(vms);
 }
 
-/* Returns a cluster whose @n entries have joined, with one account of one service. */
+/*
+ * Returns a cluster whose @n entries have joined, with one account of one
+ * service.
+ */
 struct cluster *cluster_new(uint32_t n, const struct entry_conf *conf,
 			    uint32_t targets)
 {
--- a/bench/slopes-entry/cluster.h
+++ b/bench/slopes-entry/cluster.h
@@ -50,7 +50,8 @@
  * @nodes: array of @n entries, owned by the cluster
  * @n: number of entries
  * @now_ns: simulated time
- * @conf: settings of every entry; address, incarnation and seed are set per entry
+ * @conf: settings of every entry; address, incarnation and seed are set
+ *	per entry
  * @config: current configuration
  * @out: actions of the last call to an entry, owned by the cluster
  * @packets: queue of datagrams not yet delivered
--- a/bench/slopes-entry/fleet.c
+++ b/bench/slopes-entry/fleet.c
@@ -74,7 +74,9 @@
 	report("us_idle_per_s", p->n, spent_us(p) / p->n / 10, "us");
 }
 
-/* Makes @n claims at entry @node by POSTs, which it hands over when it leaves. */
+/*
+ * Makes @n claims at entry @node by POSTs, which it hands over when it leaves.
+ */
 static void fill_claims(struct cluster *p, uint32_t node, uint32_t n)
 {
 	uint32_t i = 0;
@@ -121,7 +123,10 @@
 	       "bytes");
 }
 
-/* Measures a join: the entry that left starts again at its address without state. */
+/*
+ * Measures a join: the entry that left starts again at its address without
+ * state.
+ */
 static void measure_join(struct cluster *p, uint32_t node)
 {
 	uint64_t start_ns = p->now_ns;
--- a/bench/slopes-entry/main.c
+++ b/bench/slopes-entry/main.c
@@ -2,8 +2,8 @@
  * Measures how the cost of cb-entry's data path and of the messages between
  * entries grows with size. Prints lines "NAME SIZE VALUE UNIT". Processor times
  * (us) are wall-clock time of the real decisions and codecs on the machine that
- * runs this program; only the group "socket" makes system calls. Arguments select
- * groups: slopes-entry memory work.
+ * runs this program; only the group "socket" makes system calls. Arguments
+ * select groups: slopes-entry memory work.
  */
 #include "cluster.h"
 
--- a/bench/slopes-entry/work.c
+++ b/bench/slopes-entry/work.c
@@ -1,4 +1,6 @@
-/* Measures the time and control bytes of a request, by the role of the entry. */
+/*
+ * Measures the time and control bytes of a request, by the role of the entry.
+ */
 #include "cluster.h"
 
 #include "coap_wire.h"
@@ -13,7 +15,9 @@
 #define REQUEST_INTERVAL_NS (NS_PER_S / 200)
 #define POLL_TARGETS 5000
 
-/* Role of an entry for a flow: owner of its bucket, backup entry or any other. */
+/*
+ * Role of an entry for a flow: owner of its bucket, backup entry or any other.
+ */
 enum role { OWNER, SECOND, OTHER, ROLES };
 
 static uint32_t role_of(const struct cluster *p,
--- a/bench/slopes-fit/main.c
+++ b/bench/slopes-fit/main.c
@@ -1,8 +1,8 @@
 /*
  * Reads lines "NAME SIZE VALUE UNIT" and fits a straight line to the points of
  * each name by least squares. Prints "fit NAME SLOPE INTERCEPT R2 UNIT POINTS".
- * A name with fewer than three points, or with one size only, gets no fit. Input
- * lines of another form are ignored.
+ * A name with fewer than three points, or with one size only, gets no fit.
+ * Input lines of another form are ignored.
  */
 #include <glib.h>
 #include <gsl/gsl_fit.h>
--- a/bench/slopes-member/fleet.c
+++ b/bench/slopes-member/fleet.c
@@ -1,2 +1,5 @@
-/* Uses the tests' simulated network, so that the code measured is the code tested. */
+/*
+ * Uses the tests' simulated network, so that the code measured is the code
+ * tested.
+ */
 #include "../../test/fleet.c"
--- a/bench/slopes-member/main.c
+++ b/bench/slopes-member/main.c
@@ -1,8 +1,8 @@
 /*
  * Measures how the cost of membership and of the ring grows with the number of
  * entries of a data centre. Delays are simulated time, message sizes come from
- * the real codec, and processor times (ns, us) are wall-clock time on the machine
- * that runs this program.
+ * the real codec, and processor times (ns, us) are wall-clock time on the
+ * machine that runs this program.
  */
 #include "../../test/fleet.h"
 #include "ring.h"
--- a/bench/slopes-packets/main.c
+++ b/bench/slopes-packets/main.c
@@ -1,8 +1,8 @@
 /*
  * Measures how the cost of cb-packet grows with the number of targets:
- * processor time of a packet of an open flow, a packet that opens a flow, a tick
- * and a heartbeat, and memory of a flow and a target. Runs decisions and codecs
- * without system calls. Prints lines "NAME SIZE VALUE UNIT".
+ * processor time of a packet of an open flow, a packet that opens a flow, a
+ * tick and a heartbeat, and memory of a flow and a target. Runs decisions and
+ * codecs without system calls. Prints lines "NAME SIZE VALUE UNIT".
  */
 #include "hello_codec.h"
 #include "node.h"
