--- a/sim/sim-packets/windows.c
+++ b/sim/sim-packets/windows.c
@@ -5,50 +5,50 @@
 #include <errno.h>
 #include <stdlib.h>
 
-/* Return: number of the window, UINT32_MAX for none. */
-static uint32_t window_at(const struct world *w, uint64_t asked_ns)
+/* Return: index of the window; UINT32_MAX before the first. */
+static uint32_t window_at(const struct world *w, uint64_t arrival_ns)
 {
-	return asked_ns < w->start_ns
+	return arrival_ns < w->start_ns
 		       ? UINT32_MAX
-		       : (uint32_t)((asked_ns - w->start_ns) / WINDOW_NS);
+		       : (uint32_t)((arrival_ns - w->start_ns) / WINDOW_NS);
 }
 
-/* Requests of the last window may not have ended: it is left out. */
+/* The last, incomplete window is left out: its requests may not have ended. */
 static uint32_t count_windows(const struct world *w)
 {
 	return (uint32_t)((w->now_ns - w->start_ns) / WINDOW_NS);
 }
 
-static void add(struct window *v, const struct site_class *c,
-		const struct world_request *r)
+static void add_request(struct window *v, const struct site_class *c,
+			const struct world_request *r)
 {
-	double earned = c->worth;
+	double earned = c->value;
 
 	v->requests++;
-	v->owed += c->worth;
-	if (!r->took_ns) {
+	v->offered += c->value;
+	if (!r->latency_ns) {
 		v->failed++;
 		earned = 0;
-	} else if (r->took_ns > c->aim_ns) {
+	} else if (r->latency_ns > c->objective_ns) {
 		v->late++;
-		earned = c->late_worth;
+		earned = c->late_value;
 	} else {
-		v->in_aim++;
+		v->on_time++;
 	}
 	v->earned += earned;
-	v->lost[r->cause] += c->worth - earned;
+	v->lost[r->cause] += c->value - earned;
 }
 
-static void sum(struct windows *v)
+static void sum_windows(struct windows *v)
 {
 	for (uint32_t i = 0; i < v->n; i++) {
 		const struct window *o = &v->all[i];
 
 		v->total.requests += o->requests;
-		v->total.in_aim += o->in_aim;
+		v->total.on_time += o->on_time;
 		v->total.late += o->late;
 		v->total.failed += o->failed;
-		v->total.owed += o->owed;
+		v->total.offered += o->offered;
 		v->total.earned += o->earned;
 		v->total.bound += o->bound;
 		for (uint32_t k = 0; k < CAUSES; k++)
@@ -57,19 +57,19 @@
 }
 
 /**
- * windows_of() - what a run earned
- * @w: world, after its run
- * @out: filled; windows_free() frees it
+ * windows_compute() - sum up a run by windows
+ * @w: emulator, after its run
+ * @out: receives the windows; free them with windows_free()
  *
- * Return: 0 or -ENOMEM.
+ * Return: 0, or -ENOMEM.
  */
-int windows_of(const struct world *w, struct windows *out)
+int windows_compute(const struct world *w, struct windows *out)
 {
-	struct bound_reach reach;
+	struct bound_availability availability;
 
 	*out = (struct windows){ .n = count_windows(w) };
 	out->all = calloc(out->n + 1, sizeof(*out->all));
-	if (!out->all || bound_reach(w, &reach)) {
+	if (!out->all || bound_availability(w, &availability)) {
 		windows_free(out);
 		return -ENOMEM;
 	}
@@ -77,17 +77,18 @@
 		out->all[i].from_ns = i * WINDOW_NS;
 	for (uint32_t i = 0; i < w->n_requests; i++) {
 		const struct world_request *r = &w->requests[i];
-		uint32_t at = window_at(w, r->asked_ns);
+		uint32_t at = window_at(w, r->arrival_ns);
 
 		if (at < out->n)
-			add(&out->all[at], &w->classes[r->class], r);
+			add_request(&out->all[at], &w->classes[r->class], r);
 	}
 	for (uint32_t i = 0; i < out->n; i++)
 		out->all[i].bound =
-			bound_of(w, &reach, w->start_ns + out->all[i].from_ns,
-				 WINDOW_NS);
-	free(reach.spans);
-	sum(out);
+			bound_earned_value(w, &availability,
+					   w->start_ns + out->all[i].from_ns,
+					   WINDOW_NS);
+	free(availability.spans);
+	sum_windows(out);
 	return 0;
 }
 
@@ -105,14 +106,15 @@
 }
 
 /**
- * windows_worst() - the worst windows
- * @v: run
- * @n: how many of them
- * @bound: of the bound instead of what was earned
+ * windows_worst_share() - mean earned share of the worst windows
+ * @v: windows of a run
+ * @n: number of windows to average
+ * @bound: use the upper bound instead of the earned value
  *
- * Return: mean part earned of what was owed there; 1 without windows.
+ * Return: mean of earned over offered value; 1 without windows, 0 without
+ * memory.
  */
-double windows_worst(const struct windows *v, uint32_t n, bool bound)
+double windows_worst_share(const struct windows *v, uint32_t n, bool bound)
 {
 	double *parts = calloc(v->n + 1, sizeof(*parts));
 	double all = 0;
@@ -121,10 +123,10 @@
 	if (!parts)
 		return 0;
 	for (uint32_t i = 0; i < v->n; i++)
-		if (v->all[i].owed > 0)
+		if (v->all[i].offered > 0)
 			parts[used++] =
 				(bound ? v->all[i].bound : v->all[i].earned) /
-				v->all[i].owed;
+				v->all[i].offered;
 	qsort(parts, used, sizeof(*parts), compare);
 	if (n > used)
 		n = used;
