--- a/test/fleet.c
+++ b/test/fleet.c
@@ -176,7 +176,7 @@
 	return due_ns > o->paused_deadline_ns ? due_ns : o->paused_deadline_ns;
 }
 
-/* Tournament over the nodes' next ticks; the root is the earliest. */
+/* Updates the tournament tree after the next timer of node @i has changed. */
 static void reschedule(struct fleet *f, uint32_t i)
 {
 	uint32_t at = FLEET_MAX + i;
@@ -189,7 +189,7 @@
 	}
 }
 
-/* A paused process finds its messages when it wakes, before its timers run. */
+/* A paused process receives queued messages on resume, before its timers run. */
 static void deliver(struct fleet *f)
 {
 	struct packet *p = heap_pop(f);
@@ -284,7 +284,7 @@
 	return true;
 }
 
-/* Every running node believes those and only those that run alive. */
+/* Whether every running node sees all running nodes, and no other, as alive. */
 bool fleet_converged(const struct fleet *f)
 {
 	uint32_t i;
--- a/test/fleet.h
+++ b/test/fleet.h
@@ -1,4 +1,4 @@
-/* Fake network and clock for many memberships in one process. */
+/* Simulated network and clock for many struct membership in one process. */
 #ifndef CB_TEST_FLEET_H
 #define CB_TEST_FLEET_H
 
@@ -11,12 +11,16 @@
 #define FLEET_MAX 512
 
 /**
- * struct node - one process of the fleet
- * @vm: address
- * @m: its membership, NULL when it doesn't run
- * @paused_deadline_ns: messages wait until then, and no tick comes
- * @side: nodes reach only those of their own side
- * @messages: sent; @bytes: their size
+ * struct node - one simulated process
+ * @vm: its address, an ADDR() of IP and port
+ * @m: its membership, owned by the fleet; NULL while the process is stopped
+ * @paused_deadline_ns: time until which the process is paused: messages to it
+ *	are queued and its timers don't run; 0 or a past time when it runs
+ * @side: number of its network partition; nodes of different partitions can't
+ *	exchange messages
+ * @messages: messages sent, those that were lost included
+ * @bytes: size of the messages sent; counted only with size_bytes of the fleet
+ * @fleet: fleet that the node belongs to
  */
 struct node {
 	uint64_t vm;
@@ -30,6 +34,26 @@
 
 struct packet;
 
+/**
+ * struct fleet - simulated nodes, their network and their clock
+ * @now_ns: simulated time
+ * @rng: source of all randomness of the network
+ * @n: nodes in use, at most FLEET_MAX
+ * @node: nodes by index
+ * @loss_percent: share of messages that the network loses
+ * @incarnation: incarnation of the node that was started last
+ * @conf: settings of nodes that are started from now on
+ * @size_bytes: returns the encoded size of a message; NULL: sizes aren't counted
+ * @blocked: returns whether the network drops messages from one node to
+ *	another; NULL: it drops none
+ * @heap: binary heap of messages in transit, by arrival time
+ * @n_heap: messages in @heap
+ * @cap_heap: messages for which @heap has memory
+ * @order: sequence number of the next message; messages with equal arrival
+ *	times arrive in the order in which they were sent
+ * @due_ns: time of each node's next timer; UINT64_MAX: none
+ * @tick: tournament tree over @due_ns; @tick[1] is the node with the earliest
+ */
 struct fleet {
 	uint64_t now_ns;
 	struct rng rng;
--- a/test/matrix_test.c
+++ b/test/matrix_test.c
@@ -1,7 +1,7 @@
 /*
- * Fault matrix: every fault at every step of a request, and every two faults
- * at once, on the product's own decisions. A row that fails names its seed;
- * TESTBED_TRACE=1 prints all events of the run.
+ * Fault matrix: injects every fault at every step of a request, and every pair
+ * of faults at the same time, and fails on effects that the faults don't allow.
+ * A failed cell prints its seed; TESTBED_TRACE=1 prints all events of the run.
  */
 #include "testbed_faults.h"
 
@@ -14,10 +14,20 @@
 #include <cmocka.h>
 
 #define MS(x) ((uint64_t)(x)*NS_PER_MS)
-#define FAULT_NS MS(23000) /* callers have settled by then */
+#define FAULT_NS MS(23000) /* callers are in steady operation by then */
 #define OBSERVE_NS MS(16000) /* after the fault */
 #define ARRAY_LEN(a) (sizeof(a) / sizeof((a)[0]))
 
+/**
+ * struct step - step of a request at which a fault is injected
+ * @name: name of the column
+ * @subject: class of the caller under test
+ * @point: point at which the fault is injected
+ * @part: part of the upload, at POINT_PART
+ * @lose: also drop the answer that is about to be sent
+ * @handover: inject the fault 100 ms after a planned stop of the owner, at no
+ *	point of the request
+ */
 struct step {
 	const char *name;
 	enum op_class subject;
@@ -37,7 +47,7 @@
 	{ "handover of another", OP_POST, POINT_SEND, 0, false, true },
 };
 
-/* State of the run under way; a hook fires the fault at the step. */
+/* State of the current run; at_step() injects the fault at the step. */
 static struct run {
 	const struct fault *fault;
 	const struct fault *other;
@@ -126,7 +136,7 @@
 	uint32_t allowed_by;
 };
 
-/* Prints what the row doesn't allow; true when there is nothing. */
+/* Prints the effects that @allow forbids; true when there are none. */
 static bool judge(const struct testbed_verdict *v, uint32_t allow,
 		  const char *row, const char *column, uint64_t seed)
 {
@@ -172,7 +182,7 @@
 	return judge(&v, fault->allow, fault->name, step->name, seed);
 }
 
-/* With owner and second gone at once, no entry knows of a feed. */
+/* When owner and second fail at the same time, no entry knows their feeds. */
 static uint32_t allowed(const struct fault *fault, const struct fault *other)
 {
 	uint32_t allow = fault->allow | other->allow;
@@ -197,7 +207,7 @@
 	return judge(&v, allow, fault->name, other->name, seed);
 }
 
-/* MATRIX_ROW and MATRIX_COLUMN run one cell alone, for a trace. */
+/* MATRIX_ROW and MATRIX_COLUMN select a single cell, for a trace. */
 static bool chosen(const char *variable, const char *name)
 {
 	const char *only = getenv(variable);
@@ -205,7 +215,7 @@
 	return !only || strcmp(only, name) == 0;
 }
 
-/* MATRIX_SEED moves all seeds, to look further than CI does. */
+/* MATRIX_SEED is added to all seeds, to test seeds that CI does not. */
 static uint64_t first_seed(void)
 {
 	const char *seed = getenv("MATRIX_SEED");
--- a/test/testbed.h
+++ b/test/testbed.h
@@ -1,7 +1,7 @@
 /*
- * A fleet of entries in one process, to provoke failures: fake clock, fake
- * network, fake targets and callers. What callers and targets wrote down is
- * compared at the end. docs/design/proof.md says what it leaves out.
+ * Fault injection for a group of entries in one process, with a simulated
+ * clock, network, targets and callers. At the end the records of callers and
+ * targets are compared. docs/design/proof.md says what it leaves out.
  */
 #ifndef CB_TESTBED_H
 #define CB_TESTBED_H
@@ -20,8 +20,8 @@
 #define TESTBED_NONE UINT32_MAX
 
 /**
- * struct testbed_system - port behind which the entries stand, so that a
- *	baseline can take their place; see entry.h for what each call does
+ * struct testbed_system - functions of the system under test, which is the
+ *	product or a baseline; see entry.h for the contract of each call
  */
 struct testbed_system {
 	struct entry *(*make)(const struct entry_conf *conf, uint64_t now_ns);
@@ -47,22 +47,22 @@
 
 extern const struct testbed_system testbed_product;
 
-/* Datagram between callers, entries and targets. */
 enum dgram_kind { DGRAM_REQUEST, DGRAM_ANSWER, DGRAM_EMPTY };
 
 /**
- * struct dgram - datagram of callers and targets
+ * struct dgram - datagram between callers, entries and targets
  * @type: enum wire_type
  * @kind: enum dgram_kind
- * @own: 0, or 1 + enum local_answer
+ * @own: 0 for an answer of a target; else made by the entry, 1 + enum
+ *	local_answer
  * @token_len: bytes of @token in use
- * @flags: enum message_flags that the adapter would read from it
- * @id: message ID
- * @token: token
- * @op: what callers and targets write down
- * @seq: number of an update, or of a part
- * @timeout_ns: time that the caller still gives it
- * @load: target's report of its load
+ * @flags: enum message_flags that the adapter would read from the datagram
+ * @id: CoAP message ID
+ * @token: CoAP token
+ * @op: index of the request or feed that it belongs to
+ * @seq: sequence number of an update of a feed, or index of an upload's part
+ * @timeout_ns: time left until the caller's deadline
+ * @load: load that the target reports in an answer
  */
 struct dgram {
 	uint8_t type;
@@ -88,10 +88,10 @@
 };
 
 /**
- * struct link_faults - what a link does to datagrams, in parts of 1000
- * @drop: loses one
- * @dup: delivers one twice
- * @late: delivers one up to 30 ms late, after others
+ * struct link_faults - probabilities of the faults of a link
+ * @drop: datagrams lost, per mille
+ * @dup: datagrams delivered twice, per mille
+ * @late: datagrams delayed by up to 30 ms, which reorders them, per mille
  */
 struct link_faults {
 	uint16_t drop;
@@ -101,35 +101,35 @@
 
 enum target_mode {
 	MODE_GOOD,
-	MODE_SILENT, /* takes datagrams, answers none */
-	MODE_SILENT_FEEDS, /* open feeds are mute, new ones work */
-	MODE_SHED, /* refuses all new work */
-	MODE_CRAWL /* takes 100 times as long */
+	MODE_SILENT, /* receives datagrams and answers none */
+	MODE_SILENT_FEEDS, /* open feeds send no updates, new ones do */
+	MODE_SHED, /* refuses all new requests */
+	MODE_CRAWL /* runs requests 100 times slower */
 };
 
 enum op_class { OP_FEED, OP_GET, OP_POST, OP_UPLOAD, OP_CLASSES };
 
 enum op_result {
-	OP_PENDING,
-	OP_ANSWERED,
-	OP_REFUSED,
-	OP_UNKNOWN,
-	OP_CUT,
-	OP_LOST
+	OP_PENDING, /* not finished */
+	OP_ANSWERED, /* answered; a feed: opened */
+	OP_REFUSED, /* answered "not run" */
+	OP_UNKNOWN, /* answered "outcome unknown" */
+	OP_CUT, /* failed after it had begun */
+	OP_LOST /* no answer within the caller's timeout */
 };
 
 /**
- * struct op - what callers and targets wrote down of a request or feed
- * @class: enum op_class
- * @result: enum op_result, as the caller saw it
- * @opened: a feed: it was established
- * @broken: an established feed was lost, or still for over 3 s
- * @given_up: it stayed still until its caller opened it anew
- * @crossed: somebody else's answer came in its place
- * @service: service it was meant for
+ * struct op - records of callers and targets about a request or feed
+ * @class_: enum op_class
+ * @result: enum op_result, as seen by the caller
+ * @opened: the feed was established
+ * @broken: the established feed ended, or had no update for over 3 s
+ * @given_up: the feed had no update until its caller opened a new one
+ * @crossed: the caller received the answer of another request
+ * @service: index of the service that the caller addressed
  * @wrong_service: a target of another service ran it
- * @runs: times that targets ran it
- * @target: index of the last that ran it
+ * @runs: number of times that targets ran it
+ * @target: index of the target that ran it last
  * @caller: index of its caller
  */
 struct op {
@@ -146,37 +146,41 @@
 	uint32_t caller;
 };
 
-/* Moments at which a test may step in. */
+/* Points at which a test can inject a fault. */
 enum testbed_point {
-	POINT_SEND, /* caller sends a request for the first time */
+	POINT_SEND, /* caller is about to send a new request */
 	POINT_CLAIM, /* an entry asks another for a claim */
-	POINT_RUN, /* target starts to run it */
-	POINT_ANSWER, /* entry sends the answer to the caller */
-	POINT_OPEN, /* caller sees its feed open */
-	POINT_PART /* target took a part */
+	POINT_RUN, /* target starts to run a request */
+	POINT_ANSWER, /* entry sends an answer to the caller */
+	POINT_OPEN, /* caller receives the first update of a feed */
+	POINT_PART /* target has stored a part of an upload */
 };
 
 struct testbed;
 
 /**
- * struct testbed_hook - port to which the moments are told
- * @ctx: passed back
- * @at: told of a moment; true loses the datagram that was about to go out
+ * struct testbed_hook - callback at the points of enum testbed_point
+ * @ctx: first argument of @at
+ * @at: called at a point with the op, TESTBED_NONE at POINT_CLAIM, and
+ *	@arg: the entry at POINT_CLAIM and POINT_ANSWER, the part at POINT_PART,
+ *	else TESTBED_NONE. Returns true to drop the answer at POINT_ANSWER; the
+ *	result is ignored elsewhere. NULL: no callback.
  */
 struct testbed_hook {
 	void *ctx;
 	bool (*at)(void *ctx, struct testbed *f, enum testbed_point point,
-		   uint32_t op, uint32_t node);
+		   uint32_t op, uint32_t arg);
 };
 
 /**
- * struct testbed_plan - what to build
- * @seed: of all randomness
- * @nodes: entries
- * @targets: targets by service
- * @callers: callers by class
- * @target_dedups: targets drop a repeated message ID and settings say so
- * @system: what stands behind the entries' addresses; NULL for the product
+ * struct testbed_plan - size and settings of a test bed
+ * @seed: seed of all randomness
+ * @nodes: number of entries at the start
+ * @targets: number of targets of each service
+ * @callers: number of callers of each class, by enum op_class
+ * @target_dedups: targets drop a repeated message ID, and the services'
+ *	settings declare it
+ * @system: system under test; NULL: the product
  */
 struct testbed_plan {
 	uint64_t seed;
@@ -188,24 +192,27 @@
 };
 
 /**
- * struct testbed_verdict - what was found when all was written down
+ * struct testbed_verdict - counts over all requests and feeds of a run
  * @ops: requests and feeds begun
- * @answered: requests answered, feeds opened
- * @refused: told "not run"
- * @unknown: told "outcome unknown"
- * @lost: no answer at all
- * @cut: began and failed
- * @doubled: not idempotent and run more than once
- * @misrouted: run by a wrong service, or answered with another's answer
- * @false_not_run: told "not run", yet run
- * @broken: established feeds lost or still for over 3 s
- * @stalled: feeds that only their caller's patience ended, or still at the end
- * @late_work: work that a target got over 3 s after it began to drain
- * @up: datagrams from callers
- * @forwards: of these, forwarded to another entry
+ * @answered: requests answered and feeds opened
+ * @refused: answered "not run"
+ * @unknown: answered "outcome unknown"
+ * @lost: no answer within the caller's timeout, or none until the end
+ * @cut: failed after they had begun
+ * @doubled: non-idempotent requests that ran more than once
+ * @misrouted: run by a target of another service, or answered with the answer
+ *	of another request
+ * @false_not_run: answered "not run" although a target ran them
+ * @broken: established feeds that ended or had no update for over 3 s
+ * @stalled: feeds without updates until their caller opened a new one, or
+ *	without updates for over 3 s at the end
+ * @late_work: new requests and feeds that a target received more than 3 s
+ *	after it began to drain
+ * @up: datagrams sent by callers
+ * @forwards: datagrams that an entry forwarded to another entry
  * @peer_msgs: messages between entries
- * @peer_bytes: their bytes as coded
- * @work: runs by target
+ * @peer_bytes: encoded size of @peer_msgs
+ * @work: requests and feeds run, by index of the target
  */
 struct testbed_verdict {
 	uint32_t ops;
@@ -235,7 +242,10 @@
 uint64_t testbed_random(struct testbed *f, uint64_t below);
 void testbed_hook(struct testbed *f, struct testbed_hook hook);
 
-/* Faults; entries and targets go by index. */
+/*
+ * Faults; @a is the index of the entry or target where there is one, @b a
+ * second index, a time or a mode. testbed_at() schedules a fault.
+ */
 typedef void testbed_fault(struct testbed *f, uint32_t a, uint32_t b);
 void testbed_at(struct testbed *f, uint64_t at_ns, testbed_fault *fault,
 		uint32_t a, uint32_t b);
@@ -259,7 +269,7 @@
 void testbed_link(struct testbed *f, enum testbed_link link,
 		  struct link_faults faults);
 
-/* Who holds the flow of a caller, by the ring over the entries alive. */
+/* Owner and second of a caller's flow, by a ring over the running entries. */
 struct ring_pair testbed_pair(struct testbed *f, uint32_t caller);
 uint32_t testbed_node_of(const struct testbed *f, uint64_t vm);
 uint32_t testbed_nodes(const struct testbed *f);
--- a/test/testbed_caller.c
+++ b/test/testbed_caller.c
@@ -1,4 +1,4 @@
-/* Fake callers: repeat, acknowledge, drop repeats, write down, verdict. */
+/* Simulated callers: retransmit, acknowledge, drop duplicates, record results. */
 #include "testbed_state.h"
 
 #include <string.h>
@@ -9,7 +9,7 @@
 #define PAUSE_NS MS(700)
 #define REOPEN_NS MS(200)
 #define LOOK_NS MS(500)
-#define SILENCE_NS MS(15000) /* then the caller opens its feed anew */
+#define SILENCE_NS MS(15000) /* after this the caller opens a new feed */
 #define END_NS MS(14000)
 
 static event_fn begin;
@@ -27,7 +27,7 @@
 	event_at(f, f->now_ns + in_ns, ev);
 }
 
-/* Fabric: any entry that it still knows, be it dead. */
+/* Entry to which the fabric routes a datagram; it may be dead already. */
 static uint32_t spray(struct testbed *f)
 {
 	uint32_t n = 0;
@@ -60,7 +60,7 @@
 	send(f, i, &d);
 }
 
-/* The present request or feed is over; the next begins after a pause. */
+/* Ends the current request or feed; the next one begins after @pause_ns. */
 static void end(struct testbed *f, uint32_t i, uint8_t result,
 		uint64_t pause_ns)
 {
@@ -151,7 +151,7 @@
 	event_free(ev);
 }
 
-/* Looks after an open feed. */
+/* Checks periodically that an open feed receives updates. */
 static void look(struct testbed *f, struct event *ev)
 {
 	struct fake_caller *c = &f->callers[ev->node];
@@ -162,7 +162,7 @@
 		return;
 	}
 	if (f->now_ns > c->heard_ns + FEED_GAP_NS && !op->broken) {
-		trace_line(f, "c%u op %u broken, still", ev->node, c->op);
+		trace_line(f, "c%u op %u broken, no update", ev->node, c->op);
 		op->broken = true;
 	}
 	if (f->now_ns > c->heard_ns + SILENCE_NS) {
@@ -192,7 +192,7 @@
 	uint8_t results[] = { OP_REFUSED, OP_UNKNOWN, OP_CUT };
 
 	if (op->opened) {
-		trace_line(f, "c%u op %u broken, told so", i, f->callers[i].op);
+		trace_line(f, "c%u op %u broken, ended by the entry", i, f->callers[i].op);
 		op->broken = true;
 		end(f, i, OP_ANSWERED, REOPEN_NS);
 		return;
@@ -226,7 +226,7 @@
 
 	if (d->op != c->op) {
 		op_at(f, c->op)->crossed = true;
-		trace_line(f, "c%u got the answer of op %u", i, d->op);
+		trace_line(f, "c%u received the answer of op %u", i, d->op);
 	}
 	if (d->flags & MESSAGE_SHED) {
 		end(f, i, OP_REFUSED, pause_ns);
@@ -311,7 +311,7 @@
 	return i;
 }
 
-/* Its requests begin with testbed_caller_go() alone. */
+/* From now on the caller starts requests only with testbed_caller_go(). */
 void testbed_caller_hold(struct testbed *f, uint32_t caller)
 {
 	f->callers[caller].held = true;
@@ -345,10 +345,10 @@
 	v->broken += op->broken;
 	v->stalled += op->given_up;
 	if (!idempotent && op->runs > 1)
-		trace_line(f, "op %u of c%u doubled", i, op->caller);
+		trace_line(f, "op %u of c%u ran more than once", i, op->caller);
 }
 
-/* Lets what is under way end, then compares all that was written down. */
+/* Lets pending requests end, then counts the results of all of them. */
 struct testbed_verdict testbed_finish(struct testbed *f)
 {
 	f->ending = true;
--- a/test/testbed_fault.c
+++ b/test/testbed_fault.c
@@ -1,11 +1,11 @@
-/* Platform's list and publications, starts and stops, cuts. */
+/* The platform's list of VMs, publications, starts, stops and partitions. */
 #include "testbed_state.h"
 
 #include "ring.h"
 
 #include <string.h>
 
-#define FABRIC_LAG_NS MS(1000) /* until the fabric leaves a lost entry out */
+#define FABRIC_LAG_NS MS(1000) /* until the fabric stops routing to a lost entry */
 #define LIST_LAG_NS MS(50)
 
 static void give_roster(struct testbed *f, uint32_t i)
@@ -51,7 +51,7 @@
 	event_at(f, f->now_ns + f->list_lag_ns, ev);
 }
 
-/* A lag in milliseconds for changes from now on. */
+/* Sets the lag of the platform's list for changes from now on. */
 void testbed_list_lag_ms(struct testbed *f, uint32_t lag_ms, uint32_t unused)
 {
 	(void)unused;
@@ -107,13 +107,13 @@
 {
 	if (!node_takes(f, ev))
 		return;
-	/* cb-watch gives an entry no older one (core/spread/spread.h). */
+	/* cb-watch never replaces a document by an older one (spread.h). */
 	if (ev->arg > f->nodes[ev->node].published)
 		give_config(f, ev->node, ev->arg);
 	event_free(ev);
 }
 
-/* Publishes the targets' states; entries follow within @spread_ms. */
+/* Publishes the targets' states; every entry receives them within @spread_ms. */
 void testbed_publish(struct testbed *f, uint32_t spread_ms, uint32_t unused)
 {
 	(void)unused;
@@ -154,7 +154,7 @@
 	};
 }
 
-/* Starts a process at the address of entry @i, which may be a new one. */
+/* Starts a process at the address of entry @i, which may be a new index. */
 void testbed_start(struct testbed *f, uint32_t i, uint32_t unused)
 {
 	struct node *n = &f->nodes[i];
@@ -207,7 +207,7 @@
 	removed(f, i);
 }
 
-/* Planned stop. */
+/* Starts the planned stop of an entry. */
 void testbed_leave(struct testbed *f, uint32_t i, uint32_t unused)
 {
 	struct node *n = &f->nodes[i];
@@ -215,7 +215,7 @@
 	(void)unused;
 	if (!n->up || n->frozen || n->leaving)
 		return;
-	trace_line(f, "e%u is told to leave", i);
+	trace_line(f, "e%u starts to leave", i);
 	removed(f, i);
 	n->leaving = true;
 	f->system->leave(n->state, f->now_ns, f->out);
@@ -234,7 +234,7 @@
 		   (uint32_t)n->incarnation);
 }
 
-/* Datagrams that waited come before timers, as in an event loop. */
+/* Queued datagrams are handled before timers, as in an event loop. */
 void testbed_wake(struct testbed *f, uint32_t i, uint32_t incarnation_low)
 {
 	struct node *n = &f->nodes[i];
@@ -242,7 +242,7 @@
 
 	if (!n->frozen || (uint32_t)n->incarnation != incarnation_low)
 		return;
-	trace_line(f, "e%u wakes", i);
+	trace_line(f, "e%u resumes", i);
 	n->frozen = false;
 	while (n->up && (ev = g_queue_pop_head(&n->inbox)))
 		ev->run(f, ev);
@@ -254,7 +254,7 @@
 
 static void cut_set(struct testbed *f, uint32_t a, uint32_t b, bool on)
 {
-	trace_line(f, "link e%u e%u %s", a, b, on ? "cut" : "mended");
+	trace_line(f, "link e%u e%u %s", a, b, on ? "disconnected" : "reconnected");
 	f->cut[a][b] = on;
 	f->cut[b][a] = on;
 }
--- a/test/testbed_faults.c
+++ b/test/testbed_faults.c
@@ -1,6 +1,6 @@
 #include "testbed_faults.h"
 
-#define FAULT_FOR_NS (8 * NS_PER_S) /* faults that end, end after this */
+#define FAULT_FOR_NS (8 * NS_PER_S) /* duration of temporary faults */
 #define REPLACE_EVERY_NS (3 * NS_PER_S)
 
 static void none(struct testbed *f, const struct scene *s)
@@ -50,7 +50,10 @@
 	}
 }
 
-/* Owner on one side, second on the other, newcomers in turn. */
+/*
+ * Splits the entries by even and odd index, with owner and second on different
+ * sides; entries that join later are split in the same way.
+ */
 static bool in_half(const struct scene *s, uint32_t i)
 {
 	bool same = i % 2 == s->owner % 2;
@@ -59,7 +62,7 @@
 		return i == s->owner;
 	if (s->owner % 2 != s->second % 2)
 		return same;
-	/* Both would be on one side: the second trades places. */
+	/* Owner and second have the same parity: second swaps with its neighbour. */
 	return i == (s->second ^ 1) ? true : same;
 }
 
@@ -84,7 +87,7 @@
 	testbed_at(f, later(f), testbed_mend_target, s->owner, s->target);
 }
 
-/* The list of VMs stays as it was, whatever happens. */
+/* The entries keep the list of VMs that they have, also when VMs change. */
 static void cut_platform(struct testbed *f, const struct scene *s)
 {
 	(void)s;
@@ -141,7 +144,7 @@
 	testbed_drain(f, s->target, 200);
 }
 
-/* A planned stop of a target: it goes ten seconds after the publication. */
+/* Planned stop of a target, which exits 10 s after it is published as draining. */
 static void target_stop(struct testbed *f, const struct scene *s)
 {
 	testbed_drain(f, s->target, 200);
@@ -218,9 +221,9 @@
 	{ "kill second", kill_second, HOLDER | UNKNOWN | REFUSED | CUT },
 	{ "freeze owner 10 s", freeze_owner,
 	  HOLDER | UNKNOWN | REFUSED | FEW_LOST | CUT },
-	/* One entry in eight can't pass requests of the owner on. */
+	/* One entry in eight can't forward requests to the owner. */
 	{ "cut owner from second", cut_pair, UNKNOWN | REFUSED | FEW_LOST },
-	/* An upload goes on only through the entry that began it. */
+	/* An upload can only continue through the entry that began it. */
 	{ "cut in halves", cut_half, HOLDER | UNKNOWN | REFUSED | CUT },
 	{ "cut owner from all", cut_owner, HOLDER | UNKNOWN | REFUSED | CUT },
 	{ "cut owner from target", cut_target, UNKNOWN | REFUSED | BROKEN },
@@ -235,7 +238,7 @@
 	{ "target crashes", target_crash, UNKNOWN | REFUSED | CUT | BROKEN },
 	{ "target silent", target_silent, UNKNOWN | REFUSED | CUT | BROKEN },
 	{ "target's feeds silent", target_mute, 0 },
-	/* A repeat that is refused may have run at its first coming. */
+	/* A refused retransmission may belong to a request that has run. */
 	{ "target sheds", target_shed, UNKNOWN | REFUSED },
 	{ "target crawls", target_crawl, UNKNOWN | REFUSED },
 	{ "join, list lags 30 s", join_list_lags, 0 },
--- a/test/testbed_faults.h
+++ b/test/testbed_faults.h
@@ -1,4 +1,4 @@
-/* Faults that tests and the bench strike with, and what each may do. */
+/* Faults that tests and the benchmark inject, and the effects each may have. */
 #ifndef CB_TESTBED_FAULTS_H
 #define CB_TESTBED_FAULTS_H
 
@@ -8,26 +8,26 @@
 #define FAULTS 24
 
 /*
- * What a fault may do to callers; what stands nowhere is forbidden. A planned
- * change may do nothing of it. FEW_LOST is for faults that swallow datagrams
- * at random: a caller tries four times, so that at a loss of 10 % each way
- * 0.19^4 = 0.13 % of requests go unanswered.
+ * Effects on callers that a fault is allowed to have. All others are forbidden;
+ * planned changes may have none. FEW_LOST is for faults that drop datagrams at
+ * random: a caller sends a request up to four times, so that with a loss of
+ * 10 % in each direction 0.19^4 = 0.13 % of requests get no answer.
  */
 enum allow {
-	UNKNOWN = 1 << 0, /* told that the outcome is unknown */
-	REFUSED = 1 << 1, /* told "not run", come back later */
+	UNKNOWN = 1 << 0, /* answered "outcome unknown" */
+	REFUSED = 1 << 1, /* answered "not run", retry later */
 	FEW_LOST = 1 << 2, /* no answer, one request in a hundred at most */
-	CUT = 1 << 3, /* begun and failed */
-	BROKEN = 1 << 4, /* feed still for over 3 s, or lost */
-	STALLED = 1 << 5, /* feed still until its caller opens it anew */
-	HOLDER = 1 << 6 /* takes away one of the two that hold a feed */
+	CUT = 1 << 3, /* failed after it had begun */
+	BROKEN = 1 << 4, /* feed without update for over 3 s, or ended */
+	STALLED = 1 << 5, /* feed without update until its caller opens a new one */
+	HOLDER = 1 << 6 /* removes one of the two entries that know a feed */
 };
 
 /**
- * struct scene - who plays which part in a run
- * @owner: entry that owns the subject's flow
- * @second: entry that holds the second copy
- * @target: target that has the subject's work
+ * struct scene - indexes of the nodes that a fault applies to
+ * @owner: entry that owns the flow under test
+ * @second: entry that holds the second copy of the flow
+ * @target: target that runs the request or feed under test
  */
 struct scene {
 	uint32_t owner;
@@ -36,10 +36,10 @@
 };
 
 /**
- * struct fault - a fault
- * @name: row of the matrix
- * @apply: strikes now, sees to its own end
- * @allow: enum allow
+ * struct fault - row of the fault matrix
+ * @name: name of the row
+ * @apply: injects the fault now and schedules its end
+ * @allow: allowed effects, bits of enum allow
  */
 struct fault {
 	const char *name;
--- a/test/testbed_net.c
+++ b/test/testbed_net.c
@@ -1,4 +1,4 @@
-/* Clock, queue of events, links between the parts. */
+/* Simulated clock, event queue and network links. */
 #include "testbed_state.h"
 
 #include <stdarg.h>
@@ -74,7 +74,7 @@
 	return first;
 }
 
-/* Runs the next event; an event that is kept has its @run taken off. */
+/* Runs the next event; false when there is none until @until_ns. */
 bool event_next(struct testbed *f, uint64_t until_ns)
 {
 	struct event *ev;
--- a/test/testbed_node.c
+++ b/test/testbed_node.c
@@ -1,4 +1,4 @@
-/* Entries: the adapters' part, and what a process takes from its sockets. */
+/* Entries: conversion of datagrams as in the adapters, timers, socket buffers. */
 #include "testbed_state.h"
 
 #include "wire.h"
@@ -23,7 +23,7 @@
 	.next_ns = entry_next_ns,
 };
 
-/* As adapters/coap_wire.h reads a datagram. */
+/* Same result as coap_wire_parse() has for a CoAP datagram. */
 static struct message message_of(const struct dgram *d)
 {
 	static const uint8_t empties[] = { MESSAGE_PROBE, MESSAGE_PROBE,
@@ -181,7 +181,7 @@
 
 static void do_note(struct testbed *f, uint32_t node, const struct action *a)
 {
-	trace_line(f, "e%u note %s c%u t%u", node, a->log_text,
+	trace_line(f, "e%u log %s c%u t%u", node, a->log_text,
 		   CALLER_INDEX(a->key.caller), TARGET_INDEX(a->target));
 }
 
@@ -212,7 +212,7 @@
 
 static event_fn node_tick;
 
-/* Does what the entry wants, then sees to its next tick. */
+/* Performs the entry's actions, then schedules its next tick. */
 void node_perform(struct testbed *f, uint32_t i)
 {
 	struct node *n = &f->nodes[i];
@@ -235,7 +235,10 @@
 	event_at(f, at_ns, event_new(node_tick, i));
 }
 
-/* Whether the entry can take the event now; a frozen one finds it later. */
+/*
+ * Whether the entry can handle the event now. If not, the event is queued for
+ * a frozen entry, or freed when the entry is down or its inbox is full.
+ */
 bool node_takes(struct testbed *f, struct event *ev)
 {
 	struct node *n = &f->nodes[ev->node];
--- a/test/testbed_state.h
+++ b/test/testbed_state.h
@@ -1,4 +1,4 @@
-/* What the parts of the fleet share; private to testbed_*.c. */
+/* Shared state of the test bed; private to testbed_*.c. */
 #ifndef CB_TESTBED_STATE_H
 #define CB_TESTBED_STATE_H
 
@@ -15,9 +15,9 @@
 #define CALLER_INDEX(a) ((uint32_t)(ADDR_IP(a) - 0x0a000300))
 
 #define MS(x) ((uint64_t)(x)*NS_PER_MS)
-/* Repeats of 3.5 s, held up by an entry frozen for 10 s. */
+/* Callers retransmit for 3.5 s; an entry frozen for 10 s delays that. */
 #define COVER_NS MS(15000)
-#define WARM_NS MS(17000) /* entries have their cover, callers begin */
+#define WARM_NS MS(17000) /* the entries' cover time is over, callers start */
 #define BUCKETS 512
 #define INBOX_MAX 256
 #define JOBS_MAX 64
@@ -26,24 +26,27 @@
 #define UPDATE_NS MS(250)
 #define DRAIN_GRACE_NS MS(3000)
 #define ACK_IDS 65536
-#define CALLER_IDS 32 /* message IDs a caller knows again */
+#define CALLER_IDS 32 /* message IDs that a caller remembers */
 
 struct event;
 typedef void event_fn(struct testbed *f, struct event *ev);
 
 /**
- * struct event - something that happens at a time
- * @at_ns: when
- * @order: breaks ties
- * @run: what happens
- * @fault: a fault of the schedule
- * @node: entry, target or caller it happens to
- * @reliable: a frozen entry gets it in any case, being no datagram
- * @arg: generation of a timer, or a fault's argument
- * @key: flow of a caller's datagram
- * @from: sender's address
+ * struct event - scheduled event; @run frees it or schedules it again
+ * @at_ns: time at which it runs
+ * @order: sequence number; events of one time run in the order of scheduling
+ * @run: handler, which owns the event
+ * @fault: fault to run; NULL: the event is no fault
+ * @node: index of the entry, target or caller that it is for
+ * @reliable: not a datagram: a frozen entry queues it also when its inbox is
+ *	full
+ * @arg: generation of a timer's owner, second argument of a fault, or other
+ *	argument of the handler
+ * @key: flow of a datagram from a caller
+ * @from: address of the sender
  * @d: datagram
- * @peer: message between entries, NULL for none
+ * @peer: message between entries, with its data behind it, owned by the event;
+ *	NULL: none
  */
 struct event {
 	uint64_t at_ns;
@@ -64,11 +67,11 @@
 	bool up;
 	bool frozen;
 	bool leaving;
-	bool sprayed; /* the fabric hands it datagrams */
+	bool sprayed; /* the fabric routes datagrams to it */
 	bool platform_cut;
 	uint64_t incarnation;
 	uint64_t tick_ns;
-	uint32_t published; /* newest configuration it was given */
+	uint32_t published; /* index of its configuration in testbed.published */
 	GQueue inbox;
 };
 
@@ -85,8 +88,8 @@
 	uint32_t seq;
 	uint16_t last_id;
 	uint16_t confirm_id;
-	uint64_t unacked_ns; /* when the oldest unacknowledged one went out */
-	bool mute;
+	uint64_t unacked_ns; /* send time of the first unacknowledged; 0: none */
+	bool mute; /* sends no updates */
 };
 
 struct fake_target {
@@ -95,15 +98,15 @@
 	uint8_t state; /* enum target_state, as published */
 	bool up;
 	uint64_t drain_ns;
-	uint32_t generation; /* of the process */
+	uint32_t generation; /* incremented by a crash, outdates timers */
 	uint32_t running;
 	uint32_t n_jobs;
 	struct job jobs[JOBS_MAX];
 	struct target_feed feeds[TARGET_FEEDS_MAX];
 	uint16_t next_id;
 	uint8_t acked[ACK_IDS / 8];
-	GHashTable *parts; /* op to parts taken */
-	GHashTable *seen; /* vm and message ID, of a target that dedups */
+	GHashTable *parts; /* hash of VM and op to number of parts stored */
+	GHashTable *seen; /* set of VM and message ID, with target_dedups */
 };
 
 struct fake_caller {
@@ -125,7 +128,7 @@
 	uint64_t deadline_ns;
 };
 
-/* One configuration as published; entries keep pointers into it. */
+/* A published configuration; entries keep pointers into it until the end. */
 struct published {
 	struct config config;
 	struct account_conf account;
@@ -149,8 +152,8 @@
 	bool cut_target[TESTBED_NODES_MAX][TESTBED_TARGETS_MAX];
 	uint32_t n_nodes;
 	struct node nodes[TESTBED_NODES_MAX];
-	uint32_t listed; /* bit an entry */
-	uint32_t listed_seen;
+	uint32_t listed; /* VMs that the platform knows, a bit for each entry */
+	uint32_t listed_seen; /* as the platform's list shows them, after its lag */
 	uint64_t list_lag_ns;
 	GPtrArray *published;
 	uint64_t generation;
--- a/test/testbed_target.c
+++ b/test/testbed_target.c
@@ -1,11 +1,11 @@
-/* Fake targets: slots, a queue, feeds that push, and what they do wrong. */
+/* Simulated targets: slots, a queue, feeds with updates, and faulty modes. */
 #include "testbed_state.h"
 
 #include <string.h>
 
 #define GET_NS MS(5)
 #define POST_NS MS(20)
-#define LONG_POST_NS MS(400) /* one in eight: answered apart from the ack */
+#define LONG_POST_NS MS(400) /* one in eight: separate response, RFC 7252 */
 #define PART_NS MS(3)
 #define CRAWL 100
 #define SLOTS 2
@@ -64,7 +64,7 @@
 	reply(f, i, vm, d);
 }
 
-/* A confirmable answer goes out again until it is acknowledged. */
+/* Retransmits a confirmable answer until it is acknowledged. */
 static void repeat_answer(struct testbed *f, struct event *ev)
 {
 	struct fake_target *t = &f->targets[ev->node];
@@ -106,8 +106,8 @@
 }
 
 /*
- * A target that drains has no new work but for a few seconds. A feed that it
- * has already, opened again by the entry that took it over, is not new.
+ * A draining target may receive new work only during DRAIN_GRACE_NS. A feed that
+ * it already serves is not new when the entry that took it over reopens it.
  */
 static void note_new_work(struct testbed *f, uint32_t i, const struct dgram *d)
 {
@@ -120,7 +120,7 @@
 		return;
 	if (d->flags & MESSAGE_BLOCK && d->seq > 0)
 		return;
-	trace_line(f, "t%u drains and gets op %u", i, d->op);
+	trace_line(f, "t%u receives op %u while draining", i, d->op);
 	f->verdict.late_work++;
 }
 
@@ -138,8 +138,9 @@
 }
 
 /*
- * Answer's flags of a part; the last one runs the upload. An upload is known by
- * the address that its parts come from, as RFC 7959 has it.
+ * Stores a part and returns the flags of the answer; the last part runs the
+ * upload. An upload is identified by the address that sends its parts, as in
+ * RFC 7959.
  */
 static uint16_t take_part(struct testbed *f, uint32_t i, uint64_t vm,
 			  const struct dgram *d)
@@ -313,7 +314,7 @@
 	struct fake_target *t = &f->targets[i];
 
 	if (seen_before(f, t, j->vm, j->d.id)) {
-		trace_line(f, "t%u drops a repeat of op %u", i, j->d.op);
+		trace_line(f, "t%u drops a duplicate of op %u", i, j->d.op);
 		send_empty(f, i, j->vm, WIRE_ACK, j->d.id);
 	} else if (j->d.flags & MESSAGE_FEED_CLOSE) {
 		cancel(f, i, j->vm, &j->d);
@@ -355,7 +356,7 @@
 			   .id = t->next_id++ };
 
 	if (tf->unacked_ns && f->now_ns > tf->unacked_ns + CONFIRM_GIVE_UP_NS) {
-		trace_line(f, "t%u gives up feed of op %u", i, tf->op);
+		trace_line(f, "t%u ends feed of op %u, updates not acknowledged", i, tf->op);
 		feed_gone(tf);
 		return;
 	}
@@ -415,7 +416,7 @@
 		t->feeds[k].mute = t->feeds[k].vm != ADDR_NONE;
 }
 
-/* Published as draining; @spread_ms until every entry has heard. */
+/* Publishes a target as draining; every entry learns it within @spread_ms. */
 void testbed_drain(struct testbed *f, uint32_t i, uint32_t spread_ms)
 {
 	trace_line(f, "t%u drains", i);
