--- a/bench/bench-faults/main.c
+++ b/bench/bench-faults/main.c
@@ -63,7 +63,7 @@
 {
 	bool idempotent = op->class_ == OP_FEED || op->class_ == OP_GET;
 
-	return op->broken || op->crossed || op->wrong_service ||
+	return op->broken || op->mismatched || op->wrong_service ||
 	       op->result == OP_LOST || op->result == OP_CUT ||
 	       op->result == OP_UNKNOWN || op->result == OP_PENDING ||
 	       (op->result == OP_REFUSED && op->runs > 0) ||
@@ -82,8 +82,9 @@
 		double most = 0;
 
 		for (uint32_t i = 0; i < targets[s]; i++, at++) {
-			sum += v->work[at];
-			most = v->work[at] > most ? v->work[at] : most;
+			sum += v->target_runs[at];
+			most = v->target_runs[at] > most ? v->target_runs[at]
+							 : most;
 		}
 		if (sum > 0 && most * targets[s] / sum > worst)
 			worst = most * targets[s] / sum;
@@ -94,7 +95,7 @@
 static void add(struct tally *t, struct testbed *f,
 		const struct testbed_verdict *v, const uint32_t *targets)
 {
-	for (uint32_t i = 0; i < testbed_op_next(f); i++) {
+	for (uint32_t i = 0; i < testbed_op_count(f); i++) {
 		const struct op *op = testbed_op(f, i);
 
 		t->broken[op->class_] += is_broken(op);
@@ -109,7 +110,7 @@
 	t->v.false_not_run += v->false_not_run;
 	t->v.unknown += v->unknown;
 	t->v.refused += v->refused;
-	t->v.up += v->up;
+	t->v.caller_dgrams += v->caller_dgrams;
 	t->v.forwards += v->forwards;
 	t->v.peer_bytes += v->peer_bytes;
 	t->imbalance += imbalance(v, targets);
@@ -127,12 +128,12 @@
 				     .system = system };
 	struct testbed *f = testbed_new(&plan);
 	struct testbed_verdict v;
-	struct scene scene;
+	struct fault_nodes scene;
 
-	testbed_list_lag_ms(f, LIST_LAG_MS, 0);
+	testbed_set_list_lag(f, LIST_LAG_MS, 0);
 	testbed_run(f, FAULT_NS);
-	scene.owner = testbed_node_of(f, testbed_pair(f, 0).owner);
-	scene.second = testbed_node_of(f, testbed_pair(f, 0).second);
+	scene.owner = testbed_node_index(f, testbed_ring_pair(f, 0).owner);
+	scene.second = testbed_node_index(f, testbed_ring_pair(f, 0).second);
 	scene.target = testbed_op(f, 0)->target;
 	fault->apply(f, &scene);
 	testbed_run(f, RUN_NS);
@@ -157,7 +158,8 @@
 	printf("%-24s %-11s %6u %6u %5u %5u %7u %5u %5u %7u %7u %5.2f %6.0f\n",
 	       fault, system, v->ops, v->broken, v->lost, v->cut, v->doubled,
 	       v->misrouted, v->false_not_run, v->unknown, v->refused,
-	       v->up ? (double)v->forwards / v->up : 0, bytes_per_s(t));
+	       v->caller_dgrams ? (double)v->forwards / v->caller_dgrams : 0,
+	       bytes_per_s(t));
 }
 
 static double weigh(const struct tally *t, const uint32_t *count, size_t d)
@@ -221,7 +223,7 @@
 		       "\"extra_hops\":%.3f,\"peer_bytes_per_s\":%.0f}",
 		       systems[s].name, v->ops, v->broken, v->lost, v->cut,
 		       v->doubled, v->misrouted, v->false_not_run, v->unknown,
-		       v->refused, (double)v->forwards / v->up,
+		       v->refused, (double)v->forwards / v->caller_dgrams,
 		       bytes_per_s(&total[s]));
 	}
 	printf("}\n");
--- a/bench/slopes-member/main.c
+++ b/bench/slopes-member/main.c
@@ -102,7 +102,7 @@
 
 	if (s->last_ms)
 		return;
-	holders = fleet_holders(f, dead, MEMBER_DEAD);
+	holders = fleet_count_seeing(f, dead, MEMBER_DEAD);
 	if (holders && !s->first_ms)
 		s->first_ms = ms;
 	if (holders == alive)
--- a/test/account_stats_test.c
+++ b/test/account_stats_test.c
@@ -67,9 +67,11 @@
 	(void)unused;
 	system.make = make_and_keep;
 	f = testbed_new(&plan);
-	testbed_link(f, LINK_DOWN, (struct link_faults){ .drop = 60 });
+	testbed_set_link_faults(f, LINK_TO_CALLER,
+				(struct link_faults){ .drop_per_mille = 60 });
 	for (uint32_t i = 0; i < TARGETS; i++)
-		testbed_at(f, SHED_NS, testbed_target_mode, i, MODE_SHED);
+		testbed_schedule(f, SHED_NS, testbed_set_target_mode, i,
+				 MODE_SHED);
 	testbed_run(f, RUN_NS);
 	v = testbed_finish(f);
 	t = sum_totals(entry_under_test);
--- a/test/fleet.c
+++ b/test/fleet.c
@@ -63,16 +63,16 @@
 	return ADDR(0x7f320000U + i + 1, 7000);
 }
 
-static uint32_t index_of(uint64_t vm)
+static uint32_t node_index(uint64_t vm)
 {
 	return ADDR_IP(vm) - 0x7f320000U - 1;
 }
 
-static void send(void *ctx, uint64_t vm, struct peer_msg *msg)
+static void transmit(void *ctx, uint64_t vm, struct peer_msg *msg)
 {
 	struct node *from = ctx;
 	struct fleet *f = from->fleet;
-	uint32_t at = from - f->node, to = index_of(vm);
+	uint32_t at = from - f->node, to = node_index(vm);
 	struct packet *p;
 
 	from->messages++;
@@ -84,7 +84,7 @@
 		return;
 	p = malloc(sizeof(*p));
 	*p = (struct packet){ .from = at, .to = to, .msg = *msg };
-	p->order = f->order++;
+	p->order = f->next_order++;
 	p->due_ns = f->now_ns + LATENCY_MIN_NS +
 		    rng_next(&f->rng) % LATENCY_SPREAD_NS;
 	heap_push(f, p);
@@ -115,7 +115,7 @@
 	uint32_t i;
 
 	for (i = 0; i < f->n; i++)
-		member_free(f->node[i].m);
+		member_free(f->node[i].membership);
 	while (f->n_heap)
 		free(heap_pop(f));
 	free(f->heap);
@@ -124,15 +124,15 @@
 
 void fleet_start(struct fleet *f, uint32_t i)
 {
-	struct node *o = &f->node[i];
-	struct peer_out out = { .ctx = o, .send = send };
+	struct node *node = &f->node[i];
+	struct peer_out out = { .ctx = node, .send = transmit };
 	struct rng rng = { .state = rng_next(&f->rng) | 1 };
 
 	f->incarnation += 1000;
-	f->conf.self = o->vm;
+	f->conf.self = node->vm;
 	f->conf.incarnation = f->incarnation;
-	o->paused_deadline_ns = 0;
-	o->m = member_new(&f->conf, out, rng);
+	node->paused_deadline_ns = 0;
+	node->membership = member_new(&f->conf, out, rng);
 }
 
 void fleet_start_all(struct fleet *f)
@@ -141,14 +141,14 @@
 
 	for (i = 0; i < f->n; i++) {
 		fleet_start(f, i);
-		fleet_roster(f, i, 0, f->n);
+		fleet_set_roster(f, i, 0, f->n);
 	}
 }
 
 void fleet_kill(struct fleet *f, uint32_t i)
 {
-	member_free(f->node[i].m);
-	f->node[i].m = NULL;
+	member_free(f->node[i].membership);
+	f->node[i].membership = NULL;
 }
 
 void fleet_pause(struct fleet *f, uint32_t i, uint64_t for_ns)
@@ -156,36 +156,38 @@
 	f->node[i].paused_deadline_ns = f->now_ns + for_ns;
 }
 
-void fleet_roster(struct fleet *f, uint32_t i, uint32_t first, uint32_t n)
+void fleet_set_roster(struct fleet *f, uint32_t i, uint32_t first, uint32_t n)
 {
 	uint64_t vms[FLEET_MAX];
 	uint32_t k;
 
 	for (k = 0; k < n; k++)
 		vms[k] = fleet_vm(first + k);
-	member_set_roster(f->node[i].m, vms, n, f->now_ns);
+	member_set_roster(f->node[i].membership, vms, n, f->now_ns);
 }
 
-static uint64_t next_tick(const struct node *o)
+static uint64_t next_tick(const struct node *node)
 {
 	uint64_t due_ns;
 
-	if (!o->m)
+	if (!node->membership)
 		return UINT64_MAX;
-	due_ns = member_next_ns(o->m);
-	return due_ns > o->paused_deadline_ns ? due_ns : o->paused_deadline_ns;
+	due_ns = member_next_ns(node->membership);
+	return due_ns > node->paused_deadline_ns ? due_ns
+						 : node->paused_deadline_ns;
 }
 
 /* Updates the tournament tree after the next timer of node @i has changed. */
-static void reschedule(struct fleet *f, uint32_t i)
+static void update_next_tick(struct fleet *f, uint32_t i)
 {
 	uint32_t at = FLEET_MAX + i;
 
-	f->due_ns[i] = next_tick(&f->node[i]);
+	f->tick_due_ns[i] = next_tick(&f->node[i]);
 	for (; at > 1; at /= 2) {
-		uint32_t a = f->tick[at], b = f->tick[at ^ 1];
+		uint32_t a = f->tick_tree[at], b = f->tick_tree[at ^ 1];
 
-		f->tick[at / 2] = f->due_ns[b] < f->due_ns[a] ? b : a;
+		f->tick_tree[at / 2] =
+			f->tick_due_ns[b] < f->tick_due_ns[a] ? b : a;
 	}
 }
 
@@ -195,23 +197,23 @@
 	struct packet *p = heap_pop(f);
 	struct node *to = &f->node[p->to];
 
-	if (to->m && f->now_ns < to->paused_deadline_ns &&
-	    to->side == f->node[p->from].side) {
+	if (to->membership && f->now_ns < to->paused_deadline_ns &&
+	    to->partition == f->node[p->from].partition) {
 		p->due_ns = to->paused_deadline_ns;
 		heap_push(f, p);
 		return;
 	}
-	if (to->m && to->side == f->node[p->from].side) {
-		member_receive(to->m, &p->msg, f->now_ns);
-		reschedule(f, p->to);
+	if (to->membership && to->partition == f->node[p->from].partition) {
+		member_receive(to->membership, &p->msg, f->now_ns);
+		update_next_tick(f, p->to);
 	}
 	free(p);
 }
 
-static bool next_event(struct fleet *f, uint64_t end_ns)
+static bool run_next_event(struct fleet *f, uint64_t end_ns)
 {
-	uint32_t at = f->tick[1];
-	uint64_t tick_ns = f->due_ns[at];
+	uint32_t at = f->tick_tree[1];
+	uint64_t tick_ns = f->tick_due_ns[at];
 	uint64_t due_ns = f->n_heap ? f->heap[0]->due_ns : UINT64_MAX;
 	bool tick = tick_ns < due_ns;
 
@@ -225,8 +227,8 @@
 		deliver(f);
 		return true;
 	}
-	member_tick(f->node[at].m, f->now_ns);
-	reschedule(f, at);
+	member_tick(f->node[at].membership, f->now_ns);
+	update_next_tick(f, at);
 	return true;
 }
 
@@ -236,49 +238,50 @@
 	uint32_t i;
 
 	for (i = 0; i < FLEET_MAX; i++)
-		f->due_ns[i] = UINT64_MAX;
+		f->tick_due_ns[i] = UINT64_MAX;
 	for (i = 0; i < FLEET_MAX; i++)
-		f->tick[FLEET_MAX + i] = i;
+		f->tick_tree[FLEET_MAX + i] = i;
 	for (i = 0; i < f->n; i++)
-		f->due_ns[i] = next_tick(&f->node[i]);
+		f->tick_due_ns[i] = next_tick(&f->node[i]);
 	for (i = FLEET_MAX - 1; i; i--) {
-		uint32_t a = f->tick[2 * i], b = f->tick[2 * i + 1];
+		uint32_t a = f->tick_tree[2 * i], b = f->tick_tree[2 * i + 1];
 
-		f->tick[i] = f->due_ns[b] < f->due_ns[a] ? b : a;
+		f->tick_tree[i] = f->tick_due_ns[b] < f->tick_due_ns[a] ? b : a;
 	}
-	while (next_event(f, end_ns))
+	while (run_next_event(f, end_ns))
 		;
 	f->now_ns = end_ns;
 }
 
-bool fleet_believes(const struct fleet *f, uint32_t i, uint32_t of,
-		    uint8_t state)
+bool fleet_sees_state(const struct fleet *f, uint32_t i, uint32_t of,
+		      uint8_t state)
 {
-	const struct member *e = member_find(f->node[i].m, fleet_vm(of));
+	const struct member *e =
+		member_find(f->node[i].membership, fleet_vm(of));
 
 	return e && e->state == state;
 }
 
-uint32_t fleet_holders(const struct fleet *f, uint32_t of, uint8_t state)
+uint32_t fleet_count_seeing(const struct fleet *f, uint32_t of, uint8_t state)
 {
 	uint32_t i, holders = 0;
 
 	for (i = 0; i < f->n; i++)
-		if (f->node[i].m && i != of)
-			holders += fleet_believes(f, i, of, state);
+		if (f->node[i].membership && i != of)
+			holders += fleet_sees_state(f, i, of, state);
 	return holders;
 }
 
-static bool sees_truth(const struct fleet *f, uint32_t i)
+static bool sees_actual_states(const struct fleet *f, uint32_t i)
 {
 	const struct member *e;
 	uint32_t k;
 
 	for (k = 0; k < f->n; k++) {
-		e = member_find(f->node[i].m, fleet_vm(k));
-		if (f->node[k].m && (!e || e->state != MEMBER_ALIVE))
+		e = member_find(f->node[i].membership, fleet_vm(k));
+		if (f->node[k].membership && (!e || e->state != MEMBER_ALIVE))
 			return false;
-		if (!f->node[k].m && e && e->state != MEMBER_DEAD)
+		if (!f->node[k].membership && e && e->state != MEMBER_DEAD)
 			return false;
 	}
 	return true;
@@ -290,7 +293,7 @@
 	uint32_t i;
 
 	for (i = 0; i < f->n; i++)
-		if (f->node[i].m && !sees_truth(f, i))
+		if (f->node[i].membership && !sees_actual_states(f, i))
 			return false;
 	return true;
 }
--- a/test/fleet.h
+++ b/test/fleet.h
@@ -13,20 +13,20 @@
 /**
  * struct node - one simulated process
  * @vm: its address, an ADDR() of IP and port
- * @m: its membership, owned by the fleet; NULL while the process is stopped
+ * @membership: its membership, owned by the fleet; NULL while stopped
  * @paused_deadline_ns: time until which the process is paused: messages to it
  *	are queued and its timers don't run; 0 or a past time when it runs
- * @side: number of its network partition; nodes of different partitions can't
- *	exchange messages
+ * @partition: number of its network partition; messages between different
+ *	partitions are dropped
  * @messages: messages sent, those that were lost included
  * @bytes: size of the messages sent; counted only with size_bytes of the fleet
  * @fleet: fleet that the node belongs to
  */
 struct node {
 	uint64_t vm;
-	struct membership *m;
+	struct membership *membership;
 	uint64_t paused_deadline_ns;
-	uint32_t side;
+	uint32_t partition;
 	uint64_t messages;
 	uint64_t bytes;
 	struct fleet *fleet;
@@ -49,10 +49,11 @@
  * @heap: binary heap of messages in transit, by arrival time
  * @n_heap: messages in @heap
  * @cap_heap: messages for which @heap has memory
- * @order: sequence number of the next message; messages with equal arrival
+ * @next_order: sequence number of the next message; messages with equal arrival
  *	times arrive in the order in which they were sent
- * @due_ns: time of each node's next timer; UINT64_MAX: none
- * @tick: tournament tree over @due_ns; @tick[1] is the node with the earliest
+ * @tick_due_ns: time of each node's next timer; UINT64_MAX: none
+ * @tick_tree: tournament tree over @tick_due_ns; @tick_tree[1] is the
+ *	node with the earliest
  */
 struct fleet {
 	uint64_t now_ns;
@@ -66,9 +67,9 @@
 	bool (*blocked)(uint32_t from, uint32_t to);
 	struct packet **heap;
 	uint32_t n_heap, cap_heap;
-	uint64_t order;
-	uint64_t due_ns[FLEET_MAX];
-	uint32_t tick[2 * FLEET_MAX];
+	uint64_t next_order;
+	uint64_t tick_due_ns[FLEET_MAX];
+	uint32_t tick_tree[2 * FLEET_MAX];
 };
 
 struct fleet *fleet_new(uint32_t n, uint64_t seed);
@@ -78,12 +79,12 @@
 void fleet_start_all(struct fleet *f);
 void fleet_kill(struct fleet *f, uint32_t i);
 void fleet_pause(struct fleet *f, uint32_t i, uint64_t for_ns);
-void fleet_roster(struct fleet *f, uint32_t i, uint32_t first, uint32_t n);
+void fleet_set_roster(struct fleet *f, uint32_t i, uint32_t first, uint32_t n);
 void fleet_run(struct fleet *f, uint64_t for_ns);
-bool fleet_believes(const struct fleet *f, uint32_t i, uint32_t of,
-		    uint8_t state);
+bool fleet_sees_state(const struct fleet *f, uint32_t i, uint32_t of,
+		      uint8_t state);
 bool fleet_converged(const struct fleet *f);
-uint32_t fleet_holders(const struct fleet *f, uint32_t of, uint8_t state);
+uint32_t fleet_count_seeing(const struct fleet *f, uint32_t of, uint8_t state);
 
 #ifdef __cplusplus
 }
--- a/test/matrix_test.c
+++ b/test/matrix_test.c
@@ -24,17 +24,17 @@
  * @subject: class of the caller under test
  * @point: point at which the fault is injected
  * @part: part of the upload, at POINT_PART
- * @lose: also drop the answer that is about to be sent
- * @handover: inject the fault 100 ms after a planned stop of the owner, at no
- *	point of the request
+ * @drops_answer: also drop the answer that is about to be sent
+ * @during_handover: inject the fault 100 ms after a planned stop of the owner,
+ *	at no point of the request
  */
 struct step {
 	const char *name;
 	enum op_class subject;
 	enum testbed_point point;
 	uint32_t part;
-	bool lose;
-	bool handover;
+	bool drops_answer;
+	bool during_handover;
 };
 
 static const struct step steps[] = {
@@ -54,15 +54,16 @@
 	const struct step *step;
 	uint32_t subject;
 	uint32_t op;
-	bool armed;
+	bool is_armed;
 } run;
 
-static struct scene scene_of(struct testbed *f)
+static struct fault_nodes nodes_under_test(struct testbed *tb)
 {
-	struct ring_pair pair = testbed_pair(f, run.subject);
-	struct scene s = { .owner = testbed_node_of(f, pair.owner),
-			   .second = testbed_node_of(f, pair.second) };
-	const struct op *op = testbed_op(f, run.op);
+	struct ring_pair pair = testbed_ring_pair(tb, run.subject);
+	struct fault_nodes s = { .owner = testbed_node_index(tb, pair.owner),
+				 .second =
+					 testbed_node_index(tb, pair.second) };
+	const struct op *op = testbed_op(tb, run.op);
 
 	s.target = run.step && run.step->subject == OP_UPLOAD ? 6 : 0;
 	if (op->runs > 0)
@@ -70,51 +71,51 @@
 	return s;
 }
 
-static void fire(struct testbed *f, uint32_t a, uint32_t b)
+static void inject(struct testbed *tb, uint32_t a, uint32_t b)
 {
-	struct scene s = scene_of(f);
+	struct fault_nodes s = nodes_under_test(tb);
 
 	(void)a;
 	(void)b;
-	run.fault->apply(f, &s);
+	run.fault->apply(tb, &s);
 	if (run.other)
-		run.other->apply(f, &s);
+		run.other->apply(tb, &s);
 }
 
-static bool at_step(void *ctx, struct testbed *f, enum testbed_point point,
+static bool at_step(void *ctx, struct testbed *tb, enum testbed_point point,
 		    uint32_t op, uint32_t arg)
 {
 	struct ring_pair pair;
 
 	(void)ctx;
-	if (!run.armed || point != run.step->point)
+	if (!run.is_armed || point != run.step->point)
 		return false;
 	if (point == POINT_SEND)
 		run.op = op;
-	pair = testbed_pair(f, run.subject);
-	if (point == POINT_CLAIM ? arg != testbed_node_of(f, pair.owner)
+	pair = testbed_ring_pair(tb, run.subject);
+	if (point == POINT_CLAIM ? arg != testbed_node_index(tb, pair.owner)
 				 : op != run.op)
 		return false;
 	if (point == POINT_PART && arg != run.step->part)
 		return false;
-	run.armed = false;
-	testbed_at(f, testbed_now(f), fire, 0, 0);
-	return run.step->lose;
+	run.is_armed = false;
+	testbed_schedule(tb, testbed_now(tb), inject, 0, 0);
+	return run.step->drops_answer;
 }
 
-static void arm(struct testbed *f, uint32_t a, uint32_t b)
+static void start_request(struct testbed *tb, uint32_t a, uint32_t b)
 {
-	struct scene s = scene_of(f);
+	struct fault_nodes s = nodes_under_test(tb);
 
 	(void)a;
 	(void)b;
-	if (run.step->handover)
-		testbed_leave(f, s.owner, 0);
-	run.armed = !run.step->handover;
-	if (run.step->handover)
-		testbed_at(f, testbed_now(f) + MS(100), fire, 0, 0);
-	run.op = testbed_op_next(f);
-	testbed_caller_go(f, run.subject);
+	if (run.step->during_handover)
+		testbed_leave(tb, s.owner, 0);
+	run.is_armed = !run.step->during_handover;
+	if (run.step->during_handover)
+		testbed_schedule(tb, testbed_now(tb) + MS(100), inject, 0, 0);
+	run.op = testbed_op_count(tb);
+	testbed_caller_start_op(tb, run.subject);
 }
 
 static struct testbed *build(uint64_t seed)
@@ -124,33 +125,39 @@
 				     .targets = { 6, 3 },
 				     .callers = { 24, 12, 12, 8 } };
 	struct testbed_hook hook = { .at = at_step };
-	struct testbed *f = testbed_new(&plan);
+	struct testbed *tb = testbed_new(&plan);
 
-	testbed_hook(f, hook);
-	return f;
+	testbed_set_hook(tb, hook);
+	return tb;
 }
 
-struct found {
-	const char *what;
+/**
+ * struct effect_count - number of requests and feeds with one effect
+ * @name: name of the effect, as printed
+ * @count: how many
+ * @allowed_by: bit of enum allowed_effect that allows it; 0: always forbidden
+ */
+struct effect_count {
+	const char *name;
 	uint32_t count;
 	uint32_t allowed_by;
 };
 
 /* Prints the effects that @allow forbids; true when there are none. */
-static bool judge(const struct testbed_verdict *v, uint32_t allow,
-		  const char *row, const char *column, uint64_t seed)
+static bool effects_allowed(const struct testbed_verdict *v, uint32_t allow,
+			    const char *row, const char *column, uint64_t seed)
 {
-	const struct found list[] = {
+	const struct effect_count list[] = {
 		{ "doubled", v->doubled, 0 },
 		{ "misrouted", v->misrouted, 0 },
 		{ "false not-run", v->false_not_run, 0 },
-		{ "late work", v->late_work, 0 },
-		{ "stalled", v->stalled, STALLED },
-		{ "unknown", v->unknown, UNKNOWN },
-		{ "refused", v->refused, REFUSED },
-		{ "lost", v->lost, 100 * v->lost <= v->ops ? FEW_LOST : 0 },
-		{ "cut", v->cut, CUT },
-		{ "broken", v->broken, BROKEN },
+		{ "late work", v->work_while_draining, 0 },
+		{ "stalled", v->stalled, MAY_STALLED },
+		{ "unknown", v->unknown, MAY_UNKNOWN },
+		{ "refused", v->refused, MAY_REFUSED },
+		{ "lost", v->lost, 100 * v->lost <= v->ops ? MAY_FEW_LOST : 0 },
+		{ "cut", v->cut, MAY_CUT },
+		{ "broken", v->broken, MAY_BROKEN },
 	};
 	bool good = v->answered > 0;
 
@@ -159,7 +166,7 @@
 			continue;
 		good = false;
 		fprintf(stderr, "%s / %s, seed %llu: %s %u of %u\n", row,
-			column, (unsigned long long)seed, list[i].what,
+			column, (unsigned long long)seed, list[i].name,
 			list[i].count, v->ops);
 	}
 	return good;
@@ -168,47 +175,48 @@
 static bool run_step(const struct fault *fault, const struct step *step,
 		     uint64_t seed)
 {
-	struct testbed *f = build(seed);
+	struct testbed *tb = build(seed);
 	struct testbed_verdict v;
 
 	run = (struct run){ .fault = fault, .step = step };
-	run.subject = testbed_caller_first(f, step->subject);
-	testbed_caller_hold(f, run.subject);
-	testbed_at(f, FAULT_NS, arm, 0, 0);
-	testbed_run(f, FAULT_NS + OBSERVE_NS);
-	v = testbed_finish(f);
-	testbed_free(f);
-	assert_false(run.armed);
-	return judge(&v, fault->allow, fault->name, step->name, seed);
+	run.subject = testbed_first_caller(tb, step->subject);
+	testbed_caller_set_manual(tb, run.subject);
+	testbed_schedule(tb, FAULT_NS, start_request, 0, 0);
+	testbed_run(tb, FAULT_NS + OBSERVE_NS);
+	v = testbed_finish(tb);
+	testbed_free(tb);
+	assert_false(run.is_armed);
+	return effects_allowed(&v, fault->allow, fault->name, step->name, seed);
 }
 
 /* When owner and second fail at the same time, no entry knows their feeds. */
-static uint32_t allowed(const struct fault *fault, const struct fault *other)
+static uint32_t effects_of_pair(const struct fault *fault,
+				const struct fault *other)
 {
 	uint32_t allow = fault->allow | other->allow;
 
-	if (fault != other && (fault->allow & other->allow & HOLDER))
-		allow |= BROKEN | STALLED;
+	if (fault != other && (fault->allow & other->allow & REMOVES_HOLDER))
+		allow |= MAY_BROKEN | MAY_STALLED;
 	return allow;
 }
 
 static bool run_pair(const struct fault *fault, const struct fault *other,
 		     uint64_t seed)
 {
-	uint32_t allow = allowed(fault, other);
-	struct testbed *f = build(seed);
+	uint32_t allow = effects_of_pair(fault, other);
+	struct testbed *tb = build(seed);
 	struct testbed_verdict v;
 
 	run = (struct run){ .fault = fault, .other = other };
-	testbed_at(f, FAULT_NS, fire, 0, 0);
-	testbed_run(f, FAULT_NS + OBSERVE_NS);
-	v = testbed_finish(f);
-	testbed_free(f);
-	return judge(&v, allow, fault->name, other->name, seed);
+	testbed_schedule(tb, FAULT_NS, inject, 0, 0);
+	testbed_run(tb, FAULT_NS + OBSERVE_NS);
+	v = testbed_finish(tb);
+	testbed_free(tb);
+	return effects_allowed(&v, allow, fault->name, other->name, seed);
 }
 
 /* MATRIX_ROW and MATRIX_COLUMN select a single cell, for a trace. */
-static bool chosen(const char *variable, const char *name)
+static bool is_selected(const char *variable, const char *name)
 {
 	const char *only = getenv(variable);
 
@@ -223,30 +231,30 @@
 	return seed ? strtoull(seed, NULL, 10) : 0;
 }
 
-static void fault_at_every_step(void **state)
+static void fault_at_each_step_has_only_allowed_effects(void **state)
 {
 	const struct fault *fault = *state;
 	bool good = true;
 
-	if (!chosen("MATRIX_ROW", fault->name))
+	if (!is_selected("MATRIX_ROW", fault->name))
 		skip();
 	for (size_t i = 0; i < ARRAY_LEN(steps); i++) {
-		if (chosen("MATRIX_COLUMN", steps[i].name))
+		if (is_selected("MATRIX_COLUMN", steps[i].name))
 			good &= run_step(fault, &steps[i],
 					 first_seed() + 100 + i);
 	}
 	assert_true(good);
 }
 
-static void fault_with_every_other(void **state)
+static void fault_pairs_have_only_allowed_effects(void **state)
 {
 	const struct fault *fault = *state;
 	bool good = true;
 
-	if (!chosen("MATRIX_ROW", fault->name))
+	if (!is_selected("MATRIX_ROW", fault->name))
 		skip();
 	for (size_t i = fault - faults; i < FAULTS; i++) {
-		if (chosen("MATRIX_COLUMN", faults[i].name))
+		if (is_selected("MATRIX_COLUMN", faults[i].name))
 			good &= run_pair(fault, &faults[i],
 					 first_seed() + 200 + i);
 	}
@@ -259,11 +267,13 @@
 	size_t n = FAULTS;
 
 	for (size_t i = 0; i < n; i++) {
-		tests[i] = (struct CMUnitTest){ faults[i].name,
-						fault_at_every_step, NULL, NULL,
-						(void *)&faults[i] };
+		tests[i] = (struct CMUnitTest){
+			faults[i].name,
+			fault_at_each_step_has_only_allowed_effects, NULL, NULL,
+			(void *)&faults[i]
+		};
 		tests[n + i] = tests[i];
-		tests[n + i].test_func = fault_with_every_other;
+		tests[n + i].test_func = fault_pairs_have_only_allowed_effects;
 	}
 	return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/test/member_prop.cc
+++ b/test/member_prop.cc
@@ -34,7 +34,7 @@
 
 	void stop(uint32_t i)
 	{
-		if (!f->node[i].m)
+		if (!f->node[i].membership)
 			return;
 		fleet_kill(f, i);
 		leaving.erase(i);
@@ -46,14 +46,14 @@
 	{
 		stop(i);
 		fleet_start(f, i);
-		fleet_roster(f, i, 0, f->n);
+		fleet_set_roster(f, i, 0, f->n);
 	}
 
 	void leave(uint32_t i)
 	{
-		if (!f->node[i].m)
+		if (!f->node[i].membership)
 			return;
-		member_leave(f->node[i].m, f->now_ns);
+		member_leave(f->node[i].membership, f->now_ns);
 		leaving.insert(i);
 	}
 
@@ -62,8 +62,8 @@
 		uint32_t first = *rc::gen::inRange<uint32_t>(0, f->n);
 		uint32_t count = *rc::gen::inRange<uint32_t>(0, f->n - first);
 
-		if (f->node[i].m)
-			fleet_roster(f, i, first, count);
+		if (f->node[i].membership)
+			fleet_set_roster(f, i, first, count);
 	}
 
 	void inject_fault()
@@ -78,11 +78,11 @@
 		case 2:
 			return fleet_pause(f, i, kPauseNs);
 		case 3:
-			f->node[i].side = 1;
+			f->node[i].partition = 1;
 			return;
 		case 4:
 			for (uint32_t k = 0; k < f->n; k++)
-				f->node[k].side = k < i;
+				f->node[k].partition = k < i;
 			return;
 		case 5:
 			return leave(i);
@@ -101,8 +101,8 @@
 		for (uint32_t i = 0; i < f->n; i++) {
 			uint32_t n = 0;
 
-			if (f->node[i].m)
-				n = member_all(f->node[i].m, &all);
+			if (f->node[i].membership)
+				n = member_all(f->node[i].membership, &all);
 			for (uint32_t k = 0; k < n; k++)
 				check_return(i, all[k]);
 		}
@@ -126,11 +126,11 @@
 	{
 		f->loss_percent = 0;
 		for (uint32_t i = 0; i < f->n; i++) {
-			f->node[i].side = 0;
+			f->node[i].partition = 0;
 			f->node[i].paused_deadline_ns = 0;
-			if (!f->node[i].m || leaving.count(i))
+			if (!f->node[i].membership || leaving.count(i))
 				start(i);
-			fleet_roster(f, i, 0, f->n);
+			fleet_set_roster(f, i, 0, f->n);
 		}
 		fleet_run(f, kRecoveryNs);
 	}
@@ -162,10 +162,11 @@
 		fleet.end_faults();
 		RC_ASSERT(fleet_converged(f));
 		for (uint32_t i = 0; i < f->n; i++) {
-			RC_ASSERT(member_view_hash(f->node[i].m) ==
-				  member_view_hash(f->node[0].m));
-			RC_ASSERT(member_has_majority(f->node[i].m));
-			RC_ASSERT(member_lease_valid(f->node[i].m, f->now_ns));
+			RC_ASSERT(member_view_hash(f->node[i].membership) ==
+				  member_view_hash(f->node[0].membership));
+			RC_ASSERT(member_has_majority(f->node[i].membership));
+			RC_ASSERT(member_lease_valid(f->node[i].membership,
+						     f->now_ns));
 		}
 	});
 
@@ -188,7 +189,7 @@
 		}
 		for (uint32_t k = 0; k < 40; k++) {
 			fleet_run(f, 100 * NS_PER_MS);
-			RC_ASSERT(!fleet_holders(f, 0, MEMBER_DEAD));
+			RC_ASSERT(!fleet_count_seeing(f, 0, MEMBER_DEAD));
 		}
 	});
 
@@ -204,12 +205,13 @@
 		bool low = false, high = false;
 
 		for (uint32_t i = 0; i < n; i++)
-			f->node[i].side = i >= at;
+			f->node[i].partition = i >= at;
 		fleet_run(f, 8 * NS_PER_S);
 		for (uint32_t i = 0; i < n; i++)
 			(i < at ? low : high) |=
-				member_has_majority(f->node[i].m) &&
-				member_lease_valid(f->node[i].m, f->now_ns);
+				member_has_majority(f->node[i].membership) &&
+				member_lease_valid(f->node[i].membership,
+						   f->now_ns);
 		RC_ASSERT(low != high);
 	});
 
@@ -226,12 +228,14 @@
 
 		fleet_pause(f, 0, pause_ms * NS_PER_MS);
 		fleet_run(f, pause_ms * NS_PER_MS - 1);
-		RC_ASSERT(!member_lease_valid(f->node[0].m, f->now_ns));
-		member_tick(f->node[0].m, f->now_ns);
-		RC_ASSERT(!member_lease_valid(f->node[0].m, f->now_ns));
+		RC_ASSERT(
+			!member_lease_valid(f->node[0].membership, f->now_ns));
+		member_tick(f->node[0].membership, f->now_ns);
+		RC_ASSERT(
+			!member_lease_valid(f->node[0].membership, f->now_ns));
 		f->node[0].paused_deadline_ns = 0;
 		fleet_run(f, 3 * NS_PER_S);
-		RC_ASSERT(member_lease_valid(f->node[0].m, f->now_ns));
+		RC_ASSERT(member_lease_valid(f->node[0].membership, f->now_ns));
 	});
 
 	return ok ? EXIT_SUCCESS : EXIT_FAILURE;
--- a/test/member_test.c
+++ b/test/member_test.c
@@ -21,12 +21,12 @@
 
 static bool has_lease(const struct fleet *f, uint32_t i)
 {
-	return member_lease_valid(f->node[i].m, f->now_ns);
+	return member_lease_valid(f->node[i].membership, f->now_ns);
 }
 
 static bool may_act(const struct fleet *f, uint32_t i)
 {
-	return member_has_majority(f->node[i].m) && has_lease(f, i);
+	return member_has_majority(f->node[i].membership) && has_lease(f, i);
 }
 
 static void killed_member_is_declared_dead_and_rejoins(void **state)
@@ -36,9 +36,9 @@
 	(void)state;
 	fleet_kill(f, 3);
 	fleet_run(f, 2 * NS_PER_S);
-	assert_int_equal(fleet_holders(f, 3, MEMBER_DEAD), 7);
+	assert_int_equal(fleet_count_seeing(f, 3, MEMBER_DEAD), 7);
 	fleet_start(f, 3);
-	fleet_roster(f, 3, 0, 8);
+	fleet_set_roster(f, 3, 0, 8);
 	fleet_run(f, NS_PER_S);
 	assert_true(fleet_converged(f));
 	fleet_free(f);
@@ -56,12 +56,12 @@
 	(void)state;
 	for (i = 0; i < 3; i++) {
 		fleet_start(f, i);
-		fleet_roster(f, i, 0, 4);
+		fleet_set_roster(f, i, 0, 4);
 	}
 	fleet_run(f, CONVERGE_NS);
-	assert_int_equal(fleet_holders(f, 3, MEMBER_DEAD), 3);
+	assert_int_equal(fleet_count_seeing(f, 3, MEMBER_DEAD), 3);
 	fleet_start(f, 3);
-	fleet_roster(f, 3, 0, 4);
+	fleet_set_roster(f, 3, 0, 4);
 	fleet_run(f, NS_PER_S);
 	assert_true(fleet_converged(f));
 	fleet_free(f);
@@ -81,20 +81,20 @@
 	(void)state;
 	for (i = 0; i < 4; i++) {
 		fleet_start(f, i);
-		fleet_roster(f, i, 0, i == 3 ? 4 : 3);
+		fleet_set_roster(f, i, 0, i == 3 ? 4 : 3);
 	}
 	fleet_run(f, 2 * NS_PER_S);
 	assert_true(fleet_converged(f));
 	for (i = 0; i < 4; i++)
-		fleet_roster(f, i, 1, 3);
+		fleet_set_roster(f, i, 1, 3);
 	fleet_run(f, 300 * NS_PER_S);
 	assert_true(fleet_converged(f));
 	fleet_kill(f, 0);
 	fleet_run(f, 2 * NS_PER_S);
-	assert_int_equal(fleet_holders(f, 0, MEMBER_DEAD), 3);
+	assert_int_equal(fleet_count_seeing(f, 0, MEMBER_DEAD), 3);
 	fleet_run(f, 300 * NS_PER_S);
 	for (i = 1; i < 4; i++)
-		assert_null(member_find(f->node[i].m, fleet_vm(0)));
+		assert_null(member_find(f->node[i].membership, fleet_vm(0)));
 	fleet_free(f);
 }
 
@@ -110,19 +110,19 @@
 	uint64_t before;
 
 	(void)state;
-	before = member_self_deaths(f->node[2].m);
+	before = member_self_deaths(f->node[2].membership);
 	assert_true(has_lease(f, 2));
 	fleet_pause(f, 2, 10 * NS_PER_S);
 	fleet_run(f, 10 * NS_PER_S - 1);
 	assert_false(has_lease(f, 2));
-	assert_int_equal(fleet_holders(f, 2, MEMBER_DEAD), 7);
+	assert_int_equal(fleet_count_seeing(f, 2, MEMBER_DEAD), 7);
 	fleet_run(f, NS_PER_MS / 10);
 	assert_false(has_lease(f, 2));
 	fleet_run(f, NS_PER_S);
 	assert_true(has_lease(f, 2));
 	assert_true(fleet_converged(f));
-	assert_true(member_self_deaths(f->node[2].m) > before);
-	self = member_find(f->node[2].m, fleet_vm(2));
+	assert_true(member_self_deaths(f->node[2].membership) > before);
+	self = member_find(f->node[2].membership, fleet_vm(2));
 	assert_true(self->incarnation > 1000);
 	fleet_free(f);
 }
@@ -147,7 +147,7 @@
 	fleet_pause(f, 3, 10 * NS_PER_S);
 	f->blocked = blocked_unless_same_host;
 	fleet_run(f, 10 * NS_PER_S + 2 * NS_PER_MS);
-	while (!fleet_believes(f, 2, 0, MEMBER_DEAD)) {
+	while (!fleet_sees_state(f, 2, 0, MEMBER_DEAD)) {
 		assert_false(has_lease(f, 2));
 		fleet_run(f, 10 * NS_PER_MS);
 	}
@@ -171,9 +171,9 @@
 	(void)state;
 	for (cut_ms = 900; cut_ms < 1300; cut_ms += 20) {
 		f = start_fleet(4);
-		f->node[2].side = f->node[3].side = 1;
+		f->node[2].partition = f->node[3].partition = 1;
 		fleet_run(f, cut_ms * NS_PER_MS);
-		f->node[1].side = 1;
+		f->node[1].partition = 1;
 		for (i = 0; i < 400; i++) {
 			fleet_run(f, 10 * NS_PER_MS);
 			assert_false(may_act(f, 0) && may_act(f, 2));
@@ -192,7 +192,7 @@
 static void paused_member_declares_none_dead(void **state)
 {
 	struct fleet *f = start_fleet(8);
-	struct membership *m = f->node[2].m;
+	struct membership *m = f->node[2].membership;
 	struct peer_msg msg = { .kind = PEER_GOSSIP, .n_gossip = 1 };
 	uint32_t i;
 
@@ -203,15 +203,15 @@
 		(struct gossip){ .vm = fleet_vm(5), .state = MEMBER_SUSPECT };
 	msg.gossip[0].incarnation = member_find(m, fleet_vm(5))->incarnation;
 	member_receive(m, &msg, f->now_ns);
-	assert_true(fleet_believes(f, 2, 5, MEMBER_SUSPECT));
+	assert_true(fleet_sees_state(f, 2, 5, MEMBER_SUSPECT));
 	fleet_pause(f, 2, 700 * NS_PER_MS);
 	fleet_run(f, 700 * NS_PER_MS - 1);
 	f->node[2].paused_deadline_ns = 0;
 	member_tick(m, f->now_ns);
-	assert_false(fleet_believes(f, 2, 5, MEMBER_DEAD));
+	assert_false(fleet_sees_state(f, 2, 5, MEMBER_DEAD));
 	fleet_run(f, 300 * NS_PER_MS);
 	for (i = 0; i < 8; i++)
-		assert_true(i == 2 || fleet_believes(f, 2, i, MEMBER_ALIVE));
+		assert_true(i == 2 || fleet_sees_state(f, 2, i, MEMBER_ALIVE));
 	fleet_free(f);
 }
 
@@ -227,25 +227,27 @@
 	struct fleet *f = start_fleet(3);
 	struct peer_msg msg = { .kind = PEER_GOSSIP, .n_gossip = 1 };
 	struct gossip *g = &msg.gossip[0];
-	uint64_t before = member_self_deaths(f->node[0].m);
+	uint64_t before = member_self_deaths(f->node[0].membership);
 
 	(void)state;
 	*g = (struct gossip){ .vm = fleet_vm(0), .state = MEMBER_DEAD };
-	g->incarnation = member_find(f->node[1].m, fleet_vm(0))->incarnation;
+	g->incarnation =
+		member_find(f->node[1].membership, fleet_vm(0))->incarnation;
 	msg.from = fleet_vm(2);
-	msg.incarnation = member_find(f->node[1].m, msg.from)->incarnation;
-	member_receive(f->node[1].m, &msg, f->now_ns);
-	assert_true(fleet_believes(f, 1, 0, MEMBER_DEAD));
+	msg.incarnation =
+		member_find(f->node[1].membership, msg.from)->incarnation;
+	member_receive(f->node[1].membership, &msg, f->now_ns);
+	assert_true(fleet_sees_state(f, 1, 0, MEMBER_DEAD));
 	g->state = MEMBER_SUSPECT;
-	member_receive(f->node[0].m, &msg, f->now_ns);
-	assert_int_equal(member_self_deaths(f->node[0].m), before);
+	member_receive(f->node[0].membership, &msg, f->now_ns);
+	assert_int_equal(member_self_deaths(f->node[0].membership), before);
 	msg.n_gossip = 0;
 	msg.from = fleet_vm(0);
 	msg.incarnation = g->incarnation + 1;
-	member_receive(f->node[1].m, &msg, f->now_ns);
-	assert_true(fleet_believes(f, 1, 0, MEMBER_ALIVE));
+	member_receive(f->node[1].membership, &msg, f->now_ns);
+	assert_true(fleet_sees_state(f, 1, 0, MEMBER_ALIVE));
 	assert_true(has_lease(f, 0));
-	while (member_self_deaths(f->node[0].m) == before)
+	while (member_self_deaths(f->node[0].membership) == before)
 		fleet_run(f, NS_PER_MS / 10);
 	assert_false(has_lease(f, 0));
 	fleet_run(f, NS_PER_S);
@@ -265,26 +267,28 @@
 	uint32_t i;
 
 	(void)state;
-	member_leave(f->node[4].m, f->now_ns);
+	member_leave(f->node[4].membership, f->now_ns);
 	fleet_run(f, 3 * NS_PER_MS);
-	assert_int_equal(fleet_holders(f, 4, MEMBER_LEAVING), 7);
+	assert_int_equal(fleet_count_seeing(f, 4, MEMBER_LEAVING), 7);
 	msg.from = fleet_vm(1);
-	msg.incarnation = member_find(f->node[4].m, msg.from)->incarnation;
+	msg.incarnation =
+		member_find(f->node[4].membership, msg.from)->incarnation;
 	msg.gossip[0] =
 		(struct gossip){ .vm = fleet_vm(4), .state = MEMBER_SUSPECT };
 	msg.gossip[0].incarnation =
-		member_find(f->node[1].m, fleet_vm(4))->incarnation;
-	member_receive(f->node[4].m, &msg, f->now_ns);
+		member_find(f->node[1].membership, fleet_vm(4))->incarnation;
+	member_receive(f->node[4].membership, &msg, f->now_ns);
 	msg = (struct peer_msg){ .kind = PEER_RECORD, .from = fleet_vm(4) };
-	msg.incarnation = member_find(f->node[4].m, msg.from)->incarnation;
-	member_receive(f->node[1].m, &msg, f->now_ns);
+	msg.incarnation =
+		member_find(f->node[4].membership, msg.from)->incarnation;
+	member_receive(f->node[1].membership, &msg, f->now_ns);
 	for (i = 0; i < 100; i++) {
-		assert_int_equal(fleet_holders(f, 4, MEMBER_LEAVING), 7);
+		assert_int_equal(fleet_count_seeing(f, 4, MEMBER_LEAVING), 7);
 		fleet_run(f, 100 * NS_PER_MS);
 	}
 	fleet_kill(f, 4);
 	fleet_run(f, 3 * NS_PER_S);
-	assert_int_equal(fleet_holders(f, 4, MEMBER_DEAD), 7);
+	assert_int_equal(fleet_count_seeing(f, 4, MEMBER_DEAD), 7);
 	fleet_free(f);
 }
 
@@ -300,13 +304,14 @@
 	(void)state;
 	for (cut = 4; cut >= 3; cut--) {
 		for (i = 0; i < 8; i++)
-			f->node[i].side = i >= 8 - cut;
+			f->node[i].partition = i >= 8 - cut;
 		fleet_run(f, CONVERGE_NS);
 		for (i = 0; i < 8; i++)
-			assert_int_equal(member_has_majority(f->node[i].m),
-					 i < 8 - cut);
+			assert_int_equal(
+				member_has_majority(f->node[i].membership),
+				i < 8 - cut);
 		for (i = 0; i < 8; i++)
-			f->node[i].side = 0;
+			f->node[i].partition = 0;
 		fleet_run(f, CONVERGE_NS);
 		assert_true(fleet_converged(f));
 	}
@@ -324,10 +329,10 @@
 	struct fleet *f = start_fleet(64);
 
 	(void)state;
-	f->node[9].side = 1;
-	while (!fleet_holders(f, 9, MEMBER_DEAD)) {
+	f->node[9].partition = 1;
+	while (!fleet_count_seeing(f, 9, MEMBER_DEAD)) {
 		fleet_run(f, 10 * NS_PER_MS);
-		if (fleet_holders(f, 9, MEMBER_DEAD))
+		if (fleet_count_seeing(f, 9, MEMBER_DEAD))
 			assert_false(has_lease(f, 9));
 	}
 	fleet_free(f);
@@ -349,16 +354,16 @@
 	fleet_run(f, 2 * NS_PER_S);
 	f->conf.joining = true;
 	fleet_start(f, 6);
-	fleet_roster(f, 6, 0, 8);
+	fleet_set_roster(f, 6, 0, 8);
 	msg.incarnation = f->conf.incarnation;
-	member_receive(f->node[1].m, &msg, f->now_ns);
+	member_receive(f->node[1].membership, &msg, f->now_ns);
 	for (i = 0; i < 200; i++) {
-		assert_int_equal(fleet_holders(f, 6, MEMBER_ALIVE), 0);
+		assert_int_equal(fleet_count_seeing(f, 6, MEMBER_ALIVE), 0);
 		fleet_run(f, 10 * NS_PER_MS);
 	}
 	assert_true(has_lease(f, 6));
-	assert_true(member_has_majority(f->node[6].m));
-	member_join(f->node[6].m, f->now_ns);
+	assert_true(member_has_majority(f->node[6].membership));
+	member_join(f->node[6].membership, f->now_ns);
 	fleet_run(f, 2 * NS_PER_MS);
 	assert_true(fleet_converged(f));
 	fleet_free(f);
@@ -377,12 +382,13 @@
 	uint32_t i;
 
 	(void)state;
-	msg.incarnation = member_find(f->node[1].m, msg.from)->incarnation - 1;
+	msg.incarnation =
+		member_find(f->node[1].membership, msg.from)->incarnation - 1;
 	f->loss_percent = 100;
 	for (i = 0; i < 100; i++) {
 		fleet_run(f, 20 * NS_PER_MS);
-		member_receive(f->node[0].m, &msg, f->now_ns);
-		assert_true(fleet_believes(f, 0, 1, MEMBER_ALIVE));
+		member_receive(f->node[0].membership, &msg, f->now_ns);
+		assert_true(fleet_sees_state(f, 0, 1, MEMBER_ALIVE));
 	}
 	fleet_free(f);
 }
@@ -406,8 +412,8 @@
 	f->blocked = blocked_between_1_and_5;
 	for (i = 0; i < 100; i++) {
 		fleet_run(f, 100 * NS_PER_MS);
-		assert_int_equal(fleet_holders(f, 5, MEMBER_ALIVE), 7);
-		assert_int_equal(fleet_holders(f, 1, MEMBER_ALIVE), 7);
+		assert_int_equal(fleet_count_seeing(f, 5, MEMBER_ALIVE), 7);
+		assert_int_equal(fleet_count_seeing(f, 1, MEMBER_ALIVE), 7);
 	}
 	fleet_free(f);
 }
@@ -426,10 +432,10 @@
 	fleet_kill(f, 2);
 	f->incarnation = 1;
 	fleet_start(f, 2);
-	fleet_roster(f, 2, 0, 4);
+	fleet_set_roster(f, 2, 0, 4);
 	for (i = 0; i < 40; i++) {
 		fleet_run(f, 50 * NS_PER_MS);
-		assert_int_equal(fleet_holders(f, 2, MEMBER_SUSPECT), 0);
+		assert_int_equal(fleet_count_seeing(f, 2, MEMBER_SUSPECT), 0);
 	}
 	assert_true(fleet_converged(f));
 	assert_true(has_lease(f, 2));
@@ -443,7 +449,7 @@
 	(void)state;
 	fleet_start(f, 0);
 	fleet_run(f, NS_PER_S);
-	assert_true(member_has_majority(f->node[0].m));
+	assert_true(member_has_majority(f->node[0].membership));
 	assert_true(has_lease(f, 0));
 	fleet_free(f);
 }
--- a/test/pair_prop.cc
+++ b/test/pair_prop.cc
@@ -44,7 +44,7 @@
 	{
 		ring_observer none = { nullptr, nullptr };
 
-		if (f->node[i].m)
+		if (f->node[i].membership)
 			return;
 		ring_free(ring[i]);
 		ring[i] = ring_new(kBuckets, fleet_vm(i), kSettleNs, kCoverNs,
@@ -52,33 +52,33 @@
 		joined[i] = leaving[i] = false;
 		join_ns[i] = UINT64_MAX;
 		fleet_start(f, i);
-		fleet_roster(f, i, 0, f->n);
+		fleet_set_roster(f, i, 0, f->n);
 	}
 
 	void leave(uint32_t i)
 	{
-		if (!f->node[i].m || leaving[i])
+		if (!f->node[i].membership || leaving[i])
 			return;
 		leaving[i] = true;
-		member_leave(f->node[i].m, f->now_ns);
+		member_leave(f->node[i].membership, f->now_ns);
 	}
 
 	void kill(uint32_t i)
 	{
-		if (f->node[i].m)
+		if (f->node[i].membership)
 			fleet_kill(f, i);
 	}
 
 	bool runs(uint32_t i) const
 	{
-		return f->node[i].m &&
+		return f->node[i].membership &&
 		       f->now_ns >= f->node[i].paused_deadline_ns;
 	}
 
 	bool fit(uint32_t i) const
 	{
-		return member_has_majority(f->node[i].m) &&
-		       member_lease_valid(f->node[i].m, f->now_ns);
+		return member_has_majority(f->node[i].membership) &&
+		       member_lease_valid(f->node[i].membership, f->now_ns);
 	}
 
 	void join(uint32_t i)
@@ -90,7 +90,7 @@
 		if (f->now_ns < join_ns[i])
 			return;
 		joined[i] = true;
-		member_join(f->node[i].m, f->now_ns);
+		member_join(f->node[i].membership, f->now_ns);
 	}
 
 	void follow(uint32_t i)
@@ -105,7 +105,7 @@
 			join(i);
 		if (!joined[i])
 			return;
-		n = member_all(f->node[i].m, &all);
+		n = member_all(f->node[i].membership, &all);
 		for (uint32_t k = 0; k < n; k++)
 			if (all[k].state <= MEMBER_SUSPECT)
 				live.push_back(all[k].vm);
@@ -167,11 +167,11 @@
 						   NS_PER_MS);
 		case 4:
 			for (uint32_t k = 0; k < f->n; k++)
-				f->node[k].side = k < i;
+				f->node[k].partition = k < i;
 			return;
 		default:
 			for (uint32_t k = 0; k < f->n; k++)
-				f->node[k].side = 0;
+				f->node[k].partition = 0;
 		}
 	}
 };
--- a/test/promise_prop.cc
+++ b/test/promise_prop.cc
@@ -94,9 +94,9 @@
 
 void all_links(struct testbed *f, struct link_faults faults)
 {
-	testbed_link(f, LINK_UP, faults);
-	testbed_link(f, LINK_DOWN, faults);
-	testbed_link(f, LINK_PEER, faults);
+	testbed_set_link_faults(f, LINK_FROM_CALLER, faults);
+	testbed_set_link_faults(f, LINK_TO_CALLER, faults);
+	testbed_set_link_faults(f, LINK_PEER, faults);
 }
 
 void link_duplicates(struct testbed *f, uint32_t, uint32_t)
@@ -116,8 +116,8 @@
 
 void join(struct testbed *f, uint32_t, uint32_t)
 {
-	if (testbed_nodes(f) < TESTBED_NODES_MAX)
-		testbed_start(f, testbed_nodes(f), 0);
+	if (testbed_node_count(f) < TESTBED_NODES_MAX)
+		testbed_start(f, testbed_node_count(f), 0);
 }
 
 /* Cuts the entries in two by the bits of @sides. */
@@ -126,7 +126,8 @@
 	for (uint32_t i = 0; i < TESTBED_NODES_MAX; i++) {
 		for (uint32_t k = 0; k < i; k++) {
 			if (((sides >> i % NODES) ^ (sides >> k % NODES)) % 2)
-				(on ? testbed_cut : testbed_mend)(f, i, k);
+				(on ? testbed_disconnect
+				    : testbed_reconnect)(f, i, k);
 		}
 	}
 }
@@ -145,30 +146,31 @@
 	} table[KINDS] = {
 		{ testbed_leave, node, 0, nullptr, 0 },
 		{ join, 0, 0, nullptr, 0 },
-		{ testbed_drain, target, 50 * s.b, nullptr, 0 },
+		{ testbed_drain_target, target, 50 * s.b, nullptr, 0 },
 		{ testbed_publish, 50 * s.b, 0, nullptr, 0 },
-		{ testbed_list_lag_ms, 1000 * s.a, 0, nullptr, 0 },
+		{ testbed_set_list_lag, 1000 * s.a, 0, nullptr, 0 },
 		{ link_duplicates, 0, 0, nullptr, 0 },
 		{ link_reorders, 0, 0, nullptr, 0 },
 		{ testbed_kill, node, 0, testbed_start, 0 },
 		{ testbed_freeze, node, 300 * s.b, nullptr, 0 },
-		{ testbed_cut, node, other, testbed_mend, other },
+		{ testbed_disconnect, node, other, testbed_reconnect, other },
 		{ split, s.a, 1, split, 0 },
-		{ testbed_cut_target, node, target, testbed_mend_target,
-		  target },
-		{ testbed_cut_platform, node, 0, testbed_mend_platform, 0 },
+		{ testbed_disconnect_target, node, target,
+		  testbed_reconnect_target, target },
+		{ testbed_disconnect_platform, node, 0,
+		  testbed_reconnect_platform, 0 },
 		{ testbed_target_crash, target, 0, testbed_target_start, 0 },
-		{ testbed_target_mode, target, s.b % 5, testbed_target_mode,
-		  0 },
+		{ testbed_set_target_mode, target, s.b % 5,
+		  testbed_set_target_mode, 0 },
 		{ link_drops, 0, 0, nullptr, 0 },
 	};
 	const auto &t = table[s.kind];
 	const uint64_t at_ns = BEGIN_NS + s.at_ms * NS_PER_MS;
 
-	testbed_at(f, at_ns, t.begin, t.a, t.b);
+	testbed_schedule(f, at_ns, t.begin, t.a, t.b);
 	if (t.end)
-		testbed_at(f, at_ns + 200 * NS_PER_MS * s.b, t.end, t.a,
-			   t.end_b);
+		testbed_schedule(f, at_ns + 200 * NS_PER_MS * s.b, t.end, t.a,
+				 t.end_b);
 }
 
 struct testbed_verdict play(const schedule &s)
@@ -238,7 +240,7 @@
 		s.steps.push_back({ 0, DRAIN, 0, 21 });
 		const auto v = play(s);
 
-		RC_ASSERT(v.late_work == 0u);
+		RC_ASSERT(v.work_while_draining == 0u);
 	});
 	good &= rc::check("a planned stop cuts nothing in progress", [] {
 		const auto v = play(draw(0, PLANNED_KINDS));
--- a/test/testbed.h
+++ b/test/testbed.h
@@ -53,7 +53,7 @@
  * struct dgram - datagram between callers, entries and targets
  * @type: enum wire_type
  * @kind: enum dgram_kind
- * @own: 0 for an answer of a target; else made by the entry, 1 + enum
+ * @local_answer: 0 for an answer of a target; else made by the entry, 1 + enum
  *	local_answer
  * @token_len: bytes of @token in use
  * @flags: enum message_flags that the adapter would read from the datagram
@@ -67,7 +67,7 @@
 struct dgram {
 	uint8_t type;
 	uint8_t kind;
-	uint8_t own;
+	uint8_t local_answer;
 	uint8_t token_len;
 	uint16_t flags;
 	uint16_t id;
@@ -79,32 +79,33 @@
 };
 
 enum testbed_link {
-	LINK_UP, /* caller to entry */
-	LINK_DOWN, /* entry to caller */
+	LINK_FROM_CALLER, /* caller to entry */
+	LINK_TO_CALLER, /* entry to caller */
 	LINK_PEER, /* entry to entry */
-	LINK_TARGET, /* entry to target */
-	LINK_BACK, /* target to entry */
+	LINK_TO_TARGET, /* entry to target */
+	LINK_FROM_TARGET, /* target to entry */
 	LINK_COUNT
 };
 
 /**
  * struct link_faults - probabilities of the faults of a link
- * @drop: datagrams lost, per mille
- * @dup: datagrams delivered twice, per mille
- * @late: datagrams delayed by up to 30 ms, which reorders them, per mille
+ * @drop_per_mille: datagrams lost, per mille
+ * @dup_per_mille: datagrams delivered twice, per mille
+ * @late_per_mille: datagrams delayed by up to 30 ms, which reorders them, per
+ *	mille
  */
 struct link_faults {
-	uint16_t drop;
-	uint16_t dup;
-	uint16_t late;
+	uint16_t drop_per_mille;
+	uint16_t dup_per_mille;
+	uint16_t late_per_mille;
 };
 
 enum target_mode {
-	MODE_GOOD,
+	MODE_NORMAL,
 	MODE_SILENT, /* receives datagrams and answers none */
 	MODE_SILENT_FEEDS, /* open feeds send no updates, new ones do */
 	MODE_SHED, /* refuses all new requests */
-	MODE_CRAWL /* runs requests 100 times slower */
+	MODE_SLOW /* runs requests 100 times slower */
 };
 
 enum op_class { OP_FEED, OP_GET, OP_POST, OP_UPLOAD, OP_CLASSES };
@@ -124,8 +125,8 @@
  * @result: enum op_result, as seen by the caller
  * @opened: the feed was established
  * @broken: the established feed ended, or had no update for over 3 s
- * @given_up: the feed had no update until its caller opened a new one
- * @crossed: the caller received the answer of another request
+ * @reopened: the feed had no update until its caller opened a new one
+ * @mismatched: the caller received the answer of another request
  * @service: index of the service that the caller addressed
  * @wrong_service: a target of another service ran it
  * @runs: number of times that targets ran it
@@ -137,8 +138,8 @@
 	uint8_t result;
 	bool opened;
 	bool broken;
-	bool given_up;
-	bool crossed;
+	bool reopened;
+	bool mismatched;
 	uint8_t service;
 	bool wrong_service;
 	uint32_t runs;
@@ -168,7 +169,7 @@
  */
 struct testbed_hook {
 	void *ctx;
-	bool (*at)(void *ctx, struct testbed *f, enum testbed_point point,
+	bool (*at)(void *ctx, struct testbed *tb, enum testbed_point point,
 		   uint32_t op, uint32_t arg);
 };
 
@@ -206,13 +207,13 @@
  * @broken: established feeds that ended or had no update for over 3 s
  * @stalled: feeds without updates until their caller opened a new one, or
  *	without updates for over 3 s at the end
- * @late_work: new requests and feeds that a target received more than 3 s
- *	after it began to drain
- * @up: datagrams sent by callers
+ * @work_while_draining: new requests and feeds that a target received more
+ *	than 3 s after it began to drain
+ * @caller_dgrams: datagrams sent by callers
  * @forwards: datagrams that an entry forwarded to another entry
  * @peer_msgs: messages between entries
  * @peer_bytes: encoded size of @peer_msgs
- * @work: requests and feeds run, by index of the target
+ * @target_runs: requests and feeds run, by index of the target
  */
 struct testbed_verdict {
 	uint32_t ops;
@@ -226,58 +227,58 @@
 	uint32_t false_not_run;
 	uint32_t broken;
 	uint32_t stalled;
-	uint32_t late_work;
-	uint64_t up;
+	uint32_t work_while_draining;
+	uint64_t caller_dgrams;
 	uint64_t forwards;
 	uint64_t peer_msgs;
 	uint64_t peer_bytes;
-	uint32_t work[TESTBED_TARGETS_MAX];
+	uint32_t target_runs[TESTBED_TARGETS_MAX];
 };
 
 struct testbed *testbed_new(const struct testbed_plan *plan);
-void testbed_free(struct testbed *f);
-void testbed_run(struct testbed *f, uint64_t until_ns);
-struct testbed_verdict testbed_finish(struct testbed *f);
-uint64_t testbed_now(const struct testbed *f);
-uint64_t testbed_random(struct testbed *f, uint64_t below);
-void testbed_hook(struct testbed *f, struct testbed_hook hook);
+void testbed_free(struct testbed *tb);
+void testbed_run(struct testbed *tb, uint64_t until_ns);
+struct testbed_verdict testbed_finish(struct testbed *tb);
+uint64_t testbed_now(const struct testbed *tb);
+uint64_t testbed_random(struct testbed *tb, uint64_t below);
+void testbed_set_hook(struct testbed *tb, struct testbed_hook hook);
 
 /*
  * Faults; @a is the index of the entry or target where there is one, @b a
- * second index, a time or a mode. testbed_at() schedules a fault.
+ * second index, a time or a mode. testbed_schedule() schedules a fault.
  */
-typedef void testbed_fault(struct testbed *f, uint32_t a, uint32_t b);
-void testbed_at(struct testbed *f, uint64_t at_ns, testbed_fault *fault,
-		uint32_t a, uint32_t b);
+typedef void testbed_fault(struct testbed *tb, uint32_t a, uint32_t b);
+void testbed_schedule(struct testbed *tb, uint64_t at_ns, testbed_fault *fault,
+		      uint32_t a, uint32_t b);
 testbed_fault testbed_kill;
 testbed_fault testbed_start;
 testbed_fault testbed_leave;
 testbed_fault testbed_freeze;
-testbed_fault testbed_wake;
-testbed_fault testbed_cut;
-testbed_fault testbed_mend;
-testbed_fault testbed_cut_target;
-testbed_fault testbed_mend_target;
-testbed_fault testbed_cut_platform;
-testbed_fault testbed_mend_platform;
-testbed_fault testbed_list_lag_ms;
+testbed_fault testbed_unfreeze;
+testbed_fault testbed_disconnect;
+testbed_fault testbed_reconnect;
+testbed_fault testbed_disconnect_target;
+testbed_fault testbed_reconnect_target;
+testbed_fault testbed_disconnect_platform;
+testbed_fault testbed_reconnect_platform;
+testbed_fault testbed_set_list_lag;
 testbed_fault testbed_publish;
-testbed_fault testbed_drain;
+testbed_fault testbed_drain_target;
 testbed_fault testbed_target_crash;
 testbed_fault testbed_target_start;
-testbed_fault testbed_target_mode;
-void testbed_link(struct testbed *f, enum testbed_link link,
-		  struct link_faults faults);
+testbed_fault testbed_set_target_mode;
+void testbed_set_link_faults(struct testbed *tb, enum testbed_link link,
+			     struct link_faults faults);
 
 /* Owner and second of a caller's flow, by a ring over the running entries. */
-struct ring_pair testbed_pair(struct testbed *f, uint32_t caller);
-uint32_t testbed_node_of(const struct testbed *f, uint64_t vm);
-uint32_t testbed_nodes(const struct testbed *f);
-uint32_t testbed_caller_first(const struct testbed *f, enum op_class class_);
-void testbed_caller_hold(struct testbed *f, uint32_t caller);
-uint32_t testbed_caller_go(struct testbed *f, uint32_t caller);
-uint32_t testbed_op_next(const struct testbed *f);
-const struct op *testbed_op(const struct testbed *f, uint32_t op);
+struct ring_pair testbed_ring_pair(struct testbed *tb, uint32_t caller);
+uint32_t testbed_node_index(const struct testbed *tb, uint64_t vm);
+uint32_t testbed_node_count(const struct testbed *tb);
+uint32_t testbed_first_caller(const struct testbed *tb, enum op_class class_);
+void testbed_caller_set_manual(struct testbed *tb, uint32_t caller);
+uint32_t testbed_caller_start_op(struct testbed *tb, uint32_t caller);
+uint32_t testbed_op_count(const struct testbed *tb);
+const struct op *testbed_op(const struct testbed *tb, uint32_t op);
 
 #ifdef __cplusplus
 }
--- a/test/testbed_fault.c
+++ b/test/testbed_fault.c
@@ -5,72 +5,74 @@
 
 #include <string.h>
 
-#define FABRIC_LAG_NS MS(1000) /* until the fabric stops routing to a lost entry */
+#define FABRIC_LAG_NS \
+	MS(1000) /* until the fabric stops routing to a lost entry */
 #define LIST_LAG_NS MS(50)
 
-static void give_roster(struct testbed *f, uint32_t i)
+static void apply_roster(struct testbed *tb, uint32_t i)
 {
 	uint64_t vms[TESTBED_NODES_MAX];
 	uint32_t n = 0;
 
 	for (uint32_t v = 0; v < TESTBED_NODES_MAX; v++) {
-		if (f->listed_seen & 1u << v)
+		if (tb->listed_visible & 1u << v)
 			vms[n++] = VM_ADDR(v);
 	}
-	f->system->roster(f->nodes[i].state, vms, n, f->now_ns, f->out);
-	node_perform(f, i);
+	tb->system->roster(tb->nodes[i].entry, vms, n, tb->now_ns, tb->out);
+	node_perform_actions(tb, i);
 }
 
-static void node_roster(struct testbed *f, struct event *ev)
+static void node_roster(struct testbed *tb, struct event *ev)
 {
-	if (!node_takes(f, ev))
+	if (!node_can_handle(tb, ev))
 		return;
-	if (!f->nodes[ev->node].platform_cut)
-		give_roster(f, ev->node);
+	if (!tb->nodes[ev->node].platform_disconnected)
+		apply_roster(tb, ev->node);
 	event_free(ev);
 }
 
-static void list_seen(struct testbed *f, struct event *ev)
+static void list_became_visible(struct testbed *tb, struct event *ev)
 {
-	f->listed_seen = ev->arg;
-	trace_line(f, "platform lists %x", ev->arg);
-	for (uint32_t i = 0; i < f->n_nodes; i++) {
+	tb->listed_visible = ev->arg;
+	trace_line(tb, "platform lists %x", ev->arg);
+	for (uint32_t i = 0; i < tb->n_nodes; i++) {
 		struct event *each = event_new(node_roster, i);
 
 		each->reliable = true;
-		event_at(f, f->now_ns + testbed_random(f, LIST_LAG_NS), each);
+		event_at(tb, tb->now_ns + testbed_random(tb, LIST_LAG_NS),
+			 each);
 	}
 	event_free(ev);
 }
 
-static void list_changed(struct testbed *f)
+static void list_changed(struct testbed *tb)
 {
-	struct event *ev = event_new(list_seen, 0);
+	struct event *ev = event_new(list_became_visible, 0);
 
-	ev->arg = f->listed;
-	event_at(f, f->now_ns + f->list_lag_ns, ev);
+	ev->arg = tb->listed;
+	event_at(tb, tb->now_ns + tb->list_lag_ns, ev);
 }
 
 /* Sets the lag of the platform's list for changes from now on. */
-void testbed_list_lag_ms(struct testbed *f, uint32_t lag_ms, uint32_t unused)
+void testbed_set_list_lag(struct testbed *tb, uint32_t lag_ms, uint32_t unused)
 {
 	(void)unused;
-	f->list_lag_ns = MS(lag_ms);
+	tb->list_lag_ns = MS(lag_ms);
 }
 
-static struct published *publish(struct testbed *f)
+static struct published *publish(struct testbed *tb)
 {
 	static const char *const names[] = { "live", "readings" };
 	struct published *p = g_new0(struct published, 1);
 
-	for (uint32_t i = 0; i < f->n_targets; i++) {
-		struct service_conf *s = &p->services[f->targets[i].service];
+	for (uint32_t i = 0; i < tb->n_targets; i++) {
+		struct service_conf *s = &p->services[tb->targets[i].service];
 		uint32_t k = s->n_targets++;
 
-		s->targets = p->targets[f->targets[i].service];
+		s->targets = p->targets[tb->targets[i].service];
 		s->targets[k] =
 			(struct target_conf){ .addr = TARGET_ADDR(i),
-					      .state = f->targets[i].state,
+					      .state = tb->targets[i].state,
 					      .weight = 100,
 					      .slots = 2,
 					      .connections = 200 };
@@ -79,60 +81,60 @@
 		strcpy(p->services[s].name, names[s]);
 		p->services[s].vip = VIP_ADDR(s);
 		p->services[s].class = s == 0 ? CLASS_REPORT : CLASS_UPLOAD;
-		p->services[s].target_dedups = f->plan.target_dedups;
+		p->services[s].target_dedups = tb->plan.target_dedups;
 		p->services[s].request_timeout_ns = MS(5000);
 		p->services[s].queue_max = 100;
 	}
 	strcpy(p->account.name, "club");
-	p->account.generation = ++f->generation;
+	p->account.generation = ++tb->generation;
 	p->account.weight = 10;
 	p->account.services = p->services;
 	p->account.n_services = TESTBED_SERVICES;
 	p->config.accounts = &p->account;
 	p->config.n_accounts = 1;
-	g_ptr_array_add(f->published, p);
+	g_ptr_array_add(tb->published, p);
 	return p;
 }
 
-static void give_config(struct testbed *f, uint32_t i, uint32_t which)
+static void apply_config(struct testbed *tb, uint32_t i, uint32_t which)
 {
-	struct published *p = f->published->pdata[which];
+	struct published *p = tb->published->pdata[which];
 
-	f->nodes[i].published = which;
-	f->system->config(f->nodes[i].state, &p->config, f->now_ns, f->out);
-	node_perform(f, i);
+	tb->nodes[i].published = which;
+	tb->system->config(tb->nodes[i].entry, &p->config, tb->now_ns, tb->out);
+	node_perform_actions(tb, i);
 }
 
-static void node_config(struct testbed *f, struct event *ev)
+static void node_config(struct testbed *tb, struct event *ev)
 {
-	if (!node_takes(f, ev))
+	if (!node_can_handle(tb, ev))
 		return;
 	/* cb-watch never replaces a document by an older one (spread.h). */
-	if (ev->arg > f->nodes[ev->node].published)
-		give_config(f, ev->node, ev->arg);
+	if (ev->arg > tb->nodes[ev->node].published)
+		apply_config(tb, ev->node, ev->arg);
 	event_free(ev);
 }
 
 /* Publishes the targets' states; every entry receives them within @spread_ms. */
-void testbed_publish(struct testbed *f, uint32_t spread_ms, uint32_t unused)
+void testbed_publish(struct testbed *tb, uint32_t spread_ms, uint32_t unused)
 {
 	(void)unused;
-	publish(f);
-	for (uint32_t i = 0; i < f->n_nodes; i++) {
+	publish(tb);
+	for (uint32_t i = 0; i < tb->n_nodes; i++) {
 		struct event *ev = event_new(node_config, i);
 
-		ev->arg = f->published->len - 1;
+		ev->arg = tb->published->len - 1;
 		ev->reliable = true;
-		event_at(f, f->now_ns + testbed_random(f, MS(spread_ms) + 1),
+		event_at(tb, tb->now_ns + testbed_random(tb, MS(spread_ms) + 1),
 			 ev);
 	}
 }
 
-static struct entry_conf conf_of(const struct testbed *f, uint32_t i)
+static struct entry_conf conf_of(const struct testbed *tb, uint32_t i)
 {
 	return (struct entry_conf){
 		.member = { .self = VM_ADDR(i),
-			    .incarnation = f->nodes[i].incarnation,
+			    .incarnation = tb->nodes[i].incarnation,
 			    .probe_period_ns = MS(200),
 			    .probe_timeout_ns = MS(100),
 			    .suspect_timeout_ns = MS(600),
@@ -150,181 +152,187 @@
 		.drain_ns = MS(20000),
 		.peer_bytes_per_s = 16000,
 		.n_buckets = BUCKETS,
-		.seed = hash_u64(f->plan.seed, f->nodes[i].incarnation + i),
+		.seed = hash_u64(tb->plan.seed, tb->nodes[i].incarnation + i),
 	};
 }
 
 /* Starts a process at the address of entry @i, which may be a new index. */
-void testbed_start(struct testbed *f, uint32_t i, uint32_t unused)
+void testbed_start(struct testbed *tb, uint32_t i, uint32_t unused)
 {
-	struct node *n = &f->nodes[i];
+	struct node *n = &tb->nodes[i];
 	struct entry_conf conf;
 
 	(void)unused;
 	if (n->up)
 		return;
-	f->n_nodes = MAX(f->n_nodes, i + 1);
-	n->incarnation = f->now_ns;
-	conf = conf_of(f, i);
-	n->state = f->system->make(&conf, f->now_ns);
+	tb->n_nodes = MAX(tb->n_nodes, i + 1);
+	n->incarnation = tb->now_ns;
+	conf = conf_of(tb, i);
+	n->entry = tb->system->make(&conf, tb->now_ns);
 	n->up = true;
 	n->leaving = false;
-	n->sprayed = true;
+	n->is_routed = true;
 	n->tick_ns = 0;
-	trace_line(f, "e%u starts", i);
-	give_config(f, i, f->published->len - 1);
-	if (!n->platform_cut)
-		give_roster(f, i);
-	if (f->listed & 1u << i)
+	trace_line(tb, "e%u starts", i);
+	apply_config(tb, i, tb->published->len - 1);
+	if (!n->platform_disconnected)
+		apply_roster(tb, i);
+	if (tb->listed & 1u << i)
 		return;
-	f->listed |= 1u << i;
-	list_changed(f);
+	tb->listed |= 1u << i;
+	list_changed(tb);
 }
 
-static void unspray(struct testbed *f, uint32_t i, uint32_t incarnation_low)
+static void stop_routing(struct testbed *tb, uint32_t i,
+			 uint32_t incarnation_low)
 {
-	struct node *n = &f->nodes[i];
+	struct node *n = &tb->nodes[i];
 
 	if ((uint32_t)n->incarnation == incarnation_low)
-		n->sprayed = false;
+		n->is_routed = false;
 }
 
-static void removed(struct testbed *f, uint32_t i)
+static void remove_from_list(struct testbed *tb, uint32_t i)
 {
-	f->listed &= ~(1u << i);
-	list_changed(f);
-	testbed_at(f, f->now_ns + FABRIC_LAG_NS, unspray, i,
-		   (uint32_t)f->nodes[i].incarnation);
+	tb->listed &= ~(1u << i);
+	list_changed(tb);
+	testbed_schedule(tb, tb->now_ns + FABRIC_LAG_NS, stop_routing, i,
+			 (uint32_t)tb->nodes[i].incarnation);
 }
 
-void testbed_kill(struct testbed *f, uint32_t i, uint32_t unused)
+void testbed_kill(struct testbed *tb, uint32_t i, uint32_t unused)
 {
 	(void)unused;
-	if (!f->nodes[i].up)
+	if (!tb->nodes[i].up)
 		return;
-	trace_line(f, "e%u is killed", i);
-	node_gone(f, i);
-	removed(f, i);
+	trace_line(tb, "e%u is killed", i);
+	node_remove(tb, i);
+	remove_from_list(tb, i);
 }
 
 /* Starts the planned stop of an entry. */
-void testbed_leave(struct testbed *f, uint32_t i, uint32_t unused)
+void testbed_leave(struct testbed *tb, uint32_t i, uint32_t unused)
 {
-	struct node *n = &f->nodes[i];
+	struct node *n = &tb->nodes[i];
 
 	(void)unused;
 	if (!n->up || n->frozen || n->leaving)
 		return;
-	trace_line(f, "e%u starts to leave", i);
-	removed(f, i);
+	trace_line(tb, "e%u starts to leave", i);
+	remove_from_list(tb, i);
 	n->leaving = true;
-	f->system->leave(n->state, f->now_ns, f->out);
-	node_perform(f, i);
+	tb->system->leave(n->entry, tb->now_ns, tb->out);
+	node_perform_actions(tb, i);
 }
 
-void testbed_freeze(struct testbed *f, uint32_t i, uint32_t for_ms)
+void testbed_freeze(struct testbed *tb, uint32_t i, uint32_t for_ms)
 {
-	struct node *n = &f->nodes[i];
+	struct node *n = &tb->nodes[i];
 
 	if (!n->up || n->frozen)
 		return;
-	trace_line(f, "e%u freezes", i);
+	trace_line(tb, "e%u freezes", i);
 	n->frozen = true;
-	testbed_at(f, f->now_ns + MS(for_ms), testbed_wake, i,
-		   (uint32_t)n->incarnation);
+	testbed_schedule(tb, tb->now_ns + MS(for_ms), testbed_unfreeze, i,
+			 (uint32_t)n->incarnation);
 }
 
 /* Queued datagrams are handled before timers, as in an event loop. */
-void testbed_wake(struct testbed *f, uint32_t i, uint32_t incarnation_low)
+void testbed_unfreeze(struct testbed *tb, uint32_t i, uint32_t incarnation_low)
 {
-	struct node *n = &f->nodes[i];
+	struct node *n = &tb->nodes[i];
 	struct event *ev;
 
 	if (!n->frozen || (uint32_t)n->incarnation != incarnation_low)
 		return;
-	trace_line(f, "e%u resumes", i);
+	trace_line(tb, "e%u resumes", i);
 	n->frozen = false;
 	while (n->up && (ev = g_queue_pop_head(&n->inbox)))
-		ev->run(f, ev);
+		ev->run(tb, ev);
 	if (!n->up)
 		return;
-	f->system->tick(n->state, f->now_ns, f->out);
-	node_perform(f, i);
+	tb->system->tick(n->entry, tb->now_ns, tb->out);
+	node_perform_actions(tb, i);
 }
 
-static void cut_set(struct testbed *f, uint32_t a, uint32_t b, bool on)
+static void set_disconnected(struct testbed *tb, uint32_t a, uint32_t b,
+			     bool on)
 {
-	trace_line(f, "link e%u e%u %s", a, b, on ? "disconnected" : "reconnected");
-	f->cut[a][b] = on;
-	f->cut[b][a] = on;
+	trace_line(tb, "link e%u e%u %s", a, b,
+		   on ? "disconnected" : "reconnected");
+	tb->cut[a][b] = on;
+	tb->cut[b][a] = on;
 }
 
-void testbed_cut(struct testbed *f, uint32_t a, uint32_t b)
+void testbed_disconnect(struct testbed *tb, uint32_t a, uint32_t b)
 {
-	cut_set(f, a, b, true);
+	set_disconnected(tb, a, b, true);
 }
 
-void testbed_mend(struct testbed *f, uint32_t a, uint32_t b)
+void testbed_reconnect(struct testbed *tb, uint32_t a, uint32_t b)
 {
-	cut_set(f, a, b, false);
+	set_disconnected(tb, a, b, false);
 }
 
-void testbed_cut_target(struct testbed *f, uint32_t node, uint32_t target)
+void testbed_disconnect_target(struct testbed *tb, uint32_t node,
+			       uint32_t target)
 {
-	f->cut_target[node][target] = true;
+	tb->cut_target[node][target] = true;
 }
 
-void testbed_mend_target(struct testbed *f, uint32_t node, uint32_t target)
+void testbed_reconnect_target(struct testbed *tb, uint32_t node,
+			      uint32_t target)
 {
-	f->cut_target[node][target] = false;
+	tb->cut_target[node][target] = false;
 }
 
-void testbed_cut_platform(struct testbed *f, uint32_t i, uint32_t unused)
+void testbed_disconnect_platform(struct testbed *tb, uint32_t i,
+				 uint32_t unused)
 {
 	(void)unused;
-	f->nodes[i].platform_cut = true;
+	tb->nodes[i].platform_disconnected = true;
 }
 
-void testbed_mend_platform(struct testbed *f, uint32_t i, uint32_t unused)
+void testbed_reconnect_platform(struct testbed *tb, uint32_t i, uint32_t unused)
 {
 	(void)unused;
-	f->nodes[i].platform_cut = false;
-	event_at(f, f->now_ns + LIST_LAG_NS, event_new(node_roster, i));
+	tb->nodes[i].platform_disconnected = false;
+	event_at(tb, tb->now_ns + LIST_LAG_NS, event_new(node_roster, i));
 }
 
-void nodes_init(struct testbed *f)
+void nodes_init(struct testbed *tb)
 {
-	f->list_lag_ns = LIST_LAG_NS;
-	publish(f);
-	f->listed = (1u << f->plan.nodes) - 1;
-	f->listed_seen = f->listed;
-	for (uint32_t i = 0; i < f->plan.nodes; i++)
-		testbed_start(f, i, 0);
+	tb->list_lag_ns = LIST_LAG_NS;
+	publish(tb);
+	tb->listed = (1u << tb->plan.nodes) - 1;
+	tb->listed_visible = tb->listed;
+	for (uint32_t i = 0; i < tb->plan.nodes; i++)
+		testbed_start(tb, i, 0);
 }
 
-void nodes_free(struct testbed *f)
+void nodes_free(struct testbed *tb)
 {
-	for (uint32_t i = 0; i < f->n_nodes; i++) {
-		if (f->nodes[i].up)
-			node_gone(f, i);
+	for (uint32_t i = 0; i < tb->n_nodes; i++) {
+		if (tb->nodes[i].up)
+			node_remove(tb, i);
 	}
 }
 
-uint32_t testbed_node_of(const struct testbed *f, uint64_t vm)
+uint32_t testbed_node_index(const struct testbed *tb, uint64_t vm)
 {
 	uint32_t i = VM_INDEX(vm);
 
-	return vm != ADDR_NONE && i < f->n_nodes ? i : TESTBED_NONE;
+	return vm != ADDR_NONE && i < tb->n_nodes ? i : TESTBED_NONE;
 }
 
-uint32_t testbed_nodes(const struct testbed *f)
+uint32_t testbed_node_count(const struct testbed *tb)
 {
-	return f->n_nodes;
+	return tb->n_nodes;
 }
 
-struct ring_pair testbed_pair(struct testbed *f, uint32_t caller)
+struct ring_pair testbed_ring_pair(struct testbed *tb, uint32_t caller)
 {
-	const struct fake_caller *c = &f->callers[caller];
+	const struct fake_caller *c = &tb->callers[caller];
 	struct flow_key key = { CALLER_ADDR(caller), VIP_ADDR(c->service) };
 	struct ring_observer none = { 0 };
 	struct ring *r = ring_new(BUCKETS, VM_ADDR(0), 0, 0, none);
@@ -332,11 +340,11 @@
 	uint64_t vms[TESTBED_NODES_MAX];
 	uint32_t n = 0;
 
-	for (uint32_t i = 0; i < f->n_nodes; i++) {
-		if (f->nodes[i].up && !f->nodes[i].leaving)
+	for (uint32_t i = 0; i < tb->n_nodes; i++) {
+		if (tb->nodes[i].up && !tb->nodes[i].leaving)
 			vms[n++] = VM_ADDR(i);
 	}
-	ring_update(r, vms, n, f->now_ns);
+	ring_update(r, vms, n, tb->now_ns);
 	pair = ring_current_pair(r, ring_bucket(r, &key));
 	ring_free(r);
 	return pair;
--- a/test/testbed_net.c
+++ b/test/testbed_net.c
@@ -39,30 +39,30 @@
 	*b = t;
 }
 
-void event_at(struct testbed *f, uint64_t at_ns, struct event *ev)
+void event_at(struct testbed *tb, uint64_t at_ns, struct event *ev)
 {
 	gpointer *h;
-	uint32_t i = f->heap->len;
+	uint32_t i = tb->heap->len;
 
 	ev->at_ns = at_ns;
-	ev->order = f->order++;
-	g_ptr_array_add(f->heap, ev);
-	h = f->heap->pdata;
+	ev->order = tb->order++;
+	g_ptr_array_add(tb->heap, ev);
+	h = tb->heap->pdata;
 	while (i > 0 && before(h[i], h[(i - 1) / 2])) {
 		swap(&h[i], &h[(i - 1) / 2]);
 		i = (i - 1) / 2;
 	}
 }
 
-static struct event *event_take(struct testbed *f)
+static struct event *event_pop(struct testbed *tb)
 {
-	gpointer *h = f->heap->pdata;
+	gpointer *h = tb->heap->pdata;
 	struct event *first = h[0];
-	uint32_t n = f->heap->len - 1;
+	uint32_t n = tb->heap->len - 1;
 	uint32_t i = 0;
 
 	h[0] = h[n];
-	g_ptr_array_set_size(f->heap, n);
+	g_ptr_array_set_size(tb->heap, n);
 	for (uint32_t c = 1; c < n; c = 2 * i + 1) {
 		if (c + 1 < n && before(h[c + 1], h[c]))
 			c++;
@@ -75,32 +75,32 @@
 }
 
 /* Runs the next event; false when there is none until @until_ns. */
-bool event_next(struct testbed *f, uint64_t until_ns)
+bool event_next(struct testbed *tb, uint64_t until_ns)
 {
 	struct event *ev;
 
-	if (f->heap->len == 0)
+	if (tb->heap->len == 0)
 		return false;
-	ev = f->heap->pdata[0];
+	ev = tb->heap->pdata[0];
 	if (ev->at_ns > until_ns)
 		return false;
-	event_take(f);
-	f->now_ns = ev->at_ns;
-	ev->run(f, ev);
+	event_pop(tb);
+	tb->now_ns = ev->at_ns;
+	ev->run(tb, ev);
 	return true;
 }
 
-static bool chance(struct testbed *f, uint16_t per_mille)
+static bool happens(struct testbed *tb, uint16_t per_mille)
 {
-	return per_mille > 0 && testbed_random(f, 1000) < per_mille;
+	return per_mille > 0 && testbed_random(tb, 1000) < per_mille;
 }
 
-static uint64_t latency(struct testbed *f, const struct link_faults *l)
+static uint64_t latency(struct testbed *tb, const struct link_faults *l)
 {
-	uint64_t ns = LATENCY_MIN_NS + testbed_random(f, LATENCY_SPREAD_NS);
+	uint64_t ns = LATENCY_MIN_NS + testbed_random(tb, LATENCY_SPREAD_NS);
 
-	if (chance(f, l->late))
-		ns += testbed_random(f, LATE_NS);
+	if (happens(tb, l->late_per_mille))
+		ns += testbed_random(tb, LATE_NS);
 	return ns;
 }
 
@@ -115,122 +115,123 @@
 	return c;
 }
 
-void link_send(struct testbed *f, enum testbed_link link, struct event *ev)
+void link_send(struct testbed *tb, enum testbed_link link, struct event *ev)
 {
-	const struct link_faults *l = &f->links[link];
+	const struct link_faults *l = &tb->links[link];
 
-	if (chance(f, l->dup))
-		event_at(f, f->now_ns + latency(f, l), event_copy(ev));
-	if (chance(f, l->drop)) {
-		trace_line(f, "dropped, op %u", ev->d.op);
+	if (happens(tb, l->dup_per_mille))
+		event_at(tb, tb->now_ns + latency(tb, l), event_copy(ev));
+	if (happens(tb, l->drop_per_mille)) {
+		trace_line(tb, "dropped, op %u", ev->d.op);
 		event_free(ev);
 		return;
 	}
-	event_at(f, f->now_ns + latency(f, l), ev);
+	event_at(tb, tb->now_ns + latency(tb, l), ev);
 }
 
-void trace_line(struct testbed *f, const char *format, ...)
+void trace_line(struct testbed *tb, const char *format, ...)
 {
 	va_list ap;
 
-	if (!f->trace)
+	if (!tb->trace)
 		return;
-	fprintf(stderr, "%9.4f ", (double)f->now_ns / NS_PER_S);
+	fprintf(stderr, "%9.4f ", (double)tb->now_ns / NS_PER_S);
 	va_start(ap, format);
 	vfprintf(stderr, format, ap);
 	va_end(ap);
 	fputc('\n', stderr);
 }
 
-void trace_dgram(struct testbed *f, const char *from, uint64_t a,
+void trace_dgram(struct testbed *tb, const char *from, uint64_t a,
 		 const char *to, uint64_t b, const struct dgram *d)
 {
 	static const char *const types[] = { "CON", "NON", "ACK", "RST" };
 	static const char *const kinds[] = { "request", "answer", "empty" };
 
-	trace_line(f, "%s%u -> %s%u %s %s id %u op %u seq %u flags %x own %u",
+	trace_line(tb, "%s%u -> %s%u %s %s id %u op %u seq %u flags %x own %u",
 		   from, (uint32_t)a, to, (uint32_t)b, types[d->type],
-		   kinds[d->kind], d->id, d->op, d->seq, d->flags, d->own);
+		   kinds[d->kind], d->id, d->op, d->seq, d->flags,
+		   d->local_answer);
 }
 
-bool hook_at(struct testbed *f, enum testbed_point point, uint32_t op,
+bool hook_at(struct testbed *tb, enum testbed_point point, uint32_t op,
 	     uint32_t node)
 {
-	return f->hook.at && f->hook.at(f->hook.ctx, f, point, op, node);
+	return tb->hook.at && tb->hook.at(tb->hook.ctx, tb, point, op, node);
 }
 
-uint64_t testbed_random(struct testbed *f, uint64_t below)
+uint64_t testbed_random(struct testbed *tb, uint64_t below)
 {
-	return rng_next(&f->rng) % below;
+	return rng_next(&tb->rng) % below;
 }
 
-uint64_t testbed_now(const struct testbed *f)
+uint64_t testbed_now(const struct testbed *tb)
 {
-	return f->now_ns;
+	return tb->now_ns;
 }
 
-void testbed_hook(struct testbed *f, struct testbed_hook hook)
+void testbed_set_hook(struct testbed *tb, struct testbed_hook hook)
 {
-	f->hook = hook;
+	tb->hook = hook;
 }
 
-void testbed_link(struct testbed *f, enum testbed_link link,
-		  struct link_faults faults)
+void testbed_set_link_faults(struct testbed *tb, enum testbed_link link,
+			     struct link_faults faults)
 {
-	f->links[link] = faults;
+	tb->links[link] = faults;
 }
 
-static void run_fault(struct testbed *f, struct event *ev)
+static void run_fault(struct testbed *tb, struct event *ev)
 {
-	ev->fault(f, ev->node, ev->arg);
+	ev->fault(tb, ev->node, ev->arg);
 	event_free(ev);
 }
 
-void testbed_at(struct testbed *f, uint64_t at_ns, testbed_fault *fault,
-		uint32_t a, uint32_t b)
+void testbed_schedule(struct testbed *tb, uint64_t at_ns, testbed_fault *fault,
+		      uint32_t a, uint32_t b)
 {
 	struct event *ev = event_new(run_fault, a);
 
 	ev->fault = fault;
 	ev->arg = b;
-	event_at(f, at_ns, ev);
+	event_at(tb, at_ns, ev);
 }
 
-void testbed_run(struct testbed *f, uint64_t until_ns)
+void testbed_run(struct testbed *tb, uint64_t until_ns)
 {
-	while (event_next(f, until_ns))
+	while (event_next(tb, until_ns))
 		;
-	f->now_ns = until_ns;
+	tb->now_ns = until_ns;
 }
 
 struct testbed *testbed_new(const struct testbed_plan *plan)
 {
-	struct testbed *f = g_new0(struct testbed, 1);
-
-	f->plan = *plan;
-	f->system = plan->system ? plan->system : &testbed_product;
-	f->rng.state = hash_u64(plan->seed, 1) | 1;
-	f->now_ns = NS_PER_S;
-	f->heap = g_ptr_array_new();
-	f->out = g_new0(struct actions, 1);
-	f->trace = getenv("TESTBED_TRACE") != NULL;
-	f->published = g_ptr_array_new_with_free_func(g_free);
-	f->ops = g_array_new(FALSE, TRUE, sizeof(struct op));
-	targets_init(f);
-	nodes_init(f);
-	callers_init(f);
-	return f;
-}
-
-void testbed_free(struct testbed *f)
-{
-	nodes_free(f);
-	targets_free(f);
-	for (uint32_t i = 0; i < f->heap->len; i++)
-		event_free(f->heap->pdata[i]);
-	g_ptr_array_free(f->heap, TRUE);
-	g_ptr_array_free(f->published, TRUE);
-	g_array_free(f->ops, TRUE);
-	g_free(f->out);
-	g_free(f);
+	struct testbed *tb = g_new0(struct testbed, 1);
+
+	tb->plan = *plan;
+	tb->system = plan->system ? plan->system : &testbed_product;
+	tb->rng.state = hash_u64(plan->seed, 1) | 1;
+	tb->now_ns = NS_PER_S;
+	tb->heap = g_ptr_array_new();
+	tb->out = g_new0(struct actions, 1);
+	tb->trace = getenv("TESTBED_TRACE") != NULL;
+	tb->published = g_ptr_array_new_with_free_func(g_free);
+	tb->ops = g_array_new(FALSE, TRUE, sizeof(struct op));
+	targets_init(tb);
+	nodes_init(tb);
+	callers_init(tb);
+	return tb;
+}
+
+void testbed_free(struct testbed *tb)
+{
+	nodes_free(tb);
+	targets_free(tb);
+	for (uint32_t i = 0; i < tb->heap->len; i++)
+		event_free(tb->heap->pdata[i]);
+	g_ptr_array_free(tb->heap, TRUE);
+	g_ptr_array_free(tb->published, TRUE);
+	g_array_free(tb->ops, TRUE);
+	g_free(tb->out);
+	g_free(tb);
 }
--- a/test/testbed_node.c
+++ b/test/testbed_node.c
@@ -64,85 +64,85 @@
 	return d;
 }
 
-static void to_caller(struct testbed *f, uint32_t node, const struct action *a,
+static void to_caller(struct testbed *tb, uint32_t node, const struct action *a,
 		      struct dgram d)
 {
 	uint32_t caller = CALLER_INDEX(a->key.caller);
 	struct event *ev;
 
-	trace_dgram(f, "e", node, "c", caller, &d);
-	if (caller >= f->n_callers)
+	trace_dgram(tb, "e", node, "c", caller, &d);
+	if (caller >= tb->n_callers)
 		return;
-	if (a->kind == ACT_TO_CALLER && hook_at(f, POINT_ANSWER, d.op, node))
+	if (a->kind == ACT_TO_CALLER && hook_at(tb, POINT_ANSWER, d.op, node))
 		return;
 	ev = event_new(caller_from_node, caller);
 	ev->key = a->key;
 	ev->d = d;
-	link_send(f, LINK_DOWN, ev);
+	link_send(tb, LINK_TO_CALLER, ev);
 }
 
-static void to_target(struct testbed *f, uint32_t node, const struct action *a,
+static void to_target(struct testbed *tb, uint32_t node, const struct action *a,
 		      struct dgram d)
 {
 	uint32_t target = TARGET_INDEX(a->target);
 	struct event *ev;
 
-	trace_dgram(f, "e", node, "t", target, &d);
-	if (target >= f->n_targets || f->cut_target[node][target])
+	trace_dgram(tb, "e", node, "t", target, &d);
+	if (target >= tb->n_targets || tb->cut_target[node][target])
 		return;
 	ev = event_new(target_from_node, target);
 	ev->from = VM_ADDR(node);
 	ev->d = d;
-	link_send(f, LINK_TARGET, ev);
+	link_send(tb, LINK_TO_TARGET, ev);
 }
 
-static void do_to_caller(struct testbed *f, uint32_t node,
+static void do_to_caller(struct testbed *tb, uint32_t node,
 			 const struct action *a)
 {
-	to_caller(f, node, a, dgram_of(a));
+	to_caller(tb, node, a, dgram_of(a));
 }
 
-static void do_to_target(struct testbed *f, uint32_t node,
+static void do_to_target(struct testbed *tb, uint32_t node,
 			 const struct action *a)
 {
 	struct dgram d = dgram_of(a);
 
 	d.timeout_ns = a->timeout_ns;
-	to_target(f, node, a, d);
+	to_target(tb, node, a, d);
 }
 
-static void do_answer(struct testbed *f, uint32_t node, const struct action *a)
+static void do_answer(struct testbed *tb, uint32_t node, const struct action *a)
 {
 	struct dgram d = dgram_of(a);
 
 	d.kind = DGRAM_ANSWER;
-	d.own = a->answer + 1;
-	to_caller(f, node, a, d);
+	d.local_answer = a->answer + 1;
+	to_caller(tb, node, a, d);
 }
 
-static void do_signal_caller(struct testbed *f, uint32_t node,
+static void do_signal_caller(struct testbed *tb, uint32_t node,
 			     const struct action *a)
 {
 	struct dgram d = { .kind = DGRAM_EMPTY, .type = a->type, .id = a->id };
 
-	to_caller(f, node, a, d);
+	to_caller(tb, node, a, d);
 }
 
-static void do_signal_target(struct testbed *f, uint32_t node,
+static void do_signal_target(struct testbed *tb, uint32_t node,
 			     const struct action *a)
 {
 	struct dgram d = { .kind = DGRAM_EMPTY, .type = a->type, .id = a->id };
 
-	to_target(f, node, a, d);
+	to_target(tb, node, a, d);
 }
 
-static void do_cancel(struct testbed *f, uint32_t node, const struct action *a)
+static void do_cancel(struct testbed *tb, uint32_t node, const struct action *a)
 {
 	struct dgram d = dgram_of(a);
 
 	d.kind = DGRAM_REQUEST;
 	d.flags = MESSAGE_FEED_CLOSE | MESSAGE_IDEMPOTENT;
-	to_target(f, node, a, d);
+	to_target(tb, node, a, d);
 }
 
 static uint32_t peer_bytes(const struct peer_msg *m)
@@ -153,21 +153,21 @@
 	return MAX(wire_encode(m, key, buf, sizeof(buf)), 0);
 }
 
-static void do_peer(struct testbed *f, uint32_t node, const struct action *a)
+static void do_peer(struct testbed *tb, uint32_t node, const struct action *a)
 {
 	const struct peer_msg *m = &a->peer;
 	uint32_t to = VM_INDEX(a->vm);
 	struct event *ev;
 
-	trace_line(f, "e%u -> e%u peer %u claims %u seq %llu", node, to,
+	trace_line(tb, "e%u -> e%u peer %u claims %u seq %llu", node, to,
 		   m->kind, m->n_claims, (unsigned long long)m->seq);
-	f->verdict.peer_msgs++;
-	f->verdict.peer_bytes += peer_bytes(m);
+	tb->verdict.peer_msgs++;
+	tb->verdict.peer_bytes += peer_bytes(m);
 	if (m->kind == PEER_FORWARD)
-		f->verdict.forwards++;
+		tb->verdict.forwards++;
 	if (m->kind == PEER_CLAIM)
-		hook_at(f, POINT_CLAIM, TESTBED_NONE, node);
-	if (to >= f->n_nodes || f->cut[node][to])
+		hook_at(tb, POINT_CLAIM, TESTBED_NONE, node);
+	if (to >= tb->n_nodes || tb->cut[node][to])
 		return;
 	ev = event_new(node_from_peer, to);
 	ev->peer = g_malloc(sizeof(*m) + m->size_bytes);
@@ -176,12 +176,12 @@
 		memcpy(ev->peer + 1, m->data, m->size_bytes);
 	ev->peer->data = (const uint8_t *)(ev->peer + 1);
 	ev->from = VM_ADDR(node);
-	link_send(f, LINK_PEER, ev);
+	link_send(tb, LINK_PEER, ev);
 }
 
-static void do_note(struct testbed *f, uint32_t node, const struct action *a)
+static void do_note(struct testbed *tb, uint32_t node, const struct action *a)
 {
-	trace_line(f, "e%u log %s c%u t%u", node, a->log_text,
+	trace_line(tb, "e%u log %s c%u t%u", node, a->log_text,
 		   CALLER_INDEX(a->key.caller), TARGET_INDEX(a->target));
 }
 
@@ -197,13 +197,13 @@
 	[ACT_LOG] = do_note,
 };
 
-void node_gone(struct testbed *f, uint32_t i)
+void node_remove(struct testbed *tb, uint32_t i)
 {
-	struct node *n = &f->nodes[i];
+	struct node *n = &tb->nodes[i];
 	struct event *ev;
 
-	f->system->free(n->state);
-	n->state = NULL;
+	tb->system->free(n->entry);
+	n->entry = NULL;
 	n->up = false;
 	n->frozen = false;
 	while ((ev = g_queue_pop_head(&n->inbox)))
@@ -213,35 +213,35 @@
 static event_fn node_tick;
 
 /* Performs the entry's actions, then schedules its next tick. */
-void node_perform(struct testbed *f, uint32_t i)
+void node_perform_actions(struct testbed *tb, uint32_t i)
 {
-	struct node *n = &f->nodes[i];
+	struct node *n = &tb->nodes[i];
 	uint64_t at_ns;
 
-	for (uint32_t a = 0; a < f->out->n; a++)
-		performers[f->out->list[a].kind](f, i, &f->out->list[a]);
-	f->out->n = 0;
-	if (n->leaving && f->system->left(n->state)) {
-		trace_line(f, "e%u left", i);
-		node_gone(f, i);
+	for (uint32_t a = 0; a < tb->out->n; a++)
+		performers[tb->out->list[a].kind](tb, i, &tb->out->list[a]);
+	tb->out->n = 0;
+	if (n->leaving && tb->system->left(n->entry)) {
+		trace_line(tb, "e%u left", i);
+		node_remove(tb, i);
 		return;
 	}
-	at_ns = f->system->next_ns(n->state);
-	at_ns = MAX(at_ns, f->now_ns + TICK_MIN_NS);
+	at_ns = tb->system->next_ns(n->entry);
+	at_ns = MAX(at_ns, tb->now_ns + TICK_MIN_NS);
 	if (at_ns == UINT64_MAX ||
-	    (n->tick_ns > f->now_ns && n->tick_ns <= at_ns))
+	    (n->tick_ns > tb->now_ns && n->tick_ns <= at_ns))
 		return;
 	n->tick_ns = at_ns;
-	event_at(f, at_ns, event_new(node_tick, i));
+	event_at(tb, at_ns, event_new(node_tick, i));
 }
 
 /*
  * Whether the entry can handle the event now. If not, the event is queued for
  * a frozen entry, or freed when the entry is down or its inbox is full.
  */
-bool node_takes(struct testbed *f, struct event *ev)
+bool node_can_handle(struct testbed *tb, struct event *ev)
 {
-	struct node *n = &f->nodes[ev->node];
+	struct node *n = &tb->nodes[ev->node];
 
 	if (n->up && !n->frozen)
 		return true;
@@ -253,55 +253,55 @@
 	return false;
 }
 
-static void node_tick(struct testbed *f, struct event *ev)
+static void node_tick(struct testbed *tb, struct event *ev)
 {
-	struct node *n = &f->nodes[ev->node];
+	struct node *n = &tb->nodes[ev->node];
 
 	if (n->up && !n->frozen && n->tick_ns == ev->at_ns) {
-		f->system->tick(n->state, f->now_ns, f->out);
-		node_perform(f, ev->node);
+		tb->system->tick(n->entry, tb->now_ns, tb->out);
+		node_perform_actions(tb, ev->node);
 	}
 	event_free(ev);
 }
 
-void node_from_caller(struct testbed *f, struct event *ev)
+void node_from_caller(struct testbed *tb, struct event *ev)
 {
 	struct message m = message_of(&ev->d);
 
-	if (!node_takes(f, ev))
+	if (!node_can_handle(tb, ev))
 		return;
-	f->system->caller(f->nodes[ev->node].state, &ev->key, &m, f->now_ns,
-			  f->out);
-	node_perform(f, ev->node);
+	tb->system->caller(tb->nodes[ev->node].entry, &ev->key, &m, tb->now_ns,
+			   tb->out);
+	node_perform_actions(tb, ev->node);
 	event_free(ev);
 }
 
-void node_from_target(struct testbed *f, struct event *ev)
+void node_from_target(struct testbed *tb, struct event *ev)
 {
 	struct message m = message_of(&ev->d);
 
-	if (!node_takes(f, ev))
+	if (!node_can_handle(tb, ev))
 		return;
-	f->system->target(f->nodes[ev->node].state, ev->from, &m, f->now_ns,
-			  f->out);
-	node_perform(f, ev->node);
+	tb->system->target(tb->nodes[ev->node].entry, ev->from, &m, tb->now_ns,
+			   tb->out);
+	node_perform_actions(tb, ev->node);
 	event_free(ev);
 }
 
-static void node_from_peer(struct testbed *f, struct event *ev)
+static void node_from_peer(struct testbed *tb, struct event *ev)
 {
 	struct message m;
 	struct dgram d;
 	bool whole = ev->peer->size_bytes == sizeof(d);
 
-	if (!node_takes(f, ev))
+	if (!node_can_handle(tb, ev))
 		return;
 	if (whole) {
 		memcpy(&d, ev->peer->data, sizeof(d));
 		m = message_of(&d);
 	}
-	f->system->peer(f->nodes[ev->node].state, ev->peer, whole ? &m : NULL,
-			f->now_ns, f->out);
-	node_perform(f, ev->node);
+	tb->system->peer(tb->nodes[ev->node].entry, ev->peer, whole ? &m : NULL,
+			 tb->now_ns, tb->out);
+	node_perform_actions(tb, ev->node);
 	event_free(ev);
 }
--- a/test/testbed_state.h
+++ b/test/testbed_state.h
@@ -17,7 +17,8 @@
 #define MS(x) ((uint64_t)(x)*NS_PER_MS)
 /* Callers retransmit for 3.5 s; an entry frozen for 10 s delays that. */
 #define COVER_NS MS(15000)
-#define WARM_NS MS(17000) /* the entries' cover time is over, callers start */
+#define CALLERS_START_NS \
+	MS(17000) /* the entries' cover time is over, callers start */
 #define BUCKETS 512
 #define INBOX_MAX 256
 #define JOBS_MAX 64
@@ -29,7 +30,7 @@
 #define CALLER_IDS 32 /* message IDs that a caller remembers */
 
 struct event;
-typedef void event_fn(struct testbed *f, struct event *ev);
+typedef void event_fn(struct testbed *tb, struct event *ev);
 
 /**
  * struct event - scheduled event; @run frees it or schedules it again
@@ -63,15 +64,16 @@
 };
 
 struct node {
-	struct entry *state;
+	struct entry *entry;
 	bool up;
 	bool frozen;
 	bool leaving;
-	bool sprayed; /* the fabric routes datagrams to it */
-	bool platform_cut;
+	bool is_routed; /* the fabric routes datagrams to it */
+	bool platform_disconnected;
 	uint64_t incarnation;
 	uint64_t tick_ns;
-	uint32_t published; /* index of its configuration in testbed.published */
+	uint32_t
+		published; /* index of its configuration in testbed.published */
 	GQueue inbox;
 };
 
@@ -88,7 +90,8 @@
 	uint32_t seq;
 	uint16_t last_id;
 	uint16_t confirm_id;
-	uint64_t unacked_ns; /* send time of the first unacknowledged; 0: none */
+	uint64_t
+		unacked_ns; /* send time of the first unacknowledged; 0: none */
 	bool mute; /* sends no updates */
 };
 
@@ -112,18 +115,18 @@
 struct fake_caller {
 	uint8_t class_;
 	uint8_t service;
-	bool held;
+	bool manual; /* a test starts its requests */
 	bool busy;
 	uint32_t op;
 	uint16_t next_id;
 	uint32_t generation;
 	uint64_t token;
 	struct dgram sent;
-	uint8_t tries;
+	uint8_t transmissions;
 	bool acked;
 	uint16_t seen[CALLER_IDS];
 	uint32_t n_seen;
-	uint64_t heard_ns;
+	uint64_t last_update_ns;
 	uint32_t part;
 	uint64_t deadline_ns;
 };
@@ -153,7 +156,8 @@
 	uint32_t n_nodes;
 	struct node nodes[TESTBED_NODES_MAX];
 	uint32_t listed; /* VMs that the platform knows, a bit for each entry */
-	uint32_t listed_seen; /* as the platform's list shows them, after its lag */
+	uint32_t
+		listed_visible; /* as the platform's list shows them, after its lag */
 	uint64_t list_lag_ns;
 	GPtrArray *published;
 	uint64_t generation;
@@ -167,36 +171,36 @@
 
 /* testbed_net.c */
 struct event *event_new(event_fn *run, uint32_t node);
-void event_at(struct testbed *f, uint64_t at_ns, struct event *ev);
-bool event_next(struct testbed *f, uint64_t until_ns);
+void event_at(struct testbed *tb, uint64_t at_ns, struct event *ev);
+bool event_next(struct testbed *tb, uint64_t until_ns);
 void event_free(struct event *ev);
-void link_send(struct testbed *f, enum testbed_link link, struct event *ev);
-void trace_line(struct testbed *f, const char *format, ...)
+void link_send(struct testbed *tb, enum testbed_link link, struct event *ev);
+void trace_line(struct testbed *tb, const char *format, ...)
 	__attribute__((format(printf, 2, 3)));
-void trace_dgram(struct testbed *f, const char *from, uint64_t a,
+void trace_dgram(struct testbed *tb, const char *from, uint64_t a,
 		 const char *to, uint64_t b, const struct dgram *d);
-bool hook_at(struct testbed *f, enum testbed_point point, uint32_t op,
+bool hook_at(struct testbed *tb, enum testbed_point point, uint32_t op,
 	     uint32_t node);
 
 /* testbed_fault.c */
-void nodes_init(struct testbed *f);
-void nodes_free(struct testbed *f);
+void nodes_init(struct testbed *tb);
+void nodes_free(struct testbed *tb);
 
 /* testbed_node.c */
-void node_gone(struct testbed *f, uint32_t i);
-void node_perform(struct testbed *f, uint32_t i);
-bool node_takes(struct testbed *f, struct event *ev);
+void node_remove(struct testbed *tb, uint32_t i);
+void node_perform_actions(struct testbed *tb, uint32_t i);
+bool node_can_handle(struct testbed *tb, struct event *ev);
 event_fn node_from_caller;
 event_fn node_from_target;
 
 /* testbed_target.c */
-void targets_init(struct testbed *f);
-void targets_free(struct testbed *f);
+void targets_init(struct testbed *tb);
+void targets_free(struct testbed *tb);
 event_fn target_from_node;
 
 /* testbed_caller.c */
-void callers_init(struct testbed *f);
+void callers_init(struct testbed *tb);
 event_fn caller_from_node;
-struct op *op_at(struct testbed *f, uint32_t op);
+struct op *op_at(struct testbed *tb, uint32_t op);
 
 #endif
