--- a/cmd/cb-watch/main.c
+++ b/cmd/cb-watch/main.c
@@ -1,3 +1,4 @@
+/* cb-watch: reads or relays what is published, for the cb-entry of its VM. */
 #include "watch.h"
 
 #include "daemon_args.h"
@@ -33,7 +34,7 @@
 	return err ? DAEMON_FAULT : DAEMON_OK;
 }
 
-static int with_settings(const char *path, bool check)
+static int run_with_settings(const char *path, bool check)
 {
 	struct watch_settings settings = { 0 };
 
@@ -44,12 +45,12 @@
 
 int main(int argc, char **argv)
 {
-	static const struct daemon_info about = {
+	static const struct daemon_info info = {
 		"cb-watch", VERSION,
 		"Reads or relays what operators published, and gives it to "
 		"the cb-entry of this VM.",
-		with_settings
+		run_with_settings
 	};
 
-	return daemon_main(&about, argc, argv);
+	return daemon_main(&info, argc, argv);
 }
--- a/test/pair_prop.cc
+++ b/test/pair_prop.cc
@@ -1,4 +1,4 @@
-// Membership and ring together: who may claim by which pair.
+// Membership and ring together: which entries may claim a bucket.
 #include "fleet.h"
 extern "C" {
 #include "ring.h"
@@ -17,7 +17,7 @@
 constexpr uint64_t kCoverNs = 93 * NS_PER_S;
 constexpr uint64_t kStepNs = 2 * NS_PER_MS;
 
-/* Each node's ring, driven as the data path drives it. */
+/* Entries that update their rings from the membership, as the data path does. */
 struct Entries {
 	struct fleet *f;
 	std::vector<struct ring *> ring;
@@ -47,8 +47,7 @@
 		if (f->node[i].membership)
 			return;
 		ring_free(ring[i]);
-		ring[i] = ring_new(kBuckets, fleet_vm(i), kSettleNs, kCoverNs,
-				   none);
+		ring[i] = ring_new(kBuckets, fleet_vm(i), kSettleNs, kCoverNs, none);
 		joined[i] = leaving[i] = false;
 		join_ns[i] = UINT64_MAX;
 		fleet_start(f, i);
@@ -75,7 +74,7 @@
 		       f->now_ns >= f->node[i].paused_deadline_ns;
 	}
 
-	bool fit(uint32_t i) const
+	bool has_valid_lease(uint32_t i) const
 	{
 		return member_has_majority(f->node[i].membership) &&
 		       member_lease_valid(f->node[i].membership, f->now_ns);
@@ -83,7 +82,7 @@
 
 	void join(uint32_t i)
 	{
-		if (!fit(i))
+		if (!has_valid_lease(i))
 			join_ns[i] = UINT64_MAX;
 		else if (join_ns[i] == UINT64_MAX)
 			join_ns[i] = f->now_ns + kSettleNs;
@@ -93,7 +92,7 @@
 		member_join(f->node[i].membership, f->now_ns);
 	}
 
-	void follow(uint32_t i)
+	void update_ring(uint32_t i)
 	{
 		const struct member *all;
 		std::vector<uint64_t> live;
@@ -117,10 +116,11 @@
 		return runs(i) && joined[i] && !leaving[i] &&
 		       ring_current_pair(ring[i], bucket).owner ==
 			       fleet_vm(i) &&
-		       fit(i) && ring_is_settled(ring[i], bucket, f->now_ns);
+		       has_valid_lease(i) &&
+		       ring_is_settled(ring[i], bucket, f->now_ns);
 	}
 
-	void check(uint32_t bucket) const
+	void check_claims(uint32_t bucket) const
 	{
 		ring_pair first = { ADDR_NONE, ADDR_NONE };
 
@@ -130,10 +130,7 @@
 			if (!may_claim(i, bucket))
 				continue;
 			if (first.owner != ADDR_NONE)
-				RC_ASSERT(p.owner == first.second ||
-					  p.second == first.owner ||
-					  (p.second != ADDR_NONE &&
-					   p.second == first.second));
+				RC_ASSERT(p.owner == first.second || p.second == first.owner || (p.second != ADDR_NONE && p.second == first.second));
 			first = p;
 		}
 	}
@@ -143,13 +140,13 @@
 		for (uint64_t t = 0; t < for_ns; t += kStepNs) {
 			fleet_run(f, kStepNs);
 			for (uint32_t i = 0; i < f->n; i++)
-				follow(i);
+				update_ring(i);
 			for (uint32_t b = 0; b < kBuckets; b++)
-				check(b);
+				check_claims(b);
 		}
 	}
 
-	void fault()
+	void inject_fault()
 	{
 		uint32_t i = *rc::gen::inRange<uint32_t>(0, f->n);
 
@@ -161,10 +158,7 @@
 		case 2:
 			return leave(i);
 		case 3:
-			return fleet_pause(f, i,
-					   *rc::gen::inRange<uint64_t>(500,
-								       10000) *
-						   NS_PER_MS);
+			return fleet_pause(f, i, *rc::gen::inRange<uint64_t>(500, 10000) * NS_PER_MS);
 		case 4:
 			for (uint32_t k = 0; k < f->n; k++)
 				f->node[k].partition = k < i;
@@ -181,22 +175,23 @@
 int main()
 {
 	/*
-	 * Symptom: a valve command runs twice. Events: the fleet starts, or
-	 * entries die, join, leave, are paused or cut off, some at once; two
-	 * of them own a bucket, each by its own view. Cause: pairs without a
-	 * common member, held by entries that may both claim.
+	 * Guards against a non-idempotent request (a valve command) that runs
+	 * twice: entries start together, die, join, leave, stall or are
+	 * partitioned, and two of them own a bucket, each by its own view. It
+	 * ran twice when both could claim while their pairs of the bucket had
+	 * no common member.
 	 */
-	bool ok = rc::check("entries that may claim share a member", [] {
-		Entries e(*rc::gen::inRange<uint32_t>(2, 9),
-			  *rc::gen::inRange<uint64_t>(1, 1000000));
-
-		e.run(4 * NS_PER_S);
-		for (int n = *rc::gen::inRange(1, 8); n--;) {
-			e.fault();
-			e.run(*rc::gen::inRange<uint64_t>(0, 1500) * NS_PER_MS);
-		}
-		e.run(4 * NS_PER_S);
-	});
+	bool ok =
+		rc::check("entries that may claim a bucket share a member", [] {
+			Entries e(*rc::gen::inRange<uint32_t>(2, 9), *rc::gen::inRange<uint64_t>(1, 1000000));
+
+			e.run(4 * NS_PER_S);
+			for (int n = *rc::gen::inRange(1, 8); n--;) {
+				e.inject_fault();
+				e.run(*rc::gen::inRange<uint64_t>(0, 1500) * NS_PER_MS);
+			}
+			e.run(4 * NS_PER_S);
+		});
 
 	return ok ? EXIT_SUCCESS : EXIT_FAILURE;
 }
--- a/test/promise_prop.cc
+++ b/test/promise_prop.cc
@@ -1,6 +1,6 @@
 /*
- * One property a promise, over random schedules of faults on the test bed. A
- * failure prints the schedule, made as short as RapidCheck finds it.
+ * One property for each guarantee to clients, under random schedules of faults
+ * on the test bed. A failure prints the schedule as RapidCheck shrank it.
  */
 #include <rapidcheck.h>
 
@@ -8,7 +8,7 @@
 #include <ostream>
 #include <vector>
 
-/* The core's headers use the word as a name. */
+/* The C headers use this C++ keyword as an identifier. */
 #define class class_
 #include "testbed.h"
 #undef class
@@ -70,24 +70,17 @@
 		   << s.b;
 }
 
-rc::Gen<step> steps_of(uint32_t from, uint32_t to)
+rc::Gen<step> step_between(uint32_t from, uint32_t to)
 {
-	return rc::gen::build<step>(
-		rc::gen::set(&step::at_ms,
-			     rc::gen::inRange<uint32_t>(0, SPAN_MS)),
-		rc::gen::set(&step::kind, rc::gen::inRange(from, to)),
-		rc::gen::set(&step::a, rc::gen::inRange<uint32_t>(0, 35)),
-		rc::gen::set(&step::b, rc::gen::inRange<uint32_t>(0, 35)));
+	return rc::gen::build<step>(rc::gen::set(&step::at_ms, rc::gen::inRange<uint32_t>(0, SPAN_MS)), rc::gen::set(&step::kind, rc::gen::inRange(from, to)), rc::gen::set(&step::a, rc::gen::inRange<uint32_t>(0, 35)), rc::gen::set(&step::b, rc::gen::inRange<uint32_t>(0, 35)));
 }
 
-schedule draw(uint32_t from, uint32_t to)
+schedule draw_schedule(uint32_t from, uint32_t to)
 {
 	schedule s;
 
 	s.seed = *rc::gen::inRange<uint32_t>(1, 1 << 30).as("seed");
-	s.steps = *rc::gen::resize(STEPS_MAX,
-				   rc::gen::container<std::vector<step>>(
-					   steps_of(from, to)))
+	s.steps = *rc::gen::resize(STEPS_MAX, rc::gen::container<std::vector<step>>(step_between(from, to)))
 			   .as("steps");
 	return s;
 }
@@ -120,20 +113,19 @@
 		testbed_start(f, testbed_node_count(f), 0);
 }
 
-/* Cuts the entries in two by the bits of @sides. */
+/* Partition the entries in two by the bits of @sides, or end that. */
 void split(struct testbed *f, uint32_t sides, uint32_t on)
 {
 	for (uint32_t i = 0; i < TESTBED_NODES_MAX; i++) {
 		for (uint32_t k = 0; k < i; k++) {
 			if (((sides >> i % NODES) ^ (sides >> k % NODES)) % 2)
-				(on ? testbed_disconnect
-				    : testbed_reconnect)(f, i, k);
+				(on ? testbed_disconnect : testbed_reconnect)(f, i, k);
 		}
 	}
 }
 
-/* Two entries and a target of each service always stay. */
-void apply(struct testbed *f, const step &s)
+/* Two entries and a target of each service are never affected. */
+void schedule_step(struct testbed *f, const step &s)
 {
 	const uint32_t node = s.a % (NODES - 2);
 	const uint32_t other = node + 1 + s.b % (NODES - 1 - node);
@@ -169,11 +161,10 @@
 
 	testbed_schedule(f, at_ns, t.begin, t.a, t.b);
 	if (t.end)
-		testbed_schedule(f, at_ns + 200 * NS_PER_MS * s.b, t.end, t.a,
-				 t.end_b);
+		testbed_schedule(f, at_ns + 200 * NS_PER_MS * s.b, t.end, t.a, t.end_b);
 }
 
-struct testbed_verdict play(const schedule &s)
+struct testbed_verdict run_schedule(const schedule &s)
 {
 	struct testbed_plan plan = {};
 
@@ -188,7 +179,7 @@
 	struct testbed *f = testbed_new(&plan);
 
 	for (const step &each : s.steps)
-		apply(f, each);
+		schedule_step(f, each);
 	testbed_run(f, BEGIN_NS + OBSERVE_NS);
 	const struct testbed_verdict v = testbed_finish(f);
 
@@ -204,48 +195,51 @@
 	bool good = true;
 
 	good &= rc::check("an open feed survives planned changes", [] {
-		const auto v = play(draw(0, PLANNED_KINDS));
+		const auto v = run_schedule(draw_schedule(0, PLANNED_KINDS));
 
 		RC_ASSERT(v.broken == 0u);
 		RC_ASSERT(v.stalled == 0u);
 	});
-	good &= rc::check("a request reaches no other service", [] {
-		const auto v = play(draw(0, KINDS));
+	good &= rc::check("a request reaches only targets of its service", [] {
+		const auto v = run_schedule(draw_schedule(0, KINDS));
 
 		RC_ASSERT(v.misrouted == 0u);
 	});
-	good &= rc::check("late and crossed answers find their caller", [] {
-		const auto v = play(draw(DUPLICATE, LOSSLESS_KINDS));
+	good &= rc::check(
+		"delayed and mismatched answers reach their caller", [] {
+			const auto v = run_schedule(draw_schedule(DUPLICATE, LOSSLESS_KINDS));
 
-		RC_ASSERT(v.misrouted == 0u);
-		RC_ASSERT(v.lost + v.cut + v.unknown + v.refused == 0u);
-	});
-	good &= rc::check("told not run, it was not run", [] {
-		const auto v = play(draw(0, KINDS));
+			RC_ASSERT(v.misrouted == 0u);
+			RC_ASSERT(v.lost + v.cut + v.unknown + v.refused == 0u);
+		});
+	good &= rc::check("a request reported as not run did not run", [] {
+		const auto v = run_schedule(draw_schedule(0, KINDS));
 
 		RC_ASSERT(v.false_not_run == 0u);
 	});
-	good &= rc::check("not idempotent, it runs at most once", [] {
-		auto s = draw(0, KINDS);
+	good &= rc::check("a non-idempotent request runs at most once", [] {
+		auto s = draw_schedule(0, KINDS);
 
 		s.steps.push_back({ 0, SPLIT, s.seed % 64, 35 });
-		const auto v = play(s);
+		const auto v = run_schedule(s);
 
 		RC_ASSERT(v.doubled == 0u);
 	});
 	good &= rc::check("a draining target gets no new work after 3 s", [] {
-		auto s = draw(0, KINDS);
+		auto s = draw_schedule(0, KINDS);
 
 		s.steps.push_back({ 0, DRAIN, 0, 20 });
 		s.steps.push_back({ 0, DRAIN, 0, 21 });
-		const auto v = play(s);
+		const auto v = run_schedule(s);
 
 		RC_ASSERT(v.work_while_draining == 0u);
 	});
-	good &= rc::check("a planned stop cuts nothing in progress", [] {
-		const auto v = play(draw(0, PLANNED_KINDS));
+	good &= rc::check(
+		"a planned stop interrupts no request in progress", [] {
+			const auto v =
+				run_schedule(draw_schedule(0, PLANNED_KINDS));
 
-		RC_ASSERT(v.lost + v.cut + v.unknown == 0u);
-	});
+			RC_ASSERT(v.lost + v.cut + v.unknown == 0u);
+		});
 	return good ? EXIT_SUCCESS : EXIT_FAILURE;
 }
