--- a/test/fleet.h
+++ b/test/fleet.h
@@ -73,18 +73,20 @@
 };
 
 struct fleet *fleet_new(uint32_t n, uint64_t seed);
-void fleet_free(struct fleet *f);
+void fleet_free(struct fleet *fleet);
 uint64_t fleet_vm(uint32_t i);
-void fleet_start(struct fleet *f, uint32_t i);
-void fleet_start_all(struct fleet *f);
-void fleet_kill(struct fleet *f, uint32_t i);
-void fleet_pause(struct fleet *f, uint32_t i, uint64_t for_ns);
-void fleet_set_roster(struct fleet *f, uint32_t i, uint32_t first, uint32_t n);
-void fleet_run(struct fleet *f, uint64_t for_ns);
-bool fleet_sees_state(const struct fleet *f, uint32_t i, uint32_t of,
+void fleet_start(struct fleet *fleet, uint32_t i);
+void fleet_start_all(struct fleet *fleet);
+void fleet_kill(struct fleet *fleet, uint32_t i);
+void fleet_pause(struct fleet *fleet, uint32_t i, uint64_t for_ns);
+void fleet_set_roster(struct fleet *fleet, uint32_t i, uint32_t first,
+		      uint32_t n);
+void fleet_run(struct fleet *fleet, uint64_t for_ns);
+bool fleet_sees_state(const struct fleet *fleet, uint32_t i, uint32_t of,
 		      uint8_t state);
-bool fleet_converged(const struct fleet *f);
-uint32_t fleet_count_seeing(const struct fleet *f, uint32_t of, uint8_t state);
+bool fleet_converged(const struct fleet *fleet);
+uint32_t fleet_count_seeing(const struct fleet *fleet, uint32_t of,
+			    uint8_t state);
 
 #ifdef __cplusplus
 }
--- a/test/pair_prop.cc
+++ b/test/pair_prop.cc
@@ -47,7 +47,8 @@
 		if (f->node[i].membership)
 			return;
 		ring_free(ring[i]);
-		ring[i] = ring_new(kBuckets, fleet_vm(i), kSettleNs, kCoverNs, none);
+		ring[i] = ring_new(kBuckets, fleet_vm(i), kSettleNs, kCoverNs,
+				   none);
 		joined[i] = leaving[i] = false;
 		join_ns[i] = UINT64_MAX;
 		fleet_start(f, i);
@@ -130,7 +131,10 @@
 			if (!may_claim(i, bucket))
 				continue;
 			if (first.owner != ADDR_NONE)
-				RC_ASSERT(p.owner == first.second || p.second == first.owner || (p.second != ADDR_NONE && p.second == first.second));
+				RC_ASSERT(p.owner == first.second ||
+					  p.second == first.owner ||
+					  (p.second != ADDR_NONE &&
+					   p.second == first.second));
 			first = p;
 		}
 	}
@@ -158,7 +162,10 @@
 		case 2:
 			return leave(i);
 		case 3:
-			return fleet_pause(f, i, *rc::gen::inRange<uint64_t>(500, 10000) * NS_PER_MS);
+			return fleet_pause(f, i,
+					   *rc::gen::inRange<uint64_t>(500,
+								       10000) *
+						   NS_PER_MS);
 		case 4:
 			for (uint32_t k = 0; k < f->n; k++)
 				f->node[k].partition = k < i;
@@ -183,12 +190,14 @@
 	 */
 	bool ok =
 		rc::check("entries that may claim a bucket share a member", [] {
-			Entries e(*rc::gen::inRange<uint32_t>(2, 9), *rc::gen::inRange<uint64_t>(1, 1000000));
+			Entries e(*rc::gen::inRange<uint32_t>(2, 9),
+				  *rc::gen::inRange<uint64_t>(1, 1000000));
 
 			e.run(4 * NS_PER_S);
 			for (int n = *rc::gen::inRange(1, 8); n--;) {
 				e.inject_fault();
-				e.run(*rc::gen::inRange<uint64_t>(0, 1500) * NS_PER_MS);
+				e.run(*rc::gen::inRange<uint64_t>(0, 1500) *
+				      NS_PER_MS);
 			}
 			e.run(4 * NS_PER_S);
 		});
--- a/test/promise_prop.cc
+++ b/test/promise_prop.cc
@@ -72,7 +72,12 @@
 
 rc::Gen<step> step_between(uint32_t from, uint32_t to)
 {
-	return rc::gen::build<step>(rc::gen::set(&step::at_ms, rc::gen::inRange<uint32_t>(0, SPAN_MS)), rc::gen::set(&step::kind, rc::gen::inRange(from, to)), rc::gen::set(&step::a, rc::gen::inRange<uint32_t>(0, 35)), rc::gen::set(&step::b, rc::gen::inRange<uint32_t>(0, 35)));
+	return rc::gen::build<step>(
+		rc::gen::set(&step::at_ms,
+			     rc::gen::inRange<uint32_t>(0, SPAN_MS)),
+		rc::gen::set(&step::kind, rc::gen::inRange(from, to)),
+		rc::gen::set(&step::a, rc::gen::inRange<uint32_t>(0, 35)),
+		rc::gen::set(&step::b, rc::gen::inRange<uint32_t>(0, 35)));
 }
 
 schedule draw_schedule(uint32_t from, uint32_t to)
@@ -80,7 +85,9 @@
 	schedule s;
 
 	s.seed = *rc::gen::inRange<uint32_t>(1, 1 << 30).as("seed");
-	s.steps = *rc::gen::resize(STEPS_MAX, rc::gen::container<std::vector<step>>(step_between(from, to)))
+	s.steps = *rc::gen::resize(STEPS_MAX,
+				   rc::gen::container<std::vector<step>>(
+					   step_between(from, to)))
 			   .as("steps");
 	return s;
 }
@@ -119,7 +126,8 @@
 	for (uint32_t i = 0; i < TESTBED_NODES_MAX; i++) {
 		for (uint32_t k = 0; k < i; k++) {
 			if (((sides >> i % NODES) ^ (sides >> k % NODES)) % 2)
-				(on ? testbed_disconnect : testbed_reconnect)(f, i, k);
+				(on ? testbed_disconnect
+				    : testbed_reconnect)(f, i, k);
 		}
 	}
 }
@@ -161,7 +169,8 @@
 
 	testbed_schedule(f, at_ns, t.begin, t.a, t.b);
 	if (t.end)
-		testbed_schedule(f, at_ns + 200 * NS_PER_MS * s.b, t.end, t.a, t.end_b);
+		testbed_schedule(f, at_ns + 200 * NS_PER_MS * s.b, t.end, t.a,
+				 t.end_b);
 }
 
 struct testbed_verdict run_schedule(const schedule &s)
@@ -207,7 +216,8 @@
 	});
 	good &= rc::check(
 		"delayed and mismatched answers reach their caller", [] {
-			const auto v = run_schedule(draw_schedule(DUPLICATE, LOSSLESS_KINDS));
+			const auto v = run_schedule(
+				draw_schedule(DUPLICATE, LOSSLESS_KINDS));
 
 			RC_ASSERT(v.misrouted == 0u);
 			RC_ASSERT(v.lost + v.cut + v.unknown + v.refused == 0u);
