--- a/bench/slopes-member/main.c
+++ b/bench/slopes-member/main.c
@@ -103,7 +103,7 @@
 
 	if (s->last_ms)
 		return;
-	n_aware = fleet_holders(f, dead, MEMBER_DEAD);
+	n_aware = fleet_count_seeing(f, dead, MEMBER_DEAD);
 	if (n_aware && !s->first_ms)
 		s->first_ms = ms;
 	if (n_aware == alive)
