--- a/sim/sim-soak/main.c
+++ b/sim/sim-soak/main.c
@@ -1,6 +1,6 @@
 /*
- * sim-soak: real cb-packet processes under random faults, for a number of
- * seeds; what must never happen is judged by what clients and targets see.
+ * sim-soak: runs real cb-packet processes under random faults, for a number of
+ * seeds. The rules are checked on what clients and targets observe.
  */
 #include "soak.h"
 
@@ -13,19 +13,21 @@
 #include <sys/stat.h>
 
 #define TICK_MS 5
-#define ASK_NS (250 * NS_PER_MS)
+#define READINESS_POLL_NS (250 * NS_PER_MS)
 #define WARM_UP_NS (4 * NS_PER_S)
-/* A restored store is judged once all has settled: 10 s after the fault. */
-#define CALM_NS (11 * NS_PER_S)
+/* The rules for a restored store apply 10 s after the fault at the earliest. */
+#define FINAL_WAIT_NS (11 * NS_PER_S)
 #define FAULT_GAP_NS (1500 * NS_PER_MS)
-/* Least part of the requests that is served over a run, all faults in it. */
-#define SERVED_LEAST 0.80
+/* Least share of the requests served over a run, including its faults. */
+#define MIN_SERVED_SHARE 0.80
 
-enum exit_code { EXIT_OK, EXIT_BROKEN, EXIT_USAGE };
+enum exit_code { EXIT_OK, EXIT_FAILED, EXIT_USAGE };
 
-/* Faults of the emulator that work on real processes: its cuts do not, the
- * proxies have their own. */
-static const char *const world_names[] = {
+/*
+ * Faults of sim-packets that work on real processes. Its network partitions do
+ * not; the proxies have faults of connections instead.
+ */
+static const char *const world_fault_names[] = {
 	"kill_entry",
 	"kill_entries",
 	"stop_entry",
@@ -53,28 +55,29 @@
 	"targets_hang",
 };
 
-static void reset_connections(struct soak *s);
+static void restart_store_servers(struct soak *s);
 
-/* Faults of connections and processes. */
+/* Faults of connections and processes that only sim-soak has. */
 static const struct {
 	const char *name;
 	void (*apply)(struct soak *s);
-} own_faults[] = {
-	{ "store_fronts_restart", reset_connections },
+} soak_faults[] = {
+	{ "store_fronts_restart", restart_store_servers },
 	{ "links_reset", proxy_reset },
 	{ "links_silent", proxy_silence },
-	{ "answers_lost", proxy_lose_answers },
-	{ "requests_lost", proxy_lose_requests },
-	{ "links_slow", proxy_slow },
+	{ "answers_lost", proxy_drop_answers },
+	{ "requests_lost", proxy_drop_requests },
+	{ "links_slow", proxy_delay },
 	{ "reload", processes_reload },
 };
 
-#define N_WORLD (sizeof(world_names) / sizeof(world_names[0]))
-#define N_OWN (sizeof(own_faults) / sizeof(own_faults[0]))
+#define N_WORLD_FAULTS \
+	(sizeof(world_fault_names) / sizeof(world_fault_names[0]))
+#define N_SOAK_FAULTS (sizeof(soak_faults) / sizeof(soak_faults[0]))
 
 /**
- * soak_advance() - bring the world to the present
- * @s: run
+ * soak_advance() - run the world up to the current real time
+ * @s: run, started
  */
 void soak_advance(struct soak *s)
 {
@@ -89,77 +92,85 @@
 	struct soak *s = timer->data;
 
 	soak_advance(s);
-	sockets_tick(s);
-	publish_tick(s);
+	sockets_accept_probes(s);
+	store_server_answer_watches(s);
 }
 
-static void pass(struct soak *s, uint64_t ns)
+static void run_loop_for(struct soak *s, uint64_t ns)
 {
 	uint64_t end_ns = uv_hrtime() + ns;
-	uint64_t ask_ns = 0;
+	uint64_t next_poll_ns = 0;
 
 	while (uv_hrtime() < end_ns) {
-		if (uv_hrtime() >= ask_ns) {
-			processes_ask(s);
-			ask_ns = uv_hrtime() + ASK_NS;
+		if (uv_hrtime() >= next_poll_ns) {
+			processes_poll_readiness(s);
+			next_poll_ns = uv_hrtime() + READINESS_POLL_NS;
 		}
 		uv_run(&s->loop, UV_RUN_ONCE);
 	}
 }
 
-static void reset_connections(struct soak *s)
+static void restart_store_servers(struct soak *s)
 {
 	for (uint32_t i = 0; i < s->world->n_entries; i++) {
-		publish_close(s, i);
-		if (publish_open(s, i))
-			fprintf(stderr, "the store's front %u is gone\n", i);
+		store_server_close(s, i);
+		if (store_server_open(s, i))
+			fprintf(stderr,
+				"sim-soak: cannot reopen the store server of "
+				"entry %u\n",
+				i);
 	}
 }
 
-static void apply(struct soak *s, uint32_t k)
+static void apply_fault(struct soak *s, uint32_t k)
 {
-	printf(" %s",
-	       k < N_WORLD ? world_names[k] : own_faults[k - N_WORLD].name);
+	printf(" %s", k < N_WORLD_FAULTS
+			      ? world_fault_names[k]
+			      : soak_faults[k - N_WORLD_FAULTS].name);
 	fflush(stdout);
-	if (k < N_WORLD)
-		world_fault_find(world_names[k])->apply(s->world);
+	if (k < N_WORLD_FAULTS)
+		world_fault_find(world_fault_names[k])->apply(s->world);
 	else
-		own_faults[k - N_WORLD].apply(s);
+		soak_faults[k - N_WORLD_FAULTS].apply(s);
 }
 
 static uint32_t fault_find(const char *name)
 {
 	uint32_t k = 0;
 
-	while (k < N_WORLD && strcmp(world_names[k], name))
+	while (k < N_WORLD_FAULTS && strcmp(world_fault_names[k], name))
 		k++;
-	if (k < N_WORLD)
+	if (k < N_WORLD_FAULTS)
 		return k;
-	while (k < N_WORLD + N_OWN &&
-	       strcmp(own_faults[k - N_WORLD].name, name))
+	while (k < N_WORLD_FAULTS + N_SOAK_FAULTS &&
+	       strcmp(soak_faults[k - N_WORLD_FAULTS].name, name))
 		k++;
 	return k;
 }
 
 /**
- * struct soak_plan - which faults
- * @n: how many
- * @names: those, or NULL: they are drawn
+ * struct fault_plan - faults of a run
+ * @n: number of faults
+ * @names: their names, or NULL to draw them at random from the seed
  */
-struct soak_plan {
+struct fault_plan {
 	uint32_t n;
 	const char **names;
 };
 
-/* Named ones keep the pauses of the seed that drew them. */
-static void play_faults(struct soak *s, struct rng *rng,
-			const struct soak_plan *plan)
+/*
+ * Draws a fault even if it is named, so that named faults keep the pauses of
+ * the seed that drew them.
+ */
+static void inject_faults(struct soak *s, struct rng *rng,
+			  const struct fault_plan *plan)
 {
 	for (uint32_t i = 0; i < plan->n; i++) {
-		uint32_t k = (uint32_t)(rng_next(rng) % (N_WORLD + N_OWN));
+		uint32_t k = (uint32_t)(rng_next(rng) %
+					(N_WORLD_FAULTS + N_SOAK_FAULTS));
 
-		apply(s, plan->names ? fault_find(plan->names[i]) : k);
-		pass(s, rng_next(rng) % (2 * FAULT_GAP_NS));
+		apply_fault(s, plan->names ? fault_find(plan->names[i]) : k);
+		run_loop_for(s, rng_next(rng) % (2 * FAULT_GAP_NS));
 	}
 }
 
@@ -168,7 +179,7 @@
 	int err;
 
 	for (uint32_t i = 0; i < s->world->n_entries; i++) {
-		err = publish_open(s, i);
+		err = store_server_open(s, i);
 		if (!err)
 			err = proxy_open(s, i);
 		if (err)
@@ -178,7 +189,7 @@
 	return err ? err : sockets_open(s);
 }
 
-static void prepare(struct soak *s, const char *program, const char *dir)
+static void soak_init(struct soak *s, const char *program, const char *dir)
 {
 	memset(s, 0, sizeof(*s));
 	s->program = program;
@@ -192,8 +203,8 @@
 	}
 }
 
-/* Return: whether rules were kept and clients were served. */
-static bool judge(const struct world *w)
+/* Return: no rule was broken and enough requests were served. */
+static bool check_report(const struct world *w)
 {
 	struct world_report r;
 	double served;
@@ -209,20 +220,20 @@
 	       (unsigned long long)r.late_drain,
 	       (unsigned long long)r.evacuated, (unsigned long long)r.overrun,
 	       (unsigned long long)r.stale, (unsigned long long)r.doubled);
-	return !world_broken_rules(&r) && served >= SERVED_LEAST;
+	return !world_broken_rules(&r) && served >= MIN_SERVED_SHARE;
 }
 
-static bool play(const char *program, const char *dir, uint64_t seed,
-		 const struct soak_plan *plan)
+static bool run_seed(const char *program, const char *dir, uint64_t seed,
+		     const struct fault_plan *plan)
 {
-	static struct soak s; /* large for a stack */
+	static struct soak s; /* too large for the stack */
 	struct rng rng = { hash_u64(seed, 2) | 1 };
 	struct site_size size = { 2, 2, 5, 40, 40, 10 };
 	struct world_conf conf = { .seed = seed };
-	bool kept;
+	bool passed;
 
 	site_plain(&conf.site, &size);
-	prepare(&s, program, dir);
+	soak_init(&s, program, dir);
 	conf.driver = processes_driver(&s);
 	s.world = world_new(&conf);
 	if (!s.world)
@@ -230,26 +241,27 @@
 	s.start_ns = uv_hrtime();
 	s.world_ns = s.world->now_ns;
 	if (open_all(&s)) {
-		fprintf(stderr, "sim-soak: addresses are in use\n");
+		fprintf(stderr, "sim-soak: cannot open the sockets; addresses "
+				"in use?\n");
 		exit(EXIT_USAGE);
 	}
 	uv_timer_start(&s.timer, on_tick, 0, TICK_MS);
 	printf("seed %llu:", (unsigned long long)seed);
-	pass(&s, WARM_UP_NS);
-	play_faults(&s, &rng, plan);
-	pass(&s, CALM_NS);
-	kept = judge(s.world);
+	run_loop_for(&s, WARM_UP_NS);
+	inject_faults(&s, &rng, plan);
+	run_loop_for(&s, FINAL_WAIT_NS);
+	passed = check_report(s.world);
 	processes_end(&s);
 	for (uint32_t i = 0; i < s.world->n_entries; i++) {
 		proxy_close(&s, i);
-		publish_close(&s, i);
+		store_server_close(&s, i);
 	}
 	sockets_close(&s);
 	world_free(s.world);
-	return kept;
+	return passed;
 }
 
-/* Arguments; end stands last, as argtable wants it. */
+/* Arguments; argtable needs end last. */
 struct args {
 	struct arg_str *program;
 	struct arg_str *dir;
@@ -264,26 +276,27 @@
 
 static void list_faults(void)
 {
-	for (uint32_t i = 0; i < N_WORLD; i++)
-		printf("%s\n", world_names[i]);
-	for (uint32_t i = 0; i < N_OWN; i++)
-		printf("%s\n", own_faults[i].name);
+	for (uint32_t i = 0; i < N_WORLD_FAULTS; i++)
+		printf("%s\n", world_fault_names[i]);
+	for (uint32_t i = 0; i < N_SOAK_FAULTS; i++)
+		printf("%s\n", soak_faults[i].name);
 }
 
-/* Return: the name that is no fault, or NULL. */
+/* Return: the first name that is not a fault, or NULL. */
 static const char *unknown_fault(const struct arg_str *names)
 {
 	for (int i = 0; i < names->count; i++)
-		if (fault_find(names->sval[i]) == N_WORLD + N_OWN)
+		if (fault_find(names->sval[i]) ==
+		    N_WORLD_FAULTS + N_SOAK_FAULTS)
 			return names->sval[i];
 	return NULL;
 }
 
-static int with_args(struct args *a, void **table, int argc, char **argv)
+static int run_with_args(struct args *a, void **table, int argc, char **argv)
 {
 	int errors = arg_parse(argc, argv, table);
 	uint32_t seeds, first, failed = 0;
-	struct soak_plan plan = { 6, NULL };
+	struct fault_plan plan = { 6, NULL };
 
 	if (a->help->count) {
 		printf("Usage: sim-soak");
@@ -311,13 +324,13 @@
 	if (a->faults->count)
 		plan.n = (uint32_t)a->faults->ival[0];
 	if (a->names->count)
-		plan = (struct soak_plan){ (uint32_t)a->names->count,
-					   a->names->sval };
+		plan = (struct fault_plan){ (uint32_t)a->names->count,
+					    a->names->sval };
 	for (uint32_t i = 0; i < seeds; i++)
-		failed += !play(a->program->sval[0], a->dir->sval[0], first + i,
-				&plan);
+		failed += !run_seed(a->program->sval[0], a->dir->sval[0],
+				    first + i, &plan);
 	printf("%u passed, %u failed\n", seeds - failed, failed);
-	return failed ? EXIT_BROKEN : EXIT_OK;
+	return failed ? EXIT_FAILED : EXIT_OK;
 }
 
 int main(int argc, char **argv)
@@ -340,7 +353,7 @@
 
 	signal(SIGPIPE, SIG_IGN);
 	if (!arg_nullcheck(table))
-		code = with_args(&a, table, argc, argv);
+		code = run_with_args(&a, table, argc, argv);
 	arg_freetable(table, sizeof(table) / sizeof(table[0]));
 	return code;
 }
--- a/sim/sim-soak/processes.c
+++ b/sim/sim-soak/processes.c
@@ -1,4 +1,4 @@
-/* Real entries: started, stopped, paused, killed by their process ids alone. */
+/* Starts, stops, pauses and kills the cb-packet processes, each by its pid. */
 #include "soak.h"
 
 #include <fcntl.h>
@@ -10,7 +10,7 @@
 #define SEEDS 3
 #define DECISIONS_PER_S 20
 #define READY_TIMEOUT_MS 400
-/* An answer older than this counts as missed by the router. */
+/* The router takes an entry as not ready if the last answer is older. */
 #define READY_VALID_NS (900 * NS_PER_MS)
 
 static void settings_path(const struct soak *s, uint32_t i, char out[512])
@@ -57,8 +57,8 @@
 	uv_close((uv_handle_t *)process, NULL);
 	soak_advance(s);
 	if (status || (signal && signal != SIGKILL)) {
-		/* An end of its own that nobody asked for breaks the run. */
-		fprintf(stderr, "entry %u ended, status %d, signal %d\n",
+		/* An exit that no fault caused fails the run. */
+		fprintf(stderr, "entry %u exited: status %d, signal %d\n",
 			e->index, (int)status, signal);
 		s->world->report.broken++;
 	}
@@ -78,7 +78,7 @@
 	w->entries[entry].up = true;
 	w->entries[entry].frozen = false;
 	if (e->running)
-		return; /* still ending: its end starts it again */
+		return; /* still ending; the world restarts it in on_ended() */
 	settings_path(s, entry, settings);
 	snprintf(log, sizeof(log), "%s/entry-%u.log", s->dir, entry);
 	s->world = w;
@@ -93,13 +93,13 @@
 	options.stdio_count = 3;
 	e->process.data = e;
 	if (uv_spawn(&s->loop, &e->process, &options))
-		fprintf(stderr, "%s can't be started\n", s->program);
+		fprintf(stderr, "%s: cannot start the process\n", s->program);
 	else
 		e->running = true;
 	close(io[1].data.fd);
 }
 
-static void signal_to(struct soak *s, uint32_t entry, int number)
+static void send_signal(struct soak *s, uint32_t entry, int number)
 {
 	if (s->entries[entry].running)
 		uv_process_kill(&s->entries[entry].process, number);
@@ -108,19 +108,19 @@
 static void end(void *ctx, struct world *w, uint32_t entry)
 {
 	(void)w;
-	signal_to(ctx, entry, SIGKILL);
+	send_signal(ctx, entry, SIGKILL);
 }
 
 static void stop(void *ctx, struct world *w, uint32_t entry)
 {
 	(void)w;
-	signal_to(ctx, entry, SIGTERM);
+	send_signal(ctx, entry, SIGTERM);
 }
 
 static void freeze(void *ctx, struct world *w, uint32_t entry, bool frozen)
 {
 	w->entries[entry].frozen = frozen;
-	signal_to(ctx, entry, frozen ? SIGSTOP : SIGCONT);
+	send_signal(ctx, entry, frozen ? SIGSTOP : SIGCONT);
 }
 
 static bool ready(void *ctx, struct world *w, uint32_t entry)
@@ -137,7 +137,7 @@
 		   const struct sim_packet *k)
 {
 	(void)w;
-	sockets_packet(ctx, entry, k);
+	sockets_send_packet(ctx, entry, k);
 }
 
 static void target(void *ctx, struct world *w, uint32_t i)
@@ -145,14 +145,14 @@
 	struct soak *s = ctx;
 
 	s->world = w;
-	sockets_target(s, i);
+	sockets_update_target(s, i);
 }
 
 /**
- * processes_driver() - real processes as the emulator's entries
- * @s: run
+ * processes_driver() - entry driver of the world that runs real processes
+ * @s: run, must outlive the world
  *
- * Return: driver.
+ * Return: driver with @s as its context.
  */
 struct entry_driver processes_driver(struct soak *s)
 {
@@ -160,7 +160,7 @@
 				      freeze, ready, packet, target };
 }
 
-static void on_ready(void *ctx, const struct http_reply *r)
+static void on_readiness(void *ctx, const struct http_reply *r)
 {
 	struct soak_entry *e = ctx;
 
@@ -169,8 +169,8 @@
 }
 
 /**
- * processes_open() - be ready to ask the entries
- * @s: run
+ * processes_open() - open the readiness clients of all entries
+ * @s: run with the world set
  *
  * Return: 0 or -ENOMEM.
  */
@@ -180,55 +180,59 @@
 
 	for (uint32_t i = 0; !err && i < s->world->n_entries; i++) {
 		struct soak_entry *e = &s->entries[i];
-		struct http_client_handler handler = { e, on_ready, NULL };
+		struct http_client_handler handler = { e, on_readiness, NULL };
 
-		err = http_client_open(&s->loop, handler, &e->caller);
+		err = http_client_open(&s->loop, handler, &e->readiness_client);
 	}
 	return err;
 }
 
 /**
- * processes_ask() - ask every entry whether it is ready
+ * processes_poll_readiness() - request /readiness of every idle client's entry
  * @s: run
  */
-void processes_ask(struct soak *s)
+void processes_poll_readiness(struct soak *s)
 {
 	for (uint32_t i = 0; i < s->world->n_entries; i++) {
 		struct soak_entry *e = &s->entries[i];
 
-		if (e->caller && !http_client_is_busy(e->caller) &&
-		    http_client_get(e->caller, ADDR(PEER_IP + i, READY_PORT),
-				    "/readiness", READY_TIMEOUT_MS))
+		if (e->readiness_client &&
+		    !http_client_is_busy(e->readiness_client) &&
+		    http_client_get(e->readiness_client,
+				    ADDR(PEER_IP + i, READY_PORT), "/readiness",
+				    READY_TIMEOUT_MS))
 			e->ready = false;
 	}
 }
 
 /**
- * processes_reload() - settings change, with a signal to every other entry
+ * processes_reload() - change the settings of all entries, reload every other
  * @s: run
+ *
+ * Entries with an even number get a SIGHUP.
  */
 void processes_reload(struct soak *s)
 {
 	for (uint32_t i = 0; i < s->world->n_entries; i++) {
 		write_settings(s, i, DECISIONS_PER_S + 1);
 		if (i % 2 == 0)
-			signal_to(s, i, SIGHUP);
+			send_signal(s, i, SIGHUP);
 	}
 }
 
 /**
- * processes_end() - kill what this run started
+ * processes_end() - kill all processes of the run and wait for their exit
  * @s: run
  */
 void processes_end(struct soak *s)
 {
 	for (uint32_t i = 0; i < s->world->n_entries; i++) {
 		s->world->entries[i].up = false;
-		signal_to(s, i, SIGKILL);
+		send_signal(s, i, SIGKILL);
 	}
 	for (uint32_t i = 0; i < s->world->n_entries; i++)
 		while (s->entries[i].running)
 			uv_run(&s->loop, UV_RUN_ONCE);
 	for (uint32_t i = 0; i < s->world->n_entries; i++)
-		http_client_close(s->entries[i].caller);
+		http_client_close(s->entries[i].readiness_client);
 }
--- a/sim/sim-soak/proxy.c
+++ b/sim/sim-soak/proxy.c
@@ -1,6 +1,7 @@
 /*
- * A proxy in front of each entry's store: connections that are slow, reset,
- * silent for good or cut in one direction, without a word to either end.
+ * A TCP proxy between each entry and its store server. It can delay, reset or
+ * silence connections, or discard the bytes of one direction, without closing
+ * either end.
  */
 #include "soak.h"
 
@@ -17,26 +18,26 @@
 
 /**
  * struct link - a connection through the proxy
- * @entry: whose
- * @ends: its two sockets
- * @due_ns: when what was read last from an end is passed on; a later chunk
- *	never overtakes an earlier one
- * @swallow: what comes from that end goes nowhere
- * @refs: open sockets and chunks on their way
+ * @entry: entry that opened the connection
+ * @ends: sockets to the entry and to its store server
+ * @due_ns: for each end, real time at which the chunk read last from it is
+ *	forwarded; a later chunk never overtakes an earlier one
+ * @discard: for each end, bytes read from it are discarded
+ * @refs: number of open sockets and of chunks not yet written
  * @closing: both sockets are being closed
- * @next: next link of the entry
+ * @next: next connection of the same entry, or NULL
  */
 struct link {
 	struct soak_entry *entry;
 	uv_tcp_t ends[ENDS];
 	uint64_t due_ns[ENDS];
-	bool swallow[ENDS];
+	bool discard[ENDS];
 	uint32_t refs;
 	bool closing;
 	struct link *next;
 };
 
-/* Bytes on their way from one end to the other. */
+/* Bytes read from one end that wait to be written to the other. */
 struct chunk {
 	uv_timer_t timer;
 	uv_write_t write;
@@ -108,7 +109,7 @@
 	uv_close((uv_handle_t *)&c->timer, on_chunk_closed);
 }
 
-static void on_due(uv_timer_t *timer)
+static void on_chunk_due(uv_timer_t *timer)
 {
 	struct chunk *c = timer->data;
 	uv_buf_t buf = uv_buf_init(c->data, c->size_bytes);
@@ -120,8 +121,8 @@
 		uv_close((uv_handle_t *)timer, on_chunk_closed);
 }
 
-static void pass_on(struct link *l, enum link_end from, const char *data,
-		    uint32_t size_bytes)
+static void forward_chunk(struct link *l, enum link_end from, const char *data,
+			  uint32_t size_bytes)
 {
 	struct soak *s = l->entry->soak;
 	struct chunk *c = malloc(sizeof(*c) + size_bytes);
@@ -130,7 +131,7 @@
 
 	if (!c)
 		return;
-	if (now_ns < l->entry->slow_until_ns)
+	if (now_ns < l->entry->delay_until_ns)
 		due_ns += l->entry->delay_ns;
 	if (due_ns < l->due_ns[from])
 		due_ns = l->due_ns[from];
@@ -142,16 +143,18 @@
 	l->refs++;
 	uv_timer_init(&s->loop, &c->timer);
 	c->timer.data = c;
-	uv_timer_start(&c->timer, on_due, (due_ns - now_ns) / NS_PER_MS, 0);
+	uv_timer_start(&c->timer, on_chunk_due, (due_ns - now_ns) / NS_PER_MS,
+		       0);
 }
 
-static void on_room(uv_handle_t *h, size_t suggested, uv_buf_t *buf)
+static void on_alloc(uv_handle_t *h, size_t suggested, uv_buf_t *buf)
 {
-	static char room[CHUNK_BYTES]; /* passed on before the next read */
+	/* forward_chunk() copies it before the next read. */
+	static char buffer[CHUNK_BYTES];
 
 	(void)h;
 	(void)suggested;
-	*buf = uv_buf_init(room, sizeof(room));
+	*buf = uv_buf_init(buffer, sizeof(buffer));
 }
 
 static void on_read(uv_stream_t *stream, ssize_t n, const uv_buf_t *buf)
@@ -161,13 +164,13 @@
 				     ? END_STORE
 				     : END_ENTRY;
 
-	/* A silent connection doesn't even tell that the other end closed. */
-	if (l->swallow[from])
+	/* A silent connection does not forward the close of an end either. */
+	if (l->discard[from])
 		return;
 	if (n < 0)
 		link_close(l);
 	else if (n > 0)
-		pass_on(l, from, buf->base, (uint32_t)n);
+		forward_chunk(l, from, buf->base, (uint32_t)n);
 }
 
 static void on_connected(uv_connect_t *connect, int status)
@@ -182,7 +185,7 @@
 		return;
 	}
 	for (int i = 0; i < ENDS; i++)
-		uv_read_start((uv_stream_t *)&l->ends[i], on_room, on_read);
+		uv_read_start((uv_stream_t *)&l->ends[i], on_alloc, on_read);
 }
 
 static void on_connection(uv_stream_t *server, int status)
@@ -204,7 +207,7 @@
 		uv_tcp_init(&e->soak->loop, &l->ends[i]);
 		l->ends[i].data = l;
 		l->refs++;
-		l->swallow[i] = uv_hrtime() < e->lost_until_ns[i];
+		l->discard[i] = uv_hrtime() < e->discard_until_ns[i];
 	}
 	connect->data = l;
 	if (uv_accept(server, (uv_stream_t *)&l->ends[END_ENTRY]) ||
@@ -216,11 +219,11 @@
 }
 
 /**
- * proxy_open() - the proxy that an entry takes for the store
+ * proxy_open() - listen at the address that an entry uses as its store
  * @s: run
- * @entry: entry
+ * @entry: number of the entry
  *
- * Return: 0 or a negative error.
+ * Return: 0 or a negative error of libuv.
  */
 int proxy_open(struct soak *s, uint32_t entry)
 {
@@ -237,9 +240,9 @@
 }
 
 /**
- * proxy_close() - end an entry's proxy with its connections
+ * proxy_close() - close the proxy of an entry and wait for its connections
  * @s: run
- * @entry: entry
+ * @entry: number of the entry
  */
 void proxy_close(struct soak *s, uint32_t entry)
 {
@@ -252,82 +255,81 @@
 		uv_run(&s->loop, UV_RUN_ONCE);
 }
 
-/* The rules with a time bound wait for this long after a disturbance. */
-static void disturbed(struct soak *s, uint64_t ns)
+/* Suspends the rules with a time bound until @ns from now. */
+static void suspend_timed_rules(struct soak *s, uint64_t ns)
 {
 	if (s->world->store_disturbed_ns < s->world->now_ns + ns)
 		s->world->store_disturbed_ns = s->world->now_ns + ns;
 }
 
 /**
- * proxy_reset() - every open connection to the store is reset
+ * proxy_reset() - reset every open connection to the store
  * @s: run
  */
 void proxy_reset(struct soak *s)
 {
-	disturbed(s, 0);
+	suspend_timed_rules(s, 0);
 	for (uint32_t i = 0; i < s->world->n_entries; i++)
 		for (struct link *l = s->entries[i].links; l; l = l->next)
 			link_reset(l);
 }
 
-static void swallow(struct soak_entry *e, enum link_end from)
+static void discard(struct soak_entry *e, enum link_end from)
 {
 	for (struct link *l = e->links; l; l = l->next)
-		l->swallow[from] = true;
+		l->discard[from] = true;
 }
 
 /**
- * proxy_silence() - open connections go silent for good, new ones work
+ * proxy_silence() - discard all bytes of open connections; new ones work
  * @s: run
  */
 void proxy_silence(struct soak *s)
 {
-	disturbed(s, 0);
+	suspend_timed_rules(s, 0);
 	for (uint32_t i = 0; i < s->world->n_entries; i++)
 		for (int end = 0; end < ENDS; end++)
-			swallow(&s->entries[i], end);
+			discard(&s->entries[i], end);
 }
 
-static void cut(struct soak *s, enum link_end from, uint64_t ns)
+static void drop_direction(struct soak *s, enum link_end from, uint64_t ns)
 {
 	uint32_t first = (uint32_t)(rng_next(&s->world->rng) % 2);
 
-	disturbed(s, ns);
+	suspend_timed_rules(s, ns);
 	for (uint32_t i = first; i < s->world->n_entries; i += 2) {
-		s->entries[i].lost_until_ns[from] = uv_hrtime() + ns;
-		swallow(&s->entries[i], from);
+		s->entries[i].discard_until_ns[from] = uv_hrtime() + ns;
+		discard(&s->entries[i], from);
 	}
 }
 
 /**
- * proxy_lose_answers() - every other entry hears nothing from the store, which
- *	hears it
+ * proxy_drop_answers() - discard what the store sends to every other entry
  * @s: run
  */
-void proxy_lose_answers(struct soak *s)
+void proxy_drop_answers(struct soak *s)
 {
-	cut(s, END_STORE, 4 * NS_PER_S);
+	drop_direction(s, END_STORE, 4 * NS_PER_S);
 }
 
 /**
- * proxy_lose_requests() - the store hears nothing from every other entry
+ * proxy_drop_requests() - discard what every other entry sends to the store
  * @s: run
  */
-void proxy_lose_requests(struct soak *s)
+void proxy_drop_requests(struct soak *s)
 {
-	cut(s, END_ENTRY, 4 * NS_PER_S);
+	drop_direction(s, END_ENTRY, 4 * NS_PER_S);
 }
 
 /**
- * proxy_slow() - bytes take most of a second either way, for all
+ * proxy_delay() - delay bytes by 400 ms in both directions, for all entries
  * @s: run
  */
-void proxy_slow(struct soak *s)
+void proxy_delay(struct soak *s)
 {
-	disturbed(s, 4 * NS_PER_S);
+	suspend_timed_rules(s, 4 * NS_PER_S);
 	for (uint32_t i = 0; i < s->world->n_entries; i++) {
-		s->entries[i].slow_until_ns = uv_hrtime() + 4 * NS_PER_S;
+		s->entries[i].delay_until_ns = uv_hrtime() + 4 * NS_PER_S;
 		s->entries[i].delay_ns = 400 * NS_PER_MS;
 	}
 }
--- a/sim/sim-soak/soak.h
+++ b/sim/sim-soak/soak.h
@@ -1,6 +1,7 @@
 /*
- * Real cb-packet processes in the place of the emulator's entries: the same
- * clients, targets, routers, store and rules, over loopback, in real time.
+ * Runs real cb-packet processes in place of the entries of sim-packets. Clients,
+ * targets, routers, store and checked rules are those of sim-packets; packets
+ * and calls go over loopback, in real time.
  */
 #ifndef SIM_SOAK_H
 #define SIM_SOAK_H
@@ -19,35 +20,37 @@
 #define CLIENT_PORT 8172
 #define READY_PORT 8167
 #define HTTP_PORT 8166
-#define ROOM_BYTES 1600
-#define WAITERS_MAX 64
+#define PACKET_BUFFER_BYTES 1600
+#define PENDING_WATCHES_MAX 64
 
 struct soak;
 struct link;
 
-/* A watch that waits for a change. */
-struct waiter {
+/* A watch of the store that has not been answered; @req is NULL if unused. */
+struct pending_watch {
 	struct http_request *req;
 	uint64_t after;
 	uint64_t deadline_ns;
 };
 
 /**
- * struct soak_entry - a real process and what speaks to it
- * @soak: the run
- * @index: entry
- * @process: the process
- * @running: it was started and has not ended
- * @store: the store's front for this entry alone, so that it can be turned
- *	away alone
- * @waiters: watches that wait
- * @proxy: what the entry takes for the store
- * @links: connections through it
- * @lost_until_ns: what comes from an end of a new link until then is lost
- * @slow_until_ns: until then bytes take @delay_ns longer
- * @delay_ns: that
- * @caller: asks whether it is ready
- * @ready: it said so at @ready_ns
+ * struct soak_entry - a cb-packet process with its store server and proxy
+ * @soak: run that the entry belongs to
+ * @index: number of the entry in the world
+ * @process: handle of the process, valid while @running
+ * @running: the process was started and has not ended
+ * @store: store server of this entry alone, so that the store can refuse or
+ *	ignore single entries; NULL while closed
+ * @pending_watches: unanswered watches of this entry
+ * @proxy: listening socket that the entry connects to as its store
+ * @links: open connections through the proxy
+ * @discard_until_ns: for each end, bytes from that end of a connection opened
+ *	before this real time are discarded
+ * @delay_until_ns: real time until which bytes are delayed by @delay_ns
+ * @delay_ns: added delay of bytes through the proxy
+ * @readiness_client: HTTP client that polls the readiness of the process
+ * @ready: the last readiness answer, received at @ready_ns, was 200
+ * @ready_ns: real time of the last readiness answer
  */
 struct soak_entry {
 	struct soak *soak;
@@ -55,27 +58,31 @@
 	uv_process_t process;
 	bool running;
 	struct http_server *store;
-	struct waiter waiters[WAITERS_MAX];
+	struct pending_watch pending_watches[PENDING_WATCHES_MAX];
 	uv_tcp_t proxy;
 	struct link *links;
-	uint64_t lost_until_ns[2];
-	uint64_t slow_until_ns;
+	uint64_t discard_until_ns[2];
+	uint64_t delay_until_ns;
 	uint64_t delay_ns;
-	struct http_client *caller;
+	struct http_client *readiness_client;
 	bool ready;
 	uint64_t ready_ns;
 };
 
-/* A target's address: packets come in by UDP, probes by TCP. */
+/*
+ * An address of targets: receives packets by UDP and health checks by TCP.
+ * @blackhole_fds is a listener and the connections that fill its backlog.
+ */
 struct soak_address {
 	struct soak *soak;
 	uint64_t addr;
 	uv_poll_t packets;
 	int packets_fd;
 	int probes_fd;
-	int dark_fd[3];
+	int blackhole_fds[3];
 };
 
+/* A UDP socket shared by many clients. */
 struct soak_client_socket {
 	struct soak *soak;
 	uv_poll_t poll;
@@ -83,12 +90,18 @@
 };
 
 /**
- * struct soak - a run
+ * struct soak - a run with one seed
  * @program: path of cb-packet
- * @dir: directory for settings and logs
- * @world: clients, targets, rules
- * @start_ns: real time when the world began
- * @world_ns: the world's time then
+ * @dir: directory for settings and logs of the entries
+ * @loop: event loop of the run
+ * @timer: advances the world and answers watches
+ * @world: clients, targets, routers, store and rules
+ * @start_ns: real time at the start of the run
+ * @world_ns: time of the world at the start of the run
+ * @entries: processes, by number of the entry
+ * @addresses: addresses that targets have used so far
+ * @n_addresses: used elements of @addresses
+ * @clients: sockets of the clients
  */
 struct soak {
 	const char *program;
@@ -109,29 +122,30 @@
 /* processes.c */
 struct entry_driver processes_driver(struct soak *s);
 int processes_open(struct soak *s);
-void processes_ask(struct soak *s);
+void processes_poll_readiness(struct soak *s);
 void processes_reload(struct soak *s);
 void processes_end(struct soak *s);
 
 /* sockets.c */
 int sockets_open(struct soak *s);
 void sockets_close(struct soak *s);
-void sockets_tick(struct soak *s);
-void sockets_target(struct soak *s, uint32_t target);
-void sockets_packet(struct soak *s, uint32_t entry, const struct sim_packet *k);
+void sockets_accept_probes(struct soak *s);
+void sockets_update_target(struct soak *s, uint32_t target);
+void sockets_send_packet(struct soak *s, uint32_t entry,
+			 const struct sim_packet *k);
 
 /* proxy.c */
 int proxy_open(struct soak *s, uint32_t entry);
 void proxy_close(struct soak *s, uint32_t entry);
 void proxy_reset(struct soak *s);
 void proxy_silence(struct soak *s);
-void proxy_lose_answers(struct soak *s);
-void proxy_lose_requests(struct soak *s);
-void proxy_slow(struct soak *s);
+void proxy_drop_answers(struct soak *s);
+void proxy_drop_requests(struct soak *s);
+void proxy_delay(struct soak *s);
 
 /* publish.c */
-int publish_open(struct soak *s, uint32_t entry);
-void publish_close(struct soak *s, uint32_t entry);
-void publish_tick(struct soak *s);
+int store_server_open(struct soak *s, uint32_t entry);
+void store_server_close(struct soak *s, uint32_t entry);
+void store_server_answer_watches(struct soak *s);
 
 #endif
--- a/sim/sim-soak/sockets.c
+++ b/sim/sim-soak/sockets.c
@@ -1,4 +1,4 @@
-/* Packets of clients and to targets, and what answers probes. */
+/* Sockets of clients and targets: packets by UDP, health checks by TCP. */
 #define _GNU_SOURCE
 #include "soak.h"
 
@@ -27,7 +27,7 @@
 	};
 }
 
-static int bound(int type, uint64_t addr)
+static int bind_socket(int type, uint64_t addr)
 {
 	struct sockaddr_in at = address(addr);
 	int fd = socket(AF_INET, type | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
@@ -45,14 +45,14 @@
 	return fd;
 }
 
-/* Clients share a few addresses; the upper bits of a port tell them apart. */
+/* Clients share CLIENT_SOCKETS addresses; the upper port bits number them. */
 static uint64_t wire_addr(uint32_t client, uint16_t port)
 {
 	return ADDR(CLIENT_IP_0 + client % CLIENT_SOCKETS,
 		    client / CLIENT_SOCKETS << PORT_BITS | (port & PORT_MASK));
 }
 
-static uint32_t user_at(const struct soak *s, uint64_t addr)
+static uint32_t user_at_addr(const struct soak *s, uint64_t addr)
 {
 	uint32_t i = (uint32_t)(ADDR_PORT(addr) >> PORT_BITS) * CLIENT_SOCKETS +
 		     (ADDR_IP(addr) - CLIENT_IP_0);
@@ -60,9 +60,12 @@
 	return i < s->world->n_users ? i : UINT32_MAX;
 }
 
-/* The flow as the world names it; of another port than now, an earlier one. */
-static struct flow_key flow_at(const struct soak *s, uint32_t user,
-			       uint64_t addr, uint64_t vip)
+/*
+ * Flow in terms of the world. A port other than the client's current one
+ * belongs to an earlier flow of that client.
+ */
+static struct flow_key flow_of_packet(const struct soak *s, uint32_t user,
+				      uint64_t addr, uint64_t vip)
 {
 	const struct sim_user *u = &s->world->users[user];
 	uint32_t low = ADDR_PORT(addr) & PORT_MASK;
@@ -77,7 +80,7 @@
 		at[i] = (uint8_t)(v >> 8 * i);
 }
 
-/* The platform's head, as its page shows it. */
+/* Writes the packet header of the platform; its numbers are little-endian. */
 static void write_head(uint8_t *out, const struct sim_user *u,
 		       const struct sim_packet *k)
 {
@@ -99,14 +102,15 @@
 	put(out + 28, k->flags & PACKET_SYN ? 0 : u->cookie, 4);
 }
 
-/* Send a client's packet to a real entry. */
-void sockets_packet(struct soak *s, uint32_t entry, const struct sim_packet *k)
+/* Sends the packet of a client to the process of an entry. */
+void sockets_send_packet(struct soak *s, uint32_t entry,
+			 const struct sim_packet *k)
 {
-	uint8_t data[ROOM_BYTES] = { 0 };
+	uint8_t data[PACKET_BUFFER_BYTES] = { 0 };
 	struct sockaddr_in to = address(ADDR(PEER_IP + entry, CLIENT_PORT));
 
 	write_head(data, &s->world->users[k->user], k);
-	/* A lost datagram is what the clients' repeats are for. */
+	/* Clients retransmit a lost datagram. */
 	(void)!sendto(s->clients[k->user % CLIENT_SOCKETS].fd, data,
 		      HEAD_BYTES + k->size_bytes, 0, (struct sockaddr *)&to,
 		      sizeof(to));
@@ -118,7 +122,7 @@
 	struct soak *s = c->soak;
 	struct sockaddr_in from;
 	socklen_t from_size = sizeof(from);
-	uint8_t data[ROOM_BYTES];
+	uint8_t data[PACKET_BUFFER_BYTES];
 	struct packet k;
 	ssize_t n;
 
@@ -134,20 +138,21 @@
 		if (users_read_packet(data, (uint32_t)n, &k) ||
 		    !(k.flags & PACKET_RST))
 			continue;
-		/* Towards a client source and destination are swapped. */
+		/* Source and destination are swapped in packets to a client. */
 		addr = k.flow.vip;
 		vip = k.flow.caller;
-		user = user_at(s, addr);
+		user = user_at_addr(s, addr);
 		if (user == UINT32_MAX)
 			continue;
-		flow = flow_at(s, user, addr, vip);
+		flow = flow_of_packet(s, user, addr, vip);
 		users_reset(s->world, &flow,
 			    ntohl(from.sin_addr.s_addr) - PEER_IP);
 	}
 }
 
-static void to_target(struct soak *s, const struct soak_address *a,
-		      const uint8_t *data, uint32_t size_bytes, uint32_t entry)
+static void deliver_to_target(struct soak *s, const struct soak_address *a,
+			      const uint8_t *data, uint32_t size_bytes,
+			      uint32_t entry)
 {
 	uint32_t target = targets_at(s->world, a->addr);
 	const struct sim_target *t = &s->world->targets[target];
@@ -162,7 +167,7 @@
 			      size_bytes - ENVELOPE_BYTES, &k))
 		return;
 	sim = (struct sim_packet){
-		.user = user_at(s, k.flow.caller),
+		.user = user_at_addr(s, k.flow.caller),
 		.flags = k.flags,
 		.size_bytes = k.size_bytes,
 		.seq = k.seq,
@@ -173,7 +178,7 @@
 	if (k.cookie != target_cookie(id))
 		s->world->report.misrouted++;
 	sim.port = ADDR_PORT(
-		flow_at(s, sim.user, k.flow.caller, k.flow.vip).caller);
+		flow_of_packet(s, sim.user, k.flow.caller, k.flow.vip).caller);
 	targets_packet(s->world, target, entry, &sim);
 }
 
@@ -182,7 +187,7 @@
 	struct soak_address *a = poll->data;
 	struct sockaddr_in from;
 	socklen_t from_size = sizeof(from);
-	uint8_t data[ROOM_BYTES];
+	uint8_t data[PACKET_BUFFER_BYTES];
 	ssize_t n;
 
 	(void)status;
@@ -191,12 +196,13 @@
 	while ((n = recvfrom(a->packets_fd, data, sizeof(data), 0,
 			     (struct sockaddr *)&from, &from_size)) > 0)
 		if (n > ENVELOPE_BYTES)
-			to_target(a->soak, a, data, (uint32_t)n,
-				  ntohl(from.sin_addr.s_addr) - PEER_IP);
+			deliver_to_target(a->soak, a, data, (uint32_t)n,
+					  ntohl(from.sin_addr.s_addr) -
+						  PEER_IP);
 }
 
-/* Take the probes' connections; the kernel has answered them already. */
-void sockets_tick(struct soak *s)
+/* Accepts and closes health checks; the kernel has completed the handshake. */
+void sockets_accept_probes(struct soak *s)
 {
 	for (uint32_t i = 0; i < s->n_addresses; i++) {
 		int fd = s->addresses[i]->probes_fd;
@@ -219,8 +225,8 @@
 	a->soak = s;
 	a->addr = addr;
 	a->probes_fd = -1;
-	memset(a->dark_fd, 0xff, sizeof(a->dark_fd));
-	a->packets_fd = bound(SOCK_DGRAM, addr);
+	memset(a->blackhole_fds, 0xff, sizeof(a->blackhole_fds));
+	a->packets_fd = bind_socket(SOCK_DGRAM, addr);
 	uv_poll_init(&s->loop, &a->packets, a->packets_fd);
 	a->packets.data = a;
 	uv_poll_start(&a->packets, UV_READABLE, on_target);
@@ -231,9 +237,9 @@
 static void stop_answering(struct soak_address *a)
 {
 	for (uint32_t i = 0; i < 3; i++) {
-		if (a->dark_fd[i] >= 0)
-			close(a->dark_fd[i]);
-		a->dark_fd[i] = -1;
+		if (a->blackhole_fds[i] >= 0)
+			close(a->blackhole_fds[i]);
+		a->blackhole_fds[i] = -1;
 	}
 	if (a->probes_fd < 0)
 		return;
@@ -241,44 +247,44 @@
 	a->probes_fd = -1;
 }
 
-/* A full backlog: connections hang, as to a machine without power. */
-static void go_dark(struct soak_address *a)
+/* Fills the backlog, so that connections hang as to a VM that is off. */
+static void open_blackhole(struct soak_address *a)
 {
 	struct sockaddr_in to = address(a->addr);
 
-	a->dark_fd[0] = bound(SOCK_STREAM, a->addr);
-	if (a->dark_fd[0] < 0 || listen(a->dark_fd[0], 0))
+	a->blackhole_fds[0] = bind_socket(SOCK_STREAM, a->addr);
+	if (a->blackhole_fds[0] < 0 || listen(a->blackhole_fds[0], 0))
 		return;
 	for (uint32_t i = 1; i < 3; i++) {
-		a->dark_fd[i] = socket(
+		a->blackhole_fds[i] = socket(
 			AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-		/* In progress for good: that is the purpose. */
-		(void)!connect(a->dark_fd[i], (struct sockaddr *)&to,
+		/* Stays in progress on purpose: it occupies the backlog. */
+		(void)!connect(a->blackhole_fds[i], (struct sockaddr *)&to,
 			       sizeof(to));
 	}
 }
 
-/* A target started or ended. */
-void sockets_target(struct soak *s, uint32_t target)
+/* Opens or closes the sockets of a target that started or ended. */
+void sockets_update_target(struct soak *s, uint32_t target)
 {
 	const struct sim_target *t = &s->world->targets[target];
 	struct soak_address *a = address_of(s, t->news.addr);
 
 	stop_answering(a);
 	if (t->alive) {
-		a->probes_fd = bound(SOCK_STREAM, a->addr);
+		a->probes_fd = bind_socket(SOCK_STREAM, a->addr);
 		if (a->probes_fd >= 0 && listen(a->probes_fd, 128))
 			perror("listen");
 	} else if (t->dark) {
-		go_dark(a);
+		open_blackhole(a);
 	}
 }
 
 /**
- * sockets_open() - the clients' sockets
+ * sockets_open() - open the sockets of the clients
  * @s: run
  *
- * Return: 0 or a negative error.
+ * Return: 0 or a negative errno value.
  */
 int sockets_open(struct soak *s)
 {
@@ -286,7 +292,8 @@
 		struct soak_client_socket *c = &s->clients[i];
 
 		c->soak = s;
-		c->fd = bound(SOCK_DGRAM, ADDR(CLIENT_IP_0 + i, CLIENT_PORT));
+		c->fd = bind_socket(SOCK_DGRAM,
+				    ADDR(CLIENT_IP_0 + i, CLIENT_PORT));
 		if (c->fd < 0)
 			return c->fd;
 		uv_poll_init(&s->loop, &c->poll, c->fd);
@@ -297,7 +304,7 @@
 }
 
 /**
- * sockets_close() - stop all of them; the run is over
+ * sockets_close() - close the sockets of clients and targets at the end of a run
  * @s: run
  */
 void sockets_close(struct soak *s)
--- a/sim/sim-soak/publish.c
+++ b/sim/sim-soak/store_server.c
@@ -1,4 +1,4 @@
-/* The store over HTTP, as the platform's page has it; a front an entry. */
+/* HTTP interface of the platform's store, one server for each entry. */
 #include "soak.h"
 
 #include <string.h>
@@ -6,8 +6,8 @@
 #define OK 200
 #define BUSY 503
 #define GONE 410
-/* A revision that is never reached: such a call is not answered. */
-#define NEVER UINT64_MAX
+/* Revision that is never reached: a watch after it is not answered. */
+#define NEVER_ANSWERED UINT64_MAX
 
 static void put_value(GString *out, const char *json)
 {
@@ -135,15 +135,15 @@
 	http_add_header(req, "Store-Era", text);
 }
 
-static int wait_for(struct soak_entry *e, struct http_request *req,
-		    uint64_t after, uint64_t wait_ms)
+static int defer_watch(struct soak_entry *e, struct http_request *req,
+		       uint64_t after, uint64_t wait_ms)
 {
-	for (uint32_t i = 0; i < WAITERS_MAX; i++) {
-		if (e->waiters[i].req)
+	for (uint32_t i = 0; i < PENDING_WATCHES_MAX; i++) {
+		if (e->pending_watches[i].req)
 			continue;
-		e->waiters[i] =
-			(struct waiter){ req, after,
-					 uv_hrtime() + wait_ms * NS_PER_MS };
+		e->pending_watches[i] = (struct pending_watch){
+			req, after, uv_hrtime() + wait_ms * NS_PER_MS
+		};
 		return HTTP_DEFERRED;
 	}
 	return BUSY;
@@ -166,7 +166,7 @@
 	case STORE_REFUSES:
 		return BUSY;
 	case STORE_SILENT:
-		return wait_for(e, req, NEVER, 0);
+		return defer_watch(e, req, NEVER_ANSWERED, 0);
 	case STORE_ANSWERS:
 		break;
 	}
@@ -179,8 +179,8 @@
 	http_query_parameter(query, "wait-ms", wait_ms, sizeof(wait_ms));
 	from = g_ascii_strtoull(after, NULL, 10);
 	if (w->revision == from)
-		return wait_for(e, req, from,
-				g_ascii_strtoull(wait_ms, NULL, 10));
+		return defer_watch(e, req, from,
+				   g_ascii_strtoull(wait_ms, NULL, 10));
 	put_epoch(w, req);
 	if (w->revision < from)
 		return GONE;
@@ -188,13 +188,14 @@
 	return OK;
 }
 
-static void answer_waiter(struct soak_entry *e, struct waiter *i)
+static void answer_watch(struct soak_entry *e, struct pending_watch *i)
 {
 	struct world *w = e->soak->world;
 	GString *body;
 
-	if (store_mode_of(w, e->index) != STORE_ANSWERS || i->after == NEVER)
-		return; /* falls silent; the caller's deadline tells */
+	if (store_mode_of(w, e->index) != STORE_ANSWERS ||
+	    i->after == NEVER_ANSWERED)
+		return; /* no answer: the caller runs into its timeout */
 	if (w->revision == i->after && uv_hrtime() < i->deadline_ns)
 		return;
 	body = g_string_new(NULL);
@@ -207,26 +208,26 @@
 }
 
 /**
- * publish_tick() - answer the watches that are due
+ * store_server_answer_watches() - answer watches with changes or a past deadline
  * @s: run
  */
-void publish_tick(struct soak *s)
+void store_server_answer_watches(struct soak *s)
 {
 	for (uint32_t i = 0; i < s->world->n_entries; i++)
-		for (uint32_t j = 0; j < WAITERS_MAX; j++)
-			if (s->entries[i].waiters[j].req)
-				answer_waiter(&s->entries[i],
-					      &s->entries[i].waiters[j]);
+		for (uint32_t j = 0; j < PENDING_WATCHES_MAX; j++)
+			if (s->entries[i].pending_watches[j].req)
+				answer_watch(&s->entries[i],
+					     &s->entries[i].pending_watches[j]);
 }
 
 /**
- * publish_open() - the store's front for an entry
+ * store_server_open() - open the store server of an entry
  * @s: run
- * @entry: entry
+ * @entry: number of the entry
  *
  * Return: 0 or a negative error.
  */
-int publish_open(struct soak *s, uint32_t entry)
+int store_server_open(struct soak *s, uint32_t entry)
 {
 	struct soak_entry *e = &s->entries[entry];
 	struct http_handler handler = { e, handle };
@@ -236,11 +237,11 @@
 }
 
 /**
- * publish_close() - reset every connection to an entry's front
+ * store_server_close() - close the store server of an entry and its connections
  * @s: run
- * @entry: entry
+ * @entry: number of the entry
  */
-void publish_close(struct soak *s, uint32_t entry)
+void store_server_close(struct soak *s, uint32_t entry)
 {
 	struct soak_entry *e = &s->entries[entry];
 	GString *nothing = g_string_new(NULL);
@@ -249,9 +250,9 @@
 		return;
 	http_server_close(e->store);
 	e->store = NULL;
-	for (uint32_t i = 0; i < WAITERS_MAX; i++)
-		if (e->waiters[i].req)
-			http_respond(e->waiters[i].req, BUSY, nothing);
-	memset(e->waiters, 0, sizeof(e->waiters));
+	for (uint32_t i = 0; i < PENDING_WATCHES_MAX; i++)
+		if (e->pending_watches[i].req)
+			http_respond(e->pending_watches[i].req, BUSY, nothing);
+	memset(e->pending_watches, 0, sizeof(e->pending_watches));
 	g_string_free(nothing, TRUE);
 }
