--- a/sim/sim-platform/admin.c
+++ b/sim/sim-platform/admin.c
@@ -9,17 +9,17 @@
 
 static const char keys_path[] = "/admin/keys/";
 
-static void wake(struct platform *p)
+static void tick_frontends(struct platform *p)
 {
 	uint64_t now_ns = uv_hrtime();
 	uint32_t i;
 
 	for (i = 0; i < p->opt.n_addrs; i++)
-		front_step(&p->fronts[i], now_ns);
+		frontend_tick(&p->frontends[i], now_ns);
 }
 
-static int say_revision(struct platform *p, int rc, uint64_t revision,
-			GString *body)
+static int respond_revision(struct platform *p, int rc, uint64_t revision,
+			    GString *body)
 {
 	if (rc == -ENOENT)
 		return 404;
@@ -28,7 +28,7 @@
 		return rc == -EFBIG ? 413 : 400;
 	}
 	g_string_printf(body, "%" G_GUINT64_FORMAT "\n", revision);
-	wake(p);
+	tick_frontends(p);
 	return 200;
 }
 
@@ -36,29 +36,30 @@
 		   const GString *in, GString *body)
 {
 	uint64_t revision = 0;
-	int rc = keys_put(p->keys, path + sizeof(keys_path) - 1, in->str,
-			  in->len, &revision);
+	int rc = key_store_put(p->store, path + sizeof(keys_path) - 1, in->str,
+			       in->len, &revision);
 
 	(void)query;
-	return say_revision(p, rc, revision, body);
+	return respond_revision(p, rc, revision, body);
 }
 
 static int delete_key(struct platform *p, const char *path, const char *query,
 		      const GString *in, GString *body)
 {
 	uint64_t revision = 0;
-	int rc = keys_delete(p->keys, path + sizeof(keys_path) - 1, &revision);
+	int rc = key_store_delete(p->store, path + sizeof(keys_path) - 1,
+				  &revision);
 
 	(void)query;
 	(void)in;
-	return say_revision(p, rc, revision, body);
+	return respond_revision(p, rc, revision, body);
 }
 
 /**
- * struct fault - a fault asked for
- * @addr: front, ADDR_NONE for all
- * @length_ns: how long
- * @revision: state to serve, for a stale front
+ * struct fault - parameters of a requested fault
+ * @addr: address of the frontend, ADDR_NONE for all
+ * @length_ns: duration, 0 to end the fault
+ * @revision: revision of the state that a stale frontend serves
  */
 struct fault {
 	uint64_t addr;
@@ -66,7 +67,7 @@
 	uint64_t revision;
 };
 
-static int read_fault(struct platform *p, const char *query, struct fault *out)
+static int parse_fault(struct platform *p, const char *query, struct fault *out)
 {
 	uint64_t ms;
 	char text[32];
@@ -75,22 +76,24 @@
 	if (http_query_parameter(query, "addr", text, sizeof(text)) &&
 	    addr_parse(text, &out->addr))
 		return -EINVAL;
-	if (number_query(query, "ms", UINT64_MAX, FAULT_MAX_MS, &ms) ||
+	if (query_parse_number(query, "ms", UINT64_MAX, FAULT_MAX_MS, &ms) ||
 	    ms == UINT64_MAX)
 		return -EINVAL;
 	out->length_ns = ms * NS_PER_MS;
-	return number_query(query, "revision", keys_revision(p->keys),
-			    keys_revision(p->keys), &out->revision);
+	return query_parse_number(query, "revision",
+				  key_store_revision(p->store),
+				  key_store_revision(p->store), &out->revision);
 }
 
-static int each_front(struct platform *p, const char *query, GString *body,
-		      void (*set)(struct front *f, const struct fault *fault))
+static int apply_fault(struct platform *p, const char *query, GString *body,
+		       void (*set)(struct frontend *f,
+				   const struct fault *fault))
 {
 	struct fault fault;
 	uint32_t n = 0;
 	uint32_t i;
 
-	if (read_fault(p, query, &fault)) {
+	if (parse_fault(p, query, &fault)) {
 		g_string_printf(body,
 				"expected ms=0 to %u, and if given "
 				"addr=IP:PORT, revision=N (past)\n",
@@ -98,25 +101,25 @@
 		return 400;
 	}
 	for (i = 0; i < p->opt.n_addrs; i++) {
-		if (fault.addr && fault.addr != p->fronts[i].addr)
+		if (fault.addr && fault.addr != p->frontends[i].addr)
 			continue;
-		set(&p->fronts[i], &fault);
+		set(&p->frontends[i], &fault);
 		n++;
 	}
-	wake(p);
+	tick_frontends(p);
 	if (n == 0)
 		g_string_printf(body, "addr: not one of --addr\n");
 	return n ? 200 : 404;
 }
 
-static void set_down(struct front *f, const struct fault *fault)
+static void set_down(struct frontend *f, const struct fault *fault)
 {
-	front_down(f, fault->length_ns);
+	frontend_set_down(f, fault->length_ns);
 }
 
-static void set_stale(struct front *f, const struct fault *fault)
+static void set_stale(struct frontend *f, const struct fault *fault)
 {
-	front_stale(f, fault->length_ns, fault->revision);
+	frontend_set_stale(f, fault->length_ns, fault->revision);
 }
 
 static int post_down(struct platform *p, const char *path, const char *query,
@@ -124,7 +127,7 @@
 {
 	(void)path;
 	(void)in;
-	return each_front(p, query, body, set_down);
+	return apply_fault(p, query, body, set_down);
 }
 
 static int post_stale(struct platform *p, const char *path, const char *query,
@@ -132,7 +135,7 @@
 {
 	(void)path;
 	(void)in;
-	return each_front(p, query, body, set_stale);
+	return apply_fault(p, query, body, set_stale);
 }
 
 static int get_calls(struct platform *p, const char *path, const char *query,
@@ -144,19 +147,20 @@
 	(void)path;
 	(void)query;
 	(void)in;
-	calls_print(&p->calls, "all", body);
+	call_counters_print(&p->calls, "all", body);
 	for (i = 0; i < p->opt.n_addrs; i++)
-		calls_print(&p->fronts[i].calls,
-			    addr_text(p->fronts[i].addr, name, sizeof(name)),
-			    body);
+		call_counters_print(&p->frontends[i].calls,
+				    addr_text(p->frontends[i].addr, name,
+					      sizeof(name)),
+				    body);
 	return 200;
 }
 
 /**
  * struct route - a call of the admin address
  * @method: HTTP method
- * @path: path, or its beginning when it ends in a slash
- * @run: answers
+ * @path: path, or a prefix of it if it ends in a slash
+ * @run: writes the body of the answer and returns the status code
  */
 struct route {
 	const char *method;
@@ -183,16 +187,16 @@
 }
 
 /**
- * admin_handle() - answer a test: change keys, set faults, show counters
- * @ctx: platform
- * @req: call
+ * admin_handle() - handle a call that changes keys, sets faults or reads counters
+ * @ctx: struct platform
+ * @req: unused
  * @method: HTTP method
- * @path: path
- * @query: query string
+ * @path: path of the URL
+ * @query: query string of the URL
  * @in: request body
- * @body: answer, filled
+ * @body: empty; receives the body of the answer
  *
- * Return: status code.
+ * Return: HTTP status code.
  */
 int admin_handle(void *ctx, struct http_request *req, const char *method,
 		 const char *path, const char *query, const GString *in,
--- a/sim/sim-platform/calls.c
+++ b/sim/sim-platform/call_counters.c
@@ -8,16 +8,17 @@
 };
 
 /**
- * calls_count() - count a call
- * @c: counters
- * @kind: what was called
- * @now_ns: time
+ * call_counters_add() - count a call
+ * @c: counters to update
+ * @kind: kind of the call
+ * @now_ns: monotonic time, never before that of the previous call
  */
-void calls_count(struct calls *c, enum call kind, uint64_t now_ns)
+void call_counters_add(struct call_counters *c, enum call_kind kind,
+		       uint64_t now_ns)
 {
 	uint64_t second = now_ns / NS_PER_S;
 
-	c->n[kind]++;
+	c->count[kind]++;
 	if (second != c->second) {
 		c->second = second;
 		c->in_second = 0;
@@ -28,22 +29,23 @@
 }
 
 /**
- * calls_print() - print counters as a line
+ * call_counters_print() - append a line with the counters
  * @c: counters
  * @name: first word of the line
- * @out: the line is appended
+ * @out: string to append to
  */
-void calls_print(const struct calls *c, const char *name, GString *out)
+void call_counters_print(const struct call_counters *c, const char *name,
+			 GString *out)
 {
 	uint64_t total = 0;
 	int i;
 
 	for (i = 0; i < CALLS; i++)
-		total += c->n[i];
+		total += c->count[i];
 	g_string_append_printf(out, "%s calls %" G_GUINT64_FORMAT, name, total);
 	for (i = 0; i < CALLS; i++)
 		g_string_append_printf(out, " %s %" G_GUINT64_FORMAT,
-				       call_names[i], c->n[i]);
+				       call_names[i], c->count[i]);
 	g_string_append_printf(out,
 			       " not_found %" G_GUINT64_FORMAT
 			       " peak_per_s %" G_GUINT64_FORMAT "\n",
--- a/sim/sim-platform/load.c
+++ b/sim/sim-platform/load.c
@@ -4,10 +4,10 @@
 #include <stdio.h>
 #include <string.h>
 
-static int load_dir(struct keys *k, const char *dir, const char *prefix,
-		    const char *program);
+static int load_dir(struct key_store *store, const char *dir,
+		    const char *prefix, const char *program);
 
-static int load_file(struct keys *k, const char *path, const char *key,
+static int load_file(struct key_store *store, const char *path, const char *key,
 		     const char *program)
 {
 	GError *error = NULL;
@@ -22,7 +22,7 @@
 		g_error_free(error);
 		return -EIO;
 	}
-	rc = keys_put(k, key, value, size_bytes, &revision);
+	rc = key_store_put(store, key, value, size_bytes, &revision);
 	if (rc)
 		fprintf(stderr, "%s: load %s: %s\n", program, path,
 			strerror(-rc));
@@ -30,8 +30,8 @@
 	return rc;
 }
 
-static int load_name(struct keys *k, const char *dir, const char *prefix,
-		     const char *name, const char *program)
+static int load_name(struct key_store *store, const char *dir,
+		     const char *prefix, const char *name, const char *program)
 {
 	char *path = g_build_filename(dir, name, NULL);
 	char *key = g_strconcat(prefix, name, NULL);
@@ -39,9 +39,9 @@
 	int rc;
 
 	if (g_file_test(path, G_FILE_TEST_IS_DIR))
-		rc = load_dir(k, path, below, program);
+		rc = load_dir(store, path, below, program);
 	else
-		rc = load_file(k, path, key, program);
+		rc = load_file(store, path, key, program);
 	g_free(below);
 	g_free(key);
 	g_free(path);
@@ -53,8 +53,8 @@
 	return strcmp(*(char *const *)a, *(char *const *)b);
 }
 
-/* Sorted, so that the same directory gives the same revisions. */
-static GPtrArray *names_of(GDir *d)
+/* Sorts the names, so that the same directory gives the same revisions. */
+static GPtrArray *sorted_names(GDir *d)
 {
 	GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
 	const char *name;
@@ -67,8 +67,8 @@
 	return names;
 }
 
-static int load_dir(struct keys *k, const char *dir, const char *prefix,
-		    const char *program)
+static int load_dir(struct key_store *store, const char *dir,
+		    const char *prefix, const char *program)
 {
 	GError *error = NULL;
 	GDir *d = g_dir_open(dir, 0, &error);
@@ -82,24 +82,25 @@
 		g_error_free(error);
 		return -EIO;
 	}
-	names = names_of(d);
+	names = sorted_names(d);
 	g_dir_close(d);
 	for (i = 0; i < names->len && !rc; i++)
-		rc = load_name(k, dir, prefix, g_ptr_array_index(names, i),
+		rc = load_name(store, dir, prefix, g_ptr_array_index(names, i),
 			       program);
 	g_ptr_array_free(names, TRUE);
 	return rc;
 }
 
 /**
- * keys_load() - read the keys at the start from files
- * @k: keys
- * @dir: directory; DIR/account/x becomes key account/x
- * @program: name, for messages
+ * key_store_load() - load keys from the files of a directory
+ * @store: key store
+ * @dir: directory; the file DIR/account/x becomes the key account/x
+ * @program: program name for error messages
  *
- * Return: 0, or a negative error after it was printed.
+ * Return: 0, or a negative errno value after printing an error message.
  */
-int keys_load(struct keys *k, const char *dir, const char *program)
+int key_store_load(struct key_store *store, const char *dir,
+		   const char *program)
 {
-	return load_dir(k, dir, "", program);
+	return load_dir(store, dir, "", program);
 }
--- a/sim/sim-platform/main.c
+++ b/sim/sim-platform/main.c
@@ -1,4 +1,4 @@
-/* A stand-in for the configuration service: read and watch over HTTP/1.1. */
+/* sim-platform: simulates the configuration service, read over HTTP/1.1. */
 #include "platform.h"
 
 #include <stdio.h>
@@ -16,7 +16,7 @@
 	if (sim_platform_open(&p))
 		return EXIT_FAILURE;
 	printf("sim-platform revision %llu ready\n",
-	       (unsigned long long)keys_revision(p.keys));
+	       (unsigned long long)key_store_revision(p.store));
 	fflush(stdout);
 	uv_run(&p.loop, UV_RUN_DEFAULT);
 	sim_platform_close(&p);
--- a/sim/sim-platform/options.c
+++ b/sim/sim-platform/options.c
@@ -4,7 +4,7 @@
 
 static const char program[] = "sim-platform";
 
-/* The command line as argtable2 holds it. */
+/* Arguments in the form of argtable2. */
 struct parsed {
 	struct arg_lit *help, *version;
 	struct arg_str *addrs, *admin;
@@ -12,7 +12,7 @@
 	struct arg_end *end;
 };
 
-static int fill(const struct parsed *p, struct platform_options *o)
+static int set_options(const struct parsed *p, struct platform_options *o)
 {
 	int rc = 0;
 	int i;
@@ -28,38 +28,37 @@
 
 /**
  * sim_platform_options_read() - parse and check the command line
- * @o: filled; its strings are @argv's
- * @argc: from main
- * @argv: from main
+ * @o: zeroed; receives the options, whose strings belong to @argv
+ * @argc: number of arguments
+ * @argv: arguments
  *
- * Return: SIM_ARGS_RUN, SIM_ARGS_EXIT, or -EINVAL after every mistake was
- * printed.
+ * Return: SIM_ARGS_RUN; SIM_ARGS_EXIT after --help or --version; -EINVAL after
+ * printing every error.
  */
 int sim_platform_options_read(struct platform_options *o, int argc, char **argv)
 {
 	struct parsed p = {
-		.help = arg_lit0(NULL, "help", "say this"),
-		.version = arg_lit0(NULL, "version", "say the version"),
-		.addrs = arg_strn(NULL, "addr", "IP:PORT", 1, FRONTS_MAX,
-				  "readers call here"),
+		.help = arg_lit0(NULL, "help", "print this help and exit"),
+		.version =
+			arg_lit0(NULL, "version", "print the version and exit"),
+		.addrs = arg_strn(NULL, "addr", "IP:PORT", 1, FRONTENDS_MAX,
+				  "serve readers at this address"),
 		.admin = arg_str0(NULL, "admin", "IP:PORT",
-				  "tests change keys here"),
+				  "take changes of keys and faults here"),
 		.keys = arg_file0(NULL, "keys", "DIR",
-				  "keys at the start, a file each"),
+				  "load the initial keys, a file for each"),
 		.end = arg_end(20),
 	};
 	void *table[] = { p.help, p.version, p.addrs, p.admin, p.keys, p.end };
-	struct sim_args args = { program,
-				 "A configuration service that readers can "
-				 "only read.",
-				 table,
-				 p.help,
-				 p.version,
-				 p.end };
+	struct sim_args args = {
+		program,   "Simulates a read-only configuration service.",
+		table,	   p.help,
+		p.version, p.end
+	};
 	int rc = sim_args_read(&args, argc, argv);
 
 	if (rc == SIM_ARGS_RUN)
-		rc = fill(&p, o);
+		rc = set_options(&p, o);
 	arg_freetable(table, sizeof(table) / sizeof(table[0]));
 	return rc;
 }
--- a/sim/sim-platform/platform.c
+++ b/sim/sim-platform/platform.c
@@ -6,7 +6,7 @@
 #include <stdio.h>
 #include <string.h>
 
-/* How often waits and faults are looked at. */
+/* Period at which watches and faults are checked. */
 #define TICK_MS 10
 
 static const char program[] = "sim-platform";
@@ -18,7 +18,7 @@
 	uint32_t i;
 
 	for (i = 0; i < p->opt.n_addrs; i++)
-		front_step(&p->fronts[i], now_ns);
+		frontend_tick(&p->frontends[i], now_ns);
 }
 
 static void on_term(uv_signal_t *sig, int number)
@@ -38,16 +38,16 @@
 	return rc;
 }
 
-static int open_fronts(struct platform *p)
+static int open_frontends(struct platform *p)
 {
 	uint32_t i;
 	int rc;
 
 	for (i = 0; i < p->opt.n_addrs; i++) {
-		p->fronts[i].platform = p;
-		p->fronts[i].addr = p->opt.addrs[i];
-		g_queue_init(&p->fronts[i].watchers);
-		rc = front_open(&p->fronts[i]);
+		p->frontends[i].platform = p;
+		p->frontends[i].addr = p->opt.addrs[i];
+		g_queue_init(&p->frontends[i].watchers);
+		rc = frontend_open(&p->frontends[i]);
 		if (rc)
 			return failed("serve", p->opt.addrs[i], rc);
 	}
@@ -77,36 +77,36 @@
 }
 
 /**
- * sim_platform_open() - set the service up
- * @p: platform with @opt set
+ * sim_platform_open() - load the keys and open all addresses
+ * @p: zeroed but for @opt
  *
- * Return: 0, or a negative error after it was printed.
+ * Return: 0, or a negative error after printing an error message.
  */
 int sim_platform_open(struct platform *p)
 {
 	int rc = 0;
 
 	open_loop(p);
-	p->keys = keys_new();
+	p->store = key_store_new();
 	if (p->opt.keys_dir)
-		rc = keys_load(p->keys, p->opt.keys_dir, program);
+		rc = key_store_load(p->store, p->opt.keys_dir, program);
 	if (!rc)
-		rc = open_fronts(p);
+		rc = open_frontends(p);
 	return rc ? rc : open_admin(p);
 }
 
 /**
- * sim_platform_close() - leave; waiting calls are cut
- * @p: platform
+ * sim_platform_close() - close all addresses and free the keys
+ * @p: service; unanswered watches are aborted
  */
 void sim_platform_close(struct platform *p)
 {
 	uint32_t i;
 
 	for (i = 0; i < p->opt.n_addrs; i++)
-		front_down(&p->fronts[i], 0);
+		frontend_set_down(&p->frontends[i], 0);
 	if (p->admin)
 		http_server_close(p->admin);
 	sim_loop_close(&p->loop);
-	keys_free(p->keys);
+	key_store_free(p->store);
 }
--- a/sim/sim-platform/platform.h
+++ b/sim/sim-platform/platform.h
@@ -1,4 +1,4 @@
-/* Types of the stand-in for the configuration service. */
+/* Types of the simulated configuration service. */
 #ifndef SIM_PLATFORM_H
 #define SIM_PLATFORM_H
 
@@ -8,63 +8,67 @@
 
 #define VALUE_MAX_BYTES (1u << 20)
 #define KEY_MAX_BYTES 256
-#define FRONTS_MAX 64
+#define FRONTENDS_MAX 64
 #define REVISION_LATEST UINT64_MAX
 
-/* keys.c: values by key and revision, so that an old state can be served. */
+/* key_store.c: values by key and revision, so that an old state can be served. */
 
-struct keys;
+struct key_store;
 
-struct keys *keys_new(void);
-void keys_free(struct keys *k);
-int keys_put(struct keys *k, const char *key, const void *value,
-	     size_t size_bytes, uint64_t *revision);
-int keys_delete(struct keys *k, const char *key, uint64_t *revision);
-uint64_t keys_revision(const struct keys *k);
-int keys_get(const struct keys *k, const char *key, uint64_t as_of,
-	     GString *out, uint64_t *revision);
-uint32_t keys_list(const struct keys *k, const char *prefix, uint64_t as_of,
-		   GString *out);
-uint32_t keys_changes(const struct keys *k, uint64_t after, uint64_t as_of,
-		      GString *out);
-bool keys_name_ok(const char *key);
+struct key_store *key_store_new(void);
+void key_store_free(struct key_store *store);
+int key_store_put(struct key_store *store, const char *key, const void *value,
+		  size_t size_bytes, uint64_t *revision);
+int key_store_delete(struct key_store *store, const char *key,
+		     uint64_t *revision);
+uint64_t key_store_revision(const struct key_store *store);
+int key_store_get(const struct key_store *store, const char *key,
+		  uint64_t as_of, GString *out, uint64_t *revision);
+uint32_t key_store_list(const struct key_store *store, const char *prefix,
+			uint64_t as_of, GString *out);
+uint32_t key_store_changes(const struct key_store *store, uint64_t after,
+			   uint64_t as_of, GString *out);
+bool key_store_name_is_valid(const char *key);
 
-/* load.c: the keys at the start. */
+/* load.c: initial keys. */
 
-int keys_load(struct keys *k, const char *dir, const char *program);
+int key_store_load(struct key_store *store, const char *dir,
+		   const char *program);
 
-/* calls.c: what the service was asked. */
+/* call_counters.c: counters of the calls received. */
 
-enum call { CALL_GET, CALL_LIST, CALL_WATCH, CALL_OTHER, CALLS };
+enum call_kind { CALL_GET, CALL_LIST, CALL_WATCH, CALL_OTHER, CALLS };
 
 /**
- * struct calls - calls counted
- * @n: by kind
- * @not_found: of them, keys that are not there
- * @second: second counted at the moment
- * @in_second: calls in it so far
- * @peak_per_s: most calls in a second
+ * struct call_counters - counters of calls
+ * @count: number of calls by kind
+ * @not_found: number of CALL_GET for a key that does not exist
+ * @second: current second, of the monotonic clock
+ * @in_second: calls received in @second so far
+ * @peak_per_s: most calls received in any one second
  */
-struct calls {
-	uint64_t n[CALLS];
+struct call_counters {
+	uint64_t count[CALLS];
 	uint64_t not_found;
 	uint64_t second;
 	uint64_t in_second;
 	uint64_t peak_per_s;
 };
 
-void calls_count(struct calls *c, enum call kind, uint64_t now_ns);
-void calls_print(const struct calls *c, const char *name, GString *out);
+void call_counters_add(struct call_counters *c, enum call_kind kind,
+		       uint64_t now_ns);
+void call_counters_print(const struct call_counters *c, const char *name,
+			 GString *out);
 
 /**
  * struct platform_options - command line
- * @addrs: where readers call, one or more
- * @n_addrs: how many
- * @admin: where tests change keys and set faults, ADDR_NONE for none
- * @keys_dir: keys at the start, NULL for none
+ * @addrs: addresses of the frontends
+ * @n_addrs: number of frontends, at least 1
+ * @admin: address at which tests change keys and set faults, or ADDR_NONE
+ * @keys_dir: directory with the initial keys, or NULL
  */
 struct platform_options {
-	uint64_t addrs[FRONTS_MAX];
+	uint64_t addrs[FRONTENDS_MAX];
 	uint32_t n_addrs;
 	uint64_t admin;
 	const char *keys_dir;
@@ -73,60 +77,62 @@
 struct platform;
 
 /**
- * struct front - an address of the service; each can fail on its own
- * @platform: back
- * @addr: address
- * @server: NULL while it is down
- * @down_deadline_ns: when it is back, 0 when it is up
- * @stale_deadline_ns: until when it serves an old state
- * @stale_revision: that state
- * @watchers: calls that wait
- * @calls: what it was asked
+ * struct frontend - an address of the service; each can fail independently
+ * @platform: service that the frontend belongs to
+ * @addr: address that readers call
+ * @server: HTTP server, NULL while the frontend is down
+ * @down_until_ns: time at which a frontend that is down opens again
+ * @stale_until_ns: time until which it serves @stale_revision, 0 if it
+ *	serves the latest state
+ * @stale_revision: revision of the old state
+ * @watchers: struct watcher for each unanswered watch, oldest first
+ * @calls: counters of the calls that this frontend received
  */
-struct front {
+struct frontend {
 	struct platform *platform;
 	uint64_t addr;
 	struct http_server *server;
-	uint64_t down_deadline_ns;
-	uint64_t stale_deadline_ns;
+	uint64_t down_until_ns;
+	uint64_t stale_until_ns;
 	uint64_t stale_revision;
 	GQueue watchers;
-	struct calls calls;
+	struct call_counters calls;
 };
 
-/* The service. */
+/* The service: a frontend for each of @opt.addrs, and a common key store. */
 struct platform {
 	struct platform_options opt;
 	uv_loop_t loop;
 	uv_timer_t timer;
 	uv_signal_t term;
-	struct keys *keys;
-	struct front fronts[FRONTS_MAX];
+	struct key_store *store;
+	struct frontend frontends[FRONTENDS_MAX];
 	struct http_server *admin;
-	struct calls calls;
+	struct call_counters calls;
 };
 
 int sim_platform_options_read(struct platform_options *o, int argc,
 			      char **argv);
 int sim_platform_open(struct platform *p);
 void sim_platform_close(struct platform *p);
-int front_open(struct front *f);
-void front_down(struct front *f, uint64_t length_ns);
-void front_stale(struct front *f, uint64_t length_ns, uint64_t revision);
-uint64_t front_as_of(const struct front *f);
-void front_step(struct front *f, uint64_t now_ns);
-int front_handle(void *ctx, struct http_request *req, const char *method,
-		 const char *path, const char *query, const GString *in,
-		 GString *body);
-void front_revision(struct http_request *req, uint64_t revision);
-void watch_begin(struct front *f, struct http_request *req, uint64_t after,
-		 uint64_t deadline_ns);
-void watch_step(struct front *f, uint64_t now_ns);
-void watch_drop(struct front *f);
+int frontend_open(struct frontend *f);
+void frontend_set_down(struct frontend *f, uint64_t length_ns);
+void frontend_set_stale(struct frontend *f, uint64_t length_ns,
+			uint64_t revision);
+uint64_t frontend_served_revision(const struct frontend *f);
+void frontend_tick(struct frontend *f, uint64_t now_ns);
+int frontend_handle(void *ctx, struct http_request *req, const char *method,
+		    const char *path, const char *query, const GString *in,
+		    GString *body);
+void frontend_add_revision(struct http_request *req, uint64_t revision);
+void watch_add(struct frontend *f, struct http_request *req, uint64_t after,
+	       uint64_t deadline_ns);
+void watch_answer_due(struct frontend *f, uint64_t now_ns);
+void watch_abort_all(struct frontend *f);
 int admin_handle(void *ctx, struct http_request *req, const char *method,
 		 const char *path, const char *query, const GString *in,
 		 GString *body);
-int number_query(const char *query, const char *name, uint64_t fallback,
-		 uint64_t max, uint64_t *out);
+int query_parse_number(const char *query, const char *name, uint64_t fallback,
+		       uint64_t max, uint64_t *out);
 
 #endif
--- a/sim/sim-platform/watch.c
+++ b/sim/sim-platform/watch.c
@@ -1,10 +1,10 @@
 #include "platform.h"
 
 /**
- * struct watcher - a call that waits for a change
- * @req: the call
+ * struct watcher - an unanswered watch
+ * @req: call to be answered
  * @after: revision that the reader has
- * @deadline_ns: when it is answered in any case
+ * @deadline_ns: time at which it is answered even without changes
  */
 struct watcher {
 	struct http_request *req;
@@ -12,18 +12,19 @@
 	uint64_t deadline_ns;
 };
 
-/* Answers and frees a watcher when it is time. */
-static bool settle(struct front *f, struct watcher *w, uint64_t now_ns)
+/* Answers and frees a watcher if there are changes or its time is over. */
+static bool answer_if_due(struct frontend *f, struct watcher *w,
+			  uint64_t now_ns)
 {
-	uint64_t as_of = front_as_of(f);
+	uint64_t as_of = frontend_served_revision(f);
 	GString *body;
 
 	if (w->deadline_ns > now_ns &&
-	    keys_changes(f->platform->keys, w->after, as_of, NULL) == 0)
+	    key_store_changes(f->platform->store, w->after, as_of, NULL) == 0)
 		return false;
 	body = g_string_new(NULL);
-	keys_changes(f->platform->keys, w->after, as_of, body);
-	front_revision(w->req, as_of);
+	key_store_changes(f->platform->store, w->after, as_of, body);
+	frontend_add_revision(w->req, as_of);
 	http_respond(w->req, 200, body);
 	g_string_free(body, TRUE);
 	g_free(w);
@@ -31,14 +32,14 @@
 }
 
 /**
- * watch_begin() - let a call wait for a change
- * @f: front it came to
- * @req: call
+ * watch_add() - queue a watch until there are changes
+ * @f: frontend that received the call
+ * @req: call to be answered
  * @after: revision that the reader has
- * @deadline_ns: when to answer in any case
+ * @deadline_ns: time at which it is answered even without changes
  */
-void watch_begin(struct front *f, struct http_request *req, uint64_t after,
-		 uint64_t deadline_ns)
+void watch_add(struct frontend *f, struct http_request *req, uint64_t after,
+	       uint64_t deadline_ns)
 {
 	struct watcher *w = g_new(struct watcher, 1);
 
@@ -49,30 +50,30 @@
 }
 
 /**
- * watch_step() - answer the calls whose wait is over
- * @f: front
- * @now_ns: time
+ * watch_answer_due() - answer watches with changes or a past deadline
+ * @f: frontend
+ * @now_ns: monotonic time
  *
- * Answering may begin the next call of the same connection, which may wait
- * again; it is queued behind and not looked at in this step.
+ * An answer may start the next call of the same connection. If that is a watch,
+ * it is queued last and not checked in this step.
  */
-void watch_step(struct front *f, uint64_t now_ns)
+void watch_answer_due(struct frontend *f, uint64_t now_ns)
 {
 	guint n = g_queue_get_length(&f->watchers);
 
 	while (n--) {
 		struct watcher *w = g_queue_pop_head(&f->watchers);
 
-		if (!settle(f, w, now_ns))
+		if (!answer_if_due(f, w, now_ns))
 			g_queue_push_tail(&f->watchers, w);
 	}
 }
 
 /**
- * watch_drop() - forget the calls that wait; their connections are closed
- * @f: front
+ * watch_abort_all() - abort all watches of a frontend whose connections are closed
+ * @f: frontend
  */
-void watch_drop(struct front *f)
+void watch_abort_all(struct frontend *f)
 {
 	struct watcher *w;
 
