--- a/sim/sim-target/behaviour.c
+++ b/sim/sim-target/behaviour.c
@@ -3,46 +3,47 @@
 #define COLD_FACTOR 5
 
 /**
- * behaviour_reset() - a target in good order
- * @b: behaviour, its random source is kept
+ * behaviour_reset() - end all faults
+ * @b: behaviour; the state of its random numbers is kept
  */
 void behaviour_reset(struct behaviour *b)
 {
 	b->draining = false;
 	b->silent = false;
-	b->crawl = 1;
+	b->work_factor = 1;
 	b->shed_percent = 0;
 	b->fail_percent = 0;
-	b->lose_percent = 0;
+	b->loss_percent = 0;
 	b->cold_start_ns = 0;
 	b->cold_deadline_ns = 0;
 }
 
 /**
- * behaviour_cold() - begin a slow start
+ * behaviour_start_cold() - start a cold phase, in which work takes longer
  * @b: behaviour
- * @now_ns: time
- * @length_ns: how long it lasts
+ * @now_ns: monotonic time
+ * @length_ns: duration of the phase
  */
-void behaviour_cold(struct behaviour *b, uint64_t now_ns, uint64_t length_ns)
+void behaviour_start_cold(struct behaviour *b, uint64_t now_ns,
+			  uint64_t length_ns)
 {
 	b->cold_start_ns = now_ns;
 	b->cold_deadline_ns = now_ns + length_ns;
 }
 
 /**
- * behaviour_work_ns() - how long work takes when begun now
+ * behaviour_work_ns() - duration of work that starts now
  * @b: behaviour
- * @work_ns: time it takes in good order
- * @now_ns: time
+ * @work_ns: duration without faults
+ * @now_ns: monotonic time
  *
- * Return: @work_ns times the crawl factor; a slow start begins at
- * COLD_FACTOR times that and falls evenly to once.
+ * Return: @work_ns times @b->work_factor; in a cold phase, also times a factor
+ * that falls linearly from COLD_FACTOR to 1.
  */
 uint64_t behaviour_work_ns(const struct behaviour *b, uint64_t work_ns,
 			   uint64_t now_ns)
 {
-	uint64_t base_ns = work_ns * b->crawl;
+	uint64_t base_ns = work_ns * b->work_factor;
 	double left;
 
 	if (now_ns >= b->cold_deadline_ns)
@@ -53,11 +54,11 @@
 }
 
 /**
- * behaviour_draw() - whether a share hits this request
- * @b: behaviour
- * @percent: share, 0 to 100
+ * behaviour_draw() - decide at random whether a fault affects a request
+ * @b: behaviour; advances its random numbers unless @percent is 0
+ * @percent: probability, 0 to 100
  *
- * Return: true in @percent of 100 calls.
+ * Return: true with the given probability.
  */
 bool behaviour_draw(struct behaviour *b, uint32_t percent)
 {
--- a/sim/sim-target/commands.c
+++ b/sim/sim-target/commands.c
@@ -35,7 +35,7 @@
 	(void)argc, (void)reply, (void)n;
 	if (control_number(argv[1], CRAWL_MAX, &factor) || factor == 0)
 		return -EINVAL;
-	t->behaviour.crawl = factor;
+	t->behaviour.work_factor = factor;
 	return 0;
 }
 
@@ -45,7 +45,7 @@
 
 	(void)argc, (void)argv, (void)reply, (void)n;
 	t->behaviour.silent = true;
-	target_link(t);
+	target_apply_packet_loss(t);
 	return 0;
 }
 
@@ -55,7 +55,7 @@
 	struct target *t = ctx;
 
 	(void)argc, (void)argv, (void)reply, (void)n;
-	observers_lose(t->observers);
+	observers_forget_all(t->observers);
 	return 0;
 }
 
@@ -78,10 +78,10 @@
 static int do_lose(void *ctx, int argc, char **argv, char *reply, size_t n)
 {
 	struct target *t = ctx;
-	int rc = control_percent(argv[1], &t->behaviour.lose_percent);
+	int rc = control_percent(argv[1], &t->behaviour.loss_percent);
 
 	(void)argc, (void)reply, (void)n;
-	target_link(t);
+	target_apply_packet_loss(t);
 	return rc;
 }
 
@@ -93,7 +93,7 @@
 	(void)argc, (void)reply, (void)n;
 	if (control_number(argv[1], COLD_MAX_MS, &ms) || ms == 0)
 		return -EINVAL;
-	behaviour_cold(&t->behaviour, uv_hrtime(), ms * NS_PER_MS);
+	behaviour_start_cold(&t->behaviour, uv_hrtime(), ms * NS_PER_MS);
 	return 0;
 }
 
@@ -103,7 +103,7 @@
 
 	(void)argc, (void)argv, (void)reply, (void)n;
 	behaviour_reset(&t->behaviour);
-	target_link(t);
+	target_apply_packet_loss(t);
 	return 0;
 }
 
@@ -117,7 +117,7 @@
 static int do_stats(void *ctx, int argc, char **argv, char *reply, size_t n)
 {
 	struct target *t = ctx;
-	struct load l = target_load_now(t);
+	struct load l = target_current_load(t);
 	size_t used;
 
 	(void)argc, (void)argv;
--- a/sim/sim-target/dedup.c
+++ b/sim/sim-target/dedup.c
@@ -6,13 +6,13 @@
 #define DEDUP_SEED 1
 
 /**
- * struct exchange - a message that was seen
- * @key: its identity
- * @expiry_ns: end of its exchange lifetime
- * @next: next of its bucket
- * @answered: @answer is known
- * @used: holds a message
- * @answer: what it was answered
+ * struct exchange - a received message and its answer
+ * @key: identity of the message
+ * @expiry_ns: end of the exchange lifetime
+ * @next: index of the next exchange of the bucket, or NO_EXCHANGE
+ * @answered: @answer is valid
+ * @used: the element holds a message
+ * @answer: answer to the message
  */
 struct exchange {
 	struct message_key key;
@@ -23,21 +23,24 @@
 	struct reply answer;
 };
 
-/* A ring of exchanges in order of arrival, found by hash of (peer, mid). */
+/*
+ * A ring of exchanges in order of arrival, with a hash table by (peer, mid).
+ * @next_index is the element that the next message takes.
+ */
 struct dedup {
 	uint32_t capacity;
-	uint32_t at;
+	uint32_t next_index;
 	uint64_t window_ns;
 	struct exchange *ring;
 	uint32_t *buckets;
 };
 
 /**
- * dedup_new() - a window of messages seen
- * @capacity: most messages held; the oldest leaves first
+ * dedup_new() - create a table of received messages
+ * @capacity: greatest number of messages; the oldest is replaced first
  * @window_ns: EXCHANGE_LIFETIME of RFC 7252 section 4.8.2
  *
- * Return: the window.
+ * Return: empty table, to be freed with dedup_free().
  */
 struct dedup *dedup_new(uint32_t capacity, uint64_t window_ns)
 {
@@ -82,7 +85,7 @@
 	return NULL;
 }
 
-static void forget(struct dedup *d, struct exchange *x)
+static void remove_exchange(struct dedup *d, struct exchange *x)
 {
 	uint32_t self = (uint32_t)(x - d->ring);
 	uint32_t *link = bucket(d, &x->key);
@@ -93,22 +96,22 @@
 	x->used = false;
 }
 
-static void remember(struct dedup *d, const struct message_key *key,
-		     uint64_t now_ns)
+static void add_exchange(struct dedup *d, const struct message_key *key,
+			 uint64_t now_ns)
 {
-	struct exchange *x = &d->ring[d->at];
+	struct exchange *x = &d->ring[d->next_index];
 	uint32_t *head;
 
 	if (x->used)
-		forget(d, x);
+		remove_exchange(d, x);
 	x->key = *key;
 	x->expiry_ns = now_ns + d->window_ns;
 	x->answered = false;
 	x->used = true;
 	head = bucket(d, key);
 	x->next = *head;
-	*head = d->at;
-	d->at = (d->at + 1) % d->capacity;
+	*head = d->next_index;
+	d->next_index = (d->next_index + 1) % d->capacity;
 }
 
 static bool same_token(const struct message_key *a, const struct message_key *b)
@@ -118,20 +121,20 @@
 }
 
 /**
- * dedup_see() - look a message up, and remember it when it is new
- * @d: window
- * @key: its identity
- * @now_ns: time
- * @answer: filled for DEDUP_ANSWERED, good until the next call
+ * dedup_record() - look up a message, and record it if it is new
+ * @d: table of received messages
+ * @key: identity of the message
+ * @now_ns: monotonic time
+ * @answer: receives the answer for DEDUP_ANSWERED, valid until the next call
  *
- * A message ID that comes back with another token is no repeat: answering it
- * with the old answer would give one caller another's. It is counted apart,
- * since a sender may not do this within the lifetime.
+ * A message ID with another token is no retransmission: the recorded answer
+ * belongs to another caller. It has a result of its own, since a sender must
+ * not reuse a message ID within the exchange lifetime.
  *
- * Return: the verdict.
+ * Return: whether the message is new, or a retransmission.
  */
-enum dedup_verdict dedup_see(struct dedup *d, const struct message_key *key,
-			     uint64_t now_ns, const struct reply **answer)
+enum dedup_verdict dedup_record(struct dedup *d, const struct message_key *key,
+				uint64_t now_ns, const struct reply **answer)
 {
 	enum dedup_verdict verdict = DEDUP_NEW;
 	struct exchange *x = find(d, key);
@@ -143,20 +146,20 @@
 	if (x) {
 		if (x->expiry_ns > now_ns)
 			verdict = DEDUP_REUSED;
-		forget(d, x);
+		remove_exchange(d, x);
 	}
-	remember(d, key, now_ns);
+	add_exchange(d, key, now_ns);
 	return verdict;
 }
 
 /**
- * dedup_answer() - remember what a message was answered
- * @d: window
- * @key: its identity; ignored when the window holds it no more
- * @answer: its answer
+ * dedup_record_answer() - record the answer to a message
+ * @d: table of received messages
+ * @key: identity of the message; no effect if it is no longer recorded
+ * @answer: answer, copied
  */
-void dedup_answer(struct dedup *d, const struct message_key *key,
-		  const struct reply *answer)
+void dedup_record_answer(struct dedup *d, const struct message_key *key,
+			 const struct reply *answer)
 {
 	struct exchange *x = find(d, key);
 
--- a/sim/sim-target/main.c
+++ b/sim/sim-target/main.c
@@ -1,4 +1,4 @@
-/* A stand-in for a target: libcoap's server with slots, feeds and faults. */
+/* sim-target: simulates a target, a CoAP server with slots, feeds and faults. */
 #include "target.h"
 
 #include <stdlib.h>
--- a/sim/sim-target/observers.c
+++ b/sim/sim-target/observers.c
@@ -2,19 +2,19 @@
 
 #include <string.h>
 
-/* @n_lost of the feeds in @table are lost. */
+/* Set of struct observer; @n_forgotten of them have @forgotten set. */
 struct observers {
 	GHashTable *table;
-	uint32_t n_lost;
+	uint32_t n_forgotten;
 };
 
 static guint observer_hash(gconstpointer p)
 {
-	const struct observer *f = p;
+	const struct observer *o = p;
 	uint64_t token = 0;
 
-	memcpy(&token, f->token, f->token_len);
-	return (guint)hash_u64(token, (uint64_t)(uintptr_t)f->session);
+	memcpy(&token, o->token, o->token_len);
+	return (guint)hash_u64(token, (uint64_t)(uintptr_t)o->session);
 }
 
 static gboolean observer_equal(gconstpointer a, gconstpointer b)
@@ -28,27 +28,27 @@
 
 static void observer_free(gpointer p)
 {
-	struct observer *f = p;
+	struct observer *o = p;
 
-	coap_session_release(f->session);
-	g_free(f);
+	coap_session_release(o->session);
+	g_free(o);
 }
 
 struct observers *observers_new(void)
 {
-	struct observers *f = g_new0(struct observers, 1);
+	struct observers *observers = g_new0(struct observers, 1);
 
-	f->table = g_hash_table_new_full(observer_hash, observer_equal,
-					 observer_free, NULL);
-	return f;
+	observers->table = g_hash_table_new_full(observer_hash, observer_equal,
+						 observer_free, NULL);
+	return observers;
 }
 
-void observers_free(struct observers *f)
+void observers_free(struct observers *observers)
 {
-	if (!f)
+	if (!observers)
 		return;
-	g_hash_table_destroy(f->table);
-	g_free(f);
+	g_hash_table_destroy(observers->table);
+	g_free(observers);
 }
 
 static void fill_key(struct observer *key, coap_session_t *session,
@@ -61,115 +61,118 @@
 }
 
 /**
- * observers_find() - a feed by the request that opened it
- * @f: feeds
- * @session: libcoap's session
+ * observers_find() - find an observer by the request that opened the feed
+ * @observers: observers
+ * @session: session of the request
  * @token: token of the request
  *
- * Return: the feed, or NULL.
+ * Return: observer, or NULL if there is none.
  */
-struct observer *observers_find(struct observers *f, coap_session_t *session,
-				coap_bin_const_t token)
+struct observer *observers_find(struct observers *observers,
+				coap_session_t *session, coap_bin_const_t token)
 {
 	struct observer key;
 
 	fill_key(&key, session, token);
-	return g_hash_table_lookup(f->table, &key);
+	return g_hash_table_lookup(observers->table, &key);
 }
 
 /**
- * observers_add() - note a feed that was opened
- * @f: feeds
- * @session: libcoap's session
+ * observers_add() - add an observer, replacing one of the same request
+ * @observers: observers
+ * @session: session of the request; a reference is taken
  * @token: token of the request
- * @id: its id
+ * @id: id of the request, copied
  *
- * Return: the feed.
+ * Return: new observer, whose @round the caller must set.
  */
-struct observer *observers_add(struct observers *f, coap_session_t *session,
-			       coap_bin_const_t token, const char *id)
+struct observer *observers_add(struct observers *observers,
+			       coap_session_t *session, coap_bin_const_t token,
+			       const char *id)
 {
-	struct observer *feed = observers_find(f, session, token);
+	struct observer *observer = observers_find(observers, session, token);
 
-	if (feed)
-		observers_remove(f, feed);
-	feed = g_new(struct observer, 1);
-	fill_key(feed, session, token);
+	if (observer)
+		observers_remove(observers, observer);
+	observer = g_new(struct observer, 1);
+	fill_key(observer, session, token);
 	coap_session_reference(session);
-	g_strlcpy(feed->id, id, sizeof(feed->id));
-	g_hash_table_add(f->table, feed);
-	return feed;
+	g_strlcpy(observer->id, id, sizeof(observer->id));
+	g_hash_table_add(observers->table, observer);
+	return observer;
 }
 
 /**
- * observers_remove() - a feed was closed
- * @f: feeds
- * @feed: feed, gone afterwards
+ * observers_remove() - remove and free an observer
+ * @observers: observers
+ * @observer: observer to remove
  */
-void observers_remove(struct observers *f, struct observer *feed)
+void observers_remove(struct observers *observers, struct observer *observer)
 {
-	f->n_lost -= feed->lost;
-	g_hash_table_remove(f->table, feed);
+	observers->n_forgotten -= observer->forgotten;
+	g_hash_table_remove(observers->table, observer);
 }
 
-static void lose(gpointer key, gpointer value, gpointer arg)
+static void mark_forgotten(gpointer key, gpointer value, gpointer arg)
 {
 	(void)key;
 	(void)arg;
-	((struct observer *)value)->lost = true;
+	((struct observer *)value)->forgotten = true;
 }
 
 /**
- * observers_lose() - forget every open feed without a word to its observer
- * @f: feeds
+ * observers_forget_all() - stop notifying all current observers without telling them
+ * @observers: observers
  */
-void observers_lose(struct observers *f)
+void observers_forget_all(struct observers *observers)
 {
-	g_hash_table_foreach(f->table, lose, NULL);
-	f->n_lost = g_hash_table_size(f->table);
+	g_hash_table_foreach(observers->table, mark_forgotten, NULL);
+	observers->n_forgotten = g_hash_table_size(observers->table);
 }
 
-/* Arguments of a sweep. */
+/* Arguments of observers_sweep(). */
 struct sweep {
-	struct observers *f;
+	struct observers *observers;
 	uint32_t round;
 };
 
-static gboolean gone(gpointer key, gpointer value, gpointer arg)
+static gboolean is_removed_by_libcoap(gpointer key, gpointer value,
+				      gpointer arg)
 {
-	const struct observer *feed = value;
+	const struct observer *observer = value;
 	struct sweep *sweep = arg;
 
 	(void)key;
-	if (feed->round >= sweep->round)
+	if (observer->round >= sweep->round)
 		return FALSE;
-	sweep->f->n_lost -= feed->lost;
+	sweep->observers->n_forgotten -= observer->forgotten;
 	return TRUE;
 }
 
 /**
- * observers_sweep() - drop the feeds that libcoap has dropped
- * @f: feeds
- * @round: feeds not notified since this round are gone
+ * observers_sweep() - remove the observers that libcoap has removed
+ * @observers: observers
+ * @round: observers last notified before this round are removed
  *
- * libcoap says nothing when an observer leaves by RST or is given up. Such a
- * feed would count as a connection for ever; that it was not asked for in the
- * last rounds of notifications tells.
+ * libcoap does not report that it removed an observer after an RST or a
+ * timeout. Such an observer would count as a connection forever; it is
+ * recognised by libcoap not notifying it in the last rounds.
  */
-void observers_sweep(struct observers *f, uint32_t round)
+void observers_sweep(struct observers *observers, uint32_t round)
 {
-	struct sweep sweep = { f, round };
+	struct sweep sweep = { observers, round };
 
-	g_hash_table_foreach_remove(f->table, gone, &sweep);
+	g_hash_table_foreach_remove(observers->table, is_removed_by_libcoap,
+				    &sweep);
 }
 
 /**
- * observers_count() - connections that the target knows of
- * @f: feeds
+ * observers_count() - number of open feeds
+ * @observers: observers
  *
- * Return: feeds open and not lost.
+ * Return: number of observers that are notified.
  */
-uint32_t observers_count(const struct observers *f)
+uint32_t observers_count(const struct observers *observers)
 {
-	return g_hash_table_size(f->table) - f->n_lost;
+	return g_hash_table_size(observers->table) - observers->n_forgotten;
 }
--- a/sim/sim-target/options.c
+++ b/sim/sim-target/options.c
@@ -12,7 +12,7 @@
 
 static const char program[] = "sim-target";
 
-/* The command line as argtable2 holds it. */
+/* Arguments in the form of argtable2. */
 struct parsed {
 	struct arg_lit *help, *version, *no_dedup;
 	struct arg_str *addr, *service, *control;
@@ -72,7 +72,7 @@
 	return rc ? -EINVAL : 0;
 }
 
-static void fill(const struct parsed *p, struct target_options *o)
+static void set_options(const struct parsed *p, struct target_options *o)
 {
 	o->service = p->service->sval[0];
 	o->runs_path = p->runs->count ? p->runs->filename[0] : NULL;
@@ -82,52 +82,61 @@
 	o->work_ns = (uint64_t)p->work->ival[0] * NS_PER_MS;
 	o->feed_ns = (uint64_t)p->feed->ival[0] * NS_PER_MS;
 	o->load_lag_ns = (uint64_t)p->lag->ival[0] * NS_PER_MS;
-	o->load_lie = p->lie->ival[0];
+	o->load_constant = p->lie->ival[0];
 	o->no_dedup = p->no_dedup->count > 0;
 	o->seed = (uint64_t)p->seed->ival[0];
 }
 
 /**
  * target_options_read() - parse and check the command line
- * @o: filled; its strings are @argv's
- * @argc: from main
- * @argv: from main
+ * @o: zeroed; receives the options, whose strings belong to @argv
+ * @argc: number of arguments
+ * @argv: arguments
  *
- * Return: SIM_ARGS_RUN, SIM_ARGS_EXIT, or -EINVAL after every mistake was
- * printed.
+ * Return: SIM_ARGS_RUN; SIM_ARGS_EXIT after --help or --version; -EINVAL after
+ * printing every error.
  */
 int target_options_read(struct target_options *o, int argc, char **argv)
 {
 	struct parsed p = {
-		.help = arg_lit0(NULL, "help", "say this"),
-		.version = arg_lit0(NULL, "version", "say the version"),
-		.no_dedup = arg_lit0(NULL, "no-dedup", "run repeats again"),
-		.addr = arg_str1(NULL, "addr", "IP:PORT", "serve here"),
-		.service = arg_str1(NULL, "service", "NAME", "service"),
+		.help = arg_lit0(NULL, "help", "print this help and exit"),
+		.version =
+			arg_lit0(NULL, "version", "print the version and exit"),
+		.no_dedup =
+			arg_lit0(NULL, "no-dedup", "run retransmissions again"),
+		.addr = arg_str1(NULL, "addr", "IP:PORT",
+				 "address of the endpoint"),
+		.service = arg_str1(NULL, "service", "NAME",
+				    "name of the service"),
 		.control = arg_str0(NULL, "control", "IP:PORT",
-				    "take commands here"),
-		.runs = arg_file0(NULL, "runs", "FILE", "run log"),
-		.slots = arg_int0(NULL, "slots", "N", "run at once [2]"),
-		.queue = arg_int0(NULL, "queue", "N", "wait [20]"),
+				    "address of the control port"),
+		.runs = arg_file0(NULL, "runs", "FILE",
+				  "append to this run log"),
+		.slots = arg_int0(NULL, "slots", "N", "running requests [2]"),
+		.queue = arg_int0(NULL, "queue", "N", "queued requests [20]"),
 		.connections =
-			arg_int0(NULL, "connections", "N", "feeds [2000]"),
-		.work = arg_int0(NULL, "work-ms", "MS", "per request [20]"),
+			arg_int0(NULL, "connections", "N", "open feeds [2000]"),
+		.work = arg_int0(NULL, "work-ms", "MS",
+				 "duration of a request [20]"),
 		.feed = arg_int0(NULL, "feed-ms", "MS",
-				 "between notifications [1000]"),
+				 "period of notifications [1000]"),
 		.lag = arg_int0(NULL, "load-lag-ms", "MS",
-				"age of load reports [0]"),
+				"greatest age of load reports [0]"),
 		.lie = arg_int0(NULL, "load-lie", "N",
-				"always report N running"),
-		.seed = arg_int0(NULL, "seed", "N", "of shares [1]"),
+				"always report N running requests"),
+		.seed = arg_int0(NULL, "seed", "N",
+				 "seed of random faults [1]"),
 		.end = arg_end(20),
 	};
 	void *table[] = { p.help,	 p.version,  p.addr,  p.service,
 			  p.control,	 p.runs,     p.slots, p.queue,
 			  p.connections, p.work,     p.feed,  p.lag,
 			  p.lie,	 p.no_dedup, p.seed,  p.end };
-	struct sim_args args = { program,   "A target that speaks CoAP.",
-				 table,	    p.help,
-				 p.version, p.end };
+	struct sim_args args = {
+		program,   "Simulates a target that serves CoAP.",
+		table,	   p.help,
+		p.version, p.end
+	};
 	int rc;
 
 	set_defaults(&p);
@@ -135,7 +144,7 @@
 	if (rc == SIM_ARGS_RUN)
 		rc = check(&p, o);
 	if (rc == SIM_ARGS_RUN)
-		fill(&p, o);
+		set_options(&p, o);
 	arg_freetable(table, sizeof(table) / sizeof(table[0]));
 	return rc;
 }
--- a/sim/sim-target/report.c
+++ b/sim/sim-target/report.c
@@ -1,20 +1,20 @@
 #include "target.h"
 
 /**
- * report_load() - what the target says its load is
- * @r: report
- * @now: its load
- * @now_ns: time
+ * load_report_get() - load to report
+ * @r: state of the reports
+ * @now: current load
+ * @now_ns: monotonic time
  *
- * Return: the load, up to the lag old, or the lie.
+ * Return: load sampled at most @r->lag_ns ago, or the constant @r->constant.
  */
-struct load report_load(struct report *r, const struct load *now,
-			uint64_t now_ns)
+struct load load_report_get(struct load_report *r, const struct load *now,
+			    uint64_t now_ns)
 {
-	struct load lie = { .running = (uint16_t)r->lie };
+	struct load constant = { .running = (uint16_t)r->constant };
 
-	if (r->lie >= 0)
-		return lie;
+	if (r->constant >= 0)
+		return constant;
 	if (now_ns >= r->resample_deadline_ns) {
 		r->sampled = *now;
 		r->resample_deadline_ns = now_ns + r->lag_ns;
@@ -29,9 +29,9 @@
 }
 
 /**
- * load_encode() - value of the Load option
+ * load_encode() - encode the value of the Load option
  * @l: load
- * @buf: filled: running, waiting, connections, big endian
+ * @buf: receives running, waiting and connections as big-endian 16-bit numbers
  */
 void load_encode(const struct load *l, uint8_t buf[LOAD_BYTES])
 {
--- a/sim/sim-target/serve.c
+++ b/sim/sim-target/serve.c
@@ -5,37 +5,40 @@
 #include <sys/socket.h>
 
 /*
- * libcoap lets one confirmable message of a session wait for its ACK at a
- * time (NSTART 1). All requests of an entry share one session here, so that
- * one lost ACK would hold back every other caller's answer.
+ * By default libcoap has only one outstanding confirmable message per session
+ * (NSTART 1). All requests of an entry share one session here, so one lost ACK
+ * would delay the answers to all other callers.
  */
 #define NSTART 16384
 #define SOCKET_BUFFER_BYTES (4 << 20)
 #define SOCKET_SCAN_MAX 256
-#define ROUNDS_SLACK 2
+#define MISSED_ROUNDS_MAX 2
 
 static const struct path paths[] = {
-	{ "feed", target_feed, true },	  { "forecast", target_work, false },
-	{ "report", target_work, false }, { "readings", target_upload, false },
-	{ "load", target_load, false },	  { "missing", target_missing, false },
+	{ "feed", target_handle_feed, true },
+	{ "forecast", target_handle_work, false },
+	{ "report", target_handle_work, false },
+	{ "readings", target_handle_upload, false },
+	{ "load", target_handle_load, false },
+	{ "missing", target_handle_missing, false },
 };
 
-/* libcoap's handlers get no context but the resource's, so one each. */
-struct served {
+/* User data of a resource, the only context that libcoap passes to handlers. */
+struct resource_context {
 	struct target *t;
 	const struct path *path;
 };
 
 /**
- * target_link() - let answers out, as far as the faults do
+ * target_apply_packet_loss() - apply the faults to libcoap's simulated packet loss
  * @t: target
  */
-void target_link(const struct target *t)
+void target_apply_packet_loss(const struct target *t)
 {
 	char loss[8];
 
 	g_snprintf(loss, sizeof(loss), "%u%%",
-		   t->behaviour.silent ? 100 : t->behaviour.lose_percent);
+		   t->behaviour.silent ? 100 : t->behaviour.loss_percent);
 	coap_debug_set_packet_loss(loss);
 }
 
@@ -49,23 +52,24 @@
 
 static bool add_load(struct target *t, coap_pdu_t *pdu)
 {
-	struct load now = target_load_now(t);
-	struct load said = report_load(&t->report, &now, uv_hrtime());
+	struct load now = target_current_load(t);
+	struct load reported = load_report_get(&t->report, &now, uv_hrtime());
 	uint8_t buf[LOAD_BYTES];
 
-	load_encode(&said, buf);
+	load_encode(&reported, buf);
 	return coap_add_option(pdu, OPTION_LOAD, sizeof(buf), buf) > 0;
 }
 
 /**
- * target_fill() - put an answer into a PDU that has its token
+ * target_fill_pdu() - write an answer into a PDU
  * @t: target
- * @pdu: PDU
+ * @pdu: PDU with type, message ID and token set
  * @reply: answer
  *
- * Return: whether it fitted.
+ * Return: true if all options and the body fitted.
  */
-bool target_fill(struct target *t, coap_pdu_t *pdu, const struct reply *reply)
+bool target_fill_pdu(struct target *t, coap_pdu_t *pdu,
+		     const struct reply *reply)
 {
 	size_t len = strlen(reply->body);
 	bool ok = true;
@@ -85,9 +89,9 @@
 }
 
 /**
- * target_send() - answer a request whose handler has returned
+ * target_send() - send a separate answer, after the handler has returned
  * @t: target
- * @r: request
+ * @r: request to be answered
  * @reply: answer
  */
 void target_send(struct target *t, const struct request *r,
@@ -102,7 +106,7 @@
 	if (!pdu)
 		return;
 	if (coap_add_token(pdu, r->key.token_len, r->key.token) &&
-	    target_fill(t, pdu, reply))
+	    target_fill_pdu(t, pdu, reply))
 		coap_send(r->session, pdu);
 	else
 		coap_delete_pdu(pdu);
@@ -155,9 +159,9 @@
 	return uv_hrtime() + (uint64_t)timeout_ms * NS_PER_MS;
 }
 
-static void read_request(const struct served *s, coap_session_t *session,
-			 const coap_pdu_t *pdu, const coap_string_t *query,
-			 struct request *r)
+static void read_request(const struct resource_context *s,
+			 coap_session_t *session, const coap_pdu_t *pdu,
+			 const coap_string_t *query, struct request *r)
 {
 	coap_bin_const_t token = coap_pdu_get_token(pdu);
 
@@ -177,8 +181,9 @@
 }
 
 /*
- * libcoap calls the same handler for a notification, with the request that
- * opened the feed: the answer's type tells, or else that the feed is known.
+ * libcoap calls the same handler for notifications, with the request that opened
+ * the feed. They differ in the type of the answer or, if both are NON, in that
+ * the observer is already known.
  */
 static bool is_notification(const coap_pdu_t *request, const coap_pdu_t *answer,
 			    const struct observer *feed)
@@ -192,12 +197,12 @@
 }
 
 /*
- * A feed that the target forgot: its notification never leaves. An error code
- * would make libcoap 4.3.1 free the observer and then send through it (seen as
- * SIGSEGV in coap_io_prepare_io), so libcoap keeps it and notifies in vain;
- * as NON, since a CON would be sent again later.
+ * Drops the notification of a forgotten observer. An error code would make libcoap
+ * 4.3.1 free the observer and then use it (SIGSEGV in coap_io_prepare_io), so
+ * libcoap sends the notification and the simulated packet loss drops it. It is
+ * a NON, since libcoap would retransmit a CON later.
  */
-static void notify_lost(coap_pdu_t *answer)
+static void drop_notification(coap_pdu_t *answer)
 {
 	coap_debug_set_packet_loss("100%");
 	coap_pdu_set_type(answer, COAP_MESSAGE_NON);
@@ -211,24 +216,24 @@
 	if (!feed)
 		return;
 	feed->round = t->round;
-	if (feed->lost) {
-		notify_lost(answer);
+	if (feed->forgotten) {
+		drop_notification(answer);
 		return;
 	}
 	t->counts[COUNT_NOTIFICATIONS]++;
-	target_body(t, feed->id, ++feed->sequence, &out);
-	target_fill(t, answer, &out);
+	target_write_body(t, feed->id, ++feed->sequence, &out);
+	target_fill_pdu(t, answer, &out);
 }
 
-/* A cancellation never runs anything, also when it comes too late. */
-static void answer_first(struct target *t, const struct request *r,
-			 struct reply *out)
+/* A cancellation never runs the request, even if the request has ended. */
+static void answer_new(struct target *t, const struct request *r,
+		       struct reply *out)
 {
 	if (r->observe == COAP_OBSERVE_CANCEL &&
 	    r->method == COAP_REQUEST_GET) {
 		target_cancel(t, r);
 		out->code = COAP_RESPONSE_CODE_CONTENT;
-		target_body(t, r->id, 0, out);
+		target_write_body(t, r->id, 0, out);
 		return;
 	}
 	r->path->serve(t, r, out);
@@ -238,9 +243,9 @@
 	out->block_szx = r->block.szx;
 }
 
-/* A feed's opening, asked again, gets the number that the feed is at. */
-static void answer_again(struct target *t, const struct request *r,
-			 const struct reply *before, struct reply *out)
+/* A retransmitted request for a feed gets the feed's current sequence number. */
+static void answer_retransmission(struct target *t, const struct request *r,
+				  const struct reply *before, struct reply *out)
 {
 	coap_bin_const_t token = { r->key.token_len, r->key.token };
 	const struct observer *feed =
@@ -248,7 +253,7 @@
 
 	*out = *before;
 	if (feed && out->code == COAP_RESPONSE_CODE_CONTENT)
-		target_body(t, feed->id, feed->sequence, out);
+		target_write_body(t, feed->id, feed->sequence, out);
 }
 
 static void answer_request(struct target *t, const struct request *r,
@@ -258,31 +263,31 @@
 	enum dedup_verdict verdict = DEDUP_NEW;
 
 	if (!t->opt.no_dedup)
-		verdict = dedup_see(t->dedup, &r->key, uv_hrtime(), &before);
+		verdict = dedup_record(t->dedup, &r->key, uv_hrtime(), &before);
 	if (verdict == DEDUP_PENDING || verdict == DEDUP_ANSWERED) {
 		t->counts[COUNT_REPEATS]++;
 		if (verdict == DEDUP_ANSWERED)
-			answer_again(t, r, before, out);
+			answer_retransmission(t, r, before, out);
 		return;
 	}
 	if (verdict == DEDUP_REUSED)
 		t->counts[COUNT_REUSED_IDS]++;
-	answer_first(t, r, out);
+	answer_new(t, r, out);
 	if (out->code)
-		dedup_answer(t->dedup, &r->key, out);
+		dedup_record_answer(t->dedup, &r->key, out);
 }
 
 static void handle(coap_resource_t *resource, coap_session_t *session,
 		   const coap_pdu_t *request, const coap_string_t *query,
 		   coap_pdu_t *answer)
 {
-	const struct served *s = coap_resource_get_userdata(resource);
+	const struct resource_context *s = coap_resource_get_userdata(resource);
 	struct target *t = s->t;
 	struct reply out = { 0 };
 	struct request r;
 	struct observer *feed;
 
-	target_link(t);
+	target_apply_packet_loss(t);
 	coap_session_set_nstart(session, NSTART);
 	feed = observers_find(t->observers, session,
 			      coap_pdu_get_token(request));
@@ -295,26 +300,26 @@
 	read_request(s, session, request, query, &r);
 	answer_request(t, &r, &out);
 	if (out.code)
-		target_fill(t, answer, &out);
-	target_step(t);
+		target_fill_pdu(t, answer, &out);
+	target_schedule(t);
 }
 
 /**
- * target_notify() - begin a round of notifications
+ * target_notify_observers() - start a notification round
  * @t: target
  */
-void target_notify(struct target *t)
+void target_notify_observers(struct target *t)
 {
 	t->round++;
-	if (t->round > ROUNDS_SLACK)
-		observers_sweep(t->observers, t->round - ROUNDS_SLACK);
+	if (t->round > MISSED_ROUNDS_MAX)
+		observers_sweep(t->observers, t->round - MISSED_ROUNDS_MAX);
 	coap_resource_notify_observers(t->feed_resource, NULL);
 }
 
 static int add_path(struct target *t, const struct path *path)
 {
 	coap_str_const_t *name = coap_make_str_const(path->name);
-	struct served *s = g_new0(struct served, 1);
+	struct resource_context *s = g_new0(struct resource_context, 1);
 	coap_resource_t *resource =
 		coap_resource_init(name, COAP_RESOURCE_FLAGS_NOTIFY_NON);
 	int method;
@@ -336,11 +341,12 @@
 }
 
 /*
- * libcoap reads one datagram a turn; the default buffer of some 250 small
- * ones overflows when everyone wakes at once, and the load's losses would
- * then be the stand-in's. It gives no access to its socket but by number.
+ * libcoap reads one datagram per iteration. The default buffer, of about 250
+ * small datagrams, overflows in a load spike, and the simulated target would
+ * cause losses itself. libcoap does not expose its socket, so it is searched
+ * among the file descriptors by its address.
  */
-static void grow_buffer(const struct target *t)
+static void enlarge_receive_buffer(const struct target *t)
 {
 	int size_bytes = SOCKET_BUFFER_BYTES;
 	int fd;
@@ -359,10 +365,10 @@
 }
 
 /**
- * target_serve_open() - bind and register the paths
+ * target_serve_open() - open the CoAP endpoint and register the resources
  * @t: target with @opt set
  *
- * Return: 0 or a negative error.
+ * Return: 0 or a negative errno value.
  */
 int target_serve_open(struct target *t)
 {
@@ -380,7 +386,7 @@
 		return -ENOMEM;
 	if (!coap_new_endpoint(t->coap, &at, COAP_PROTO_UDP))
 		return -EADDRNOTAVAIL;
-	grow_buffer(t);
+	enlarge_receive_buffer(t);
 	coap_resource_release_userdata_handler(t->coap, g_free);
 	for (i = 0; i < sizeof(paths) / sizeof(paths[0]) && !rc; i++)
 		rc = add_path(t, &paths[i]);
--- a/sim/sim-target/slots.c
+++ b/sim/sim-target/slots.c
@@ -4,17 +4,19 @@
 #include <stdlib.h>
 #include <string.h>
 
+/* A job in a slot. */
 struct running {
 	void *job;
 	uint64_t finish_ns;
 };
 
+/* A queued job. */
 struct waiting {
 	void *job;
 	uint64_t deadline_ns;
 };
 
-/* @queue[0] waits longest. */
+/* @queue is in order of arrival; @running is unordered. */
 struct slots {
 	uint32_t n_slots;
 	uint32_t queue_max;
@@ -25,11 +27,11 @@
 };
 
 /**
- * slots_new() - a target's slots and the queue before them
- * @n_slots: requests that run at once
- * @queue_max: requests that wait while all slots are taken
+ * slots_new() - create the slots of a target and their queue
+ * @n_slots: greatest number of running jobs
+ * @queue_max: greatest number of queued jobs while all slots are in use
  *
- * Return: the slots.
+ * Return: slots, to be freed with slots_free(); the jobs belong to the caller.
  */
 struct slots *slots_new(uint32_t n_slots, uint32_t queue_max)
 {
@@ -52,14 +54,14 @@
 }
 
 /**
- * slots_offer() - queue a job; slots_next() says when it starts
+ * slots_enqueue() - append a job to the queue, from which slots_dequeue() takes it
  * @s: slots
- * @job: job
- * @deadline_ns: when it need not start any more
+ * @job: job, owned by the caller
+ * @deadline_ns: time from which the job must not start
  *
- * Return: 0, or -EBUSY when the slots and the queue are full.
+ * Return: 0, or -EBUSY if all slots are in use and the queue is full.
  */
-int slots_offer(struct slots *s, void *job, uint64_t deadline_ns)
+int slots_enqueue(struct slots *s, void *job, uint64_t deadline_ns)
 {
 	uint32_t n_free = s->n_slots - s->n_running;
 
@@ -79,14 +81,14 @@
 }
 
 /**
- * slots_next() - take the next job out of the queue
+ * slots_dequeue() - take the oldest job out of the queue if a slot is free
  * @s: slots
- * @now_ns: time
- * @job: filled unless SLOTS_NONE
+ * @now_ns: monotonic time
+ * @job: receives the job unless the result is SLOTS_NONE
  *
- * Return: whether to start it, to give it up, or that there is none.
+ * Return: whether the job must start, has expired, or there is none.
  */
-enum slots_verdict slots_next(struct slots *s, uint64_t now_ns, void **job)
+enum slots_verdict slots_dequeue(struct slots *s, uint64_t now_ns, void **job)
 {
 	uint64_t deadline_ns;
 
@@ -99,12 +101,12 @@
 }
 
 /**
- * slots_run() - put a job that slots_next() gave into a slot
- * @s: slots, one of them free
+ * slots_start() - put a job returned by slots_dequeue() into a slot
+ * @s: slots, with a free one
  * @job: job
- * @finish_ns: when it is done
+ * @finish_ns: time at which the job ends
  */
-void slots_run(struct slots *s, void *job, uint64_t finish_ns)
+void slots_start(struct slots *s, void *job, uint64_t finish_ns)
 {
 	s->running[s->n_running].job = job;
 	s->running[s->n_running].finish_ns = finish_ns;
@@ -112,14 +114,14 @@
 }
 
 /**
- * slots_done() - free the slot of a job that is done
+ * slots_pop_finished() - remove a finished job from its slot
  * @s: slots
- * @now_ns: time
- * @job: filled when there is one
+ * @now_ns: monotonic time
+ * @job: receives the job
  *
- * Return: whether there was one.
+ * Return: true if a job was removed; @job is unchanged otherwise.
  */
-bool slots_done(struct slots *s, uint64_t now_ns, void **job)
+bool slots_pop_finished(struct slots *s, uint64_t now_ns, void **job)
 {
 	uint32_t i;
 
@@ -134,13 +136,13 @@
 }
 
 /**
- * slots_cancel() - take a job that waits out of the queue
+ * slots_cancel() - remove a job from the queue; running jobs continue
  * @s: slots
- * @match: tells the job
+ * @match: returns true for the job to remove
  * @arg: passed to @match
- * @job: filled when found
+ * @job: receives the job
  *
- * Return: whether it was found waiting; a job that runs goes on.
+ * Return: true if a queued job was removed; @job is unchanged otherwise.
  */
 bool slots_cancel(struct slots *s, bool (*match)(const void *job, void *arg),
 		  void *arg, void **job)
@@ -158,12 +160,12 @@
 }
 
 /**
- * slots_next_ns() - when the next slot frees
+ * slots_next_finish_ns() - time at which the next running job ends
  * @s: slots
  *
- * Return: absolute time, NEVER_NS when nothing runs.
+ * Return: monotonic time, NEVER_NS if no job is running.
  */
-uint64_t slots_next_ns(const struct slots *s)
+uint64_t slots_next_finish_ns(const struct slots *s)
 {
 	uint64_t next_ns = NEVER_NS;
 	uint32_t i;
--- a/sim/sim-target/target.c
+++ b/sim/sim-target/target.c
@@ -8,35 +8,35 @@
 /* RFC 7252 section 4.8.2, with the default transmission parameters. */
 #define EXCHANGE_LIFETIME_NS (247 * NS_PER_S)
 #define EXCHANGES_MAX 32768
-/* libcoap's own timers (retransmission) need a call now and then. */
+/* Period of calls that run libcoap's retransmission timers. */
 #define COAP_TICK_MS 50
 
 static const char program[] = "sim-target";
 
-static void io(struct target *t)
+static void process_coap(struct target *t)
 {
 	coap_io_process(t->coap, COAP_IO_NO_WAIT);
-	target_link(t);
+	target_apply_packet_loss(t);
 }
 
-static void on_coap(uv_poll_t *poll, int status, int events)
+static void on_coap_readable(uv_poll_t *poll, int status, int events)
 {
 	(void)status;
 	(void)events;
-	io(poll->data);
+	process_coap(poll->data);
 }
 
 static void on_coap_timer(uv_timer_t *timer)
 {
-	io(timer->data);
+	process_coap(timer->data);
 }
 
 static void on_feed_timer(uv_timer_t *timer)
 {
-	target_notify(timer->data);
-	io(timer->data);
-	/* A target that leaves does so after its last feed. */
-	target_step(timer->data);
+	target_notify_observers(timer->data);
+	process_coap(timer->data);
+	/* A quitting target ends when its last feed has closed. */
+	target_schedule(timer->data);
 }
 
 static void on_term(uv_signal_t *sig, int number)
@@ -76,14 +76,14 @@
 	uv_poll_init(&t->loop, &t->coap_poll,
 		     coap_context_get_coap_fd(t->coap));
 	t->coap_poll.data = t;
-	return uv_poll_start(&t->coap_poll, UV_READABLE, on_coap);
+	return uv_poll_start(&t->coap_poll, UV_READABLE, on_coap_readable);
 }
 
 /**
- * target_open() - set a target up
- * @t: target with @opt set
+ * target_open() - open the endpoint, the control port and the timers
+ * @t: zeroed but for @opt
  *
- * Return: 0, or a negative error after it was printed.
+ * Return: 0, or a negative errno value after printing an error message.
  */
 int target_open(struct target *t)
 {
@@ -96,7 +96,7 @@
 	t->uploads = uploads_new(EXCHANGE_LIFETIME_NS);
 	t->observers = observers_new();
 	t->report.lag_ns = t->opt.load_lag_ns;
-	t->report.lie = t->opt.load_lie;
+	t->report.constant = t->opt.load_constant;
 	t->behaviour.rng.state = hash_u64(t->opt.addr, t->opt.seed) | 1;
 	behaviour_reset(&t->behaviour);
 	rc = open_runs(t);
@@ -117,13 +117,13 @@
 }
 
 /**
- * target_close() - leave; libcoap tells the observers that are left with 4.04
+ * target_close() - free a target; libcoap sends 4.04 to remaining observers
  * @t: target
  */
 void target_close(struct target *t)
 {
-	/* libcoap asserts that nobody holds its sessions any more. */
-	target_abandon(t);
+	/* libcoap asserts that its sessions are no longer referenced. */
+	target_free_jobs(t);
 	observers_free(t->observers);
 	sim_loop_close(&t->loop);
 	coap_free_context(t->coap);
--- a/sim/sim-target/target.h
+++ b/sim/sim-target/target.h
@@ -1,4 +1,4 @@
-/* Types of the stand-in for a target. */
+/* Types of the simulated target. */
 #ifndef SIM_TARGET_H
 #define SIM_TARGET_H
 
@@ -15,41 +15,41 @@
 #define BODY_BYTES 160
 #define NEVER_NS UINT64_MAX
 
-/* slots.c: few requests run at once, a bounded queue waits. */
+/* slots.c: a bounded number of running jobs with a bounded queue. */
 
 struct slots;
 
 /**
- * enum slots_verdict - what slots_next() found
- * @SLOTS_NONE: nothing may start now
- * @SLOTS_START: the caller starts it with slots_run()
- * @SLOTS_EXPIRED: its deadline passed while it waited; not to be run
+ * enum slots_verdict - result of slots_dequeue()
+ * @SLOTS_NONE: no job is queued or no slot is free
+ * @SLOTS_START: the caller must start the job with slots_start()
+ * @SLOTS_EXPIRED: the deadline of the job passed in the queue; it must not run
  */
 enum slots_verdict { SLOTS_NONE, SLOTS_START, SLOTS_EXPIRED };
 
 struct slots *slots_new(uint32_t n_slots, uint32_t queue_max);
 void slots_free(struct slots *s);
-int slots_offer(struct slots *s, void *job, uint64_t deadline_ns);
-enum slots_verdict slots_next(struct slots *s, uint64_t now_ns, void **job);
-void slots_run(struct slots *s, void *job, uint64_t finish_ns);
-bool slots_done(struct slots *s, uint64_t now_ns, void **job);
+int slots_enqueue(struct slots *s, void *job, uint64_t deadline_ns);
+enum slots_verdict slots_dequeue(struct slots *s, uint64_t now_ns, void **job);
+void slots_start(struct slots *s, void *job, uint64_t finish_ns);
+bool slots_pop_finished(struct slots *s, uint64_t now_ns, void **job);
 bool slots_cancel(struct slots *s, bool (*match)(const void *job, void *arg),
 		  void *arg, void **job);
-uint64_t slots_next_ns(const struct slots *s);
+uint64_t slots_next_finish_ns(const struct slots *s);
 uint32_t slots_running(const struct slots *s);
 uint32_t slots_waiting(const struct slots *s);
 
-/* dedup.c: repeats of a message within its exchange lifetime. */
+/* dedup.c: detects retransmissions of a message within its exchange lifetime. */
 
 /**
- * struct reply - an answer, as it can be sent again
- * @code: CoAP code
- * @max_age_s: Max-Age, sent when the code is 5.03
- * @has_block: the request carried Block1, the answer echoes it
- * @block_num: its number
- * @block_more: its more bit
- * @block_szx: its size exponent
- * @body: text
+ * struct reply - contents of an answer, kept for retransmissions
+ * @code: CoAP code, 0 if the answer is sent later
+ * @max_age_s: Max-Age in seconds, sent only with code 5.03
+ * @has_block: the request has a Block1 option, which the answer echoes
+ * @block_num: block number of Block1
+ * @block_more: more bit of Block1
+ * @block_szx: size exponent of Block1
+ * @body: payload, ended by NUL
  */
 struct reply {
 	uint8_t code;
@@ -63,9 +63,9 @@
 
 /**
  * struct message_key - identity of a message at the message layer
- * @peer: sender's endpoint
+ * @peer: address and port of the sender
  * @mid: message ID
- * @token_len: bytes of @token in use
+ * @token_len: length of @token in bytes
  * @token: token
  */
 struct message_key {
@@ -76,12 +76,12 @@
 };
 
 /**
- * enum dedup_verdict - what the window knows of a message
- * @DEDUP_NEW: first seen
- * @DEDUP_PENDING: a repeat; its answer is not known yet
- * @DEDUP_ANSWERED: a repeat; its answer is known
- * @DEDUP_REUSED: the sender used a message ID again within its lifetime for
- *	another token; taken as new
+ * enum dedup_verdict - result of dedup_record()
+ * @DEDUP_NEW: the message has not been received before
+ * @DEDUP_PENDING: retransmission of a message without an answer so far
+ * @DEDUP_ANSWERED: retransmission of an answered message
+ * @DEDUP_REUSED: the sender reused a message ID within its lifetime with
+ *	another token; the message is handled as new
  */
 enum dedup_verdict { DEDUP_NEW, DEDUP_PENDING, DEDUP_ANSWERED, DEDUP_REUSED };
 
@@ -89,68 +89,69 @@
 
 struct dedup *dedup_new(uint32_t capacity, uint64_t window_ns);
 void dedup_free(struct dedup *d);
-enum dedup_verdict dedup_see(struct dedup *d, const struct message_key *key,
-			     uint64_t now_ns, const struct reply **answer);
-void dedup_answer(struct dedup *d, const struct message_key *key,
-		  const struct reply *answer);
+enum dedup_verdict dedup_record(struct dedup *d, const struct message_key *key,
+				uint64_t now_ns, const struct reply **answer);
+void dedup_record_answer(struct dedup *d, const struct message_key *key,
+			 const struct reply *answer);
 
-/* behaviour.c: how the target misbehaves at the moment. */
+/* behaviour.c: faults of the target. */
 
 /**
- * struct behaviour - faults in force
- * @rng: source of the shares
+ * struct behaviour - current faults of a target
+ * @rng: random numbers that select the affected requests
  * @draining: refuses new work
- * @silent: neither runs nor answers anything
- * @crawl: work takes this many times as long
- * @shed_percent: share refused as not run
- * @fail_percent: share that runs and then answers 5.00
- * @lose_percent: share of outgoing datagrams that are lost on the way
- * @cold_start_ns: when the slow start began
- * @cold_deadline_ns: when it is over, 0 for none
+ * @silent: neither runs nor answers requests
+ * @work_factor: factor by which work takes longer, at least 1
+ * @shed_percent: share of requests refused without running, 0 to 100
+ * @fail_percent: share of requests that run and are answered 5.00, 0 to 100
+ * @loss_percent: share of outgoing datagrams that are dropped, 0 to 100
+ * @cold_start_ns: start of the cold phase
+ * @cold_deadline_ns: end of the cold phase, 0 for none
  */
 struct behaviour {
 	struct rng rng;
 	bool draining;
 	bool silent;
-	uint32_t crawl;
+	uint32_t work_factor;
 	uint32_t shed_percent;
 	uint32_t fail_percent;
-	uint32_t lose_percent;
+	uint32_t loss_percent;
 	uint64_t cold_start_ns;
 	uint64_t cold_deadline_ns;
 };
 
 void behaviour_reset(struct behaviour *b);
-void behaviour_cold(struct behaviour *b, uint64_t now_ns, uint64_t length_ns);
+void behaviour_start_cold(struct behaviour *b, uint64_t now_ns,
+			  uint64_t length_ns);
 uint64_t behaviour_work_ns(const struct behaviour *b, uint64_t work_ns,
 			   uint64_t now_ns);
 bool behaviour_draw(struct behaviour *b, uint32_t percent);
 
-/* upload.c: block-wise bodies on their way in. */
+/* upload.c: incomplete block-wise uploads (RFC 7959). */
 
 struct uploads;
 
 /**
- * enum upload_verdict - what became of a block
- * @UPLOAD_MORE: taken, the next is awaited
- * @UPLOAD_WHOLE: the last one, the body is whole
- * @UPLOAD_GAP: not the block that was awaited
+ * enum upload_verdict - result of uploads_add_block()
+ * @UPLOAD_MORE: the block was accepted and more blocks must follow
+ * @UPLOAD_COMPLETE: the block was the last one and the body is complete
+ * @UPLOAD_GAP: the block was not the next one of the body
  */
-enum upload_verdict { UPLOAD_MORE, UPLOAD_WHOLE, UPLOAD_GAP };
+enum upload_verdict { UPLOAD_MORE, UPLOAD_COMPLETE, UPLOAD_GAP };
 
 struct uploads *uploads_new(uint64_t lifetime_ns);
 void uploads_free(struct uploads *u);
-enum upload_verdict uploads_block(struct uploads *u, uint64_t peer,
-				  const char *id, uint32_t num, bool more,
-				  uint64_t now_ns);
+enum upload_verdict uploads_add_block(struct uploads *u, uint64_t peer,
+				      const char *id, uint32_t num, bool more,
+				      uint64_t now_ns);
 
-/* report.c: the load that the target says it has. */
+/* report.c: load that the target reports. */
 
 /**
  * struct load - load of a target
- * @running: requests that run
- * @waiting: requests that wait
- * @connections: feeds open
+ * @running: number of running requests
+ * @waiting: number of queued requests
+ * @connections: number of open feeds
  */
 struct load {
 	uint16_t running;
@@ -159,34 +160,35 @@
 };
 
 /**
- * struct report - load as reported
- * @lag_ns: a report is up to this old
- * @lie: report this many running and nothing else; negative for the truth
- * @sampled: values reported until the next sample
- * @resample_deadline_ns: when to look again
+ * struct load_report - load that a target reports
+ * @lag_ns: greatest age of the reported values
+ * @constant: constant number of running requests to report, with all other
+ *	values 0; negative to report the actual load
+ * @sampled: values reported until @resample_deadline_ns
+ * @resample_deadline_ns: time of the next sample
  */
-struct report {
+struct load_report {
 	uint64_t lag_ns;
-	int32_t lie;
+	int32_t constant;
 	struct load sampled;
 	uint64_t resample_deadline_ns;
 };
 
-struct load report_load(struct report *r, const struct load *now,
-			uint64_t now_ns);
+struct load load_report_get(struct load_report *r, const struct load *now,
+			    uint64_t now_ns);
 void load_encode(const struct load *l, uint8_t buf[LOAD_BYTES]);
 
-/* observers.c: observers, beside libcoap's own list of them. */
+/* observers.c: observers of the feed, in addition to libcoap's own list. */
 
 /**
- * struct observer - an observer
- * @session: libcoap's session, a reference is held
- * @token_len: bytes of @token in use
- * @token: token of the request that opened it
- * @id: its id
- * @sequence: notifications so far
- * @round: last round of notifications that asked for it
- * @lost: the target forgot it; it is silent from now on
+ * struct observer - an observer of the feed
+ * @session: session of libcoap, referenced
+ * @token_len: length of @token in bytes
+ * @token: token of the request that opened the feed
+ * @id: id of the request that opened the feed
+ * @sequence: number of notifications sent
+ * @round: last notification round in which libcoap notified it
+ * @forgotten: simulated fault: the target sends it no more notifications
  */
 struct observer {
 	coap_session_t *session;
@@ -195,23 +197,25 @@
 	char id[ID_BYTES];
 	uint32_t sequence;
 	uint32_t round;
-	bool lost;
+	bool forgotten;
 };
 
 struct observers;
 
 struct observers *observers_new(void);
-void observers_free(struct observers *f);
-struct observer *observers_find(struct observers *f, coap_session_t *session,
+void observers_free(struct observers *observers);
+struct observer *observers_find(struct observers *observers,
+				coap_session_t *session,
 				coap_bin_const_t token);
-struct observer *observers_add(struct observers *f, coap_session_t *session,
-			       coap_bin_const_t token, const char *id);
-void observers_remove(struct observers *f, struct observer *feed);
-void observers_lose(struct observers *f);
-void observers_sweep(struct observers *f, uint32_t round);
-uint32_t observers_count(const struct observers *f);
-
-/* What the target counts; "stats" on the control port prints them. */
+struct observer *observers_add(struct observers *observers,
+			       coap_session_t *session, coap_bin_const_t token,
+			       const char *id);
+void observers_remove(struct observers *observers, struct observer *observer);
+void observers_forget_all(struct observers *observers);
+void observers_sweep(struct observers *observers, uint32_t round);
+uint32_t observers_count(const struct observers *observers);
+
+/* Counters, printed by the control command "stats". */
 enum counter {
 	COUNT_RUNS,
 	COUNT_REPEATS,
@@ -230,11 +234,11 @@
 struct request;
 
 /**
- * struct path - what the target serves
+ * struct path - a resource of the target
  * @name: Uri-Path
- * @serve: answer a request that came for the first time; fill @out, or
- *	leave its code 0 when the answer comes later
- * @observable: takes Observe
+ * @serve: handles a request that is no retransmission; fills @out, or leaves
+ *	its code 0 if the answer is sent later
+ * @observable: the resource supports Observe
  */
 struct path {
 	const char *name;
@@ -244,17 +248,17 @@
 };
 
 /**
- * struct request - a request as the handlers see it
- * @path: where it goes
- * @session: libcoap's session
- * @key: its identity at the message layer
- * @confirmable: the request was a CON
+ * struct request - a parsed request
+ * @path: requested resource
+ * @session: session of libcoap, not referenced
+ * @key: identity at the message layer
+ * @confirmable: the request is confirmable (CON)
  * @method: CoAP method
- * @observe: Observe option, or -1
- * @has_block: Block1 is there
- * @block: Block1
- * @deadline_ns: when the caller gives up, NEVER_NS when it did not say
- * @id: its id
+ * @observe: value of the Observe option, -1 if missing
+ * @has_block: the request has a Block1 option
+ * @block: value of Block1
+ * @deadline_ns: time at which the caller gives up, NEVER_NS if not given
+ * @id: value of the query parameter id, "-" if missing
  */
 struct request {
 	const struct path *path;
@@ -271,19 +275,20 @@
 
 /**
  * struct target_options - command line
- * @addr: where it serves
- * @control: control port, ADDR_NONE for none
- * @service: name of its service
- * @runs_path: run log, NULL for none
- * @n_slots: requests that run at once
- * @queue_max: requests that wait
- * @connections_max: feeds
- * @work_ns: time that a request takes
- * @feed_ns: time between notifications
- * @load_lag_ns: age of a load report
- * @load_lie: constant reported, negative for the truth
- * @no_dedup: run repeats again
- * @seed: of the shares that are shed and failed
+ * @addr: address of the CoAP endpoint
+ * @control: address of the control port, or ADDR_NONE
+ * @service: name of the service
+ * @runs_path: path of the run log, or NULL
+ * @n_slots: greatest number of running requests
+ * @queue_max: greatest number of queued requests
+ * @connections_max: greatest number of open feeds
+ * @work_ns: duration of a request
+ * @feed_ns: period of notifications
+ * @load_lag_ns: greatest age of a load report
+ * @load_constant: constant number of running requests to report, negative to
+ *	report the actual load
+ * @no_dedup: run retransmitted requests again
+ * @seed: seed of the random faults
  */
 struct target_options {
 	uint64_t addr;
@@ -296,12 +301,12 @@
 	uint64_t work_ns;
 	uint64_t feed_ns;
 	uint64_t load_lag_ns;
-	int32_t load_lie;
+	int32_t load_constant;
 	bool no_dedup;
 	uint64_t seed;
 };
 
-/* A target: one endpoint of libcoap's, and what it has to do. */
+/* A target: a CoAP endpoint of libcoap, its jobs, observers and faults. */
 struct target {
 	struct target_options opt;
 	char name[32];
@@ -319,12 +324,12 @@
 	struct dedup *dedup;
 	struct uploads *uploads;
 	struct observers *observers;
-	struct report report;
+	struct load_report report;
 	struct behaviour behaviour;
 	uint32_t sequence;
 	uint32_t round;
-	bool leaving;
-	uint64_t feeds_deadline_ns;
+	bool quitting;
+	uint64_t quit_deadline_ns;
 	uint64_t counts[COUNTERS];
 };
 
@@ -332,26 +337,30 @@
 int target_open(struct target *t);
 void target_close(struct target *t);
 int target_serve_open(struct target *t);
-void target_step(struct target *t);
-void target_abandon(struct target *t);
-void target_notify(struct target *t);
-void target_link(const struct target *t);
+void target_schedule(struct target *t);
+void target_free_jobs(struct target *t);
+void target_notify_observers(struct target *t);
+void target_apply_packet_loss(const struct target *t);
 void target_refuse(struct reply *out, const char *reason);
-void target_body(struct target *t, const char *id, uint32_t sequence,
-		 struct reply *out);
+void target_write_body(struct target *t, const char *id, uint32_t sequence,
+		       struct reply *out);
 void target_log_run(struct target *t, const struct request *r);
 void target_send(struct target *t, const struct request *r,
 		 const struct reply *reply);
-bool target_fill(struct target *t, coap_pdu_t *pdu, const struct reply *reply);
-void target_work(struct target *t, const struct request *r, struct reply *out);
-void target_upload(struct target *t, const struct request *r,
-		   struct reply *out);
-void target_feed(struct target *t, const struct request *r, struct reply *out);
-void target_load(struct target *t, const struct request *r, struct reply *out);
-void target_missing(struct target *t, const struct request *r,
-		    struct reply *out);
+bool target_fill_pdu(struct target *t, coap_pdu_t *pdu,
+		     const struct reply *reply);
+void target_handle_work(struct target *t, const struct request *r,
+			struct reply *out);
+void target_handle_upload(struct target *t, const struct request *r,
+			  struct reply *out);
+void target_handle_feed(struct target *t, const struct request *r,
+			struct reply *out);
+void target_handle_load(struct target *t, const struct request *r,
+			struct reply *out);
+void target_handle_missing(struct target *t, const struct request *r,
+			   struct reply *out);
 bool target_cancel(struct target *t, const struct request *r);
-struct load target_load_now(const struct target *t);
+struct load target_current_load(const struct target *t);
 void target_quit_when_idle(struct target *t);
 extern const struct control_command target_commands[];
 
--- a/sim/sim-target/upload.c
+++ b/sim/sim-target/upload.c
@@ -1,26 +1,26 @@
 #include "target.h"
 
 /**
- * struct upload - a body on its way in
- * @next_num: block awaited
- * @expiry_ns: given up when no block came until then
+ * struct upload - an incomplete upload
+ * @next_num: number of the next block
+ * @expiry_ns: time at which the upload is dropped without a further block
  */
 struct upload {
 	uint32_t next_num;
 	uint64_t expiry_ns;
 };
 
-/* Keyed by "PEER ID": RFC 7959 ties blocks to the sender's endpoint. */
+/* Keyed by "PEER ID": in RFC 7959 the blocks of a body have one sender. */
 struct uploads {
 	GHashTable *table;
 	uint64_t lifetime_ns;
 };
 
 /**
- * uploads_new() - the bodies on their way in
- * @lifetime_ns: how long a body waits for its next block
+ * uploads_new() - create a table of incomplete uploads
+ * @lifetime_ns: time after which an upload without a further block is dropped
  *
- * Return: an empty table.
+ * Return: empty table, to be freed with uploads_free().
  */
 struct uploads *uploads_new(uint64_t lifetime_ns)
 {
@@ -58,19 +58,20 @@
 }
 
 /**
- * uploads_block() - take a block
- * @u: bodies on their way in
- * @peer: sender's endpoint
+ * uploads_add_block() - record a block of an upload
+ * @u: incomplete uploads
+ * @peer: address and port of the sender
  * @id: id of the request
- * @num: number of the block; 0 begins the body anew
+ * @num: number of the block; 0 restarts the upload
  * @more: more blocks follow
- * @now_ns: time
+ * @now_ns: monotonic time
  *
- * Return: the verdict; a gap or a whole body ends the upload.
+ * Return: whether more blocks must follow, the body is complete, or the block
+ * was out of order; the upload is removed in the last two cases.
  */
-enum upload_verdict uploads_block(struct uploads *u, uint64_t peer,
-				  const char *id, uint32_t num, bool more,
-				  uint64_t now_ns)
+enum upload_verdict uploads_add_block(struct uploads *u, uint64_t peer,
+				      const char *id, uint32_t num, bool more,
+				      uint64_t now_ns)
 {
 	char key[64];
 	struct upload *up;
@@ -83,7 +84,7 @@
 	}
 	if (!more) {
 		g_hash_table_remove(u->table, key);
-		return UPLOAD_WHOLE;
+		return UPLOAD_COMPLETE;
 	}
 	up->next_num++;
 	up->expiry_ns = now_ns + u->lifetime_ns;
--- a/sim/sim-target/work.c
+++ b/sim/sim-target/work.c
@@ -5,16 +5,16 @@
 #define SHED_MAX_AGE_S 1
 #define FEEDS_WAIT_NS (4 * NS_PER_S)
 
-/* A request that waits or runs; @session is held by a reference. */
+/* A queued or running request; its session is referenced. @fails: ends in 5.00. */
 struct job {
 	struct request r;
 	bool fails;
 };
 
 /**
- * target_refuse() - say that a request was not run
- * @out: filled with a 5.03
- * @reason: why
+ * target_refuse() - write a 5.03 answer to a request that was not run
+ * @out: receives the answer
+ * @reason: reason for the body, in a few words
  */
 void target_refuse(struct reply *out, const char *reason)
 {
@@ -24,26 +24,26 @@
 }
 
 /**
- * target_body() - say who answered whom
+ * target_write_body() - write the body "ID SERVICE TARGET SEQUENCE" of an answer
  * @t: target
  * @id: id of the request
- * @sequence: number of the answer
- * @out: its body is filled
+ * @sequence: sequence number of the answer or notification
+ * @out: receives the body
  */
-void target_body(struct target *t, const char *id, uint32_t sequence,
-		 struct reply *out)
+void target_write_body(struct target *t, const char *id, uint32_t sequence,
+		       struct reply *out)
 {
 	g_snprintf(out->body, sizeof(out->body), "%s %s %s %u", id,
 		   t->opt.service, t->name, sequence);
 }
 
 /**
- * target_log_run() - write down that a request runs
+ * target_log_run() - count a started request and append it to the run log
  * @t: target
  * @r: request
  *
- * Flushed at each line: a request that ran before a SIGKILL but is missing
- * here would hide that it ran twice.
+ * Each line is flushed: if a SIGKILL lost the line of a request that ran, the
+ * log would not show that it ran twice.
  */
 void target_log_run(struct target *t, const struct request *r)
 {
@@ -60,12 +60,12 @@
 }
 
 /**
- * target_load_now() - the load as it is
+ * target_current_load() - current load, as opposed to the reported load
  * @t: target
  *
- * Return: the load.
+ * Return: current load.
  */
-struct load target_load_now(const struct target *t)
+struct load target_current_load(const struct target *t)
 {
 	struct load l = {
 		.running = (uint16_t)slots_running(t->slots),
@@ -76,9 +76,10 @@
 	return l;
 }
 
-static void result(struct target *t, const struct job *job, struct reply *out)
+static void fill_result(struct target *t, const struct job *job,
+			struct reply *out)
 {
-	target_body(t, job->r.id, ++t->sequence, out);
+	target_write_body(t, job->r.id, ++t->sequence, out);
 	out->code = job->r.method == COAP_REQUEST_GET
 			    ? COAP_RESPONSE_CODE_CONTENT
 			    : COAP_RESPONSE_CODE_CHANGED;
@@ -100,7 +101,7 @@
 	out->block_num = job->r.block.num;
 	out->block_more = job->r.block.m;
 	out->block_szx = job->r.block.szx;
-	dedup_answer(t->dedup, &job->r.key, out);
+	dedup_record_answer(t->dedup, &job->r.key, out);
 	target_send(t, &job->r, out);
 	job_free(job);
 }
@@ -109,7 +110,7 @@
 {
 	struct reply out = { 0 };
 
-	result(t, job, &out);
+	fill_result(t, job, &out);
 	job_answer(t, job, &out);
 }
 
@@ -129,16 +130,16 @@
 
 	job->fails = behaviour_draw(&t->behaviour, t->behaviour.fail_percent);
 	target_log_run(t, &job->r);
-	slots_run(t->slots, job, now_ns + work_ns);
+	slots_start(t->slots, job, now_ns + work_ns);
 }
 
-static void start_waiting(struct target *t, uint64_t now_ns)
+static void start_queued(struct target *t, uint64_t now_ns)
 {
 	enum slots_verdict verdict;
 	void *job;
 
 	for (;;) {
-		verdict = slots_next(t->slots, now_ns, &job);
+		verdict = slots_dequeue(t->slots, now_ns, &job);
 		if (verdict == SLOTS_NONE)
 			return;
 		if (verdict == SLOTS_EXPIRED)
@@ -148,73 +149,74 @@
 	}
 }
 
-static void on_work(uv_timer_t *timer)
+static void on_work_timer(uv_timer_t *timer)
 {
-	target_step(timer->data);
+	target_schedule(timer->data);
 }
 
-static void arm(struct target *t, uint64_t now_ns)
+static void arm_work_timer(struct target *t, uint64_t now_ns)
 {
-	sim_timer_arm(&t->work_timer, on_work, slots_next_ns(t->slots), now_ns);
+	sim_timer_arm(&t->work_timer, on_work_timer,
+		      slots_next_finish_ns(t->slots), now_ns);
 }
 
 /*
- * Feeds are work too: one that is open when the target quits is cut. It waits
- * for them, but no longer than whoever stops it would.
+ * Open feeds are interrupted when the target quits, so it waits for them, but
+ * only for FEEDS_WAIT_NS: what stops the target does not wait longer.
  */
-static bool may_quit(const struct target *t, uint64_t now_ns)
+static bool can_quit(const struct target *t, uint64_t now_ns)
 {
 	if (slots_running(t->slots) || slots_waiting(t->slots))
 		return false;
-	return !observers_count(t->observers) || now_ns >= t->feeds_deadline_ns;
+	return !observers_count(t->observers) || now_ns >= t->quit_deadline_ns;
 }
 
 /**
- * target_step() - finish what is done, start what may start
+ * target_schedule() - answer finished jobs, start queued ones, quit if idle
  * @t: target
  */
-void target_step(struct target *t)
+void target_schedule(struct target *t)
 {
 	uint64_t now_ns = uv_hrtime();
 	void *job;
 
-	while (slots_done(t->slots, now_ns, &job))
+	while (slots_pop_finished(t->slots, now_ns, &job))
 		finish(t, job);
-	start_waiting(t, now_ns);
+	start_queued(t, now_ns);
 	uv_update_time(&t->loop);
-	arm(t, now_ns);
-	if (t->leaving && may_quit(t, now_ns))
+	arm_work_timer(t, now_ns);
+	if (t->quitting && can_quit(t, now_ns))
 		uv_stop(&t->loop);
 }
 
 /**
- * target_quit_when_idle() - take no new work and leave when none is left
+ * target_quit_when_idle() - refuse new work and stop the loop once idle
  * @t: target
  */
 void target_quit_when_idle(struct target *t)
 {
 	t->behaviour.draining = true;
-	if (!t->leaving)
-		t->feeds_deadline_ns = uv_hrtime() + FEEDS_WAIT_NS;
-	t->leaving = true;
-	target_step(t);
+	if (!t->quitting)
+		t->quit_deadline_ns = uv_hrtime() + FEEDS_WAIT_NS;
+	t->quitting = true;
+	target_schedule(t);
 }
 
 /**
- * target_abandon() - forget every request that waits or runs
+ * target_free_jobs() - free all queued and running jobs without answers
  * @t: target
  */
-void target_abandon(struct target *t)
+void target_free_jobs(struct target *t)
 {
 	void *job;
 
-	while (slots_done(t->slots, NEVER_NS, &job))
+	while (slots_pop_finished(t->slots, NEVER_NS, &job))
 		job_free(job);
-	while (slots_next(t->slots, 0, &job) != SLOTS_NONE)
+	while (slots_dequeue(t->slots, 0, &job) != SLOTS_NONE)
 		job_free(job);
 }
 
-static bool refused(struct target *t, struct reply *out)
+static bool refuse_by_fault(struct target *t, struct reply *out)
 {
 	if (t->behaviour.draining) {
 		t->counts[COUNT_SHED_DRAINING]++;
@@ -230,20 +232,21 @@
 }
 
 /**
- * target_work() - take a request that needs a slot
+ * target_handle_work() - queue a request that needs a slot
  * @t: target
  * @r: request
- * @out: filled when it is refused
+ * @out: receives the answer if the request is refused
  */
-void target_work(struct target *t, const struct request *r, struct reply *out)
+void target_handle_work(struct target *t, const struct request *r,
+			struct reply *out)
 {
 	struct job *job;
 
-	if (refused(t, out))
+	if (refuse_by_fault(t, out))
 		return;
 	job = g_new0(struct job, 1);
 	job->r = *r;
-	if (slots_offer(t->slots, job, r->deadline_ns)) {
+	if (slots_enqueue(t->slots, job, r->deadline_ns)) {
 		g_free(job);
 		t->counts[COUNT_SHED]++;
 		target_refuse(out, "queue full");
@@ -253,20 +256,23 @@
 }
 
 /**
- * target_upload() - take a block of an upload
+ * target_handle_upload() - handle a block of an upload
  * @t: target
  * @r: request
- * @out: filled, but for the last block
+ * @out: receives the answer, unless the block completes the body and the
+ *	request is queued
  */
-void target_upload(struct target *t, const struct request *r, struct reply *out)
+void target_handle_upload(struct target *t, const struct request *r,
+			  struct reply *out)
 {
-	enum upload_verdict verdict = UPLOAD_WHOLE;
+	enum upload_verdict verdict = UPLOAD_COMPLETE;
 
 	if (r->has_block)
-		verdict = uploads_block(t->uploads, r->key.peer, r->id,
-					r->block.num, r->block.m, uv_hrtime());
-	if (verdict == UPLOAD_WHOLE) {
-		target_work(t, r, out);
+		verdict = uploads_add_block(t->uploads, r->key.peer, r->id,
+					    r->block.num, r->block.m,
+					    uv_hrtime());
+	if (verdict == UPLOAD_COMPLETE) {
+		target_handle_work(t, r, out);
 	} else if (verdict == UPLOAD_MORE) {
 		out->code = COAP_RESPONSE_CODE_CONTINUE;
 	} else {
@@ -276,25 +282,26 @@
 }
 
 /**
- * target_feed() - open a feed
+ * target_handle_feed() - open a feed, or read it once without Observe
  * @t: target
- * @r: request; without Observe it is a single reading
- * @out: filled
+ * @r: request
+ * @out: receives the answer
  *
- * A feed that is open and asked for again (RFC 7641 section 3.3.1) goes on,
- * also on a target that drains: refusing it would end it.
+ * The renewal of an open feed (RFC 7641 section 3.3.1) is accepted even while
+ * the target drains: a refusal would end the feed.
  */
-void target_feed(struct target *t, const struct request *r, struct reply *out)
+void target_handle_feed(struct target *t, const struct request *r,
+			struct reply *out)
 {
 	coap_bin_const_t token = { r->key.token_len, r->key.token };
 	struct observer *feed = observers_find(t->observers, r->session, token);
 
 	out->code = COAP_RESPONSE_CODE_CONTENT;
-	if (feed && !feed->lost && r->observe == COAP_OBSERVE_ESTABLISH) {
-		target_body(t, feed->id, feed->sequence, out);
+	if (feed && !feed->forgotten && r->observe == COAP_OBSERVE_ESTABLISH) {
+		target_write_body(t, feed->id, feed->sequence, out);
 		return;
 	}
-	if (refused(t, out))
+	if (refuse_by_fault(t, out))
 		return;
 	if (r->observe == COAP_OBSERVE_ESTABLISH &&
 	    observers_count(t->observers) >= t->opt.connections_max) {
@@ -307,34 +314,35 @@
 		feed = observers_add(t->observers, r->session, token, r->id);
 		feed->round = t->round;
 	}
-	target_body(t, r->id, 0, out);
+	target_write_body(t, r->id, 0, out);
 }
 
 /**
- * target_load() - the load as text
+ * target_handle_load() - answer with the reported load as text
  * @t: target
- * @r: request
- * @out: filled
+ * @r: request, unused
+ * @out: receives the answer
  */
-void target_load(struct target *t, const struct request *r, struct reply *out)
+void target_handle_load(struct target *t, const struct request *r,
+			struct reply *out)
 {
-	struct load now = target_load_now(t);
-	struct load said = report_load(&t->report, &now, uv_hrtime());
+	struct load now = target_current_load(t);
+	struct load reported = load_report_get(&t->report, &now, uv_hrtime());
 
 	(void)r;
 	out->code = COAP_RESPONSE_CODE_CONTENT;
-	g_snprintf(out->body, sizeof(out->body), "%u %u %u", said.running,
-		   said.waiting, said.connections);
+	g_snprintf(out->body, sizeof(out->body), "%u %u %u", reported.running,
+		   reported.waiting, reported.connections);
 }
 
 /**
- * target_missing() - a path that is not there
- * @t: target
- * @r: request
- * @out: filled with a 4.04
+ * target_handle_missing() - answer 4.04, as for a resource that does not exist
+ * @t: target, unused
+ * @r: request, unused
+ * @out: receives the answer
  */
-void target_missing(struct target *t, const struct request *r,
-		    struct reply *out)
+void target_handle_missing(struct target *t, const struct request *r,
+			   struct reply *out)
 {
 	(void)t;
 	(void)r;
@@ -351,11 +359,11 @@
 }
 
 /**
- * target_cancel() - give up what a GET with Observe 1 names by its token
+ * target_cancel() - close the feed or the queued request of a cancellation
  * @t: target
- * @r: request
+ * @r: GET with Observe 1 and the token of the feed or request
  *
- * Return: whether there was a feed or a request that waited.
+ * Return: true if a feed or a queued request was found.
  */
 bool target_cancel(struct target *t, const struct request *r)
 {
--- a/test/sim_target_test.c
+++ b/test/sim_target_test.c
@@ -1,4 +1,4 @@
-/* The target stand-in on libcoap, asked over loopback in one loop. */
+/* sim-target, called over loopback; client and target share one event loop. */
 #include "sim-target/target.h"
 
 #include "loopback.h"
@@ -13,10 +13,10 @@
 #include <cmocka.h>
 
 #define TARGET ADDR(loopback_host(), 15683)
-#define TURNS_MAX 100000
-#define QUIET_TURNS 50
+#define ITERATIONS_MAX 100000
+#define QUIET_ITERATIONS 50
 
-/* Confirmable requests: header, message ID, one byte of token, options. */
+/* Confirmable requests: header, message ID, one byte of token, and options. */
 #define MSG(code, mid, token) "\x41" code "\x10" mid token
 #define GET "\x01"
 #define POST "\x02"
@@ -50,7 +50,7 @@
 	f->t.opt.queue_max = 4;
 	f->t.opt.connections_max = 4;
 	f->t.opt.feed_ns = 3600 * NS_PER_S;
-	f->t.opt.load_lie = -1;
+	f->t.opt.load_constant = -1;
 	f->t.opt.seed = 1;
 	if (target_open(&f->t))
 		return -1;
@@ -70,20 +70,20 @@
 	return 0;
 }
 
-static void ask(struct fixture *f, const char *msg, size_t size_bytes)
+static void send_message(struct fixture *f, const char *msg, size_t size_bytes)
 {
 	assert_int_equal(send(f->fd, msg, size_bytes, 0), size_bytes);
 }
 
-#define ASK(f, literal) ask(f, literal, sizeof(literal) - 1)
+#define SEND(f, literal) send_message(f, literal, sizeof(literal) - 1)
 
-/* The next answer; fails when none comes. */
-static uint8_t answer_code(struct fixture *f)
+/* Return: code of the next answer; the test fails if there is none. */
+static uint8_t receive_answer_code(struct fixture *f)
 {
 	uint8_t buf[DATAGRAM_MAX_BYTES];
-	int turn;
+	int iteration;
 
-	for (turn = 0; turn < TURNS_MAX; turn++) {
+	for (iteration = 0; iteration < ITERATIONS_MAX; iteration++) {
 		uv_run(&f->t.loop, UV_RUN_NOWAIT);
 		if (recv(f->fd, buf, sizeof(buf), 0) >= 4)
 			return buf[1];
@@ -92,122 +92,116 @@
 	return 0;
 }
 
-static void assert_quiet(struct fixture *f)
+static void assert_no_answer(struct fixture *f)
 {
 	uint8_t buf[DATAGRAM_MAX_BYTES];
-	int turn;
+	int iteration;
 
-	for (turn = 0; turn < QUIET_TURNS; turn++) {
+	for (iteration = 0; iteration < QUIET_ITERATIONS; iteration++) {
 		uv_run(&f->t.loop, UV_RUN_NOWAIT);
 		assert_int_equal(recv(f->fd, buf, sizeof(buf), 0), -1);
 	}
 }
 
 /*
- * Symptom: one report ran three times at one target.
- * Sequence: a CON, and the same message again after its answer.
- * Cause: libcoap 4.3.1 drops no repeats (RFC 7252 section 4.2).
+ * One report ran three times: libcoap 4.3.1 does not drop retransmissions
+ * (RFC 7252 section 4.2). Here a CON is retransmitted after its answer.
  */
-static void repeat_runs_once(void **state)
+static void retransmission_runs_once(void **state)
 {
 	struct fixture *f = *state;
 
-	ASK(f, MSG(POST, "\x01", "t") REPORT);
-	assert_int_equal(answer_code(f), CODE_EMPTY);
-	assert_int_equal(answer_code(f), CODE_CHANGED);
-	ASK(f, MSG(POST, "\x01", "t") REPORT);
-	assert_int_equal(answer_code(f), CODE_CHANGED);
+	SEND(f, MSG(POST, "\x01", "t") REPORT);
+	assert_int_equal(receive_answer_code(f), CODE_EMPTY);
+	assert_int_equal(receive_answer_code(f), CODE_CHANGED);
+	SEND(f, MSG(POST, "\x01", "t") REPORT);
+	assert_int_equal(receive_answer_code(f), CODE_CHANGED);
 	assert_int_equal(f->t.counts[COUNT_RUNS], 1);
 	assert_int_equal(f->t.counts[COUNT_REPEATS], 1);
 }
 
 /*
- * Symptom: a feed ended when the caller's side renewed it at a target that
- *	drains.
- * Sequence: a feed is open, the target drains, the feed's GET comes again
- *	under a new message ID.
- * Cause: the renewal counted as new work; a 5.03 ends a feed.
+ * A draining target ended an open feed that was renewed by its GET with a new
+ * message ID: the renewal was refused as new work, and a 5.03 ends a feed.
  */
-static void draining_keeps_feeds(void **state)
+static void draining_target_keeps_open_feeds(void **state)
 {
 	struct fixture *f = *state;
 
-	ASK(f, MSG(GET, "\x01", "t") OPEN);
-	assert_int_equal(answer_code(f), CODE_CONTENT);
+	SEND(f, MSG(GET, "\x01", "t") OPEN);
+	assert_int_equal(receive_answer_code(f), CODE_CONTENT);
 	f->t.behaviour.draining = true;
-	ASK(f, MSG(GET, "\x02", "t") OPEN);
-	assert_int_equal(answer_code(f), CODE_CONTENT);
-	ASK(f, MSG(GET, "\x03", "u") OPEN_OTHER);
-	assert_int_equal(answer_code(f), CODE_UNAVAILABLE);
-	target_notify(&f->t);
-	assert_int_equal(answer_code(f), CODE_CONTENT);
+	SEND(f, MSG(GET, "\x02", "t") OPEN);
+	assert_int_equal(receive_answer_code(f), CODE_CONTENT);
+	SEND(f, MSG(GET, "\x03", "u") OPEN_OTHER);
+	assert_int_equal(receive_answer_code(f), CODE_UNAVAILABLE);
+	target_notify_observers(&f->t);
+	assert_int_equal(receive_answer_code(f), CODE_CONTENT);
 	assert_int_equal(f->t.counts[COUNT_RUNS], 1);
 }
 
 /*
- * Symptom: the target died by SIGSEGV in coap_io_prepare_io.
- * Sequence: a feed is lost and a round of notifications follows.
- * Cause: libcoap 4.3.1 frees an observer that is notified with an error code
- *	and then sends through it.
+ * The target crashed with SIGSEGV in coap_io_prepare_io in the first notification
+ * round after a feed was forgotten: libcoap 4.3.1 frees an observer that is
+ * notified with an error code and then uses it.
  */
-static void lost_feed_is_silent_and_can_be_opened_again(void **state)
+static void
+forgotten_feed_gets_no_notification_and_can_be_reopened(void **state)
 {
 	struct fixture *f = *state;
 	int round;
 
-	ASK(f, MSG(GET, "\x01", "t") OPEN);
-	assert_int_equal(answer_code(f), CODE_CONTENT);
-	observers_lose(f->t.observers);
+	SEND(f, MSG(GET, "\x01", "t") OPEN);
+	assert_int_equal(receive_answer_code(f), CODE_CONTENT);
+	observers_forget_all(f->t.observers);
 	assert_int_equal(observers_count(f->t.observers), 0);
 	for (round = 0; round < 10; round++) {
-		target_notify(&f->t);
-		assert_quiet(f);
+		target_notify_observers(&f->t);
+		assert_no_answer(f);
 	}
-	ASK(f, MSG(GET, "\x02", "t") OPEN);
-	assert_int_equal(answer_code(f), CODE_CONTENT);
-	target_notify(&f->t);
-	assert_int_equal(answer_code(f), CODE_CONTENT);
+	SEND(f, MSG(GET, "\x02", "t") OPEN);
+	assert_int_equal(receive_answer_code(f), CODE_CONTENT);
+	target_notify_observers(&f->t);
+	assert_int_equal(receive_answer_code(f), CODE_CONTENT);
 	assert_int_equal(observers_count(f->t.observers), 1);
 }
 
 /*
- * Symptom: a cancelled request ran a second time.
- * Sequence: the cancellation (GET, Observe 1, same token) comes after the
- *	request has run.
- * Cause: what was found no more was served like a new GET.
+ * A cancelled request ran a second time: a cancellation (GET, Observe 1, same
+ * token) after the end of the request was handled as a new GET.
  */
-static void late_cancellation_runs_nothing(void **state)
+static void late_cancellation_does_not_run_the_request(void **state)
 {
 	struct fixture *f = *state;
 
-	ASK(f, MSG(GET, "\x01", "t") FORECAST);
-	assert_int_equal(answer_code(f), CODE_EMPTY);
-	assert_int_equal(answer_code(f), CODE_CONTENT);
-	ASK(f, MSG(GET, "\x02", "t") CANCEL_FORECAST);
-	assert_int_equal(answer_code(f), CODE_CONTENT);
+	SEND(f, MSG(GET, "\x01", "t") FORECAST);
+	assert_int_equal(receive_answer_code(f), CODE_EMPTY);
+	assert_int_equal(receive_answer_code(f), CODE_CONTENT);
+	SEND(f, MSG(GET, "\x02", "t") CANCEL_FORECAST);
+	assert_int_equal(receive_answer_code(f), CODE_CONTENT);
 	assert_int_equal(f->t.counts[COUNT_RUNS], 1);
 }
 
-static void closed_feed_is_no_connection(void **state)
+static void closed_feed_does_not_count_as_connection(void **state)
 {
 	struct fixture *f = *state;
 
-	ASK(f, MSG(GET, "\x01", "t") OPEN);
-	assert_int_equal(answer_code(f), CODE_CONTENT);
-	ASK(f, MSG(GET, "\x02", "t") CLOSE);
-	assert_int_equal(answer_code(f), CODE_CONTENT);
+	SEND(f, MSG(GET, "\x01", "t") OPEN);
+	assert_int_equal(receive_answer_code(f), CODE_CONTENT);
+	SEND(f, MSG(GET, "\x02", "t") CLOSE);
+	assert_int_equal(receive_answer_code(f), CODE_CONTENT);
 	assert_int_equal(observers_count(f->t.observers), 0);
-	target_notify(&f->t);
-	assert_quiet(f);
+	target_notify_observers(&f->t);
+	assert_no_answer(f);
 }
 
-/* Leaves while a feed is open: libcoap asserts that its session is free. */
-static void leaves_with_a_feed_open(void **state)
+/* libcoap asserts at the end that no session is referenced. */
+static void target_closes_with_an_open_feed(void **state)
 {
 	struct fixture *f = *state;
 
-	ASK(f, MSG(GET, "\x01", "t") OPEN);
-	assert_int_equal(answer_code(f), CODE_CONTENT);
+	SEND(f, MSG(GET, "\x01", "t") OPEN);
+	assert_int_equal(receive_answer_code(f), CODE_CONTENT);
 }
 
 #define TEST(name) cmocka_unit_test_setup_teardown(name, setup, teardown)
@@ -215,12 +209,12 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		TEST(repeat_runs_once),
-		TEST(draining_keeps_feeds),
-		TEST(lost_feed_is_silent_and_can_be_opened_again),
-		TEST(late_cancellation_runs_nothing),
-		TEST(closed_feed_is_no_connection),
-		TEST(leaves_with_a_feed_open),
+		TEST(retransmission_runs_once),
+		TEST(draining_target_keeps_open_feeds),
+		TEST(forgotten_feed_gets_no_notification_and_can_be_reopened),
+		TEST(late_cancellation_does_not_run_the_request),
+		TEST(closed_feed_does_not_count_as_connection),
+		TEST(target_closes_with_an_open_feed),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
