--- a/sim/sim-fabric/commands.c
+++ b/sim/sim-fabric/commands.c
@@ -24,7 +24,7 @@
 
 	if (addr_parse(argv[1], &addr))
 		return -EINVAL;
-	return entries_cut(&f->entries, addr, cut);
+	return entries_set_cut(&f->entries, addr, cut);
 }
 
 static int do_cut(void *ctx, int argc, char **argv, char *reply, size_t n)
--- a/sim/sim-fabric/entries.c
+++ b/sim/sim-fabric/entries.c
@@ -3,14 +3,14 @@
 #include <errno.h>
 
 /**
- * entries_set() - spray over these from now on
+ * entries_set() - replace the list of entries
  * @e: entries
- * @addrs: their addresses
- * @n: how many
+ * @addrs: addresses of the new entries
+ * @n: number of addresses
  *
- * An entry that stays in the list stays cut if it was.
+ * An entry that is also in the old list stays partitioned if it was.
  *
- * Return: 0, or -E2BIG.
+ * Return: 0, or -E2BIG if @n exceeds FABRIC_ENTRIES_MAX.
  */
 int entries_set(struct entries *e, const uint64_t *addrs, uint32_t n)
 {
@@ -27,7 +27,7 @@
 	return 0;
 }
 
-static struct entry_slot *find(struct entries *e, uint64_t addr)
+static struct fabric_entry *find(struct entries *e, uint64_t addr)
 {
 	uint32_t i;
 
@@ -39,16 +39,16 @@
 }
 
 /**
- * entries_cut() - cut an entry off, or heal it
+ * entries_set_cut() - partition an entry from the fabric, or reconnect it
  * @e: entries
- * @addr: entry
- * @cut: which
+ * @addr: address of the entry
+ * @cut: true to partition it, false to reconnect it
  *
- * Return: 0, or -ENOENT.
+ * Return: 0, or -ENOENT if the entry is not listed.
  */
-int entries_cut(struct entries *e, uint64_t addr, bool cut)
+int entries_set_cut(struct entries *e, uint64_t addr, bool cut)
 {
-	struct entry_slot *slot = find(e, addr);
+	struct fabric_entry *slot = find(e, addr);
 
 	if (!slot)
 		return -ENOENT;
@@ -57,13 +57,14 @@
 }
 
 /**
- * entries_pick() - any entry; the fabric does not know which are alive
+ * entries_select() - select an entry at random, whether it is alive or not
  * @e: entries
- * @rng: source of the choice
+ * @rng: random numbers for the selection
  *
- * Return: an entry, NULL when there is none.
+ * Return: entry, NULL if the list is empty.
  */
-const struct entry_slot *entries_pick(const struct entries *e, struct rng *rng)
+const struct fabric_entry *entries_select(const struct entries *e,
+					  struct rng *rng)
 {
 	if (e->n == 0)
 		return NULL;
@@ -71,11 +72,11 @@
 }
 
 /**
- * entries_is_cut() - whether an entry is cut off
+ * entries_is_cut() - check whether an entry is partitioned
  * @e: entries
- * @addr: entry, or an address that is none
+ * @addr: any address
  *
- * Return: true when it is.
+ * Return: true if @addr is a listed entry and partitioned.
  */
 bool entries_is_cut(const struct entries *e, uint64_t addr)
 {
--- a/sim/sim-fabric/fabric.c
+++ b/sim/sim-fabric/fabric.c
@@ -3,12 +3,12 @@
 #include <signal.h>
 #include <stdio.h>
 
-#define HELD_MAX 16384
+#define DELAYED_MAX 16384
 #define SOCKET_BUFFER_BYTES (4 << 20)
 
 static const char program[] = "sim-fabric";
 
-/* Leave room for the header, so that a caller's datagram is not moved. */
+/* Reserves space for the header, so that the datagram need not be moved. */
 static void vip_alloc(uv_handle_t *h, size_t hint, uv_buf_t *buf)
 {
 	struct port *p = h->data;
@@ -96,10 +96,10 @@
 }
 
 /**
- * fabric_open() - set the fabric up
- * @f: fabric with @opt set
+ * fabric_open() - open the sockets and the control port
+ * @f: zeroed but for @opt
  *
- * Return: 0, or a negative error after it was printed.
+ * Return: 0, or a negative error after printing an error message.
  */
 int fabric_open(struct fabric *f)
 {
@@ -111,8 +111,8 @@
 	uv_signal_init(&f->loop, &f->term);
 	f->term.data = f;
 	uv_signal_start(&f->term, on_term, SIGTERM);
-	f->held = held_new(HELD_MAX);
-	f->spray.state = hash_u64(f->opt.seed, 1) | 1;
+	f->delayed = delay_queue_new(DELAYED_MAX);
+	f->select_rng.state = hash_u64(f->opt.seed, 1) | 1;
 	f->faults.rng.state = hash_u64(f->opt.seed, 2) | 1;
 	entries_set(&f->entries, f->opt.entries, f->opt.n_entries);
 	f->control.ctx = f;
--- a/sim/sim-fabric/fabric.h
+++ b/sim/sim-fabric/fabric.h
@@ -1,4 +1,4 @@
-/* Types of the stand-in for the fabric. */
+/* Types of the simulated network fabric. */
 #ifndef SIM_FABRIC_H
 #define SIM_FABRIC_H
 
@@ -12,16 +12,16 @@
 #define FABRIC_COPIES_MAX 2
 #define NEVER_NS UINT64_MAX
 
-/* faults.c: what happens to a datagram. */
+/* faults.c: losses, duplicates and delays of datagrams. */
 
 /**
- * struct faults - faults in force, in both directions
- * @rng: source of the shares
- * @drop_percent: share that is lost
- * @dup_percent: share that arrives twice
- * @reorder_percent: share that is held back by @reorder_ns
- * @reorder_ns: see above
- * @delay_ns: every datagram is held back by this
+ * struct faults - current faults, applied in both directions
+ * @rng: random numbers that select the affected datagrams
+ * @drop_percent: share of datagrams dropped, 0 to 100
+ * @dup_percent: share of datagrams duplicated, 0 to 100
+ * @reorder_percent: share of copies delayed by @reorder_ns, 0 to 100
+ * @reorder_ns: added delay of reordered copies
+ * @delay_ns: delay of all datagrams
  */
 struct faults {
 	struct rng rng;
@@ -33,57 +33,58 @@
 };
 
 /**
- * struct fate - what becomes of one datagram
- * @n_copies: 0 when it is lost
- * @delay_ns: of each copy
+ * struct datagram_faults - faults drawn for one datagram
+ * @n_copies: number of copies to forward, 0 if it is dropped
+ * @delay_ns: delay of each copy
  */
-struct fate {
+struct datagram_faults {
 	uint32_t n_copies;
 	uint64_t delay_ns[FABRIC_COPIES_MAX];
 };
 
 void faults_clear(struct faults *f);
-struct fate faults_draw(struct faults *f);
+struct datagram_faults faults_draw(struct faults *f);
 
-/* entries.c: where callers' datagrams go. */
+/* entries.c: destinations of the callers' datagrams. */
 
 /**
- * struct entry_slot - an entry
- * @addr: where it takes datagrams
- * @cut: nothing reaches it or comes from it
+ * struct fabric_entry - an entry
+ * @addr: address that receives datagrams
+ * @cut: partitioned: datagrams to and from the entry are dropped
  */
-struct entry_slot {
+struct fabric_entry {
 	uint64_t addr;
 	bool cut;
 };
 
 /**
- * struct entries - the entries that the fabric sprays over, dead or alive
+ * struct entries - entries that receive datagrams, whether alive or not
  * @list: entries
- * @n: how many
+ * @n: number of entries
  */
 struct entries {
-	struct entry_slot list[FABRIC_ENTRIES_MAX];
+	struct fabric_entry list[FABRIC_ENTRIES_MAX];
 	uint32_t n;
 };
 
 int entries_set(struct entries *e, const uint64_t *addrs, uint32_t n);
-int entries_cut(struct entries *e, uint64_t addr, bool cut);
-const struct entry_slot *entries_pick(const struct entries *e, struct rng *rng);
+int entries_set_cut(struct entries *e, uint64_t addr, bool cut);
+const struct fabric_entry *entries_select(const struct entries *e,
+					  struct rng *rng);
 bool entries_is_cut(const struct entries *e, uint64_t addr);
 
-/* held.c: datagrams that are held back. */
+/* delay_queue.c: delayed datagrams. */
 
 /**
- * struct held - a datagram on its way
- * @due_ns: when it goes on
- * @order: order of arrival, for those due at once
- * @to: where it goes
- * @via: socket it leaves from
- * @size_bytes: size of @data
+ * struct delayed_datagram - a delayed datagram
+ * @due_ns: time at which it is sent
+ * @order: number in order of arrival, to order datagrams with the same @due_ns
+ * @to: destination address
+ * @via: index of the port that sends it
+ * @size_bytes: size of the datagram
  * @data: datagram
  */
-struct held {
+struct delayed_datagram {
 	uint64_t due_ns;
 	uint64_t order;
 	uint64_t to;
@@ -92,15 +93,16 @@
 	uint8_t data[FABRIC_DATAGRAM_BYTES];
 };
 
-struct held_queue;
+struct delay_queue;
 
-struct held_queue *held_new(uint32_t capacity);
-void held_free(struct held_queue *q);
-int held_put(struct held_queue *q, const struct held *h);
-const struct held *held_take(struct held_queue *q, uint64_t now_ns);
-uint64_t held_next_ns(const struct held_queue *q);
+struct delay_queue *delay_queue_new(uint32_t capacity);
+void delay_queue_free(struct delay_queue *q);
+int delay_queue_put(struct delay_queue *q, const struct delayed_datagram *h);
+const struct delayed_datagram *delay_queue_pop_due(struct delay_queue *q,
+						   uint64_t now_ns);
+uint64_t delay_queue_next_ns(const struct delay_queue *q);
 
-/* What the fabric counts; "stats" on the control port prints them. */
+/* Counters, printed by the control command "stats". */
 enum counter {
 	COUNT_TO_ENTRIES,
 	COUNT_TO_CALLERS,
@@ -115,13 +117,13 @@
 
 /**
  * struct fabric_options - command line
- * @vips: addresses that callers send to
- * @n_vips: how many
- * @entries: entries at the start
- * @n_entries: how many
- * @listen: where entries send answers
- * @control: control port, ADDR_NONE for none
- * @seed: of the spray and of the faults
+ * @vips: VIPs, to which callers send
+ * @n_vips: number of VIPs
+ * @entries: initial entries
+ * @n_entries: number of initial entries
+ * @listen: address to which entries send answers
+ * @control: address of the control port, or ADDR_NONE
+ * @seed: seed of the selection of entries and of the faults
  */
 struct fabric_options {
 	uint64_t vips[FABRIC_VIPS_MAX];
@@ -136,11 +138,11 @@
 struct fabric;
 
 /**
- * struct port - a socket of the fabric
- * @udp: libuv's handle
- * @fabric: back
- * @addr: address it is bound to
- * @index: index of the port
+ * struct port - a UDP socket of the fabric
+ * @udp: handle of libuv
+ * @fabric: fabric that the port belongs to
+ * @addr: local address
+ * @index: index in the fabric's ports
  */
 struct port {
 	uv_udp_t udp;
@@ -149,7 +151,7 @@
 	uint32_t index;
 };
 
-/* The fabric: a port per VIP, the one towards entries last. */
+/* The fabric: @ports has one for each VIP, then the one towards the entries. */
 struct fabric {
 	struct fabric_options opt;
 	uv_loop_t loop;
@@ -160,9 +162,9 @@
 	uint32_t n_ports;
 	struct entries entries;
 	struct faults faults;
-	struct rng spray;
-	struct held_queue *held;
-	struct held datagram;
+	struct rng select_rng;
+	struct delay_queue *delayed;
+	struct delayed_datagram datagram;
 	uint64_t counts[COUNTERS];
 };
 
@@ -171,7 +173,7 @@
 void fabric_from_caller(struct port *vip, uint64_t caller, uint32_t size_bytes);
 void fabric_from_entry(struct fabric *f, uint64_t entry, const uint8_t *data,
 		       uint32_t size_bytes);
-void fabric_release(struct fabric *f);
+void fabric_send_due(struct fabric *f);
 extern const struct control_command fabric_commands[];
 
 #endif
--- a/sim/sim-fabric/faults.c
+++ b/sim/sim-fabric/faults.c
@@ -1,8 +1,8 @@
 #include "fabric.h"
 
 /**
- * faults_clear() - a fabric in good order
- * @f: faults, their random source is kept
+ * faults_clear() - end all faults but partitions
+ * @f: faults; the state of the random numbers is kept
  */
 void faults_clear(struct faults *f)
 {
@@ -13,29 +13,29 @@
 	f->delay_ns = 0;
 }
 
-static bool hit(struct faults *f, uint32_t percent)
+static bool draw(struct faults *f, uint32_t percent)
 {
 	return percent && rng_next(&f->rng) % 100 < percent;
 }
 
 /**
- * faults_draw() - decide about one datagram
- * @f: faults
+ * faults_draw() - draw the faults of one datagram
+ * @f: faults; advances the random numbers
  *
- * Return: its fate.
+ * Return: copies to forward and their delays.
  */
-struct fate faults_draw(struct faults *f)
+struct datagram_faults faults_draw(struct faults *f)
 {
-	struct fate fate = { 0 };
+	struct datagram_faults drawn = { 0 };
 	uint32_t i;
 
-	if (hit(f, f->drop_percent))
-		return fate;
-	fate.n_copies = hit(f, f->dup_percent) ? 2 : 1;
-	for (i = 0; i < fate.n_copies; i++) {
-		fate.delay_ns[i] = f->delay_ns;
-		if (hit(f, f->reorder_percent))
-			fate.delay_ns[i] += f->reorder_ns;
+	if (draw(f, f->drop_percent))
+		return drawn;
+	drawn.n_copies = draw(f, f->dup_percent) ? 2 : 1;
+	for (i = 0; i < drawn.n_copies; i++) {
+		drawn.delay_ns[i] = f->delay_ns;
+		if (draw(f, f->reorder_percent))
+			drawn.delay_ns[i] += f->reorder_ns;
 	}
-	return fate;
+	return drawn;
 }
--- a/sim/sim-fabric/relay.c
+++ b/sim/sim-fabric/forward.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-static void send_now(struct fabric *f, const struct held *h)
+static void send_now(struct fabric *f, const struct delayed_datagram *h)
 {
 	uv_buf_t buf = uv_buf_init((char *)h->data, h->size_bytes);
 	struct sockaddr_in to;
@@ -17,68 +17,71 @@
 
 static void on_timer(uv_timer_t *timer)
 {
-	fabric_release(timer->data);
+	fabric_send_due(timer->data);
 }
 
-static void arm(struct fabric *f, uint64_t now_ns)
+static void arm_timer(struct fabric *f, uint64_t now_ns)
 {
-	sim_timer_arm(&f->timer, on_timer, held_next_ns(f->held), now_ns);
+	sim_timer_arm(&f->timer, on_timer, delay_queue_next_ns(f->delayed),
+		      now_ns);
 }
 
 /**
- * fabric_release() - send what was held back and is due
+ * fabric_send_due() - send the delayed datagrams that are due
  * @f: fabric
  */
-void fabric_release(struct fabric *f)
+void fabric_send_due(struct fabric *f)
 {
 	uint64_t now_ns = uv_hrtime();
-	const struct held *h;
+	const struct delayed_datagram *h;
 
-	while ((h = held_take(f->held, now_ns)))
+	while ((h = delay_queue_pop_due(f->delayed, now_ns)))
 		send_now(f, h);
-	arm(f, now_ns);
+	arm_timer(f, now_ns);
 }
 
-static void hold(struct fabric *f, struct held *h, uint64_t delay_ns)
+static void delay(struct fabric *f, struct delayed_datagram *h,
+		  uint64_t delay_ns)
 {
 	uint64_t now_ns = uv_hrtime();
 
 	h->due_ns = now_ns + delay_ns;
-	if (held_put(f->held, h)) {
+	if (delay_queue_put(f->delayed, h)) {
 		f->counts[COUNT_UNSENT]++;
 		return;
 	}
 	f->counts[COUNT_DELAYED]++;
-	if (held_next_ns(f->held) == h->due_ns)
-		arm(f, now_ns);
+	if (delay_queue_next_ns(f->delayed) == h->due_ns)
+		arm_timer(f, now_ns);
 }
 
-static void carry(struct fabric *f, struct held *h)
+static void forward(struct fabric *f, struct delayed_datagram *h)
 {
-	struct fate fate = faults_draw(&f->faults);
+	struct datagram_faults drawn = faults_draw(&f->faults);
 	uint32_t i;
 
-	f->counts[COUNT_DROPPED] += fate.n_copies == 0;
-	f->counts[COUNT_DUPLICATED] += fate.n_copies > 1;
-	for (i = 0; i < fate.n_copies; i++) {
-		if (fate.delay_ns[i])
-			hold(f, h, fate.delay_ns[i]);
+	f->counts[COUNT_DROPPED] += drawn.n_copies == 0;
+	f->counts[COUNT_DUPLICATED] += drawn.n_copies > 1;
+	for (i = 0; i < drawn.n_copies; i++) {
+		if (drawn.delay_ns[i])
+			delay(f, h, drawn.delay_ns[i]);
 		else
 			send_now(f, h);
 	}
 }
 
 /**
- * fabric_from_caller() - hand a caller's datagram to any entry
- * @vip: port of the VIP it was sent to
- * @caller: its source
- * @size_bytes: its size; it stands behind the header's place in the
- *	fabric's buffer
+ * fabric_from_caller() - forward the datagram of a caller to any entry
+ * @vip: port of the VIP that received the datagram
+ * @caller: source address of the datagram
+ * @size_bytes: size of the datagram, which is in the buffer of the fabric after
+ *	the space for the header
  */
 void fabric_from_caller(struct port *vip, uint64_t caller, uint32_t size_bytes)
 {
 	struct fabric *f = vip->fabric;
-	const struct entry_slot *entry = entries_pick(&f->entries, &f->spray);
+	const struct fabric_entry *entry =
+		entries_select(&f->entries, &f->select_rng);
 
 	if (!entry || entry->cut) {
 		f->counts[COUNT_CUT]++;
@@ -89,7 +92,7 @@
 	f->datagram.to = entry->addr;
 	f->datagram.via = f->n_ports - 1;
 	f->counts[COUNT_TO_ENTRIES]++;
-	carry(f, &f->datagram);
+	forward(f, &f->datagram);
 }
 
 static struct port *find_vip(struct fabric *f, uint64_t addr)
@@ -104,11 +107,11 @@
 }
 
 /**
- * fabric_from_entry() - hand an entry's answer to the caller
+ * fabric_from_entry() - forward the answer of an entry to the caller
  * @f: fabric
- * @entry: its source
- * @data: header and datagram
- * @size_bytes: size of both
+ * @entry: source address of the answer
+ * @data: PROXY header with the caller and the VIP, followed by the datagram
+ * @size_bytes: size of header and datagram
  */
 void fabric_from_entry(struct fabric *f, uint64_t entry, const uint8_t *data,
 		       uint32_t size_bytes)
@@ -133,5 +136,5 @@
 	f->datagram.to = caller;
 	f->datagram.via = vip->index;
 	f->counts[COUNT_TO_CALLERS]++;
-	carry(f, &f->datagram);
+	forward(f, &f->datagram);
 }
--- a/sim/sim-fabric/main.c
+++ b/sim/sim-fabric/main.c
@@ -1,4 +1,4 @@
-/* A stand-in for the fabric: any datagram goes to any entry. */
+/* sim-fabric: simulates the network fabric, which sends a datagram to any entry. */
 #include "fabric.h"
 
 #include <stdio.h>
@@ -19,6 +19,6 @@
 	fflush(stdout);
 	uv_run(&f.loop, UV_RUN_DEFAULT);
 	sim_loop_close(&f.loop);
-	held_free(f.held);
+	delay_queue_free(f.delayed);
 	return EXIT_SUCCESS;
 }
