--- a/sim/args.c
+++ b/sim/args.c
@@ -13,13 +13,13 @@
 }
 
 /**
- * sim_args_read() - parse a command line, answer --help and --version
- * @a: the program's options
- * @argc: from main
- * @argv: from main
+ * sim_args_read() - parse a command line and handle --help and --version
+ * @a: options of the program
+ * @argc: number of arguments
+ * @argv: arguments
  *
- * Return: SIM_ARGS_RUN, SIM_ARGS_EXIT when all is said, or -EINVAL after
- * every mistake was printed.
+ * Return: SIM_ARGS_RUN; SIM_ARGS_EXIT after --help or --version; -EINVAL after
+ * printing every error.
  */
 int sim_args_read(const struct sim_args *a, int argc, char **argv)
 {
@@ -42,13 +42,13 @@
 }
 
 /**
- * sim_arg_addr() - read one IP:PORT argument
- * @program: name, for the message
+ * sim_arg_addr() - parse an argument of the form IP:PORT
+ * @program: program name for the error message
  * @arg: argument
- * @i: which of its values
- * @addr: filled
+ * @i: index of the value in @arg
+ * @addr: receives the address
  *
- * Return: 0, or -EINVAL after the mistake was printed.
+ * Return: 0, or -EINVAL after printing an error message.
  */
 int sim_arg_addr(const char *program, const struct arg_str *arg, int i,
 		 uint64_t *addr)
@@ -61,14 +61,14 @@
 }
 
 /**
- * sim_arg_range() - check a whole number's range
- * @program: name, for the message
- * @arg: argument, with its default when not given
- * @name: its option
- * @min: least
- * @max: greatest
+ * sim_arg_range() - check that a number is within a range
+ * @program: program name for the error message
+ * @arg: argument, which holds its default if not given
+ * @name: name of the option, without dashes
+ * @min: least value allowed
+ * @max: greatest value allowed
  *
- * Return: 0, or -EINVAL after the mistake was printed.
+ * Return: 0, or -EINVAL after printing an error message.
  */
 int sim_arg_range(const char *program, const struct arg_int *arg,
 		  const char *name, int min, int max)
--- a/sim/control.c
+++ b/sim/control.c
@@ -9,14 +9,14 @@
 #define PERCENT_MAX 100
 
 /**
- * control_number() - read a whole number
+ * control_parse_number() - parse a decimal number
  * @word: text
- * @max: greatest allowed
- * @out: filled
+ * @max: greatest value allowed
+ * @out: receives the number
  *
- * Return: 0, or -EINVAL.
+ * Return: 0, or -EINVAL if it is not a number or exceeds @max.
  */
-int control_number(const char *word, uint32_t max, uint32_t *out)
+int control_parse_number(const char *word, uint32_t max, uint32_t *out)
 {
 	char *end;
 	unsigned long n;
@@ -32,13 +32,13 @@
 }
 
 /**
- * control_percent() - read a share, "N" or "N%"
+ * control_parse_percent() - parse a percentage, "N" or "N%"
  * @word: text
- * @out: filled, 0 to 100
+ * @out: receives the percentage, 0 to 100
  *
- * Return: 0, or -EINVAL.
+ * Return: 0, or -EINVAL if it is not a number or exceeds 100.
  */
-int control_percent(const char *word, uint32_t *out)
+int control_parse_percent(const char *word, uint32_t *out)
 {
 	size_t len = strlen(word);
 	char digits[8];
@@ -49,19 +49,19 @@
 		return -EINVAL;
 	memcpy(digits, word, len);
 	digits[len] = '\0';
-	return control_number(digits, PERCENT_MAX, out);
+	return control_parse_number(digits, PERCENT_MAX, out);
 }
 
 /**
- * control_counts() - print counters, "NAME N NAME N ..."
- * @names: their names
- * @counts: their values
- * @n: how many
- * @reply: filled
- * @size_bytes: its size
+ * control_write_counts() - write counters as "NAME N NAME N ..."
+ * @names: names of the counters
+ * @counts: values of the counters
+ * @n: number of counters
+ * @reply: receives the text, truncated if too long
+ * @size_bytes: size of @reply
  */
-void control_counts(const char *const *names, const uint64_t *counts,
-		    uint32_t n, char *reply, size_t size_bytes)
+void control_write_counts(const char *const *names, const uint64_t *counts,
+			  uint32_t n, char *reply, size_t size_bytes)
 {
 	size_t used = 0;
 	uint32_t i;
@@ -98,8 +98,8 @@
 					 cmd->name);
 }
 
-static const struct control_command *find(const struct control *c,
-					  const char *name)
+static const struct control_command *find_command(const struct control *c,
+						  const char *name)
 {
 	const struct control_command *cmd;
 
@@ -111,14 +111,14 @@
 }
 
 /**
- * control_do() - run one line
- * @c: control port
- * @line: the line, cut up
- * @reply: answer, ended by NUL
- * @size_bytes: its size
+ * control_run_line() - run the command of a line
+ * @c: control port with @ctx and @commands set
+ * @line: command and arguments; modified
+ * @reply: receives the answer, ended by NUL
+ * @size_bytes: size of @reply
  */
-void control_do(const struct control *c, char *line, char *reply,
-		size_t size_bytes)
+void control_run_line(const struct control *c, char *line, char *reply,
+		      size_t size_bytes)
 {
 	char *argv[CONTROL_ARGS_MAX];
 	const struct control_command *cmd;
@@ -129,7 +129,7 @@
 		snprintf(reply, size_bytes, "error: expected a command");
 		return;
 	}
-	cmd = find(c, argv[0]);
+	cmd = find_command(c, argv[0]);
 	if (!cmd) {
 		snprintf(reply, size_bytes,
 			 "error: %.32s: unknown, expected one of:", argv[0]);
@@ -165,20 +165,20 @@
 	if (n <= 0 || !from)
 		return;
 	buf->base[n] = '\0';
-	control_do(c, buf->base, reply, sizeof(reply) - 1);
+	control_run_line(c, buf->base, reply, sizeof(reply) - 1);
 	strcat(reply, "\n");
 	out = uv_buf_init(reply, (unsigned int)strlen(reply));
 	uv_udp_try_send(udp, &out, 1, from);
 }
 
 /**
- * control_open() - take commands on a UDP port
- * @c: with @ctx and @commands set
- * @loop: loop
+ * control_open() - receive commands on a UDP port
+ * @c: control port with @ctx and @commands set
+ * @loop: event loop
  * @addr: address to bind
- * @program: name, for messages
+ * @program: program name for error messages
  *
- * Return: 0, or a negative error after it was printed.
+ * Return: 0, or a negative error of libuv; failure to bind is printed.
  */
 int control_open(struct control *c, uv_loop_t *loop, uint64_t addr,
 		 const char *program)
--- a/sim/sim-fabric/commands.c
+++ b/sim/sim-fabric/commands.c
@@ -44,7 +44,7 @@
 	struct fabric *f = ctx;
 
 	(void)argc, (void)reply, (void)n;
-	return control_percent(argv[1], &f->faults.drop_percent);
+	return control_parse_percent(argv[1], &f->faults.drop_percent);
 }
 
 static int do_dup(void *ctx, int argc, char **argv, char *reply, size_t n)
@@ -52,7 +52,7 @@
 	struct fabric *f = ctx;
 
 	(void)argc, (void)reply, (void)n;
-	return control_percent(argv[1], &f->faults.dup_percent);
+	return control_parse_percent(argv[1], &f->faults.dup_percent);
 }
 
 static int do_reorder(void *ctx, int argc, char **argv, char *reply, size_t n)
@@ -62,9 +62,9 @@
 	uint32_t ms;
 
 	(void)argc, (void)reply, (void)n;
-	if (control_percent(argv[1], &percent))
+	if (control_parse_percent(argv[1], &percent))
 		return -EINVAL;
-	if (control_number(argv[2], DELAY_MAX_MS, &ms))
+	if (control_parse_number(argv[2], DELAY_MAX_MS, &ms))
 		return -EINVAL;
 	f->faults.reorder_percent = percent;
 	f->faults.reorder_ns = ms * NS_PER_MS;
@@ -77,7 +77,7 @@
 	uint32_t ms;
 
 	(void)argc, (void)reply, (void)n;
-	if (control_number(argv[1], DELAY_MAX_MS, &ms))
+	if (control_parse_number(argv[1], DELAY_MAX_MS, &ms))
 		return -EINVAL;
 	f->faults.delay_ns = ms * NS_PER_MS;
 	return 0;
@@ -114,7 +114,7 @@
 	struct fabric *f = ctx;
 
 	(void)argc, (void)argv;
-	control_counts(counter_names, f->counts, COUNTERS, reply, n);
+	control_write_counts(counter_names, f->counts, COUNTERS, reply, n);
 	return 0;
 }
 
--- a/sim/sim-fabric/delay_queue.c
+++ b/sim/sim-fabric/delay_queue.c
@@ -14,7 +14,7 @@
 };
 
 /**
- * delay_queue_new() - create a queue of datagrams ordered by the time to send them
+ * delay_queue_new() - create a queue of delayed datagrams
  * @capacity: greatest number of datagrams
  *
  * Return: empty queue, to be freed with delay_queue_free().
@@ -114,7 +114,7 @@
  * @q: queue
  * @now_ns: monotonic time
  *
- * Return: datagram, valid until the next delay_queue_put(); NULL if none is due.
+ * Return: datagram, valid until the next delay_queue_put(), or NULL.
  */
 const struct delayed_datagram *delay_queue_pop_due(struct delay_queue *q,
 						   uint64_t now_ns)
--- a/sim/sim-fabric/main.c
+++ b/sim/sim-fabric/main.c
@@ -1,4 +1,4 @@
-/* sim-fabric: simulates the network fabric, which sends a datagram to any entry. */
+/* sim-fabric: simulates a fabric that sends a datagram to any entry. */
 #include "fabric.h"
 
 #include <stdio.h>
--- a/sim/sim-platform/admin.c
+++ b/sim/sim-platform/admin.c
@@ -187,7 +187,7 @@
 }
 
 /**
- * admin_handle() - handle a call that changes keys, sets faults or reads counters
+ * admin_handle() - change keys, set faults or read counters
  * @ctx: struct platform
  * @req: unused
  * @method: HTTP method
--- a/sim/sim-platform/frontend.c
+++ b/sim/sim-platform/frontend.c
@@ -126,7 +126,7 @@
 }
 
 /**
- * query_parse_number() - parse a parameter of a query string as a decimal number
+ * query_parse_number() - parse a decimal number in a query string
  * @query: query string
  * @name: name of the parameter
  * @fallback: value if the parameter is missing
--- a/sim/sim-platform/platform.h
+++ b/sim/sim-platform/platform.h
@@ -11,7 +11,7 @@
 #define FRONTENDS_MAX 64
 #define REVISION_LATEST UINT64_MAX
 
-/* key_store.c: values by key and revision, so that an old state can be served. */
+/* key_store.c: values by key and revision, to serve an old state. */
 
 struct key_store;
 
--- a/sim/sim-platform/watch.c
+++ b/sim/sim-platform/watch.c
@@ -70,8 +70,8 @@
 }
 
 /**
- * watch_abort_all() - abort all watches of a frontend whose connections are closed
- * @f: frontend
+ * watch_abort_all() - abort all watches of a frontend
+ * @f: frontend, whose connections are closed
  */
 void watch_abort_all(struct frontend *f)
 {
--- a/sim/sim-soak/soak.h
+++ b/sim/sim-soak/soak.h
@@ -1,7 +1,7 @@
 /*
- * Runs real cb-packet processes in place of the entries of sim-packets. Clients,
- * targets, routers, store and checked rules are those of sim-packets; packets
- * and calls go over loopback, in real time.
+ * Runs real cb-packet processes in place of the entries of sim-packets.
+ * Clients, targets, routers, store and checked rules are those of sim-packets;
+ * packets and calls go over loopback, in real time.
  */
 #ifndef SIM_SOAK_H
 #define SIM_SOAK_H
--- a/sim/sim-soak/sockets.c
+++ b/sim/sim-soak/sockets.c
@@ -304,7 +304,7 @@
 }
 
 /**
- * sockets_close() - close the sockets of clients and targets at the end of a run
+ * sockets_close() - close the sockets of clients and targets
  * @s: run
  */
 void sockets_close(struct soak *s)
--- a/sim/sim-soak/store_server.c
+++ b/sim/sim-soak/store_server.c
@@ -208,8 +208,10 @@
 }
 
 /**
- * store_server_answer_watches() - answer watches with changes or a past deadline
+ * store_server_answer_watches() - answer watches that are due
  * @s: run
+ *
+ * A watch is due if there are changes or its deadline has passed.
  */
 void store_server_answer_watches(struct soak *s)
 {
--- a/sim/sim-target/commands.c
+++ b/sim/sim-target/commands.c
@@ -33,7 +33,7 @@
 	uint32_t factor;
 
 	(void)argc, (void)reply, (void)n;
-	if (control_number(argv[1], CRAWL_MAX, &factor) || factor == 0)
+	if (control_parse_number(argv[1], CRAWL_MAX, &factor) || factor == 0)
 		return -EINVAL;
 	t->behaviour.work_factor = factor;
 	return 0;
@@ -64,7 +64,7 @@
 	struct target *t = ctx;
 
 	(void)argc, (void)reply, (void)n;
-	return control_percent(argv[1], &t->behaviour.shed_percent);
+	return control_parse_percent(argv[1], &t->behaviour.shed_percent);
 }
 
 static int do_fail(void *ctx, int argc, char **argv, char *reply, size_t n)
@@ -72,13 +72,13 @@
 	struct target *t = ctx;
 
 	(void)argc, (void)reply, (void)n;
-	return control_percent(argv[1], &t->behaviour.fail_percent);
+	return control_parse_percent(argv[1], &t->behaviour.fail_percent);
 }
 
 static int do_lose(void *ctx, int argc, char **argv, char *reply, size_t n)
 {
 	struct target *t = ctx;
-	int rc = control_percent(argv[1], &t->behaviour.loss_percent);
+	int rc = control_parse_percent(argv[1], &t->behaviour.loss_percent);
 
 	(void)argc, (void)reply, (void)n;
 	target_apply_packet_loss(t);
@@ -91,7 +91,7 @@
 	uint32_t ms;
 
 	(void)argc, (void)reply, (void)n;
-	if (control_number(argv[1], COLD_MAX_MS, &ms) || ms == 0)
+	if (control_parse_number(argv[1], COLD_MAX_MS, &ms) || ms == 0)
 		return -EINVAL;
 	behaviour_start_cold(&t->behaviour, uv_hrtime(), ms * NS_PER_MS);
 	return 0;
@@ -123,8 +123,8 @@
 	(void)argc, (void)argv;
 	used = (size_t)snprintf(reply, n, "running %u waiting %u feeds %u ",
 				l.running, l.waiting, l.connections);
-	control_counts(counter_names, t->counts, COUNTERS, reply + used,
-		       n - used);
+	control_write_counts(counter_names, t->counts, COUNTERS, reply + used,
+			     n - used);
 	return 0;
 }
 
--- a/sim/sim-target/main.c
+++ b/sim/sim-target/main.c
@@ -1,4 +1,4 @@
-/* sim-target: simulates a target, a CoAP server with slots, feeds and faults. */
+/* sim-target: simulates a target: a CoAP server with slots and faults. */
 #include "target.h"
 
 #include <stdlib.h>
--- a/sim/sim-target/observers.c
+++ b/sim/sim-target/observers.c
@@ -121,7 +121,7 @@
 }
 
 /**
- * observers_forget_all() - stop notifying all current observers without telling them
+ * observers_forget_all() - stop notifications to all current observers
  * @observers: observers
  */
 void observers_forget_all(struct observers *observers)
--- a/sim/sim-target/serve.c
+++ b/sim/sim-target/serve.c
@@ -30,7 +30,7 @@
 };
 
 /**
- * target_apply_packet_loss() - apply the faults to libcoap's simulated packet loss
+ * target_apply_packet_loss() - set libcoap's packet loss from the faults
  * @t: target
  */
 void target_apply_packet_loss(const struct target *t)
@@ -181,8 +181,8 @@
 }
 
 /*
- * libcoap calls the same handler for notifications, with the request that opened
- * the feed. They differ in the type of the answer or, if both are NON, in that
+ * libcoap calls the same handler for notifications, with the request that
+ * opened the feed. They differ in the type of the answer or, if both are NON, in that
  * the observer is already known.
  */
 static bool is_notification(const coap_pdu_t *request, const coap_pdu_t *answer,
@@ -197,10 +197,10 @@
 }
 
 /*
- * Drops the notification of a forgotten observer. An error code would make libcoap
- * 4.3.1 free the observer and then use it (SIGSEGV in coap_io_prepare_io), so
- * libcoap sends the notification and the simulated packet loss drops it. It is
- * a NON, since libcoap would retransmit a CON later.
+ * Drops the notification of a forgotten observer. An error code would make
+ * libcoap 4.3.1 free the observer and then use it (SIGSEGV in
+ * coap_io_prepare_io), so libcoap sends the notification and the simulated
+ * packet loss drops it. It is a NON, since libcoap would retransmit a CON later.
  */
 static void drop_notification(coap_pdu_t *answer)
 {
@@ -243,7 +243,7 @@
 	out->block_szx = r->block.szx;
 }
 
-/* A retransmitted request for a feed gets the feed's current sequence number. */
+/* A retransmitted request gets the current sequence number of its feed. */
 static void answer_retransmission(struct target *t, const struct request *r,
 				  const struct reply *before, struct reply *out)
 {
--- a/sim/sim-target/slots.c
+++ b/sim/sim-target/slots.c
@@ -54,7 +54,7 @@
 }
 
 /**
- * slots_enqueue() - append a job to the queue, from which slots_dequeue() takes it
+ * slots_enqueue() - append a job to the queue
  * @s: slots
  * @job: job, owned by the caller
  * @deadline_ns: time from which the job must not start
--- a/sim/sim-target/target.h
+++ b/sim/sim-target/target.h
@@ -39,7 +39,7 @@
 uint32_t slots_running(const struct slots *s);
 uint32_t slots_waiting(const struct slots *s);
 
-/* dedup.c: detects retransmissions of a message within its exchange lifetime. */
+/* dedup.c: detects retransmissions within the exchange lifetime. */
 
 /**
  * struct reply - contents of an answer, kept for retransmissions
--- a/sim/sim-target/work.c
+++ b/sim/sim-target/work.c
@@ -5,7 +5,7 @@
 #define SHED_MAX_AGE_S 1
 #define FEEDS_WAIT_NS (4 * NS_PER_S)
 
-/* A queued or running request; its session is referenced. @fails: ends in 5.00. */
+/* A queued or running request; its session is referenced. */
 struct job {
 	struct request r;
 	bool fails;
@@ -24,7 +24,7 @@
 }
 
 /**
- * target_write_body() - write the body "ID SERVICE TARGET SEQUENCE" of an answer
+ * target_write_body() - write a body "ID SERVICE TARGET SEQUENCE"
  * @t: target
  * @id: id of the request
  * @sequence: sequence number of the answer or notification
--- a/sim/sim-tell/main.c
+++ b/sim/sim-tell/main.c
@@ -1,6 +1,6 @@
 /*
- * sim-tell: send one command to a stand-in's control port, or put a file
- * under a key of sim-platform, and print the answer.
+ * sim-tell: sends a command to the control port of a simulated program, or
+ * uploads a file as a key of sim-platform, and prints the answer.
  */
 #include "settings.h"
 
@@ -16,7 +16,7 @@
 #define ANSWER_TIMEOUT_S 1
 #define LINE_BYTES 1024
 
-/* The words of @argv as one line. */
+/* Joins the words of @argv into one line, truncated to @size_bytes. */
 static void join(int argc, char **argv, char *line, size_t size_bytes)
 {
 	size_t used = 0;
@@ -27,7 +27,7 @@
 					 i ? " " : "", argv[i]);
 }
 
-static int dial(uint64_t addr)
+static int connect_udp(uint64_t addr)
 {
 	struct sockaddr_in sin = {
 		.sin_family = AF_INET,
@@ -47,11 +47,12 @@
 	return -1;
 }
 
-static int tell(const char *to, uint64_t addr, char *line, size_t size_bytes)
+static int send_command(const char *to, uint64_t addr, char *line,
+			size_t size_bytes)
 {
 	size_t n = strlen(line);
 	ssize_t got;
-	int fd = dial(addr);
+	int fd = connect_udp(addr);
 
 	if (fd < 0 || send(fd, line, n, 0) != (ssize_t)n) {
 		perror(to);
@@ -69,12 +70,12 @@
 }
 
 /*
- * Body of the answer goes to stdout, as libcurl does by itself. Left to itself
- * libcurl asks with "Expect: 100-continue" and waits a second for an answer
- * that the stand-in does not give: as long as the whole call may take, so that
- * nothing was ever put.
+ * libcurl prints the body of the answer to stdout by default. The Expect header
+ * is removed: by default libcurl sends "Expect: 100-continue" and waits one
+ * second for an interim response, which sim-platform does not send. The timeout
+ * of the whole call is as long, so no upload would ever succeed.
  */
-static int put(const char *url, const char *path)
+static int upload(const char *url, const char *path)
 {
 	struct curl_slist *headers = curl_slist_append(NULL, "Expect:");
 	FILE *f = fopen(path, "r");
@@ -109,12 +110,12 @@
 	uint64_t addr;
 
 	if (argc == 3 && strncmp(argv[1], "http://", 7) == 0)
-		return put(argv[1], argv[2]);
+		return upload(argv[1], argv[2]);
 	if (argc < 3 || addr_parse(argv[1], &addr) < 0) {
 		fprintf(stderr, "usage: sim-tell ADDRESS:PORT COMMAND...\n"
 				"       sim-tell URL FILE\n");
 		return 2;
 	}
 	join(argc - 2, argv + 2, line, sizeof(line));
-	return tell(argv[1], addr, line, sizeof(line));
+	return send_command(argv[1], addr, line, sizeof(line));
 }
--- a/sim/sim.h
+++ b/sim/sim.h
@@ -1,4 +1,4 @@
-/* What the stand-ins share: command lines and control by text datagrams. */
+/* Common parts of the simulated programs: command lines and control ports. */
 #ifndef SIM_SIM_H
 #define SIM_SIM_H
 
@@ -13,13 +13,13 @@
 #define CONTROL_ARGS_MAX 64
 
 /**
- * struct sim_args - a program's command line
- * @program: name, for messages
- * @about: one sentence for --help
- * @table: argtable2 entries, @end last
- * @help: --help
- * @version: --version
- * @end: end of @table
+ * struct sim_args - options of a program
+ * @program: program name for messages
+ * @about: description for --help, one sentence
+ * @table: options in the form of argtable2, with @end last
+ * @help: option --help
+ * @version: option --version
+ * @end: end of @table, which holds the errors found
  */
 struct sim_args {
 	const char *program;
@@ -30,7 +30,7 @@
 	struct arg_end *end;
 };
 
-/* What a program does after its command line was read. */
+/* Whether the program runs or exits after a valid command line. */
 enum sim_args_next { SIM_ARGS_RUN, SIM_ARGS_EXIT };
 
 int sim_args_read(const struct sim_args *a, int argc, char **argv);
@@ -42,18 +42,19 @@
 uint64_t sim_addr(const struct sockaddr *sa);
 int sim_udp_bind(uv_loop_t *loop, uv_udp_t *udp, uint64_t addr,
 		 const char *program, const char *step);
-void sim_timer_arm(uv_timer_t *timer, uv_timer_cb at, uint64_t deadline_ns,
-		   uint64_t now_ns);
+void sim_timer_arm(uv_timer_t *timer, uv_timer_cb callback,
+		   uint64_t deadline_ns, uint64_t now_ns);
 void sim_loop_close(uv_loop_t *loop);
 
 /**
- * struct control_command - one line that a control port takes
- * @name: first word
- * @min_args: words after it, at least
- * @max_args: words after it, at most
- * @usage: the words after it, for messages
- * @run: act on words @argv[1..argc); write an answer into @reply, or leave
- *	it empty for "ok". Return 0 or -EINVAL for a bad word.
+ * struct control_command - a command of a control port
+ * @name: first word of the line; NULL in the element that ends a list
+ * @min_args: least number of arguments
+ * @max_args: greatest number of arguments
+ * @usage: expected arguments, for error messages
+ * @run: runs the command with the arguments @argv[1] to @argv[argc - 1]; writes
+ *	the answer to @reply, or leaves it empty for "ok"; returns 0, or a
+ *	negative errno value for invalid arguments
  */
 struct control_command {
 	const char *name;
@@ -65,9 +66,11 @@
 };
 
 /**
- * struct control - a UDP port that takes commands as lines of text
+ * struct control - a UDP port that receives commands as lines of text
+ * @udp: handle of libuv
  * @ctx: passed to the commands
- * @commands: ended by an entry without a name
+ * @commands: list of commands, ended by an element whose name is NULL
+ * @buf: receive buffer, which holds one line
  */
 struct control {
 	uv_udp_t udp;
@@ -78,11 +81,11 @@
 
 int control_open(struct control *c, uv_loop_t *loop, uint64_t addr,
 		 const char *program);
-void control_do(const struct control *c, char *line, char *reply,
-		size_t size_bytes);
-int control_number(const char *word, uint32_t max, uint32_t *out);
-int control_percent(const char *word, uint32_t *out);
-void control_counts(const char *const *names, const uint64_t *counts,
-		    uint32_t n, char *reply, size_t size_bytes);
+void control_run_line(const struct control *c, char *line, char *reply,
+		      size_t size_bytes);
+int control_parse_number(const char *word, uint32_t max, uint32_t *out);
+int control_parse_percent(const char *word, uint32_t *out);
+void control_write_counts(const char *const *names, const uint64_t *counts,
+			  uint32_t n, char *reply, size_t size_bytes);
 
 #endif
--- a/sim/sockets.c
+++ b/sim/sockets.c
@@ -6,9 +6,9 @@
 #include <string.h>
 
 /**
- * sim_sockaddr() - an address for the socket calls
- * @addr: address
- * @sin: filled
+ * sim_sockaddr() - convert an address to a socket address
+ * @addr: IPv4 address and port
+ * @sin: receives the socket address
  */
 void sim_sockaddr(uint64_t addr, struct sockaddr_in *sin)
 {
@@ -19,10 +19,10 @@
 }
 
 /**
- * sim_addr() - an address from the socket calls
+ * sim_addr() - convert a socket address to an address
  * @sa: IPv4 socket address
  *
- * Return: the address.
+ * Return: IPv4 address and port.
  */
 uint64_t sim_addr(const struct sockaddr *sa)
 {
@@ -32,14 +32,14 @@
 }
 
 /**
- * sim_udp_bind() - open a UDP socket on a loop
- * @loop: loop
- * @udp: handle to set up
+ * sim_udp_bind() - initialise and bind a UDP socket
+ * @loop: event loop
+ * @udp: handle to initialise
  * @addr: address to bind
- * @program: name, for the message
- * @step: what it is for, for the message
+ * @program: program name for the error message
+ * @step: purpose of the socket for the error message
  *
- * Return: 0, or a negative error after it was printed.
+ * Return: 0, or a negative error of libuv after printing an error message.
  */
 int sim_udp_bind(uv_loop_t *loop, uv_udp_t *udp, uint64_t addr,
 		 const char *program, const char *step)
@@ -66,8 +66,8 @@
 }
 
 /**
- * sim_loop_close() - close every handle of a loop, and the loop
- * @loop: loop, not running
+ * sim_loop_close() - close an event loop with all its handles
+ * @loop: event loop, not running
  */
 void sim_loop_close(uv_loop_t *loop)
 {
@@ -77,19 +77,21 @@
 }
 
 /**
- * sim_timer_arm() - have a timer go off once
+ * sim_timer_arm() - start a one-shot timer
  * @timer: timer
- * @at: its callback
- * @deadline_ns: when, UINT64_MAX for not at all
- * @now_ns: time
+ * @callback: called when the timer expires
+ * @deadline_ns: monotonic time at which it expires, rounded up to 1 ms;
+ *	UINT64_MAX leaves the timer as it is
+ * @now_ns: monotonic time
  */
-void sim_timer_arm(uv_timer_t *timer, uv_timer_cb at, uint64_t deadline_ns,
-		   uint64_t now_ns)
+void sim_timer_arm(uv_timer_t *timer, uv_timer_cb callback,
+		   uint64_t deadline_ns, uint64_t now_ns)
 {
 	uint64_t wait_ns = deadline_ns > now_ns ? deadline_ns - now_ns : 0;
 
 	if (deadline_ns == UINT64_MAX)
 		return;
 	uv_update_time(timer->loop);
-	uv_timer_start(timer, at, (wait_ns + NS_PER_MS - 1) / NS_PER_MS, 0);
+	uv_timer_start(timer, callback, (wait_ns + NS_PER_MS - 1) / NS_PER_MS,
+		       0);
 }
--- a/test/loopback.c
+++ b/test/loopback.c
@@ -1,4 +1,4 @@
-/* One address a test process, held by a socket bound to it. */
+/* Reserves a loopback address for the test process by a socket bound to it. */
 #include "loopback.h"
 
 #include <arpa/inet.h>
@@ -8,11 +8,11 @@
 #include <unistd.h>
 
 #define LOOPBACK_LOCK_PORT 19999
-/* 127.40.0.0/16 but for its first and last address. */
+/* 127.40.0.0/16 without its first and last address. */
 #define FIRST_HOST 0x7f280001u
 #define N_HOSTS 0xfffeu
 
-static int hold(uint32_t host)
+static int reserve(uint32_t host)
 {
 	struct sockaddr_in at = {
 		.sin_family = AF_INET,
@@ -31,18 +31,18 @@
 
 uint32_t loopback_host(void)
 {
-	static uint32_t held;
+	static uint32_t reserved;
 	uint32_t first = (uint32_t)getpid();
 
-	for (uint32_t i = 0; !held && i < N_HOSTS; i++) {
+	for (uint32_t i = 0; !reserved && i < N_HOSTS; i++) {
 		uint32_t host = FIRST_HOST + (first + i) % N_HOSTS;
 
-		if (hold(host) == 0)
-			held = host;
+		if (reserve(host) == 0)
+			reserved = host;
 	}
-	if (!held) {
-		fprintf(stderr, "no loopback address is free\n");
+	if (!reserved) {
+		fprintf(stderr, "loopback_host: all addresses are in use\n");
 		exit(1);
 	}
-	return held;
+	return reserved;
 }
--- a/test/loopback.h
+++ b/test/loopback.h
@@ -1,19 +1,19 @@
-/* Loopback addresses of one test process's own. */
+/* A loopback address for each test process. */
 #ifndef LOOPBACK_H
 #define LOOPBACK_H
 
 #include <stdint.h>
 
 /**
- * loopback_host() - an address below 127.0.0.0/8 that this process holds
+ * loopback_host() - loopback address reserved for this process
  *
- * Two runs on one machine would meet on a fixed address: one then fails to
- * bind, or is told what was meant for the other. The process id alone does
- * not tell them apart, as two containers may share the network. A UDP socket
- * on LOOPBACK_LOCK_PORT holds the address until the process ends.
+ * With a fixed address, two runs on one machine would conflict: one fails to
+ * bind, or receives messages for the other. The process id alone does not
+ * distinguish them, since two containers may share the network. A UDP socket on
+ * LOOPBACK_LOCK_PORT reserves the address until the process ends.
  *
- * Return: the same address at every call, in host order; the process ends
- * with a message when none is free.
+ * Return: address in 127.40.0.0/16 in host byte order, the same at every call;
+ * exits with an error message if none is free.
  */
 uint32_t loopback_host(void);
 
--- a/test/sim_dedup_test.c
+++ b/test/sim_dedup_test.c
@@ -108,9 +108,9 @@
 
 /*
  * A body with a missing block was accepted as complete, since blocks were
- * matched by id alone or only the last one was checked. Here a block is skipped,
- * the next one comes from another endpoint, as after a handover between
- * entries, and a body is restarted half way.
+ * matched by id alone or only the last one was checked. Here a block is
+ * skipped, the next one comes from another endpoint, as after a handover
+ * between entries, and a body is restarted half way.
  */
 static void upload_with_missing_block_is_rejected(void **state)
 {
--- a/test/sim_fabric_test.c
+++ b/test/sim_fabric_test.c
@@ -91,8 +91,8 @@
 }
 
 /*
- * The fault "delay" alone reordered datagrams that are due at the same time: the
- * heap compared only times and keeps no order among equal ones.
+ * The fault "delay" alone reordered datagrams that are due at the same time:
+ * the heap compared only times and keeps no order among equal ones.
  */
 static void delayed_datagrams_leave_by_time_then_arrival(void **state)
 {
@@ -120,7 +120,7 @@
 static int set_percent(void *ctx, int argc, char **argv, char *reply, size_t n)
 {
 	(void)argc, (void)reply, (void)n;
-	return control_percent(argv[1], ctx);
+	return control_parse_percent(argv[1], ctx);
 }
 
 static void assert_reply(const struct control *c, const char *line,
@@ -130,7 +130,7 @@
 	char reply[CONTROL_LINE_BYTES];
 
 	strcpy(copy, line);
-	control_do(c, copy, reply, sizeof(reply));
+	control_run_line(c, copy, reply, sizeof(reply));
 	assert_string_equal(reply, expected);
 }
 
--- a/test/sim_slots_test.c
+++ b/test/sim_slots_test.c
@@ -122,7 +122,7 @@
 	assert_int_equal(slots_running(s), SLOTS);
 }
 
-/* Work takes 5 times as long at the start of a cold phase, then linearly less. */
+/* A cold phase starts at 5 times the work and falls linearly to 1. */
 static void work_gets_faster_during_cold_phase(void **state)
 {
 	struct behaviour b = { .rng = { 1 } };
--- a/test/sim_target_test.c
+++ b/test/sim_target_test.c
@@ -141,9 +141,9 @@
 }
 
 /*
- * The target crashed with SIGSEGV in coap_io_prepare_io in the first notification
- * round after a feed was forgotten: libcoap 4.3.1 frees an observer that is
- * notified with an error code and then uses it.
+ * The target crashed with SIGSEGV in coap_io_prepare_io in the first
+ * notification round after a feed was forgotten: libcoap 4.3.1 frees an observer
+ * that is notified with an error code and then uses it.
  */
 static void
 forgotten_feed_gets_no_notification_and_can_be_reopened(void **state)
