--- a/sim/sim-packets/main.c
+++ b/sim/sim-packets/main.c
@@ -1,6 +1,6 @@
 /*
- * sim-packets: runs a deployment for opaque flows on a fake clock, with faults,
- * and prints what clients and targets saw.
+ * sim-packets: emulates a deployment for opaque flows on a simulated clock, with
+ * faults, and prints what clients and targets observed.
  */
 #include "world.h"
 
@@ -13,7 +13,7 @@
 
 enum exit_code { EXIT_OK, EXIT_BROKEN, EXIT_USAGE };
 
-/* Arguments; end stands last, as argtable wants it. */
+/* Command line arguments; argtable requires end to be the last. */
 struct args {
 	struct arg_int *seeds;
 	struct arg_int *first_seed;
@@ -35,42 +35,47 @@
 static struct args args_new(void)
 {
 	return (struct args){
-		.seeds = arg_int0(NULL, "seeds", "N", "runs a fault (1)"),
-		.first_seed = arg_int0(NULL, "first-seed", "N", "(1)"),
+		.seeds = arg_int0(NULL, "seeds", "N", "runs of each fault (1)"),
+		.first_seed = arg_int0(NULL, "first-seed", "N",
+				       "seed of the first run (1)"),
 		.seconds = arg_int0(NULL, "seconds", "N",
-				    "time after the fault (12)"),
+				    "duration after the fault (12)"),
 		.entries = arg_int0(NULL, "entries", "N",
-				    "in each of 3 data centres (3)"),
-		.targets = arg_int0(NULL, "targets", "N", "in each (5)"),
+				    "entries per data centre (3)"),
+		.targets = arg_int0(NULL, "targets", "N",
+				    "targets per data centre (5)"),
 		.users = arg_int0(NULL, "users", "N",
-				  "clients with a long flow, in each (90)"),
-		.feeds = arg_int0(NULL, "feeds", "N",
-				  "requests on those, a second in each (90)"),
-		.reports =
-			arg_int0(NULL, "reports", "N", "a second in each (25)"),
+				  "users with a feed, per data centre (90)"),
+		.feeds = arg_int0(
+			NULL, "feeds", "N",
+			"feed requests a second, per data centre (90)"),
+		.reports = arg_int0(NULL, "reports", "N",
+				    "reports a second, per data centre (25)"),
 		.faults = arg_strn(NULL, "fault", "NAME", 0, 64,
-				   "one of --list; all without it"),
+				   "fault of --list; default: all"),
 		.recovery = arg_lit0(NULL, "recovery",
-				     "times until all serve again after all "
-				     "lost power"),
-		.evacuation = arg_lit0(NULL, "evacuation",
-				       "times until an evacuation is in force"),
-		.json = arg_lit0(NULL, "json", "a line of JSON a run"),
-		.list = arg_lit0(NULL, "list", "name the faults and stop"),
-		.help = arg_lit0(NULL, "help", "print this and stop"),
+				     "print recovery times after a power "
+				     "loss of all entries"),
+		.evacuation =
+			arg_lit0(NULL, "evacuation",
+				 "print times until evacuations are in force"),
+		.json = arg_lit0(NULL, "json",
+				 "print one line of JSON per run"),
+		.list = arg_lit0(NULL, "list", "list the faults and exit"),
+		.help = arg_lit0(NULL, "help", "print this help and exit"),
 		.end = arg_end(8),
 	};
 }
 
-static uint32_t number(const struct arg_int *a, uint32_t usual)
+static uint32_t number(const struct arg_int *a, uint32_t fallback)
 {
-	return a->count && a->ival[0] > 0 ? (uint32_t)a->ival[0] : usual;
+	return a->count && a->ival[0] > 0 ? (uint32_t)a->ival[0] : fallback;
 }
 
 static void print(const struct args *a, const char *fault, uint64_t seed,
 		  const struct world_report *r)
 {
-	const char *form =
+	const char *format =
 		a->json->count
 			? "{\"fault\":\"%s\",\"seed\":%llu,"
 			  "\"requests\":%llu,\"in_aim\":%llu,"
@@ -81,17 +86,17 @@
 			: "%-24s %5llu %8llu %7llu %5llu %6llu %6llu %7llu "
 			  "%6llu %6llu %9.2f\n";
 
-	printf(form, fault, (unsigned long long)seed,
-	       (unsigned long long)r->requests, (unsigned long long)r->in_aim,
+	printf(format, fault, (unsigned long long)seed,
+	       (unsigned long long)r->requests, (unsigned long long)r->on_time,
 	       (unsigned long long)r->late, (unsigned long long)r->failed,
 	       (unsigned long long)world_broken_rules(r),
-	       (unsigned long long)r->swamped, (unsigned long long)r->probes,
+	       (unsigned long long)r->queue_full, (unsigned long long)r->probes,
 	       (unsigned long long)r->store_calls, r->imbalance);
 }
 
-/* Return: how often a rule was broken. */
-static uint64_t play(const struct args *a, const struct world_fault *f,
-		     uint64_t seed)
+/* Return: number of broken rules. */
+static uint64_t run_fault(const struct args *a, const struct world_fault *f,
+			  uint64_t seed)
 {
 	struct site_size size = {
 		.zones = 3,
@@ -105,7 +110,7 @@
 	struct world_report r;
 	struct world *w;
 
-	site_plain(&conf.site, &size);
+	site_default(&conf.site, &size);
 	w = world_new(&conf);
 	if (!w)
 		return 1;
@@ -118,16 +123,16 @@
 	return world_broken_rules(&r);
 }
 
-static uint64_t play_seeds(const struct args *a, const struct world_fault *f)
+static uint64_t run_seeds(const struct args *a, const struct world_fault *f)
 {
 	uint64_t broken = 0;
 
 	for (uint32_t i = 0; i < number(a->seeds, 1); i++)
-		broken += play(a, f, number(a->first_seed, 1) + i);
+		broken += run_fault(a, f, number(a->first_seed, 1) + i);
 	return broken;
 }
 
-static int play_named(const struct args *a)
+static int run_named(const struct args *a)
 {
 	uint64_t broken = 0;
 
@@ -142,21 +147,21 @@
 				a->faults->sval[i]);
 			return EXIT_USAGE;
 		}
-		broken += play_seeds(a, f);
+		broken += run_seeds(a, f);
 	}
 	return broken ? EXIT_BROKEN : EXIT_OK;
 }
 
-static int play_all(const struct args *a)
+static int run_all(const struct args *a)
 {
 	uint64_t broken = 0;
 
 	for (uint32_t i = 0; i < n_world_faults; i++)
-		broken += play_seeds(a, &world_faults[i]);
+		broken += run_seeds(a, &world_faults[i]);
 	return broken ? EXIT_BROKEN : EXIT_OK;
 }
 
-static int with_args(struct args *a, void **table, int argc, char **argv)
+static int run_with_args(struct args *a, void **table, int argc, char **argv)
 {
 	int errors = arg_parse(argc, argv, table);
 
@@ -192,7 +197,7 @@
 		printf("%-24s %5s %8s %7s %5s %6s %6s %7s %6s %6s %9s\n",
 		       "fault", "seed", "requests", "in aim", "late", "failed",
 		       "broken", "swamped", "probes", "calls", "imbalance");
-	return a->faults->count ? play_named(a) : play_all(a);
+	return a->faults->count ? run_named(a) : run_all(a);
 }
 
 int main(int argc, char **argv)
@@ -205,7 +210,7 @@
 	int code = EXIT_USAGE;
 
 	if (!arg_nullcheck(table))
-		code = with_args(&a, table, argc, argv);
+		code = run_with_args(&a, table, argc, argv);
 	arg_freetable(table, sizeof(table) / sizeof(table[0]));
 	return code;
 }
--- a/sim/sim-packets/router.c
+++ b/sim/sim-packets/router.c
@@ -1,48 +1,49 @@
-/* The platform's routers: which entry gets a client's packets. */
+/* The platform's routers, which select the entry for a client's packets. */
 #include "world_state.h"
 
 #define READY_NS (500 * NS_PER_MS)
-#define MISSES 2
+#define MISSED_PROBES_MAX 2
 
-/* The platform asks every entry whether it is ready. */
+/* Periodic readiness check of all entries. */
 void router_probe(struct world *w, const struct event *e)
 {
 	(void)e;
-	world_at(w, READY_NS, router_probe, 0, 0, 0);
+	world_schedule(w, READY_NS, router_probe, 0, 0, 0);
 	for (uint32_t i = 0; i < w->n_entries; i++) {
 		struct sim_entry *s = &w->entries[i];
 
 		if (w->conf.driver.ready(w->conf.driver.ctx, w, i))
-			s->missed = 0;
-		else if (s->missed < MISSES)
-			s->missed++;
+			s->missed_probes = 0;
+		else if (s->missed_probes < MISSED_PROBES_MAX)
+			s->missed_probes++;
 	}
 }
 
-static bool takes(const struct world *w, uint32_t i, uint32_t zone, bool all)
+static bool is_candidate(const struct world *w, uint32_t i, uint32_t zone,
+			 bool all)
 {
 	const struct sim_entry *e = &w->entries[i];
 
 	return (zone == UINT32_MAX || e->zone == zone) &&
-	       (all || e->missed < MISSES);
+	       (all || e->missed_probes < MISSED_PROBES_MAX);
 }
 
-/* By remainder: nearly all flows move when an entry comes or goes. */
-static uint32_t pick_mod(const struct world *w, uint64_t flow, uint32_t zone,
-			 bool all)
+/* Select by remainder: most flows move when an entry starts or stops. */
+static uint32_t select_by_remainder(const struct world *w, uint64_t flow,
+				    uint32_t zone, bool all)
 {
-	uint32_t in[ENTRIES_MAX];
+	uint32_t candidates[ENTRIES_MAX];
 	uint32_t n = 0;
 
 	for (uint32_t i = 0; i < w->n_entries; i++)
-		if (takes(w, i, zone, all))
-			in[n++] = i;
-	return n ? in[flow % n] : UINT32_MAX;
+		if (is_candidate(w, i, zone, all))
+			candidates[n++] = i;
+	return n ? candidates[flow % n] : UINT32_MAX;
 }
 
-/* Steady: only the flows of an entry that comes or goes move. */
-static uint32_t pick_steady(const struct world *w, uint64_t flow, uint32_t zone,
-			    bool all)
+/* Rendezvous hashing: only flows of the entry that starts or stops move. */
+static uint32_t select_by_hash(const struct world *w, uint64_t flow,
+			       uint32_t zone, bool all)
 {
 	uint64_t best = 0;
 	uint32_t at = UINT32_MAX;
@@ -50,7 +51,7 @@
 	for (uint32_t i = 0; i < w->n_entries; i++) {
 		uint64_t h = hash_u64(flow, i + 1);
 
-		if (!takes(w, i, zone, all) || h < best)
+		if (!is_candidate(w, i, zone, all) || h < best)
 			continue;
 		best = h;
 		at = i;
@@ -58,29 +59,34 @@
 	return at;
 }
 
-static uint32_t pick(const struct world *w, uint64_t flow, uint32_t zone,
-		     bool all)
+static uint32_t select_entry(const struct world *w, uint64_t flow,
+			     uint32_t zone, bool all)
 {
-	return w->conf.site.mod ? pick_mod(w, flow, zone, all)
-				: pick_steady(w, flow, zone, all);
+	return w->conf.site.by_remainder
+		       ? select_by_remainder(w, flow, zone, all)
+		       : select_by_hash(w, flow, zone, all);
 }
 
-/* Entry that the routers hand a client's packets to. */
-uint32_t router_pick(struct world *w, const struct sim_user *u)
+/*
+ * Entry for a user's packets, UINT32_MAX for none. Entries that failed
+ * MISSED_PROBES_MAX readiness checks are left out, unless more than half of the
+ * data centre's entries did. With none left, packets go to another data centre.
+ */
+uint32_t router_select(struct world *w, const struct sim_user *u)
 {
 	struct flow_key key = { ADDR(u->ip, u->port), route_vip(u->class) };
 	uint64_t flow = flow_hash(&key);
-	uint32_t in = 0, n = 0;
+	uint32_t ready = 0, n = 0;
 
 	for (uint32_t i = 0; i < w->n_entries; i++) {
 		if (w->entries[i].zone != u->zone)
 			continue;
 		n++;
-		in += w->entries[i].missed < MISSES;
+		ready += w->entries[i].missed_probes < MISSED_PROBES_MAX;
 	}
-	if (in)
-		return pick(w, flow, u->zone, in * 2 < n);
-	return pick(w, flow, UINT32_MAX, false) == UINT32_MAX
-		       ? pick(w, flow, u->zone, true)
-		       : pick(w, flow, UINT32_MAX, false);
+	if (ready)
+		return select_entry(w, flow, u->zone, ready * 2 < n);
+	return select_entry(w, flow, UINT32_MAX, false) == UINT32_MAX
+		       ? select_entry(w, flow, u->zone, true)
+		       : select_entry(w, flow, UINT32_MAX, false);
 }
--- a/sim/sim-soak/main.c
+++ b/sim/sim-soak/main.c
@@ -210,7 +210,7 @@
 	double served;
 
 	world_report(w, &r);
-	served = r.requests ? (double)(r.in_aim + r.late) / (double)r.requests
+	served = r.requests ? (double)(r.on_time + r.late) / (double)r.requests
 			    : 0;
 	printf("\n  requests %llu served %.4f misrouted %llu broken %llu late "
 	       "drain %llu evacuated %llu overrun %llu stale %llu doubled "
@@ -232,7 +232,7 @@
 	struct world_conf conf = { .seed = seed };
 	bool passed;
 
-	site_plain(&conf.site, &size);
+	site_default(&conf.site, &size);
 	soak_init(&s, program, dir);
 	conf.driver = processes_driver(&s);
 	s.world = world_new(&conf);
--- a/sim/sim-target/serve.c
+++ b/sim/sim-target/serve.c
@@ -182,8 +182,8 @@
 
 /*
  * libcoap calls the same handler for notifications, with the request that
- * opened the feed. They differ in the type of the answer or, if both are NON, in that
- * the observer is already known.
+ * opened the feed. They differ in the type of the answer or, if both are NON,
+ * in that the observer is already known.
  */
 static bool is_notification(const coap_pdu_t *request, const coap_pdu_t *answer,
 			    const struct observer *feed)
@@ -200,7 +200,7 @@
  * Drops the notification of a forgotten observer. An error code would make
  * libcoap 4.3.1 free the observer and then use it (SIGSEGV in
  * coap_io_prepare_io), so libcoap sends the notification and the simulated
- * packet loss drops it. It is a NON, since libcoap would retransmit a CON later.
+ * packet loss drops it. It is a NON, since libcoap would retransmit a CON.
  */
 static void drop_notification(coap_pdu_t *answer)
 {
