--- a/sim/sim-fabric/options.c
+++ b/sim/sim-fabric/options.c
@@ -71,8 +71,8 @@
 			  p.listen, p.control, p.seed, p.end };
 	struct sim_args args = {
 		program,
-		"Simulates a network fabric that forwards each "
-		"datagram to any entry.",
+		"Simulates a network fabric that forwards each datagram to any "
+		"entry.",
 		table,
 		p.help,
 		p.version,
