--- a/cmd/cb-entry/main.c
+++ b/cmd/cb-entry/main.c
@@ -1,4 +1,4 @@
-/* cb-entry: the data path of one VM. */
+/* cb-entry: forwards requests of callers at one VM to targets. */
 #include "daemon.h"
 #include "daemon_args.h"
 #include "log.h"
@@ -31,19 +31,19 @@
 	return d->exit_code;
 }
 
-static int with_settings(const char *path, bool check)
+static int run_with_settings(const char *path, bool check)
 {
-	/* Large for a stack: it holds the room for a burst of datagrams. */
+	/* Too large for the stack: it contains the receive buffer. */
 	struct daemon *d = calloc(1, sizeof(*d));
-	struct mistakes m = { 0 };
+	struct mistakes mistakes = { 0 };
 	int code = DAEMON_USAGE;
 	int err;
 
 	if (!d)
 		return DAEMON_FAULT;
-	err = entry_settings_read(path, &d->settings, &m);
-	mistakes_print(&m, stderr);
-	mistakes_free(&m);
+	err = entry_settings_read(path, &d->settings, &mistakes);
+	mistakes_print(&mistakes, stderr);
+	mistakes_free(&mistakes);
 	if (!err && check)
 		code = DAEMON_OK;
 	else if (!err && log_open("cb-entry", &d->settings.log) == 0)
@@ -54,11 +54,11 @@
 
 int main(int argc, char **argv)
 {
-	static const struct daemon_info about = { "cb-entry", VERSION,
-						  "The data path of one VM.",
-						  with_settings };
+	static const struct daemon_info info = { "cb-entry", VERSION,
+						 "The data path of one VM.",
+						 run_with_settings };
 
 	if (sodium_init() < 0)
 		return DAEMON_FAULT;
-	return daemon_main(&about, argc, argv);
+	return daemon_main(&info, argc, argv);
 }
--- a/cmd/cb-entry/metrics.c
+++ b/cmd/cb-entry/metrics.c
@@ -33,8 +33,7 @@
 
 static void put(GString *to, const char *name, const char *type, uint64_t value)
 {
-	g_string_append_printf(to, "# TYPE %s %s\n%s %llu\n", name, type, name,
-			       (unsigned long long)value);
+	g_string_append_printf(to, "# TYPE %s %s\n%s %llu\n", name, type, name, (unsigned long long)value);
 }
 
 static void put_counters(const struct daemon *d, GString *to)
@@ -64,31 +63,24 @@
 {
 	g_string_append_printf(to, "# TYPE %s counter\n", name);
 	for (uint32_t k = 1; k < PEER_KIND_COUNT; k++)
-		g_string_append_printf(to, "%s{kind=\"%s\"} %llu\n", name,
-				       kind_names[k],
-				       (unsigned long long)values[k]);
+		g_string_append_printf(to, "%s{kind=\"%s\"} %llu\n", name, kind_names[k], (unsigned long long)values[k]);
 }
 
 static void put_traffic(const struct daemon *d, GString *to)
 {
-	put_by_kind(to, "cb_peer_bytes_sent_total", d->sent.bytes);
-	put_by_kind(to, "cb_peer_bytes_received_total", d->received.bytes);
-	put_by_kind(to, "cb_peer_messages_sent_total", d->sent.messages);
-	put_by_kind(to, "cb_peer_messages_received_total",
-		    d->received.messages);
+	put_by_kind(to, "cb_peer_bytes_sent_total", d->peer_sent.bytes);
+	put_by_kind(to, "cb_peer_bytes_received_total", d->peer_received.bytes);
+	put_by_kind(to, "cb_peer_messages_sent_total", d->peer_sent.messages);
+	put_by_kind(to, "cb_peer_messages_received_total", d->peer_received.messages);
 }
 
-/* The samples of a family have to stand together, below its TYPE. */
-static void put_drop_family(const struct daemon *d, GString *to,
-			    const char *family)
+/* The text format requires all samples of a family below its TYPE line. */
+static void put_drop_family(const struct daemon *d, GString *to, const char *family)
 {
 	g_string_append_printf(to, "# TYPE %s counter\n", family);
 	for (uint32_t i = 0; i < DROP_COUNT; i++)
 		if (!strcmp(family, drop_names[i].family))
-			g_string_append_printf(
-				to, "%s{reason=\"%s\"} %llu\n", family,
-				drop_names[i].reason,
-				(unsigned long long)d->dropped[i]);
+			g_string_append_printf(to, "%s{reason=\"%s\"} %llu\n", family, drop_names[i].reason, (unsigned long long)d->dropped[i]);
 }
 
 static void put_drops(const struct daemon *d, GString *to)
@@ -115,22 +107,20 @@
 #undef X
 }
 
-static void put_lost(const struct daemon *d, GString *to)
+static void put_overflows(const struct daemon *d, GString *to)
 {
 	const struct {
 		const char *socket;
 		uint64_t lost;
 	} rows[] = {
-		{ "callers", callers_lost(d) },
-		{ "targets", datagram_lost(&d->target_socket) },
-		{ "peers", datagram_lost(&d->peer_socket) },
+		{ "callers", callers_overflow_count(d) },
+		{ "targets", datagram_overflow_count(&d->target_socket) },
+		{ "peers", datagram_overflow_count(&d->peer_socket) },
 	};
 
 	g_string_append(to, "# TYPE cb_socket_full_total counter\n");
 	for (size_t i = 0; i < G_N_ELEMENTS(rows); i++)
-		g_string_append_printf(
-			to, "cb_socket_full_total{socket=\"%s\"} %llu\n",
-			rows[i].socket, (unsigned long long)rows[i].lost);
+		g_string_append_printf(to, "cb_socket_full_total{socket=\"%s\"} %llu\n", rows[i].socket, (unsigned long long)rows[i].lost);
 }
 
 static void put_process(GString *to)
@@ -144,9 +134,9 @@
 }
 
 /**
- * metrics_write() - all metrics
+ * metrics_write() - write all metrics
  * @d: daemon
- * @to: where to add them
+ * @to: text that they are appended to
  */
 void metrics_write(const struct daemon *d, GString *to)
 {
@@ -155,7 +145,7 @@
 	put_traffic(d, to);
 	put_drops(d, to);
 	put_link(d, to);
-	put_lost(d, to);
+	put_overflows(d, to);
 	put_process(to);
-	metrics_accounts(d, to);
+	metrics_write_accounts(d, to);
 }
--- a/cmd/cb-entry/operator.c
+++ b/cmd/cb-entry/operators.c
@@ -1,4 +1,7 @@
-/* What operators ask: status, metrics, why a flow goes where it goes. */
+/*
+ * HTTP server for operators: status, metrics, lists of flows and targets, and
+ * why a flow goes to its target.
+ */
 #include "daemon.h"
 #include "flow_list.h"
 #include "log.h"
@@ -6,10 +9,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define STATUS_OK 200
-#define STATUS_BAD_REQUEST 400
-#define STATUS_NOT_FOUND 404
-#define STATUS_BAD_METHOD 405
+#define HTTP_OK 200
+#define HTTP_BAD_REQUEST 400
+#define HTTP_NOT_FOUND 404
+#define HTTP_METHOD_NOT_ALLOWED 405
 #define ADDR_TEXT_BYTES 32
 #define ROWS_DEFAULT 100
 #define ROWS_MAX 1000
@@ -36,7 +39,7 @@
 			       (unsigned long long)value);
 }
 
-static const char *phase(const struct daemon *d)
+static const char *phase_name(const struct daemon *d)
 {
 	if (d->leaving)
 		return "leaving";
@@ -86,31 +89,31 @@
 #undef X
 }
 
-static int status(struct daemon *d, const char *query, GString *body)
+static int write_status(struct daemon *d, const char *query, GString *body)
 {
-	struct entry_explanation v =
+	struct entry_explanation explanation =
 		entry_explain(d->entry, &(struct flow_key){ 0, 0 });
 
 	(void)query;
-	g_string_append_printf(body, "%s\n", phase(d));
+	g_string_append_printf(body, "%s\n", phase_name(d));
 	put_addr(body, "vm", d->settings.peer);
 	g_string_append_printf(body, "data_centre %s\n",
 			       d->settings.data_centre);
 	put_u64(body, "incarnation", d->incarnation);
-	put_u64(body, "view", v.view);
+	put_u64(body, "view", explanation.view);
 	put_members(d, body);
 	put_accounts(d, body);
 	put_gauges(d, body);
 	put_counters(d, body);
-	status_accounts(d, body);
-	return STATUS_OK;
+	status_write_accounts(d, body);
+	return HTTP_OK;
 }
 
-static int metrics(struct daemon *d, const char *query, GString *body)
+static int write_metrics(struct daemon *d, const char *query, GString *body)
 {
 	(void)query;
 	metrics_write(d, body);
-	return STATUS_OK;
+	return HTTP_OK;
 }
 
 static bool query_addr(const char *query, const char *name, uint64_t *addr)
@@ -121,39 +124,39 @@
 	       addr_parse(text, addr) == 0;
 }
 
-static const char *why_owner(const struct daemon *d,
-			     const struct entry_explanation *v)
+static const char *owner_reason(const struct daemon *d,
+				const struct entry_explanation *explanation)
 {
-	if (v->pair.owner == ADDR_NONE)
+	if (explanation->pair.owner == ADDR_NONE)
 		return "no entry is known yet: wait for the list of VMs";
-	if (v->pair.owner == d->settings.peer)
+	if (explanation->pair.owner == d->settings.peer)
 		return "this VM owns the flow's bucket and decides";
 	return "the owner of the flow's bucket decides: ask it";
 }
 
-static const char *why_target(const struct entry_explanation *v)
+static const char *target_reason(const struct entry_explanation *explanation)
 {
-	if (v->feeds)
+	if (explanation->feeds)
 		return "feeds of the flow stay at the target that holds them";
-	if (v->pinned != ADDR_NONE)
+	if (explanation->pinned != ADDR_NONE)
 		return "flow is pinned, by a transfer in blocks";
 	return "chosen for each request, by load";
 }
 
-/* Whether @text, ACCOUNT/SERVICE or SERVICE alone, names a service. */
-static bool names(const char *text, const struct account_conf *a,
-		  const struct service_conf *s)
+/* Whether @text, ACCOUNT/SERVICE or only SERVICE, is the name of @service. */
+static bool is_named(const char *text, const struct account_conf *account,
+		     const struct service_conf *service)
 {
-	size_t n = strlen(a->name);
+	size_t n = strlen(account->name);
 
-	if (!strncmp(text, a->name, n) && text[n] == '/')
-		return !strcmp(text + n + 1, s->name);
-	return !strcmp(text, s->name);
+	if (!strncmp(text, account->name, n) && text[n] == '/')
+		return !strcmp(text + n + 1, service->name);
+	return !strcmp(text, service->name);
 }
 
-/* VIP of the service that @text names; how many are named so. */
-static uint32_t named_vip(const struct config *c, const char *text,
-			  uint64_t *vip)
+/* Return: number of services named @text; *@vip is the VIP of the last one. */
+static uint32_t find_named_vip(const struct config *c, const char *text,
+			       uint64_t *vip)
 {
 	uint32_t found = 0;
 
@@ -161,7 +164,7 @@
 		const struct account_conf *a = &c->accounts[i];
 
 		for (uint32_t k = 0; k < a->n_services; k++) {
-			if (!names(text, a, &a->services[k]))
+			if (!is_named(text, a, &a->services[k]))
 				continue;
 			*vip = a->services[k].vip;
 			found++;
@@ -170,68 +173,72 @@
 	return found;
 }
 
-static int query_service(struct daemon *d, const char *query, uint64_t *vip,
-			 GString *body)
+static int query_vip(struct daemon *d, const char *query, uint64_t *vip,
+		     GString *body)
 {
 	char text[2 * NAME_MAX_BYTES];
 	uint32_t found;
 
 	if (query_addr(query, "vip", vip))
-		return STATUS_OK;
+		return HTTP_OK;
 	if (!http_query_parameter(query, "vip", text, sizeof(text))) {
 		g_string_append(body, "want vip=IP:PORT or a service's name\n");
-		return STATUS_BAD_REQUEST;
+		return HTTP_BAD_REQUEST;
 	}
-	found = named_vip(&d->config, text, vip);
+	found = find_named_vip(&d->config, text, vip);
 	if (found == 1)
-		return STATUS_OK;
+		return HTTP_OK;
 	g_string_append_printf(body, "%s %s\n",
 			       found ? "several accounts have a service"
 				     : "no account has a service",
 			       text);
-	return found ? STATUS_BAD_REQUEST : STATUS_NOT_FOUND;
+	return found ? HTTP_BAD_REQUEST : HTTP_NOT_FOUND;
 }
 
-static int explain(struct daemon *d, const char *query, GString *body)
+static int write_explanation(struct daemon *d, const char *query, GString *body)
 {
 	struct flow_key key;
-	struct entry_explanation v;
+	struct entry_explanation explanation;
 	int status;
 
 	if (!query_addr(query, "caller", &key.caller)) {
 		g_string_append(body, "want caller=IP:PORT\n");
-		return STATUS_BAD_REQUEST;
+		return HTTP_BAD_REQUEST;
 	}
-	status = query_service(d, query, &key.vip, body);
-	if (status != STATUS_OK)
+	status = query_vip(d, query, &key.vip, body);
+	if (status != HTTP_OK)
 		return status;
-	v = entry_explain(d->entry, &key);
-	if (!v.service) {
+	explanation = entry_explain(d->entry, &key);
+	if (!explanation.service) {
 		put_addr(body, "no service at vip", key.vip);
-		return STATUS_NOT_FOUND;
+		return HTTP_NOT_FOUND;
 	}
 	g_string_append_printf(body, "account %s\nservice %s\n",
-			       v.account ? v.account->name : "-",
-			       v.service->name);
-	put_u64(body, "generation", v.account ? v.account->generation : 0);
-	put_u64(body, "view", v.view);
-	put_u64(body, "bucket", v.bucket);
-	put_addr(body, "owner", v.pair.owner);
-	put_addr(body, "second", v.pair.second);
-	put_addr(body, "pinned", v.pinned);
-	put_u64(body, "feeds", v.feeds);
-	put_addr(body, "feed_target", v.feed_target);
+			       explanation.account ? explanation.account->name
+						   : "-",
+			       explanation.service->name);
+	put_u64(body, "generation",
+		explanation.account ? explanation.account->generation : 0);
+	put_u64(body, "view", explanation.view);
+	put_u64(body, "bucket", explanation.bucket);
+	put_addr(body, "owner", explanation.pair.owner);
+	put_addr(body, "second", explanation.pair.second);
+	put_addr(body, "pinned", explanation.pinned);
+	put_u64(body, "feeds", explanation.feeds);
+	put_addr(body, "feed_target", explanation.feed_target);
 	g_string_append_printf(body, "why_owner %s\nwhy_target %s\n",
-			       why_owner(d, &v), why_target(&v));
-	return STATUS_OK;
+			       owner_reason(d, &explanation),
+			       target_reason(&explanation));
+	return HTTP_OK;
 }
 
-static uint64_t query_u64(const char *query, const char *name, uint64_t other)
+static uint64_t query_u64(const char *query, const char *name,
+			  uint64_t default_value)
 {
 	char text[ADDR_TEXT_BYTES];
 
 	if (!http_query_parameter(query, name, text, sizeof(text)))
-		return other;
+		return default_value;
 	return strtoull(text, NULL, 10);
 }
 
@@ -242,25 +249,25 @@
 	[ROW_PIN] = "pin",
 };
 
-static void put_row(GString *to, const struct flow_row *r, uint64_t now_ns)
+static void put_row(GString *to, const struct flow_row *row, uint64_t now_ns)
 {
-	uint64_t since_ns = r->since_ns ? r->since_ns : now_ns;
+	uint64_t since_ns = row->since_ns ? row->since_ns : now_ns;
 	char caller[ADDR_TEXT_BYTES];
 	char vip[ADDR_TEXT_BYTES];
 	char target[ADDR_TEXT_BYTES] = "-";
 
-	if (r->target != ADDR_NONE)
-		addr_text(r->target, target, sizeof(target));
+	if (row->target != ADDR_NONE)
+		addr_text(row->target, target, sizeof(target));
 	g_string_append_printf(
 		to, "%s caller=%s vip=%s target=%s state=%s age_ms=%llu\n",
-		row_names[r->kind],
-		addr_text(r->key.caller, caller, sizeof(caller)),
-		addr_text(r->key.vip, vip, sizeof(vip)), target, r->state,
+		row_names[row->kind],
+		addr_text(row->key.caller, caller, sizeof(caller)),
+		addr_text(row->key.vip, vip, sizeof(vip)), target, row->state,
 		(unsigned long long)((now_ns - since_ns) / NS_PER_MS));
 }
 
-/* Ends with "next N" while there may be more: ask again with after=N. */
-static int flows(struct daemon *d, const char *query, GString *body)
+/* A last line "next N" says that a request with after=N returns more rows. */
+static int write_flows(struct daemon *d, const char *query, GString *body)
 {
 	uint64_t limit = query_u64(query, "limit", ROWS_DEFAULT);
 	uint64_t at = query_u64(query, "after", 0);
@@ -274,10 +281,10 @@
 		put_row(body, &rows[i], now_ns);
 	if (at != UINT64_MAX)
 		put_u64(body, "next", at);
-	return STATUS_OK;
+	return HTTP_OK;
 }
 
-static void put_target(GString *to, const struct target_stats *t)
+static void put_target(GString *to, const struct target_stats *stats)
 {
 	char text[ADDR_TEXT_BYTES];
 
@@ -285,12 +292,13 @@
 		to,
 		"target %s inflight=%u feeds=%u slots=%u extra=%u "
 		"connections=%u ejected=%d trust=%u error=%u latency_us=%llu\n",
-		addr_text(t->addr, text, sizeof(text)), t->inflight, t->feeds,
-		t->own, t->extra, t->connections, t->ejected, t->trust_milli,
-		t->error_milli, (unsigned long long)t->latency_ns / 1000);
+		addr_text(stats->addr, text, sizeof(text)), stats->inflight,
+		stats->feeds, stats->own, stats->extra, stats->connections,
+		stats->ejected, stats->trust_milli, stats->error_milli,
+		(unsigned long long)stats->latency_ns / 1000);
 }
 
-static int targets(struct daemon *d, const char *query, GString *body)
+static int write_targets(struct daemon *d, const char *query, GString *body)
 {
 	const struct balancer *b = entry_balancer(d->entry);
 	uint64_t limit = query_u64(query, "limit", ROWS_DEFAULT);
@@ -299,43 +307,44 @@
 
 	while (limit-- && balance_next_target_stats(b, &cursor, &t))
 		put_target(body, &t);
-	return STATUS_OK;
+	return HTTP_OK;
 }
 
 static const struct {
 	const char *path;
-	int (*answer)(struct daemon *d, const char *query, GString *body);
+	int (*write)(struct daemon *d, const char *query, GString *body);
 } routes[] = {
-	{ "/status", status }, { "/metrics", metrics }, { "/explain", explain },
-	{ "/flows", flows },   { "/targets", targets },
+	{ "/status", write_status },	   { "/metrics", write_metrics },
+	{ "/explain", write_explanation }, { "/flows", write_flows },
+	{ "/targets", write_targets },
 };
 
-static int handle(void *ctx, struct http_request *req, const char *method,
-		  const char *path, const char *query, const GString *in,
-		  GString *body)
+static int handle_request(void *ctx, struct http_request *req,
+			  const char *method, const char *path,
+			  const char *query, const GString *in, GString *body)
 {
 	(void)in;
 	if (strcmp(method, "GET") != 0)
-		return STATUS_BAD_METHOD;
+		return HTTP_METHOD_NOT_ALLOWED;
 	http_add_header(req, "Content-Type", "text/plain; version=0.0.4");
 	for (size_t i = 0; i < sizeof(routes) / sizeof(routes[0]); i++) {
 		if (strcmp(path, routes[i].path) == 0)
-			return routes[i].answer(ctx, query, body);
+			return routes[i].write(ctx, query, body);
 	}
 	for (size_t i = 0; i < sizeof(routes) / sizeof(routes[0]); i++)
 		g_string_append_printf(body, "%s\n", routes[i].path);
-	return STATUS_NOT_FOUND;
+	return HTTP_NOT_FOUND;
 }
 
 /**
- * operator_open() - serve operators
+ * operators_open() - open the HTTP server
  * @d: daemon
  *
  * Return: 0 or a negative error number.
  */
-int operator_open(struct daemon *d)
+int operators_open(struct daemon *d)
 {
-	struct http_handler handler = { d, handle };
+	struct http_handler handler = { d, handle_request };
 	char text[ADDR_TEXT_BYTES];
 	int err =
 		http_server_open(d->loop, d->settings.http, handler, &d->http);
--- a/cmd/cb-packet/main.c
+++ b/cmd/cb-packet/main.c
@@ -1,4 +1,4 @@
-/* cb-packet: carries opaque flows of one VM to their targets. */
+/* cb-packet: forwards opaque flows that arrive at one VM to their targets. */
 #include "daemon.h"
 
 #include "daemon_args.h"
@@ -10,14 +10,14 @@
 
 #define VERSION "0.1.0"
 
-/* Tells this process from an earlier one at its address; not a time. */
-static uint64_t boot_number(const struct packet_settings *s)
+/* Distinguishes this process from earlier ones at its address; not a time. */
+static uint64_t make_boot_number(const struct packet_settings *settings)
 {
-	struct timespec t = { 0 };
+	struct timespec now = { 0 };
 
-	clock_gettime(CLOCK_BOOTTIME, &t);
-	return hash_u64((uint64_t)t.tv_nsec ^ (uint64_t)t.tv_sec << 32,
-			s->peer) >>
+	clock_gettime(CLOCK_BOOTTIME, &now);
+	return hash_u64((uint64_t)now.tv_nsec ^ (uint64_t)now.tv_sec << 32,
+			settings->peer) >>
 		       1 |
 	       1;
 }
@@ -28,7 +28,7 @@
 	if (!d->loop)
 		return DAEMON_FAULT;
 	d->platform = users_platform();
-	d->boot = boot_number(&d->settings);
+	d->boot = make_boot_number(&d->settings);
 	if (daemon_open(d)) {
 		d->exit_code = DAEMON_FAULT;
 	} else {
@@ -42,20 +42,20 @@
 	return d->exit_code;
 }
 
-static int with_settings(const char *path, bool check)
+static int run_with_settings(const char *path, bool check)
 {
-	/* Large for a stack: it holds the room for a batch of datagrams. */
+	/* Too large for the stack: it contains the receive buffers. */
 	struct packet_daemon *d = calloc(1, sizeof(*d));
-	struct mistakes m = { 0 };
+	struct mistakes mistakes = { 0 };
 	int code = DAEMON_USAGE;
 	int err;
 
 	if (!d)
 		return DAEMON_FAULT;
 	d->settings_path = path;
-	err = packet_settings_read(path, &d->settings, &m);
-	mistakes_print(&m, stderr);
-	mistakes_free(&m);
+	err = packet_settings_read(path, &d->settings, &mistakes);
+	mistakes_print(&mistakes, stderr);
+	mistakes_free(&mistakes);
 	if (!err && check)
 		code = DAEMON_OK;
 	else if (!err && log_open("cb-packet", &d->settings.log) == 0)
@@ -66,11 +66,11 @@
 
 int main(int argc, char **argv)
 {
-	static const struct daemon_info about = {
+	static const struct daemon_info info = {
 		"cb-packet", VERSION,
 		"Carries opaque flows of one VM to their targets.",
-		with_settings
+		run_with_settings
 	};
 
-	return daemon_main(&about, argc, argv);
+	return daemon_main(&info, argc, argv);
 }
