--- a/cmd/cb-entry/intake.c
+++ b/cmd/cb-entry/intake.c
@@ -201,8 +201,8 @@
  */
 int intake_open(struct daemon *d)
 {
-	struct entry_link_handler handler = { d, on_account, on_account_withdrawn,
-					on_roster };
+	struct entry_link_handler handler = { d, on_account,
+					      on_account_withdrawn, on_roster };
 	struct entry_link_conf conf = {
 		.endpoint = d->settings.watch,
 		.self = d->settings.peer,
--- a/cmd/cb-entry/metrics.c
+++ b/cmd/cb-entry/metrics.c
@@ -33,7 +33,8 @@
 
 static void put(GString *to, const char *name, const char *type, uint64_t value)
 {
-	g_string_append_printf(to, "# TYPE %s %s\n%s %llu\n", name, type, name, (unsigned long long)value);
+	g_string_append_printf(to, "# TYPE %s %s\n%s %llu\n", name, type, name,
+			       (unsigned long long)value);
 }
 
 static void put_counters(const struct daemon *d, GString *to)
@@ -63,7 +64,9 @@
 {
 	g_string_append_printf(to, "# TYPE %s counter\n", name);
 	for (uint32_t k = 1; k < PEER_KIND_COUNT; k++)
-		g_string_append_printf(to, "%s{kind=\"%s\"} %llu\n", name, kind_names[k], (unsigned long long)values[k]);
+		g_string_append_printf(to, "%s{kind=\"%s\"} %llu\n", name,
+				       kind_names[k],
+				       (unsigned long long)values[k]);
 }
 
 static void put_traffic(const struct daemon *d, GString *to)
@@ -71,16 +74,21 @@
 	put_by_kind(to, "cb_peer_bytes_sent_total", d->peer_sent.bytes);
 	put_by_kind(to, "cb_peer_bytes_received_total", d->peer_received.bytes);
 	put_by_kind(to, "cb_peer_messages_sent_total", d->peer_sent.messages);
-	put_by_kind(to, "cb_peer_messages_received_total", d->peer_received.messages);
+	put_by_kind(to, "cb_peer_messages_received_total",
+		    d->peer_received.messages);
 }
 
 /* The text format requires all samples of a family below its TYPE line. */
-static void put_drop_family(const struct daemon *d, GString *to, const char *family)
+static void put_drop_family(const struct daemon *d, GString *to,
+			    const char *family)
 {
 	g_string_append_printf(to, "# TYPE %s counter\n", family);
 	for (uint32_t i = 0; i < DROP_COUNT; i++)
 		if (!strcmp(family, drop_names[i].family))
-			g_string_append_printf(to, "%s{reason=\"%s\"} %llu\n", family, drop_names[i].reason, (unsigned long long)d->dropped[i]);
+			g_string_append_printf(
+				to, "%s{reason=\"%s\"} %llu\n", family,
+				drop_names[i].reason,
+				(unsigned long long)d->dropped[i]);
 }
 
 static void put_drops(const struct daemon *d, GString *to)
@@ -120,7 +128,9 @@
 
 	g_string_append(to, "# TYPE cb_socket_full_total counter\n");
 	for (size_t i = 0; i < G_N_ELEMENTS(rows); i++)
-		g_string_append_printf(to, "cb_socket_full_total{socket=\"%s\"} %llu\n", rows[i].socket, (unsigned long long)rows[i].lost);
+		g_string_append_printf(
+			to, "cb_socket_full_total{socket=\"%s\"} %llu\n",
+			rows[i].socket, (unsigned long long)rows[i].lost);
 }
 
 static void put_process(GString *to)
--- a/cmd/cb-packet/operators.c
+++ b/cmd/cb-packet/operators.c
@@ -15,7 +15,9 @@
 #define HTTP_NOT_FOUND 404
 #define HTTP_UNAVAILABLE 503
 
-static int handle_ready(void *ctx, struct http_request *req, const char *method, const char *path, const char *query, const GString *in, GString *body)
+static int handle_ready(void *ctx, struct http_request *req, const char *method,
+			const char *path, const char *query, const GString *in,
+			GString *body)
 {
 	struct packet_daemon *d = ctx;
 
@@ -31,7 +33,8 @@
 
 static void counter(GString *out, const char *name, uint64_t value)
 {
-	g_string_append_printf(out, "cb_packet_%s_total %" G_GUINT64_FORMAT "\n", name, value);
+	g_string_append_printf(
+		out, "cb_packet_%s_total %" G_GUINT64_FORMAT "\n", name, value);
 }
 
 static void gauge(GString *out, const char *name, double value)
@@ -51,9 +54,12 @@
 		const struct path_latencies *latencies =
 			path_latencies(d->node->path, kind);
 
-		histogram_append_text(out, "cb_packet_open_microseconds", labels[kind], &latencies->open_us);
-		histogram_append_text(out, "cb_packet_wait_microseconds", labels[kind], &latencies->wait_us);
-		histogram_append_text(out, "cb_packet_answer_microseconds", labels[kind], &latencies->answer_us);
+		histogram_append_text(out, "cb_packet_open_microseconds",
+				      labels[kind], &latencies->open_us);
+		histogram_append_text(out, "cb_packet_wait_microseconds",
+				      labels[kind], &latencies->wait_us);
+		histogram_append_text(out, "cb_packet_answer_microseconds",
+				      labels[kind], &latencies->answer_us);
 	}
 }
 
@@ -70,7 +76,11 @@
 	NODE_COUNTERS(X)
 #undef X
 	for (uint32_t i = 0; i < PATH_REASON_COUNT; i++)
-		g_string_append_printf(out, "cb_packet_verdicts_total{reason=\"%s\"} " "%" G_GUINT64_FORMAT "\n", path_reason_names[i], reasons[i]);
+		g_string_append_printf(
+			out,
+			"cb_packet_verdicts_total{reason=\"%s\"} "
+			"%" G_GUINT64_FORMAT "\n",
+			path_reason_names[i], reasons[i]);
 	counter(out, "log_lines_lost", log_lost_line_count());
 	write_latencies(d, out);
 	gauge(out, "flows", path_flow_count(d->node->path));
@@ -79,7 +89,8 @@
 	gauge(out, "targets", directory_target_count(d->node->directory));
 	gauge(out, "peers", peer_set_count_live(d->node->peers, now_ns));
 	gauge(out, "evacuated", directory_evacuations(d->node->directory)->n);
-	gauge(out, "revision", (double)documents_synced(d->node->documents).revision);
+	gauge(out, "revision",
+	      (double)documents_synced(d->node->documents).revision);
 	gauge(out, "epoch", (double)documents_synced(d->node->documents).epoch);
 	gauge(out, "feed_load", path_feed_load(d->node->path));
 	if (!usage_read(&use)) {
@@ -88,7 +99,8 @@
 	}
 }
 
-static void write_target(const struct packet_daemon *d, const struct target *target, GString *out)
+static void write_target(const struct packet_daemon *d,
+			 const struct target *target, GString *out)
 {
 	uint64_t now_ns = uv_hrtime();
 	uint64_t cold_ns = target->cold_until_ns > now_ns
@@ -96,16 +108,36 @@
 				   : 0;
 	char addr[32];
 
-	g_string_append_printf(out, "target %llx addr %s service %s stage %u health %u flows %u " "feeds %u busy %u running %u short %.2f peers_feeds %.0f " "peers_running %.2f peers_short %.2f cold_ms %llu seat %u\n", (unsigned long long)target->advertised.id, addr_text(target->advertised.addr, addr, sizeof(addr)), directory_service_name(d->node->directory, target->advertised.service), target->stage, target->health, target->flows, target->feeds, target->busy, target->running, target->short_mean, target->peers_feeds, target->peers_running, target->peers_short, (unsigned long long)(cold_ns / NS_PER_MS), cold_ns && target->has_cold_permit);
+	g_string_append_printf(
+		out,
+		"target %llx addr %s service %s stage %u health %u flows %u "
+		"feeds %u busy %u running %u short %.2f peers_feeds %.0f "
+		"peers_running %.2f peers_short %.2f cold_ms %llu seat %u\n",
+		(unsigned long long)target->advertised.id,
+		addr_text(target->advertised.addr, addr, sizeof(addr)),
+		directory_service_name(d->node->directory,
+				       target->advertised.service),
+		target->stage, target->health, target->flows, target->feeds,
+		target->busy, target->running, target->short_mean,
+		target->peers_feeds, target->peers_running, target->peers_short,
+		(unsigned long long)(cold_ns / NS_PER_MS),
+		cold_ns && target->has_cold_permit);
 }
 
 /* Limits of the requests to each service. */
 static void write_limits(const struct packet_daemon *d, GString *out)
 {
-	for (uint32_t i = 0; i < directory_service_count(d->node->directory); i++) {
+	for (uint32_t i = 0; i < directory_service_count(d->node->directory);
+	     i++) {
 		struct path_limits limits = path_limits(d->node->path, i);
 
-		g_string_append_printf(out, "service %s work_us %llu running %u window %.1f " "refused_percent %.1f\n", directory_service_name(d->node->directory, i), (unsigned long long)(limits.work_ns / NS_PER_US), limits.running, limits.window, limits.refused_percent);
+		g_string_append_printf(
+			out,
+			"service %s work_us %llu running %u window %.1f "
+			"refused_percent %.1f\n",
+			directory_service_name(d->node->directory, i),
+			(unsigned long long)(limits.work_ns / NS_PER_US),
+			limits.running, limits.window, limits.refused_percent);
 	}
 }
 
@@ -115,7 +147,8 @@
 		directory_evacuations(d->node->directory);
 
 	for (uint32_t i = 0; i < evacuations->n; i++)
-		g_string_append_printf(out, "evacuated %s\n", evacuations->all[i].name);
+		g_string_append_printf(out, "evacuated %s\n",
+				       evacuations->all[i].name);
 }
 
 static void write_status(struct packet_daemon *d, GString *out)
@@ -125,37 +158,56 @@
 	struct position synced = documents_synced(d->node->documents);
 	char addr[32];
 
-	g_string_append_printf(out, "ready %u configuration %llu epoch %llu revision %llu\n", d->node->ready, table ? (unsigned long long)table->version : 0, (unsigned long long)synced.epoch, (unsigned long long)synced.revision);
+	g_string_append_printf(
+		out, "ready %u configuration %llu epoch %llu revision %llu\n",
+		d->node->ready, table ? (unsigned long long)table->version : 0,
+		(unsigned long long)synced.epoch,
+		(unsigned long long)synced.revision);
 	for (uint32_t i = 0; i < peer_set_count(d->node->peers); i++) {
 		const struct peer_vm *peer = peer_set_at(d->node->peers, i);
 
-		g_string_append_printf(out, "peer %s epoch %llu newest %llu leaving %u\n", addr_text(peer->addr, addr, sizeof(addr)), (unsigned long long)peer->newest.epoch, (unsigned long long)peer->newest.revision, peer->leaving);
+		g_string_append_printf(
+			out, "peer %s epoch %llu newest %llu leaving %u\n",
+			addr_text(peer->addr, addr, sizeof(addr)),
+			(unsigned long long)peer->newest.epoch,
+			(unsigned long long)peer->newest.revision,
+			peer->leaving);
 	}
 	write_evacuations(d, out);
 	write_limits(d, out);
 }
 
-static void write_targets(const struct packet_daemon *d, const char *query, GString *out)
+static void write_targets(const struct packet_daemon *d, const char *query,
+			  GString *out)
 {
 	uint32_t n = directory_target_count(d->node->directory);
 	char limit[32] = "";
 
-	if (http_query_parameter(query, "limit", limit, sizeof(limit)) && g_ascii_strtoull(limit, NULL, 10) < n)
+	if (http_query_parameter(query, "limit", limit, sizeof(limit)) &&
+	    g_ascii_strtoull(limit, NULL, 10) < n)
 		n = (uint32_t)g_ascii_strtoull(limit, NULL, 10);
 	for (uint32_t i = 0; i < n; i++)
-		write_target(d, directory_target_at(d->node->directory, i), out);
+		write_target(d, directory_target_at(d->node->directory, i),
+			     out);
 }
 
-static void write_route(const struct packet_daemon *d, const struct route *route, GString *out)
+static void write_route(const struct packet_daemon *d,
+			const struct route *route, GString *out)
 {
-	g_string_append_printf(out, "route kind %u timeout_ms %u", route->kind, route->timeout_ms);
+	g_string_append_printf(out, "route kind %u timeout_ms %u", route->kind,
+			       route->timeout_ms);
 	for (uint32_t i = 0; i < route->n_shares; i++)
-		g_string_append_printf(out, " service %s weight %u", directory_service_name(d->node->directory, route->shares[i].service), route->shares[i].weight);
+		g_string_append_printf(
+			out, " service %s weight %u",
+			directory_service_name(d->node->directory,
+					       route->shares[i].service),
+			route->shares[i].weight);
 	g_string_append_c(out, '\n');
 }
 
 /* Route, state and target of the flow that the query names. */
-static int write_explanation(const struct packet_daemon *d, const char *query, GString *out)
+static int write_explanation(const struct packet_daemon *d, const char *query,
+			     GString *out)
 {
 	static const char *const stages[] = { "opening", "open", "closed" };
 	char caller[32] = "", vip[32] = "";
@@ -163,11 +215,14 @@
 	const struct route *route;
 	const struct flow_state *flow;
 
-	if (!http_query_parameter(query, "caller", caller, sizeof(caller)) || !http_query_parameter(query, "vip", vip, sizeof(vip)) || addr_parse(caller, &key.caller) || addr_parse(vip, &key.vip)) {
+	if (!http_query_parameter(query, "caller", caller, sizeof(caller)) ||
+	    !http_query_parameter(query, "vip", vip, sizeof(vip)) ||
+	    addr_parse(caller, &key.caller) || addr_parse(vip, &key.vip)) {
 		g_string_append(out, "expected caller=IP:PORT&vip=IP:PORT\n");
 		return HTTP_BAD_REQUEST;
 	}
-	route = route_table_find(directory_route_table(d->node->directory), key.vip);
+	route = route_table_find(directory_route_table(d->node->directory),
+				 key.vip);
 	if (route)
 		write_route(d, route, out);
 	else
@@ -177,7 +232,11 @@
 		g_string_append(out, "flow not seen here of late\n");
 		return HTTP_OK;
 	}
-	g_string_append_printf(out, "flow %s busy %u waits %u seen_ms_ago %llu\n", stages[flow->stage], flow->busy, flow->waiting != 0, (unsigned long long)((uv_hrtime() - flow->seen_ns) / NS_PER_MS));
+	g_string_append_printf(
+		out, "flow %s busy %u waits %u seen_ms_ago %llu\n",
+		stages[flow->stage], flow->busy, flow->waiting != 0,
+		(unsigned long long)((uv_hrtime() - flow->seen_ns) /
+				     NS_PER_MS));
 	write_target(d, flow->target, out);
 	return HTTP_OK;
 }
@@ -190,7 +249,8 @@
 	return g_ascii_strtoull(text, NULL, 10);
 }
 
-static void write_documents(struct packet_daemon *d, const char *query, GString *out)
+static void write_documents(struct packet_daemon *d, const char *query,
+			    GString *out)
 {
 	struct position after = { query_u64(query, "epoch"),
 				  query_u64(query, "after") };
@@ -204,16 +264,20 @@
 		relay_encode(documents, after, &base, &cache->delta, out);
 		return;
 	}
-	if (!cache->body || cache->change_count != documents_change_count(documents)) {
+	if (!cache->body ||
+	    cache->change_count != documents_change_count(documents)) {
 		if (!cache->body)
 			cache->body = g_string_new(NULL);
-		relay_encode(documents, after, &base, &cache->delta, cache->body);
+		relay_encode(documents, after, &base, &cache->delta,
+			     cache->body);
 		cache->change_count = documents_change_count(documents);
 	}
 	g_string_append_len(out, cache->body->str, (gssize)cache->body->len);
 }
 
-static int handle_request(void *ctx, struct http_request *req, const char *method, const char *path, const char *query, const GString *in, GString *body)
+static int handle_request(void *ctx, struct http_request *req,
+			  const char *method, const char *path,
+			  const char *query, const GString *in, GString *body)
 {
 	struct packet_daemon *d = ctx;
 
@@ -250,7 +314,8 @@
 
 	if (err)
 		return err;
-	return http_server_open(d->loop, d->settings.ready, ready, &d->ready_http);
+	return http_server_open(d->loop, d->settings.ready, ready,
+				&d->ready_http);
 }
 
 /**
--- a/cmd/cb-packet/probes.c
+++ b/cmd/cb-packet/probes.c
@@ -23,11 +23,14 @@
 	uv_close((uv_handle_t *)&p->tcp, on_closed);
 }
 
-static void report_outcome(struct packet_daemon *d, const struct incarnation *incarnation, enum probe_outcome outcome, uint64_t start_ns)
+static void report_outcome(struct packet_daemon *d,
+			   const struct incarnation *incarnation,
+			   enum probe_outcome outcome, uint64_t start_ns)
 {
 	d->counters.probes_refused += outcome == PROBE_REFUSED;
 	d->counters.probes_silent += outcome == PROBE_SILENT;
-	node_probe_ended(d->node, incarnation, outcome, start_ns, daemon_begin_event(d));
+	node_probe_ended(d->node, incarnation, outcome, start_ns,
+			 daemon_begin_event(d));
 	clients_send_paced(d);
 }
 
@@ -84,7 +87,8 @@
  */
 static uint32_t make_free_slot(struct packet_daemon *d)
 {
-	for (uint32_t i = 0; find_free_slot(d) == PROBES_MAX && i < PROBES_MAX; i++)
+	for (uint32_t i = 0; find_free_slot(d) == PROBES_MAX && i < PROBES_MAX;
+	     i++)
 		if (d->probes[i]->reported_silent)
 			release_probe(d, d->probes[i]);
 	return find_free_slot(d);
@@ -112,7 +116,8 @@
 	int err;
 
 	if (!p) {
-		node_probe_ended(d->node, &incarnation, PROBE_INCONCLUSIVE, d->now_ns, d->now_ns);
+		node_probe_ended(d->node, &incarnation, PROBE_INCONCLUSIVE,
+				 d->now_ns, d->now_ns);
 		return;
 	}
 	d->counters.probes++;
@@ -125,7 +130,8 @@
 	uv_tcp_init(d->loop, &p->tcp);
 	p->tcp.data = p;
 	p->connect.data = p;
-	err = uv_tcp_connect(&p->connect, &p->tcp, (struct sockaddr *)&to, on_connect);
+	err = uv_tcp_connect(&p->connect, &p->tcp, (struct sockaddr *)&to,
+			     on_connect);
 	if (err)
 		finish_probe(p, probe_outcome_from_status(err));
 }
--- a/cmd/cb-watch/documents.c
+++ b/cmd/cb-watch/documents.c
@@ -30,7 +30,8 @@
 
 	if (!strcmp(name, rendering->watch->template_name))
 		return rendering->watch->template_text;
-	g_strlcpy(rendering->missing_template, name, sizeof(rendering->missing_template));
+	g_strlcpy(rendering->missing_template, name,
+		  sizeof(rendering->missing_template));
 	return NULL;
 }
 
@@ -40,7 +41,8 @@
 	g_hash_table_replace(w->refusals, g_strdup(key), g_strdup(reason));
 }
 
-static void record_mistakes(struct watch *w, const char *key, const struct mistakes *mistakes)
+static void record_mistakes(struct watch *w, const char *key,
+			    const struct mistakes *mistakes)
 {
 	GString *reason = g_string_new(NULL);
 
@@ -49,7 +51,11 @@
 
 		if (mistake->is_warning)
 			continue;
-		g_string_append_printf(reason, "%s%s:%u: %s: %s, expected %s", reason->len ? "; " : "", mistake->document, mistake->line, mistake->key, mistake->problem, mistake->expected);
+		g_string_append_printf(reason, "%s%s:%u: %s: %s, expected %s",
+				       reason->len ? "; " : "",
+				       mistake->document, mistake->line,
+				       mistake->key, mistake->problem,
+				       mistake->expected);
 	}
 	record_refusal(w, key, reason->str);
 	g_string_free(reason, TRUE);
@@ -75,9 +81,12 @@
 	return strerror(-err);
 }
 
-static int publish_content(struct watch *w, const char *key, uint64_t generation, uint64_t revision, const struct content *content)
+static int publish_content(struct watch *w, const char *key,
+			   uint64_t generation, uint64_t revision,
+			   const struct content *content)
 {
-	int err = spread_publish(w->spread, key, generation, revision, content, uv_hrtime());
+	int err = spread_publish(w->spread, key, generation, revision, content,
+				 uv_hrtime());
 
 	if (err && err != -EALREADY)
 		record_refusal(w, key, publish_problem(err));
@@ -97,14 +106,16 @@
 		content ? roster_decode(content, w->vms_scratch, VMS_MAX) : 0;
 
 	if (n < 0) {
-		log_line(LOG_ERROR, "roster", w->vms_key, "can't decode the list of VMs: %s", strerror(-n));
+		log_line(LOG_ERROR, "roster", w->vms_key,
+			 "can't decode the list of VMs: %s", strerror(-n));
 		return;
 	}
 	w->has_roster = true;
 	spread_set_roster(w->spread, w->vms_scratch, (uint32_t)n, uv_hrtime());
 }
 
-static int publish_roster(struct watch *w, const char *key, const char *text, uint32_t size_bytes, uint64_t revision)
+static int publish_roster(struct watch *w, const char *key, const char *text,
+			  uint32_t size_bytes, uint64_t revision)
 {
 	struct content *content;
 	int err = roster_encode(text, size_bytes, &content);
@@ -118,7 +129,8 @@
 	return err;
 }
 
-static void update_vips(struct watch *w, const char *key, const struct content *content)
+static void update_vips(struct watch *w, const char *key,
+			const struct content *content)
 {
 	const char *name = key + strlen(ACCOUNT_PREFIX);
 	struct account_conf *account = NULL;
@@ -129,7 +141,8 @@
 	account_free(account);
 }
 
-static int publish_account(struct watch *w, const char *key, uint64_t revision, struct account_conf *account)
+static int publish_account(struct watch *w, const char *key, uint64_t revision,
+			   struct account_conf *account)
 {
 	struct content *content;
 	int err = account_encode(account, &content);
@@ -150,16 +163,21 @@
  * other account is refused as a whole, and read again when the accounts in
  * force change. Return: whether there is no conflict.
  */
-static bool check_vip_conflicts(struct watch *w, const char *key, const char *text, struct template_source source, struct mistakes *mistakes)
+static bool check_vip_conflicts(struct watch *w, const char *key,
+				const char *text, struct template_source source,
+				struct mistakes *mistakes)
 {
-	vips_check(w->vips, key + strlen(ACCOUNT_PREFIX), text, source, mistakes);
+	vips_check(w->vips, key + strlen(ACCOUNT_PREFIX), text, source,
+		   mistakes);
 	if (!mistakes->n_errors)
 		return true;
 	w->has_vip_conflict = true;
 	return false;
 }
 
-static int render_and_publish(struct watch *w, const char *key, const char *text, uint64_t revision, char template[NAME_MAX_BYTES])
+static int render_and_publish(struct watch *w, const char *key,
+			      const char *text, uint64_t revision,
+			      char template[NAME_MAX_BYTES])
 {
 	struct rendering rendering = { .watch = w };
 	struct template_source source = { &rendering, find_template };
@@ -167,11 +185,13 @@
 	struct account_conf *account;
 	int err = -EINVAL;
 
-	account = publication_render(key + strlen(ACCOUNT_PREFIX), text, source, w->settings.data_centre, &mistakes);
+	account = publication_render(key + strlen(ACCOUNT_PREFIX), text, source,
+				     w->settings.data_centre, &mistakes);
 	if (rendering.missing_template[0] && template) {
 		g_strlcpy(template, rendering.missing_template, NAME_MAX_BYTES);
 		err = -ENOENT;
-	} else if (!account || !check_vip_conflicts(w, key, text, source, &mistakes)) {
+	} else if (!account ||
+		   !check_vip_conflicts(w, key, text, source, &mistakes)) {
 		record_mistakes(w, key, &mistakes);
 	} else {
 		err = publish_account(w, key, revision, account);
@@ -181,7 +201,9 @@
 	return err;
 }
 
-static int accept_document(void *ctx, const char *key, const char *text, uint32_t size_bytes, uint64_t revision, char template[NAME_MAX_BYTES])
+static int accept_document(void *ctx, const char *key, const char *text,
+			   uint32_t size_bytes, uint64_t revision,
+			   char template[NAME_MAX_BYTES])
 {
 	struct watch *w = ctx;
 	char *copy;
@@ -199,7 +221,8 @@
 	return err;
 }
 
-static void accept_template(void *ctx, const char *name, const char *text, uint32_t size_bytes)
+static void accept_template(void *ctx, const char *name, const char *text,
+			    uint32_t size_bytes)
 {
 	struct watch *w = ctx;
 
@@ -221,10 +244,14 @@
 	}
 	err = spread_withdraw(w->spread, key, revision, uv_hrtime());
 	if (err == -ESTALE)
-		log_line(LOG_WARNING, "withdraw", key, "not withdrawn: missing at revision %lu, which is " "older than the one in force", revision);
+		log_line(LOG_WARNING, "withdraw", key,
+			 "not withdrawn: missing at revision %lu, which is "
+			 "older than the one in force",
+			 revision);
 }
 
-static void start_call(void *ctx, enum reader_call call, const char *key, uint64_t after)
+static void start_call(void *ctx, enum reader_call call, const char *key,
+		       uint64_t after)
 {
 	struct watch *w = ctx;
 
@@ -262,7 +289,8 @@
 	struct watch *w = ctx;
 
 	if (ok != w->platform_ok)
-		log_line(LOG_INFO, "platform", w->settings.platform_url, "%s", ok ? "answers" : "not read");
+		log_line(LOG_INFO, "platform", w->settings.platform_url, "%s",
+			 ok ? "answers" : "not read");
 	w->platform_ok = ok;
 	spread_set_platform_state(w->spread, ok, caught_up, uv_hrtime());
 }
@@ -278,7 +306,8 @@
  *
  * Return: 0 or a negative error.
  */
-int documents_check_content(void *ctx, const char *key, const struct content *content)
+int documents_check_content(void *ctx, const char *key,
+			    const struct content *content)
 {
 	struct watch *w = ctx;
 	struct account_conf *account;
@@ -291,7 +320,8 @@
 	}
 	if (strncmp(key, ACCOUNT_PREFIX, strlen(ACCOUNT_PREFIX)))
 		return -EINVAL;
-	err = account_decode(key + strlen(ACCOUNT_PREFIX), 1, content, &account);
+	err = account_decode(key + strlen(ACCOUNT_PREFIX), 1, content,
+			     &account);
 	/* Stored before it is in force, which waits until this VM serves. */
 	if (!err)
 		vips_set(w->vips, account->name, account);
@@ -305,7 +335,8 @@
  * @key: key
  * @content: its content; NULL when it was withdrawn
  */
-void documents_put_in_force(struct watch *w, const char *key, const struct content *content)
+void documents_put_in_force(struct watch *w, const char *key,
+			    const struct content *content)
 {
 	if (!strcmp(key, w->vms_key)) {
 		if (content)
--- a/cmd/cb-watch/watch.c
+++ b/cmd/cb-watch/watch.c
@@ -88,11 +88,15 @@
 	watch_link_send_to_peer(w->link, vm, msg);
 }
 
-static void put_in_force(void *ctx, const char *key, const struct version *version, const struct content *content)
+static void put_in_force(void *ctx, const char *key,
+			 const struct version *version,
+			 const struct content *content)
 {
 	struct watch *w = ctx;
 
-	log_line(LOG_INFO, "in force", key, "generation %lu revision %lu%s", version->generation, version->revision, content ? "" : " withdrawn");
+	log_line(LOG_INFO, "in force", key, "generation %lu revision %lu%s",
+		 version->generation, version->revision,
+		 content ? "" : " withdrawn");
 	watch_link_send_to_entries(w->link, key, version, content);
 	documents_put_in_force(w, key, content);
 }
@@ -110,7 +114,8 @@
 	g_strlcpy(conf.roster_key, w->vms_key, sizeof(conf.roster_key));
 	w->spread = spread_new(&conf, port, rng, now_ns);
 	rng.state = rng_next(&rng) | 1;
-	w->reader = reader_new(w->settings.data_centre, documents_port(w), rng, now_ns);
+	w->reader = reader_new(w->settings.data_centre, documents_port(w), rng,
+			       now_ns);
 	w->vms_scratch = calloc(VMS_MAX, sizeof(*w->vms_scratch));
 	return w->spread && w->reader && w->vms_scratch ? 0 : -ENOMEM;
 }
@@ -128,7 +133,8 @@
 	int err = watch_link_open(w->loop, &conf, handler, &w->link);
 
 	if (err) {
-		log_line(LOG_ERROR, "listen", w->settings.listen, "%s", strerror(-err));
+		log_line(LOG_ERROR, "listen", w->settings.listen, "%s",
+			 strerror(-err));
 		return err;
 	}
 	watch_link_set_spread(w->link, w->spread);
@@ -143,7 +149,9 @@
 		http_server_open(w->loop, w->settings.http, handler, &w->http);
 
 	if (err)
-		log_line(LOG_ERROR, "http", addr_text(w->settings.http, addr, sizeof(addr)), "%s", strerror(-err));
+		log_line(LOG_ERROR, "http",
+			 addr_text(w->settings.http, addr, sizeof(addr)), "%s",
+			 strerror(-err));
 	return err;
 }
 
@@ -157,7 +165,8 @@
 	w->expire_timer.data = w;
 	w->sigterm.data = w;
 	w->sigint.data = w;
-	uv_timer_start(&w->expire_timer, on_expire, EXPIRY_PERIOD_MS, EXPIRY_PERIOD_MS);
+	uv_timer_start(&w->expire_timer, on_expire, EXPIRY_PERIOD_MS,
+		       EXPIRY_PERIOD_MS);
 	uv_signal_start(&w->sigterm, on_signal, SIGTERM);
 	uv_signal_start(&w->sigint, on_signal, SIGINT);
 }
@@ -170,20 +179,23 @@
  *
  * Return: 0, or a negative error, which has been logged with its step.
  */
-int watch_open(struct watch *w, uv_loop_t *loop, const struct watch_settings *settings)
+int watch_open(struct watch *w, uv_loop_t *loop,
+	       const struct watch_settings *settings)
 {
 	struct platform_handler answers = { w, on_platform_answer };
 	int err;
 
 	w->loop = loop;
 	w->settings = *settings;
-	snprintf(w->vms_key, sizeof(w->vms_key), "vms/%s", settings->data_centre);
+	snprintf(w->vms_key, sizeof(w->vms_key), "vms/%s",
+		 settings->data_centre);
 	w->refusals =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	w->vips = vips_new();
 	err = create_core(w, uv_hrtime());
 	if (!err)
-		err = platform_open(loop, settings->platform_url, answers, &w->platform);
+		err = platform_open(loop, settings->platform_url, answers,
+				    &w->platform);
 	if (err) {
 		log_line(LOG_ERROR, "start", NULL, "%s", strerror(-err));
 		return err;
--- a/sim/sim-experiment/read.c
+++ b/sim/sim-experiment/read.c
@@ -19,33 +19,45 @@
 	      .fallback = default_s)
 
 static const struct field experiment_fields[] = {
-	FIELD(experiment, "load", FIELD_DECIMAL, load_factor, .max = 100, .fallback = 1),
-	FIELD(experiment, "seeds", FIELD_U32, seeds, .min = 1, .max = SEEDS_MAX, .fallback = 20),
-	FIELD(experiment, "first_seed", FIELD_U32, first_seed, .max = UINT32_MAX, .fallback = 1),
+	FIELD(experiment, "load", FIELD_DECIMAL, load_factor, .max = 100,
+	      .fallback = 1),
+	FIELD(experiment, "seeds", FIELD_U32, seeds, .min = 1, .max = SEEDS_MAX,
+	      .fallback = 20),
+	FIELD(experiment, "first_seed", FIELD_U32, first_seed,
+	      .max = UINT32_MAX, .fallback = 1),
 	SECONDS("warm_up_s", warm_up_ns, 6),
 	SECONDS("run_s", run_ns, 20),
 	{ 0 }
 };
 
 static const struct field incident_fields[] = {
-	FIELD(incident, "kind", FIELD_CHOICE, kind, .required = true, .choices = incident_names),
+	FIELD(incident, "kind", FIELD_CHOICE, kind, .required = true,
+	      .choices = incident_names),
 	FIELD(incident, "at_s", FIELD_SECONDS, at_ns, .max = 3600),
 	FIELD(incident, "share", FIELD_DECIMAL, share, .max = 1, .fallback = 1),
-	FIELD(incident, "for_s", FIELD_SECONDS, for_ns, .max = 3600, .fallback = 5),
-	FIELD(incident, "gap_s", FIELD_SECONDS, gap_ns, .max = 3600, .fallback = 1),
-	FIELD(incident, "factor", FIELD_DECIMAL, factor, .max = 1000, .fallback = 2),
+	FIELD(incident, "for_s", FIELD_SECONDS, for_ns, .max = 3600,
+	      .fallback = 5),
+	FIELD(incident, "gap_s", FIELD_SECONDS, gap_ns, .max = 3600,
+	      .fallback = 1),
+	FIELD(incident, "factor", FIELD_DECIMAL, factor, .max = 1000,
+	      .fallback = 2),
 	{ 0 }
 };
 
 /* Parse a string without restrictions on its characters. */
-static void parse_text(struct mistakes *m, struct toml_node *table, const char *key, char *out, size_t n, bool required)
+static void parse_text(struct mistakes *m, struct toml_node *table,
+		       const char *key, char *out, size_t n, bool required)
 {
 	struct toml_node *node = toml_find(table, key);
 
 	if (!node && !required)
 		return;
-	if (!node || node->kind != TOML_STRING || g_strlcpy(out, node->text, n) >= n) {
-		field_add_mistake(m, node ? node : table, "", key, node ? "is not a string, or too long" : "missing", "a string");
+	if (!node || node->kind != TOML_STRING ||
+	    g_strlcpy(out, node->text, n) >= n) {
+		field_add_mistake(m, node ? node : table, "", key,
+				  node ? "is not a string, or too long"
+				       : "missing",
+				  "a string");
 		return;
 	}
 	node->consumed = 1;
@@ -59,21 +71,26 @@
 	return UINT32_MAX;
 }
 
-static void parse_incident(struct mistakes *m, struct toml_node *t, struct experiment *experiment)
+static void parse_incident(struct mistakes *m, struct toml_node *t,
+			   struct experiment *experiment)
 {
 	struct incident *out =
 		&experiment->incidents[experiment->n_incidents++];
 	struct strings strings = { 0 };
 
 	fields_parse(m, "trouble", t, incident_fields, out);
-	parse_text(m, t, "data_centre", strings.data_centre, sizeof(strings.data_centre), false);
+	parse_text(m, t, "data_centre", strings.data_centre,
+		   sizeof(strings.data_centre), false);
 	fields_report_unknown(m, "trouble", t);
 	out->zone = find_zone(&experiment->site, strings.data_centre);
 	if (strings.data_centre[0] && out->zone == UINT32_MAX)
-		field_add_mistake(m, t, "trouble", "data_centre", "is not in this deployment", "the name of a data centre");
+		field_add_mistake(m, t, "trouble", "data_centre",
+				  "is not in this deployment",
+				  "the name of a data centre");
 }
 
-static void parse_variant(struct mistakes *m, struct toml_node *t, struct experiment *experiment)
+static void parse_variant(struct mistakes *m, struct toml_node *t,
+			  struct experiment *experiment)
 {
 	struct variant *out = &experiment->variants[experiment->n_variants++];
 
@@ -83,14 +100,20 @@
 	fields_report_unknown(m, "policy", t);
 }
 
-static void parse_list(struct mistakes *m, struct toml_node *root, const char *key, uint32_t max_items, struct experiment *experiment, void (*parse)(struct mistakes *m, struct toml_node *t, struct experiment *experiment))
+static void parse_list(struct mistakes *m, struct toml_node *root,
+		       const char *key, uint32_t max_items,
+		       struct experiment *experiment,
+		       void (*parse)(struct mistakes *m, struct toml_node *t,
+				     struct experiment *experiment))
 {
 	struct toml_node *list = toml_find(root, key);
 
 	if (!list)
 		return;
 	if (list->kind != TOML_ARRAY || list->n_items > max_items) {
-		field_add_mistake(m, list, key, "", "is not an array, or too long", "an array of tables");
+		field_add_mistake(m, list, key, "",
+				  "is not an array, or too long",
+				  "an array of tables");
 		return;
 	}
 	list->consumed = 1;
@@ -106,16 +129,19 @@
 				experiment->load_factor;
 }
 
-static void parse_experiment(struct mistakes *m, struct toml_node *root, struct experiment *experiment)
+static void parse_experiment(struct mistakes *m, struct toml_node *root,
+			     struct experiment *experiment)
 {
 	struct strings strings = { 0 };
 
-	parse_text(m, root, "title", experiment->title, sizeof(experiment->title), true);
+	parse_text(m, root, "title", experiment->title,
+		   sizeof(experiment->title), true);
 	parse_text(m, root, "site", strings.site, sizeof(strings.site), true);
 	fields_parse(m, "", root, experiment_fields, experiment);
 	if (strings.site[0])
 		site_read(strings.site, &experiment->site, m);
-	parse_list(m, root, "trouble", INCIDENTS_MAX, experiment, parse_incident);
+	parse_list(m, root, "trouble", INCIDENTS_MAX, experiment,
+		   parse_incident);
 	parse_list(m, root, "policy", POLICIES_MAX, experiment, parse_variant);
 	fields_report_unknown(m, "", root);
 	apply_load(experiment);
@@ -134,7 +160,8 @@
  *
  * Return: 0; -EINVAL when there are mistakes; -ENOENT without the file.
  */
-int experiment_read(const char *path, struct experiment *out, struct mistakes *m)
+int experiment_read(const char *path, struct experiment *out,
+		    struct mistakes *m)
 {
 	struct settings_reader r;
 	int err = settings_open(&r, path, m);
