--- a/test/fleet.h
+++ b/test/fleet.h
@@ -79,12 +79,15 @@
 void fleet_start_all(struct fleet *fleet);
 void fleet_kill(struct fleet *fleet, uint32_t i);
 void fleet_pause(struct fleet *fleet, uint32_t i, uint64_t for_ns);
+/* Gives node @i a roster of the @n nodes from index @first. */
 void fleet_set_roster(struct fleet *fleet, uint32_t i, uint32_t first,
 		      uint32_t n);
 void fleet_run(struct fleet *fleet, uint64_t for_ns);
+/* Whether node @i sees node @of in @state, an enum member_state. */
 bool fleet_sees_state(const struct fleet *fleet, uint32_t i, uint32_t of,
 		      uint8_t state);
 bool fleet_converged(const struct fleet *fleet);
+/* Number of other running nodes that see node @of in @state. */
 uint32_t fleet_count_seeing(const struct fleet *fleet, uint32_t of,
 			    uint8_t state);
 
--- a/test/testbed_state.h
+++ b/test/testbed_state.h
@@ -77,6 +77,12 @@
 	GQueue inbox;
 };
 
+/**
+ * struct job - request that is queued or running at a target
+ * @vm: address of the entry that sent it
+ * @d: datagram of the request
+ * @running: unused
+ */
 struct job {
 	uint64_t vm;
 	struct dgram d;
