--- a/core/packet/common/policy.h
+++ b/core/packet/common/policy.h
@@ -17,15 +17,15 @@
  *	the clients of a data centre that lost its targets.
  * @trial_odds: one flow in this many may go to a target on trial after its
  *	ejection
- * @opening_due_ns: an opening packet without an answer goes to another target
+ * @opening_due_ns: a SYN without an answer goes to another target
  *	after this time; 0 for never. A client answers the handshake at once,
  *	and two round trips to the client and one to the target take less than
  *	12 ms; the rest allows for queues.
  * @opening_due_means: minimum of that time, as a multiple of the mean handshake
- *	time. On a link that other traffic fills, each opening packet would
+ *	time. On a link that other traffic fills, each SYN would
  *	otherwise be sent twice, and if both targets answer, one of them does
  *	so for nothing.
- * @opening_until_ns: no opening packet is sent to another target later than
+ * @opening_until_ns: no SYN is sent to another target later than
  *	this after the first: by then the client retransmits, and each further
  *	attempt is another handshake
  * @request_due_means: the target of a request becomes suspect when there is no
@@ -86,8 +86,8 @@
  * @eject_part: at most one in this many targets of a service is ejected at a
  *	time, since the others have to carry its load
  * @waiting_max: capacity of the queue of requests for busy targets; 0 for no
- *	queue. Requests beyond it are sent at once. Each entry of the queue
- *	takes 1.3 KB.
+ *	queue. Requests beyond it are sent at once. Each queued
+ *	request takes 1.3 KB.
  * @limit_percent: a target gets at most this part of the requests that it can
  *	process within the latency objective. With a higher limit too many
  *	requests are sent, since the advertised load of the peers lags.
@@ -125,9 +125,9 @@
  *	what it cannot send soon, and urgent packets wait behind the rest.
  * @link_waiting_max: capacity of the queue of packets for the link; each takes
  *	1.3 KB
- * @return_ns: a target whose entry expired while the platform was unavailable
+ * @return_ns: a target whose record lapsed while the platform was unavailable
  *	is presumed to live until this long after the platform answers again; if
- *	its entry is still missing then, the target is gone
+ *	its record is still missing then, the target is gone
  * @heartbeat_ns: heartbeat interval. A peer counts as lost after three missed
  *	heartbeats, and a change has to be in force everywhere within 3 s.
  * @tell_loads: heartbeats advertise the load of this entry's flows at each
--- a/core/packet/flow/path.c
+++ b/core/packet/flow/path.c
@@ -197,7 +197,7 @@
 }
 
 /*
- * A repeated SYN shows that no answer reached the client. It is assigned to
+ * A retransmitted SYN shows that no answer reached the client. It is assigned to
  * another target, since the first one may be dead or full. If both answer, the
  * client uses one and the other's handshake is never completed.
  */
@@ -265,12 +265,14 @@
 }
 
 /*
- * Clients repeat requests that they sent while no entry forwarded them. A
- * repeat can't be told from a new request, but nearly all requests that a young
- * process gets first on flows whose handshake it has not seen are repeats.
+ * Clients retransmit requests that they sent while no entry forwarded them. A
+ * retransmission can't be distinguished from a new request. But for some time
+ * after the start of this process, nearly all first requests on flows whose
+ * handshake it has not seen are retransmissions.
  */
-static bool presumed_repeat(const struct path *path,
-			    const struct flow_state *flow, uint64_t now_ns)
+static bool presumed_retransmission(const struct path *path,
+				    const struct flow_state *flow,
+				    uint64_t now_ns)
 {
 	bool young = now_ns < path->conf.start_ns + path->policy->young_ns;
 	bool first = flow->opened_ns == now_ns;
@@ -287,7 +289,8 @@
 	flow->objective_deadline_ns =
 		route->objective_ms ? now_ns + route->objective_ms * NS_PER_MS
 				    : 0;
-	if (flow->objective_deadline_ns && presumed_repeat(path, flow, now_ns))
+	if (flow->objective_deadline_ns &&
+	    presumed_retransmission(path, flow, now_ns))
 		flow->objective_deadline_ns = now_ns;
 	flow->expires_ns = now_ns + route->timeout_ms * NS_PER_MS;
 	flow_cache_set_busy(path->flows, flow, true);
@@ -295,8 +298,8 @@
 
 /*
  * Handle a packet with data: the first of a request, another one of the request
- * in progress, or a repeat.
- * Return: whether the packet was queued or repeats a queued one.
+ * in progress, or a retransmission.
+ * Return: whether the packet was queued, or is a copy of a queued one.
  */
 static bool handle_data(struct path *path, struct flow_state *flow,
 			const struct packet *packet, const struct route *route,
@@ -325,7 +328,7 @@
 
 /*
  * Update the flow and its target's health from a packet other than a SYN.
- * Return: whether the packet was queued or repeats a queued one.
+ * Return: whether the packet was queued, or is a copy of a queued one.
  */
 static bool track_packet(struct path *path, struct flow_state *flow,
 			 const struct packet *packet, const struct route *route,
@@ -444,7 +447,7 @@
 
 /**
  * path_packet() - decide what is done with a packet of a client
- * @path: state
+ * @path: state of the decisions on packets
  * @packet: packet; copied if it is kept or queued
  * @fresh: no peer is known to have newer documents; a missing route is then
  *	answered with a reset, otherwise the packet is dropped
@@ -475,7 +478,7 @@
 
 /**
  * path_verdict_counts() - get the number of decisions for each reason
- * @path: state
+ * @path: state of the decisions on packets
  *
  * Return: PATH_REASON_COUNT counters, indexed by enum path_reason, owned by
  * @path.
@@ -487,7 +490,7 @@
 
 /**
  * path_latencies() - get the durations seen on flows of a kind
- * @path: state
+ * @path: state of the decisions on packets
  * @kind: enum route_kind
  *
  * Return: histograms, owned by @path.
@@ -510,7 +513,7 @@
 
 /**
  * path_find_flow() - look up a flow in the cache
- * @path: state
+ * @path: state of the decisions on packets
  * @key: client address and VIP
  *
  * Return: flow, valid until the next call that changes @path, or NULL.
--- a/core/packet/flow/path.h
+++ b/core/packet/flow/path.h
@@ -14,7 +14,7 @@
 
 /**
  * enum path_action - what to do with a packet
- * @PATH_DROP: drop it; the client repeats it or gives up
+ * @PATH_DROP: drop it; the client retransmits it or gives up
  * @PATH_FORWARD: forward it to the target
  * @PATH_RESET: answer it with a reset, which ends the client's flow
  * @PATH_WAIT: nothing; a copy is queued and forwarded later
--- a/core/packet/flow/path_tick.c
+++ b/core/packet/flow/path_tick.c
@@ -12,7 +12,7 @@
 #define FEED_LOAD_WEIGHT 0.02f
 /* Interval of the checks for outliers; peers report failures every 200 ms. */
 #define OUTLIER_CHECK_NS (100 * NS_PER_MS)
-/* A flow without packets for this long is removed. Clients repeat within 1.6 s,
+/* A flow without packets for this long is removed. Clients retransmit within 1.6 s,
  * and feeds pause for seconds. */
 #define FLOW_IDLE_TIMEOUT_NS (15 * NS_PER_S)
 
@@ -45,7 +45,7 @@
 
 /**
  * path_probe_timeout_ns() - get the time limit of a connection attempt
- * @path: state
+ * @path: state of the decisions on packets
  * @now_ns: current time
  *
  * Return: time after which an attempt without an answer counts as silent; grows
@@ -76,7 +76,7 @@
 
 /**
  * path_probe_ended() - handle the outcome of a connection attempt
- * @path: state
+ * @path: state of the decisions on packets
  * @who: target and the process that ran when the attempt began; the outcome is
  *	void when a later process was published since
  * @outcome: outcome, enum probe_outcome
@@ -110,7 +110,7 @@
 
 /**
  * path_peer_reported_dead() - handle a peer's report that a process has ended
- * @path: state
+ * @path: state of the decisions on packets
  * @who: target and process. A report about an earlier process than the
  *	published one is late and is ignored; the end of a later process implies
  *	the end of the published one.
@@ -128,7 +128,7 @@
 
 /**
  * path_target_restarted() - handle the publication of a target's next process
- * @path: state
+ * @path: state of the decisions on packets
  * @target: target
  *
  * The new process doesn't have the flows of the previous one, whose clients
@@ -136,7 +136,7 @@
  * affected, since some may have been opened at the new process before it was
  * published. The target can, so each flow's last packet without data is sent to
  * it again: the target resets a flow that it doesn't have, and accepts a
- * repeated packet of one that it has.
+ * retransmitted packet of one that it has.
  */
 void path_target_restarted(struct path *path, const struct target *target)
 {
@@ -158,7 +158,7 @@
 
 /**
  * path_process_stalled() - handle a stall of this process
- * @path: state
+ * @path: state of the decisions on packets
  * @now_ns: current time, after the stall
  *
  * Answers that were due during the stall may be unread in the socket, so none
@@ -176,7 +176,7 @@
 
 /*
  * Send an unanswered SYN to another target without waiting for the client to
- * repeat it. The client does so after 200 ms, which is too late for a latency
+ * retransmit it. The client does so after 200 ms, which is too late for a latency
  * objective of 100 ms.
  */
 static void assign_again(struct path *path, struct flow_state *flow,
@@ -276,7 +276,7 @@
 
 /**
  * path_tick() - do what is due; to be called every 20 to 50 ms
- * @path: state
+ * @path: state of the decisions on packets
  * @now_ns: current time
  */
 void path_tick(struct path *path, uint64_t now_ns)
@@ -318,7 +318,7 @@
 
 /**
  * path_has_loaded_target() - check for a target with as many requests as slots
- * @path: state
+ * @path: state of the decisions on packets
  *
  * Return: whether path_target_loaded() held for any target at the last tick.
  */
--- a/core/packet/flow/path_wait.c
+++ b/core/packet/flow/path_wait.c
@@ -59,7 +59,7 @@
 
 /**
  * path_queue_request() - queue a request if its target has enough requests
- * @path: state
+ * @path: state of the decisions on packets
  * @flow: flow whose request has just begun
  * @packet: first packet of the request, copied
  *
@@ -81,7 +81,7 @@
 
 /**
  * path_request_sent() - record that a request is forwarded to its target
- * @path: state
+ * @path: state of the decisions on packets
  * @flow: flow of the request
  * @now_ns: current time
  */
@@ -98,7 +98,7 @@
 /**
  * path_record_answer() - update the work time and the window of a service from
  *	an answer
- * @path: state
+ * @path: state of the decisions on packets
  * @flow: flow of the answered request, which was running
  * @small: the answer is far smaller than the mean
  * @now_ns: current time
@@ -210,7 +210,7 @@
 /**
  * path_release_queued() - forward queued requests as far as the load of their
  *	targets allows
- * @path: state
+ * @path: state of the decisions on packets
  * @service: number of the service in the directory
  * @now_ns: current time
  */
@@ -225,7 +225,7 @@
 
 /**
  * path_release_all_queued() - call path_release_queued() for all services
- * @path: state
+ * @path: state of the decisions on packets
  * @now_ns: current time
  */
 void path_release_all_queued(struct path *path, uint64_t now_ns)
@@ -236,7 +236,7 @@
 
 /**
  * path_expire_queued() - drop queued requests whose clients have given up
- * @path: state
+ * @path: state of the decisions on packets
  * @target: target whose requests are checked
  * @now_ns: current time
  */
@@ -273,7 +273,7 @@
 
 /**
  * path_limits() - get the limits on the requests to a service
- * @path: state
+ * @path: state of the decisions on packets
  * @service: number of the service in the directory
  *
  * Return: a copy of the present limits.
@@ -293,7 +293,7 @@
 /**
  * path_stop() - forward all queued requests and queue none from now on, since
  *	this process is about to end
- * @path: state
+ * @path: state of the decisions on packets
  * @now_ns: current time
  */
 void path_stop(struct path *path, uint64_t now_ns)
--- a/core/packet/node.c
+++ b/core/packet/node.c
@@ -9,7 +9,7 @@
 
 /* A stall of the process after which answers may be unread in the sockets. */
 #define STALL_MIN_NS (120 * NS_PER_MS)
-/* A pause after which clients have repeated or given up their requests. */
+/* A pause after which clients have retransmitted or given up their requests. */
 #define PAUSE_MIN_NS NS_PER_S
 /* The router stops sending after two missed answers, half a second apart. */
 #define STOP_MIN_NS (1600 * NS_PER_MS)
--- a/core/packet/node_calls.c
+++ b/core/packet/node_calls.c
@@ -169,7 +169,7 @@
 
 /*
  * Log that the platform answered in another epoch. A later one counts as an
- * outage of the platform: the entries of targets are as old as its restored
+ * outage of the platform: the records of targets are as old as its restored
  * copy and may lapse before they are renewed, though the targets live.
  */
 static void handle_other_epoch(struct node *node, uint64_t epoch,
--- a/core/packet/node_published.c
+++ b/core/packet/node_published.c
@@ -107,7 +107,7 @@
 }
 
 /* @platform_failed_ns: when the platform last failed to answer, so that the
- * entry may only have lapsed; 0 to take it as deleted. */
+ * record may only have lapsed; 0 to take it as deleted. */
 static void apply_absence(struct node *node, const struct document *doc,
 			  const struct target_advertisement *news,
 			  uint64_t platform_failed_ns)
@@ -115,7 +115,7 @@
 	struct target *target = directory_by_id(node->directory, news->id);
 	uint8_t before;
 
-	/* The last value of a deleted entry names the target of open flows. */
+	/* The last value of a deleted record names the target of open flows. */
 	if (!target && news->addr) {
 		apply_target(node, doc, news);
 		target = directory_by_id(node->directory, news->id);
@@ -131,7 +131,7 @@
 
 /*
  * Refuse a document that could not be decoded. Any client of the platform can
- * write where targets publish themselves. An invalid entry names no target: it
+ * write where targets publish themselves. An invalid record names no target: it
  * ends the target that was published under its key before, and no other.
  */
 static void refuse_document(struct node *node, const struct document *doc,
@@ -186,7 +186,7 @@
  * @ctx: entry, struct node
  * @doc: document
  *
- * Versions of the configuration and sequence numbers of targets' entries grow
+ * Versions of the configuration and sequence numbers of targets' records grow
  * even when the platform is restored from an older copy.
  *
  * Return: above 0 when @doc is later, below 0 when it is earlier, 0 when the
--- a/core/packet/platform_port.h
+++ b/core/packet/platform_port.h
@@ -45,7 +45,7 @@
  * enum document_kind - kind of a document
  * @DOCUMENT_OTHER: not used by this program
  * @DOCUMENT_ROUTES: a configuration
- * @DOCUMENT_TARGET: the entry of a target
+ * @DOCUMENT_TARGET: the record of a target
  * @DOCUMENT_EVACUATION: a data centre is evacuated as long as the document
  *	exists
  */
--- a/core/packet/target/directory.c
+++ b/core/packet/target/directory.c
@@ -107,8 +107,8 @@
  *
  * An address has one process at a time: when a later one is published there,
  * the earlier one has ended and gets no new flows. It counts as dead only after
- * it also left a packet unanswered: otherwise an entry written by somebody else
- * that merely names the address of a target would reset all its flows. Entries
+ * it also left a packet unanswered: otherwise a record written by somebody else
+ * that merely names the address of a target would reset all its flows. Records
  * arrive in any order, so @t may be the earlier process.
  */
 static void claim_address(struct directory *d, struct target *t,
@@ -219,7 +219,7 @@
 		      const struct target_advertisement *a)
 {
 	bool restarted = a->started_ms != t->advertised.started_ms;
-	bool same_entry = a->key_hash == t->advertised.key_hash;
+	bool same_record = a->key_hash == t->advertised.key_hash;
 	struct position created = t->advertised.created;
 
 	if (!change_service(d, t, a->service))
@@ -233,8 +233,8 @@
 		cookie_add(d, t);
 		return TARGET_RESTARTED;
 	}
-	/* An entry created again after a lapse is of the same process. */
-	if (same_entry)
+	/* A record created again after a lapse is of the same process. */
+	if (same_record)
 		t->advertised.created = created;
 	return TARGET_UPDATED;
 }
@@ -282,7 +282,7 @@
  * @a: advertisement
  *
  * Return: above 0 when @a is later, below 0 when it is earlier; 0 when they are
- * equal, the target is unknown or its entry has another key.
+ * equal, the target is unknown or its record has another key.
  */
 int directory_compare_advertisement(const struct directory *d,
 				    const struct target_advertisement *a)
@@ -295,20 +295,20 @@
 }
 
 /**
- * directory_mark_absent() - record that a target has no entry on the platform
+ * directory_mark_absent() - record that a target has no record on the platform
  *	any more, or only one that is not valid
  * @d: directory
- * @a: id and key hash of the entry, other members are unused
+ * @a: id and key hash of the record, other members are unused
  * @now_ns: current time
  * @platform_failed_ns: when the platform last failed to answer; 0 for never,
- *	and for an entry that exists but is not valid
+ *	and for a record that exists but is not valid
  *
- * During an outage of the platform the entries of live targets lapse. Such
+ * During an outage of the platform the records of live targets lapse. Such
  * targets are presumed alive until the platform answers at a time when it has
- * been available for long enough that they could renew their entries. Treating
+ * been available for long enough that they could renew their records. Treating
  * them as gone would leave a service without targets.
  *
- * Return: target with the id, NULL when unknown. It is unchanged when its entry
+ * Return: target with the id, NULL when unknown. It is unchanged when its record
  * has another key.
  */
 struct target *directory_mark_absent(struct directory *d,
@@ -360,7 +360,7 @@
 /*
  * Ends the presumption that an absent target is alive. Requires an answer of
  * the platform, not only time: an entry that is partitioned from the platform
- * cannot see the entries that were renewed.
+ * cannot see the records that were renewed.
  */
 static void update_presumption(const struct directory *d, struct target *t,
 			       const struct directory_tick_times *times)
@@ -410,7 +410,7 @@
  * directory_start_times_published() - whether targets publish their start time
  * @d: directory
  *
- * Return: true when most do. An entry without a start time is then taken for
+ * Return: true when most do. A record without a start time is then taken for
  * one that no target wrote, and gets no new flows.
  */
 bool directory_start_times_published(const struct directory *d)
@@ -467,7 +467,7 @@
  * @t: target
  *
  * Return: true when it is published as serving or presumed alive, its process
- * is not known to have ended, its entry has a start time if most entries have,
+ * is not known to have ended, its record has a start time if most records have,
  * and its data centre is not evacuated.
  */
 bool directory_is_serving(const struct directory *d, const struct target *t)
--- a/core/packet/target/directory.h
+++ b/core/packet/target/directory.h
@@ -24,7 +24,7 @@
  * struct directory_conf - settings of a directory
  * @flow_lifetime_ns: maximum lifetime of an open flow
  * @recovery_ns: time after a platform outage within which live targets have
- *	renewed entries that lapsed during it
+ *	renewed records that lapsed during it
  */
 struct directory_conf {
 	uint64_t flow_lifetime_ns;
@@ -57,7 +57,7 @@
  * @TARGET_RESTARTED: replaced a process by the next one with the same id
  * @TARGET_NO_CAPACITY: rejected, the directory is full or out of memory
  * @TARGET_OUTDATED: rejected, older than the known advertisement
- * @TARGET_ID_CONFLICT: rejected, an entry under another key has this id
+ * @TARGET_ID_CONFLICT: rejected, a record under another key has this id
  *
  * The rejections are the last values, from TARGET_NO_CAPACITY on.
  */
--- a/core/packet/target/directory_cookie.c
+++ b/core/packet/target/directory_cookie.c
@@ -23,7 +23,7 @@
 
 /*
  * Orders targets by the start of their process, then by creation of their
- * entry, then by id. A target without a start time sorts as the oldest.
+ * record, then by id. A target without a start time sorts as the oldest.
  */
 bool target_is_older(const struct target *a, const struct target *b)
 {
--- a/core/packet/target/directory_impl.h
+++ b/core/packet/target/directory_impl.h
@@ -54,7 +54,7 @@
 
 /*
  * Inline form of directory_is_serving(): the selection of a target calls it for
- * every target of the service on each opening packet.
+ * every target of the service on each SYN.
  */
 static inline bool target_is_serving(const struct directory *d,
 				     const struct target *t)
--- a/core/packet/target/directory_names.c
+++ b/core/packet/target/directory_names.c
@@ -25,8 +25,8 @@
  * directory_add_service() - look up the number of a service, add it if missing
  * @d: directory
  * @name: name of the service, copied; from a configuration. Names in the
- *	entries of targets are only looked up: otherwise whoever can write
- *	entries could use up all numbers.
+ *	records of targets are only looked up: otherwise whoever can write
+ *	records could use up all numbers.
  *
  * Return: number; DIRECTORY_SERVICE_NONE when DIRECTORY_SERVICES_MAX names are
  * known.
--- a/core/packet/target/target.h
+++ b/core/packet/target/target.h
@@ -8,7 +8,7 @@
  * enum target_stage - state of a target as published on the platform
  * @TARGET_SERVING: takes new flows
  * @TARGET_LEAVING: keeps its flows, takes no new ones
- * @TARGET_ABSENT: has no entry on the platform any more
+ * @TARGET_ABSENT: has no record on the platform any more
  */
 enum target_stage { TARGET_SERVING, TARGET_LEAVING, TARGET_ABSENT };
 
@@ -43,11 +43,11 @@
 };
 
 /**
- * struct target_advertisement - a target's entry on the platform
+ * struct target_advertisement - a target's record on the platform
  * @id: id of the target
  * @started_ms: start of its process, as in struct incarnation
  * @sequence: number of this version among those that the process wrote
- * @key_hash: hash of the entry's key
+ * @key_hash: hash of the record's key
  * @addr: address and port
  * @service: number of its service, see directory_find_service()
  * @zone: hash of its data centre's name
@@ -55,7 +55,7 @@
  * @cold_ms: remaining time in which it serves slowly after its start,
  *	milliseconds
  * @leaving: takes no new flows
- * @created: position at which the entry was created; orders creations the same
+ * @created: position at which the record was created; orders creations the same
  *	way at every reader
  */
 struct target_advertisement {
@@ -74,11 +74,11 @@
 
 /**
  * struct target - one target
- * @advertised: its latest entry on the platform
+ * @advertised: its latest record on the platform
  * @cookie: routing cookie of its flows
  * @stage: enum target_stage
- * @absent_ns: when its entry disappeared; valid when @stage is TARGET_ABSENT
- * @presumed_alive: its entry disappeared during a platform outage, so it
+ * @absent_ns: when its record disappeared; valid when @stage is TARGET_ABSENT
+ * @presumed_alive: its record disappeared during a platform outage, so it
  *	probably lapsed while the target lives
  * @presumed_until_ns: @presumed_alive ends when the platform answers after this
  * @forget_ns: when an absent target may be deleted
@@ -114,7 +114,7 @@
  *	when it was never ejected
  * @ejections: consecutive ejections after the first one
  * @cold_until_ns: end of the period after its start in which it serves slowly
- * @cold_presumed: that period was inferred from a recovery, its entry does not
+ * @cold_presumed: that period was inferred from a recovery; its record does not
  *	have it
  * @has_cold_permit: this entry may open flows at it while it is cold
  * @cold_credit: flows that this entry may open there now
--- a/test/packet_node_test.c
+++ b/test/packet_node_test.c
@@ -533,7 +533,7 @@
 	assert_false(evacuated(f, "como"));
 }
 
-/* The write was delayed, or a peer that is behind sends it. */
+/* A delayed write, or a peer that is behind, may send an older version. */
 static void test_late_write_does_not_restart_an_evacuation(void **state)
 {
 	struct fixture *f = *state;
@@ -841,9 +841,9 @@
 
 /*
  * Flows would go to a target that is no longer published, when somebody else
- * overwrites its entry with an invalid one.
+ * overwrites its record with an invalid one.
  */
-static void test_overwritten_entry_ends_its_target(void **state)
+static void test_overwritten_record_ends_its_target(void **state)
 {
 	struct fixture *f = *state;
 	struct target *t;
@@ -927,7 +927,7 @@
 	assert_int_equal(configuration_version(f), 28);
 }
 
-/* The watch was pending when a peer advertised the new epoch. */
+/* Changes would be missed: a peer advertises the new epoch during a watch. */
 static void test_watch_started_before_new_epoch_is_refused(void **state)
 {
 	struct fixture *f = *state;
@@ -945,7 +945,7 @@
 	assert_false(answer_in_epoch(f, 2, 30, "32"));
 }
 
-/* Its two halves would be of states that never existed together. */
+/* Pages of two epochs would form a listing of a state that never existed. */
 static void test_pages_of_two_epochs_form_no_listing(void **state)
 {
 	struct fixture *f = *state;
@@ -988,10 +988,10 @@
 }
 
 /*
- * Targets would count as gone: in a restored copy their entries are as old as
+ * Targets would count as gone: in a restored copy their records are as old as
  * the copy, and lapse before they are renewed.
  */
-static void test_lapsed_entries_of_restored_store_keep_targets(void **state)
+static void test_lapsed_records_of_restored_store_keep_targets(void **state)
 {
 	struct fixture *f = *state;
 	struct answer_head head = { .revision = 12 };
@@ -1080,8 +1080,8 @@
 		TEST(test_heartbeats_under_load_stay_within_budget),
 		TEST(test_loaded_heartbeats_of_many_targets_stay_within_budget),
 		TEST(test_targets_apply_after_later_configuration),
-		TEST(test_overwritten_entry_ends_its_target),
-		TEST(test_lapsed_entries_of_restored_store_keep_targets),
+		TEST(test_overwritten_record_ends_its_target),
+		TEST(test_lapsed_records_of_restored_store_keep_targets),
 		TEST(test_answer_to_watch_of_other_epoch_is_refused),
 		TEST(test_lower_revision_of_later_epoch_is_applied),
 		TEST(test_watch_started_before_new_epoch_is_refused),
--- a/test/packet_path_test.c
+++ b/test/packet_path_test.c
@@ -578,11 +578,11 @@
 }
 
 /*
- * A service would have no targets for seconds though all live: the entries of
+ * A service would have no targets for seconds though all live: the records of
  * its targets lapse while the platform does not answer, and are missing when it
  * answers again. They must not count as deleted.
  */
-static void test_targets_with_lapsed_entries_get_flows(void **state)
+static void test_targets_with_lapsed_records_get_flows(void **state)
 {
 	struct bed b;
 
@@ -601,11 +601,11 @@
 
 /*
  * All requests of a partitioned data centre would be refused though its targets
- * live: entries lapse in an outage of the platform, and before they are renewed
+ * live: records lapse in an outage of the platform, and before they are renewed
  * the data centre is partitioned from it. The time to renew them must not run
  * out without an answer of the platform.
  */
-static void test_lapsed_entries_survive_partition_after_outage(void **state)
+static void test_lapsed_records_survive_partition_after_outage(void **state)
 {
 	struct bed b;
 	uint64_t recovered_ns;
@@ -620,14 +620,14 @@
 					    b.now_ns, recovered_ns,
 					    recovered_ns + 100 * MS });
 	assert_int_equal(bed_syn(&b, CALLER, VIP, 0).action, PATH_FORWARD);
-	/* The platform answers again, and the entry is still missing. */
+	/* The platform answers again, and the record is still missing. */
 	directory_tick(b.directory, &(struct directory_tick_times){
 					    b.now_ns, recovered_ns, b.now_ns });
 	assert_int_equal(bed_syn(&b, CALLER + 1, VIP, 0).action, PATH_RESET);
 	bed_close(&b);
 }
 
-static void test_deleted_entry_gets_no_flows_without_outage(void **state)
+static void test_deleted_record_gets_no_flows_without_outage(void **state)
 {
 	struct bed b;
 
@@ -739,11 +739,11 @@
 		cmocka_unit_test(test_stall_of_this_process_suspects_no_target),
 		cmocka_unit_test(
 			test_leaving_target_keeps_flows_and_gets_no_new_ones),
-		cmocka_unit_test(test_targets_with_lapsed_entries_get_flows),
+		cmocka_unit_test(test_targets_with_lapsed_records_get_flows),
 		cmocka_unit_test(
-			test_lapsed_entries_survive_partition_after_outage),
+			test_lapsed_records_survive_partition_after_outage),
 		cmocka_unit_test(
-			test_deleted_entry_gets_no_flows_without_outage),
+			test_deleted_record_gets_no_flows_without_outage),
 		cmocka_unit_test(test_reused_address_ends_earlier_target),
 		cmocka_unit_test(test_packets_are_dropped_before_first_routes),
 		cmocka_unit_test(
