--- a/adapters/relay_codec.c
+++ b/adapters/relay_codec.c
@@ -251,7 +251,7 @@
 	    !msgpack_is_array(&f[6], DOCUMENTS_MAX))
 		return false;
 	head->newest.epoch = head->floor.epoch = head->through.epoch;
-	head->whole = is_complete;
+	head->is_full_state = is_complete;
 	return true;
 }
 
--- a/cmd/cb-packet/decision_log.c
+++ b/cmd/cb-packet/decision_log.c
@@ -21,7 +21,8 @@
 	return false;
 }
 
-/* Time since the platform last answered any entry known here, which is the age of the documents. */
+/* Age of the documents: time since the platform last answered any known
+ * entry. */
 static uint64_t platform_contact_age_ns(const struct packet_daemon *d)
 {
 	uint64_t now_ns = uv_hrtime();
--- a/cmd/cb-packet/sync.c
+++ b/cmd/cb-packet/sync.c
@@ -132,7 +132,7 @@
 {
 	struct packet_daemon *d = ctx;
 
-	*to = (struct document_sink){ d->node, head->whole
+	*to = (struct document_sink){ d->node, head->is_full_state
 						       ? node_take_relay_listed
 						       : node_take_relayed };
 	return node_fetch_begin(d->node, head, uv_hrtime());
--- a/core/packet/flow/flow_cache.h
+++ b/core/packet/flow/flow_cache.h
@@ -1,6 +1,7 @@
 /*
  * Cache of the flows that sent packets recently. Whether a packet is a copy, a
- * new request or a retransmission shows only in comparison with the packets before it.
+ * new request or a retransmission shows only in comparison with the packets
+ * before it.
  * The cache is soft state: packets of a flow that is not in it are forwarded by
  * the cookie that they carry.
  */
--- a/core/packet/flow/path.c
+++ b/core/packet/flow/path.c
@@ -197,8 +197,8 @@
 }
 
 /*
- * A retransmitted SYN shows that no answer reached the client. It is assigned to
- * another target, since the first one may be dead or full. If both answer, the
+ * A retransmitted SYN shows that no answer reached the client. It is assigned
+ * to another target, since the first one may be dead or full. If both answer, the
  * client uses one and the other's handshake is never completed.
  */
 static void handle_syn(struct path *path, const struct packet *packet,
--- a/core/packet/flow/path_tick.c
+++ b/core/packet/flow/path_tick.c
@@ -12,8 +12,8 @@
 #define FEED_LOAD_WEIGHT 0.02f
 /* Interval of the checks for outliers; peers report failures every 200 ms. */
 #define OUTLIER_CHECK_NS (100 * NS_PER_MS)
-/* A flow without packets for this long is removed. Clients retransmit within 1.6 s,
- * and feeds pause for seconds. */
+/* A flow without packets for this long is removed. Clients retransmit within
+ * 1.6 s, and feeds pause for seconds. */
 #define FLOW_IDLE_TIMEOUT_NS (15 * NS_PER_S)
 
 /*
@@ -176,8 +176,8 @@
 
 /*
  * Send an unanswered SYN to another target without waiting for the client to
- * retransmit it. The client does so after 200 ms, which is too late for a latency
- * objective of 100 ms.
+ * retransmit it. The client does so after 200 ms, which is too late for a
+ * latency objective of 100 ms.
  */
 static void assign_again(struct path *path, struct flow_state *flow,
 			 uint64_t now_ns)
--- a/core/packet/flow/path_wait.c
+++ b/core/packet/flow/path_wait.c
@@ -182,10 +182,10 @@
 					  struct flow_state *best,
 					  uint64_t now_ns)
 {
-	struct flow_state *flow = wait_queue_first(path->wait_queue, target);
+	struct flow_state *flow = wait_queue_latest(path->wait_queue, target);
 	struct flow_state *first = flow;
 
-	for (; flow; flow = wait_queue_next(path->wait_queue, flow))
+	for (; flow; flow = wait_queue_earlier(path->wait_queue, flow))
 		if (is_before(path, flow, first, now_ns))
 			first = flow;
 	if (!first || !may_forward(path, first, now_ns))
@@ -243,11 +243,11 @@
 void path_expire_queued(struct path *path, const struct target *target,
 			uint64_t now_ns)
 {
-	struct flow_state *flow = wait_queue_first(path->wait_queue, target);
+	struct flow_state *flow = wait_queue_latest(path->wait_queue, target);
 
 	while (flow) {
 		struct flow_state *next =
-			wait_queue_next(path->wait_queue, flow);
+			wait_queue_earlier(path->wait_queue, flow);
 
 		if (flow->expires_ns <= now_ns) {
 			path->counts[PATH_expired]++;
--- a/core/packet/flow/wait_queue.c
+++ b/core/packet/flow/wait_queue.c
@@ -138,29 +138,29 @@
 }
 
 /**
- * wait_queue_first() - get the flow that was queued last for a target
+ * wait_queue_latest() - get the flow that was queued last for a target
  * @queue: queue
  * @target: target
  *
  * Return: flow, or NULL when none is queued for @target.
  */
-struct flow_state *wait_queue_first(const struct wait_queue *queue,
-				    const struct target *target)
+struct flow_state *wait_queue_latest(const struct wait_queue *queue,
+				     const struct target *target)
 {
 	return target->queue_head ? queue->slots[target->queue_head].flow
 				  : NULL;
 }
 
 /**
- * wait_queue_next() - get the flow that was queued before another one for the
+ * wait_queue_earlier() - get the flow that was queued before another one for the
  *	same target
  * @queue: queue
  * @flow: flow with a packet in the queue
  *
  * Return: flow, or NULL when @flow was queued first.
  */
-struct flow_state *wait_queue_next(const struct wait_queue *queue,
-				   const struct flow_state *flow)
+struct flow_state *wait_queue_earlier(const struct wait_queue *queue,
+				      const struct flow_state *flow)
 {
 	uint32_t next = queue->slots[flow->waiting].next;
 
--- a/core/packet/flow/wait_queue.h
+++ b/core/packet/flow/wait_queue.h
@@ -22,10 +22,10 @@
 const uint8_t *wait_queue_packet(const struct wait_queue *queue,
 				 const struct flow_state *flow,
 				 uint32_t *n_bytes);
-struct flow_state *wait_queue_first(const struct wait_queue *queue,
-				    const struct target *target);
-struct flow_state *wait_queue_next(const struct wait_queue *queue,
-				   const struct flow_state *flow);
+struct flow_state *wait_queue_latest(const struct wait_queue *queue,
+				     const struct target *target);
+struct flow_state *wait_queue_earlier(const struct wait_queue *queue,
+				      const struct flow_state *flow);
 uint32_t wait_queue_count(const struct wait_queue *queue);
 
 #endif
--- a/core/packet/link/pacer.c
+++ b/core/packet/link/pacer.c
@@ -79,91 +79,92 @@
  */
 struct pacer *pacer_new(const struct policy *policy, uint64_t link_bytes_per_s)
 {
-	struct pacer *p = calloc(1, sizeof(*p));
+	struct pacer *pacer = calloc(1, sizeof(*pacer));
 
-	if (!p)
+	if (!pacer)
 		return NULL;
-	p->bytes_per_s = link_bytes_per_s * policy->link_percent / PERCENT;
-	p->ahead_ns = policy->link_ahead_ns;
-	p->buffers_max = policy->link_waiting_max;
-	p->buffers = calloc(p->buffers_max + 1, sizeof(*p->buffers));
-	p->by_copy_id = index_new(p->buffers_max + 1);
-	if (p->buffers && p->by_copy_id)
-		return p;
-	pacer_free(p);
+	pacer->bytes_per_s = link_bytes_per_s * policy->link_percent / PERCENT;
+	pacer->ahead_ns = policy->link_ahead_ns;
+	pacer->buffers_max = policy->link_waiting_max;
+	pacer->buffers =
+		calloc(pacer->buffers_max + 1, sizeof(*pacer->buffers));
+	pacer->by_copy_id = index_new(pacer->buffers_max + 1);
+	if (pacer->buffers && pacer->by_copy_id)
+		return pacer;
+	pacer_free(pacer);
 	return NULL;
 }
 
-void pacer_free(struct pacer *p)
+void pacer_free(struct pacer *pacer)
 {
-	if (!p)
+	if (!pacer)
 		return;
-	index_free(p->by_copy_id);
-	free(p->buffers);
-	free(p);
+	index_free(pacer->by_copy_id);
+	free(pacer->buffers);
+	free(pacer);
 }
 
 /**
  * pacer_classify() - priority of a client's packet
- * @k: packet
+ * @packet: packet
  * @route_kind: enum route_kind of its flow
  *
  * Return: class.
  */
-enum pacer_class pacer_classify(const struct packet *k, uint8_t route_kind)
+enum pacer_class pacer_classify(const struct packet *packet, uint8_t route_kind)
 {
-	if (!k->size_bytes)
+	if (!packet->size_bytes)
 		return PACER_CONTROL;
 	return route_kind == ROUTE_UPLOAD ? PACER_BULK : PACER_REQUEST;
 }
 
 /**
  * pacer_copy_id() - hash that is the same for all transmissions of a packet
- * @k: packet of a client
+ * @packet: packet of a client
  *
  * Return: hash of the flow and the sequence number, never 0; 0 for a packet
  * without data, since each of those carries new information.
  */
-uint64_t pacer_copy_id(const struct packet *k)
+uint64_t pacer_copy_id(const struct packet *packet)
 {
 	uint64_t id;
 
-	if (!k->size_bytes)
+	if (!packet->size_bytes)
 		return 0;
-	id = hash_u64(flow_hash(&k->flow), COPY_ID_SEED ^ k->seq);
+	id = hash_u64(flow_hash(&packet->flow), COPY_ID_SEED ^ packet->seq);
 	return id ? id : 1;
 }
 
-static uint64_t transmit_ns(const struct pacer *p, uint64_t n_bytes)
+static uint64_t transmit_ns(const struct pacer *pacer, uint64_t n_bytes)
 {
-	return n_bytes * NS_PER_S / p->bytes_per_s;
+	return n_bytes * NS_PER_S / pacer->bytes_per_s;
 }
 
-static bool link_accepts(const struct pacer *p, uint64_t now_ns)
+static bool link_accepts(const struct pacer *pacer, uint64_t now_ns)
 {
-	return p->link_free_ns <= now_ns + p->ahead_ns;
+	return pacer->link_free_ns <= now_ns + pacer->ahead_ns;
 }
 
 /**
  * pacer_charge() - account for a datagram handed to the link
- * @p: pacer
+ * @pacer: pacer
  * @n_bytes: size without IP and UDP headers
  * @now_ns: current time
  *
  * For datagrams that bypass the pacer, such as heartbeats.
  */
-void pacer_charge(struct pacer *p, uint32_t n_bytes, uint64_t now_ns)
+void pacer_charge(struct pacer *pacer, uint32_t n_bytes, uint64_t now_ns)
 {
-	if (!p->bytes_per_s)
+	if (!pacer->bytes_per_s)
 		return;
-	if (p->link_free_ns < now_ns)
-		p->link_free_ns = now_ns;
-	p->link_free_ns += transmit_ns(p, n_bytes + HEADER_BYTES);
+	if (pacer->link_free_ns < now_ns)
+		pacer->link_free_ns = now_ns;
+	pacer->link_free_ns += transmit_ns(pacer, n_bytes + HEADER_BYTES);
 }
 
 /**
  * pacer_try_send() - ask to send a datagram at once, charge it if granted
- * @p: pacer
+ * @pacer: pacer
  * @c: class of the datagram
  * @n_bytes: size without IP and UDP headers
  * @now_ns: current time
@@ -171,46 +172,46 @@
  * Return: true when the caller is to send it now; false when the link is busy
  * or datagrams of the same or a more urgent class are queued.
  */
-bool pacer_try_send(struct pacer *p, enum pacer_class c, uint32_t n_bytes,
+bool pacer_try_send(struct pacer *pacer, enum pacer_class c, uint32_t n_bytes,
 		    uint64_t now_ns)
 {
-	if (!p->bytes_per_s)
+	if (!pacer->bytes_per_s)
 		return true;
 	for (uint32_t i = 0; i <= c; i++)
-		if (p->queues[i].first != NO_BUFFER)
+		if (pacer->queues[i].first != NO_BUFFER)
 			return false;
-	if (!link_accepts(p, now_ns))
+	if (!link_accepts(pacer, now_ns))
 		return false;
-	pacer_charge(p, n_bytes, now_ns);
+	pacer_charge(pacer, n_bytes, now_ns);
 	return true;
 }
 
-static uint32_t allocate_buffer(struct pacer *p)
+static uint32_t allocate_buffer(struct pacer *pacer)
 {
-	uint32_t i = p->free_buffer;
+	uint32_t i = pacer->free_buffer;
 
 	if (i != NO_BUFFER) {
-		p->free_buffer = p->buffers[i].next;
+		pacer->free_buffer = pacer->buffers[i].next;
 		return i;
 	}
-	return p->used < p->buffers_max ? ++p->used : NO_BUFFER;
+	return pacer->used < pacer->buffers_max ? ++pacer->used : NO_BUFFER;
 }
 
-static void append(struct pacer *p, struct queue *q, uint32_t i)
+static void append(struct pacer *pacer, struct queue *q, uint32_t i)
 {
-	p->buffers[i].next = NO_BUFFER;
+	pacer->buffers[i].next = NO_BUFFER;
 	if (q->first == NO_BUFFER)
 		q->first = i;
 	else
-		p->buffers[q->last].next = i;
+		pacer->buffers[q->last].next = i;
 	q->last = i;
-	q->bytes += p->buffers[i].n_bytes + HEADER_BYTES;
-	p->queued++;
+	q->bytes += pacer->buffers[i].n_bytes + HEADER_BYTES;
+	pacer->queued++;
 }
 
 /**
  * pacer_enqueue() - queue a datagram until the link accepts it
- * @p: pacer
+ * @pacer: pacer
  * @c: class of the datagram
  * @d: datagram, copied
  *
@@ -218,7 +219,8 @@
  * when the queues are full; -EMSGSIZE when it is too large. On error the caller
  * drops it; its sender retransmits it.
  */
-int pacer_enqueue(struct pacer *p, enum pacer_class c, const struct datagram *d)
+int pacer_enqueue(struct pacer *pacer, enum pacer_class c,
+		  const struct datagram *d)
 {
 	uint32_t n_bytes = d->head_bytes + d->data_bytes;
 	struct buffer *b;
@@ -226,12 +228,13 @@
 
 	if (n_bytes > PACER_DATAGRAM_MAX_BYTES)
 		return -EMSGSIZE;
-	if (d->copy_id && index_get(p->by_copy_id, d->copy_id) != INDEX_NONE)
+	if (d->copy_id &&
+	    index_get(pacer->by_copy_id, d->copy_id) != INDEX_NONE)
 		return -EALREADY;
-	i = allocate_buffer(p);
+	i = allocate_buffer(pacer);
 	if (i == NO_BUFFER)
 		return -ENOBUFS;
-	b = &p->buffers[i];
+	b = &pacer->buffers[i];
 	b->destination = d->destination;
 	b->copy_id = d->copy_id;
 	b->n_bytes = n_bytes;
@@ -239,22 +242,22 @@
 	if (d->data_bytes)
 		memcpy(b->bytes + d->head_bytes, d->data, d->data_bytes);
 	if (d->copy_id)
-		index_put(p->by_copy_id, d->copy_id, i);
-	append(p, &p->queues[c], i);
+		index_put(pacer->by_copy_id, d->copy_id, i);
+	append(pacer, &pacer->queues[c], i);
 	return 0;
 }
 
-static struct queue *most_urgent_queue(struct pacer *p)
+static struct queue *most_urgent_queue(struct pacer *pacer)
 {
 	for (uint32_t i = 0; i < PACER_CLASS_COUNT; i++)
-		if (p->queues[i].first != NO_BUFFER)
-			return &p->queues[i];
+		if (pacer->queues[i].first != NO_BUFFER)
+			return &pacer->queues[i];
 	return NULL;
 }
 
 /**
  * pacer_dequeue() - remove the next datagram that the link accepts, charge it
- * @p: pacer
+ * @pacer: pacer
  * @now_ns: current time
  * @out: set to the datagram, all of it in @head; its bytes are owned by the
  *	pacer and valid until the next pacer_enqueue()
@@ -262,24 +265,24 @@
  * Return: true when the caller is to send @out; false when the queues are empty
  * or the link is busy.
  */
-bool pacer_dequeue(struct pacer *p, uint64_t now_ns, struct datagram *out)
+bool pacer_dequeue(struct pacer *pacer, uint64_t now_ns, struct datagram *out)
 {
-	struct queue *q = most_urgent_queue(p);
+	struct queue *q = most_urgent_queue(pacer);
 	struct buffer *b;
 	uint32_t i;
 
-	if (!q || !link_accepts(p, now_ns))
+	if (!q || !link_accepts(pacer, now_ns))
 		return false;
 	i = q->first;
-	b = &p->buffers[i];
+	b = &pacer->buffers[i];
 	q->first = b->next;
 	q->bytes -= b->n_bytes + HEADER_BYTES;
 	if (b->copy_id)
-		index_del(p->by_copy_id, b->copy_id, i);
-	b->next = p->free_buffer;
-	p->free_buffer = i;
-	p->queued--;
-	pacer_charge(p, b->n_bytes, now_ns);
+		index_del(pacer->by_copy_id, b->copy_id, i);
+	b->next = pacer->free_buffer;
+	pacer->free_buffer = i;
+	pacer->queued--;
+	pacer_charge(pacer, b->n_bytes, now_ns);
 	*out = (struct datagram){ .destination = b->destination,
 				  .copy_id = b->copy_id,
 				  .head = b->bytes,
@@ -289,42 +292,43 @@
 
 /**
  * pacer_due_ns() - when the link accepts the next queued datagram
- * @p: pacer
+ * @pacer: pacer
  *
  * Return: time, possibly in the past; 0 when the queues are empty.
  */
-uint64_t pacer_due_ns(const struct pacer *p)
+uint64_t pacer_due_ns(const struct pacer *pacer)
 {
-	if (!p->queued)
+	if (!pacer->queued)
 		return 0;
-	return p->link_free_ns > p->ahead_ns ? p->link_free_ns - p->ahead_ns
-					     : 1;
+	return pacer->link_free_ns > pacer->ahead_ns
+		       ? pacer->link_free_ns - pacer->ahead_ns
+		       : 1;
 }
 
 /**
  * pacer_delay_ns() - time that the link needs for all that goes before a
  *	datagram which arrives now
- * @p: pacer
+ * @pacer: pacer
  * @c: class of the datagram
  * @now_ns: current time
  *
  * Return: duration in nanoseconds; 0 on an idle link.
  */
-uint64_t pacer_delay_ns(const struct pacer *p, enum pacer_class c,
+uint64_t pacer_delay_ns(const struct pacer *pacer, enum pacer_class c,
 			uint64_t now_ns)
 {
 	uint64_t backlog_ns =
-		p->link_free_ns > now_ns ? p->link_free_ns - now_ns : 0;
+		pacer->link_free_ns > now_ns ? pacer->link_free_ns - now_ns : 0;
 	uint64_t queued_bytes = 0;
 
-	if (!p->queued)
+	if (!pacer->queued)
 		return backlog_ns;
 	for (uint32_t i = 0; i <= c; i++)
-		queued_bytes += p->queues[i].bytes;
-	return backlog_ns + transmit_ns(p, queued_bytes);
+		queued_bytes += pacer->queues[i].bytes;
+	return backlog_ns + transmit_ns(pacer, queued_bytes);
 }
 
-uint32_t pacer_queue_length(const struct pacer *p)
+uint32_t pacer_queue_length(const struct pacer *pacer)
 {
-	return p->queued;
+	return pacer->queued;
 }
--- a/core/packet/link/pacer.h
+++ b/core/packet/link/pacer.h
@@ -53,18 +53,19 @@
 struct pacer;
 
 struct pacer *pacer_new(const struct policy *policy, uint64_t link_bytes_per_s);
-void pacer_free(struct pacer *p);
-enum pacer_class pacer_classify(const struct packet *k, uint8_t route_kind);
-uint64_t pacer_copy_id(const struct packet *k);
-bool pacer_try_send(struct pacer *p, enum pacer_class c, uint32_t n_bytes,
+void pacer_free(struct pacer *pacer);
+enum pacer_class pacer_classify(const struct packet *packet,
+				uint8_t route_kind);
+uint64_t pacer_copy_id(const struct packet *packet);
+bool pacer_try_send(struct pacer *pacer, enum pacer_class c, uint32_t n_bytes,
 		    uint64_t now_ns);
-int pacer_enqueue(struct pacer *p, enum pacer_class c,
+int pacer_enqueue(struct pacer *pacer, enum pacer_class c,
 		  const struct datagram *d);
-bool pacer_dequeue(struct pacer *p, uint64_t now_ns, struct datagram *out);
-void pacer_charge(struct pacer *p, uint32_t n_bytes, uint64_t now_ns);
-uint64_t pacer_due_ns(const struct pacer *p);
-uint64_t pacer_delay_ns(const struct pacer *p, enum pacer_class c,
+bool pacer_dequeue(struct pacer *pacer, uint64_t now_ns, struct datagram *out);
+void pacer_charge(struct pacer *pacer, uint32_t n_bytes, uint64_t now_ns);
+uint64_t pacer_due_ns(const struct pacer *pacer);
+uint64_t pacer_delay_ns(const struct pacer *pacer, enum pacer_class c,
 			uint64_t now_ns);
-uint32_t pacer_queue_length(const struct pacer *p);
+uint32_t pacer_queue_length(const struct pacer *pacer);
 
 #endif
--- a/core/packet/node.h
+++ b/core/packet/node.h
@@ -118,14 +118,14 @@
  * @through: position up to which the peer has everything
  * @newest: newest position of which the peer has a document
  * @floor: position up to which the peer may lack deletions
- * @whole: the documents are all that the peer has, so that a document missing
- *	among them was deleted; otherwise they are changes
+ * @is_full_state: the documents are all that the peer has, so that a document
+ *	missing among them was deleted; otherwise they are changes
  */
 struct relay_head {
 	struct position through;
 	struct position newest;
 	struct position floor;
-	bool whole;
+	bool is_full_state;
 };
 
 /**
--- a/core/packet/node_calls.c
+++ b/core/packet/node_calls.c
@@ -329,7 +329,7 @@
 
 /**
  * node_fetch_begin() - start to apply the documents of a peer, which follow by
- *	node_take_relay_listed() when @head->whole, otherwise by
+ *	node_take_relay_listed() when @head->is_full_state, otherwise by
  *	node_take_relayed()
  * @node: entry
  * @head: positions of the documents
@@ -348,7 +348,7 @@
 	node->now_ns = now_ns;
 	if (head->through.epoch < documents_complete(node->documents).epoch)
 		return false;
-	if (!head->whole)
+	if (!head->is_full_state)
 		return true;
 	if (node->source.listing && node_has_snapshot(node))
 		return false;
@@ -375,7 +375,7 @@
 		node->counters.peer_calls_failed++;
 		return;
 	}
-	if (head->whole)
+	if (head->is_full_state)
 		documents_list_end(node->documents, head->through, head->floor,
 				   now_ns);
 	documents_advance_synced(node->documents, head->through, now_ns);
--- a/sim/sim-packets/entries.c
+++ b/sim/sim-packets/entries.c
@@ -132,7 +132,7 @@
 	head.through = documents_synced(from);
 	head.newest = documents_newest(from);
 	head.floor = documents_floor(from);
-	head.whole = documents_peer_needs_full(from, after);
+	head.is_full_state = documents_peer_needs_full(from, after);
 	if (!node_fetch_begin(s->node, &head, w->now_ns)) {
 		node_fetch_end(s->node, NULL, w->now_ns);
 		return;
@@ -140,7 +140,7 @@
 	for (uint32_t i = 0; i < documents_count(from); i++) {
 		const struct document *d = documents_at(from, i);
 
-		if (head.whole)
+		if (head.is_full_state)
 			node_take_relay_listed(s->node, d);
 		else if (documents_peer_lacks(from, after, d))
 			node_take_relayed(s->node, d);
--- a/test/packet_node_test.c
+++ b/test/packet_node_test.c
@@ -386,7 +386,7 @@
 	struct answer_head more = { .revision = 20, .more = true };
 	struct relay_head whole = { .through = { 0, 18 },
 				    .newest = { 0, 18 },
-				    .whole = true };
+				    .is_full_state = true };
 
 	/* The watched history is gone, so the entry lists again. */
 	apply_listing(f);
@@ -421,7 +421,7 @@
 	struct relay_head whole = { .through = { 0, 18 },
 				    .newest = { 0, 18 },
 				    .floor = { 0, 18 },
-				    .whole = true };
+				    .is_full_state = true };
 
 	strcpy(more.last_key, "t/1");
 	advance(f, 40 * MS);
@@ -934,7 +934,7 @@
 	struct hello h = { .from = PEER, .newest = { 2, 23 }, .boot = 1 };
 	struct relay_head head = { .through = { 2, 23 },
 				   .newest = { 2, 23 },
-				   .whole = true };
+				   .is_full_state = true };
 
 	watch_before_restore(f);
 	node_receive_hello(f->node, &h, f->now_ns);
@@ -972,7 +972,7 @@
 	struct fixture *f = *state;
 	struct relay_head head = { .through = { 1, 90 },
 				   .newest = { 1, 90 },
-				   .whole = true };
+				   .is_full_state = true };
 
 	advance(f, 40 * MS);
 	assert_true(answer_in_epoch(f, 2, 23, "28"));
@@ -982,7 +982,7 @@
 	assert_int_equal(f->calls.lists, 2);
 	assert_false(answer_in_epoch(f, 1, 80, "30"));
 	assert_false(node_fetch_begin(f->node, &head, f->now_ns));
-	head.whole = false;
+	head.is_full_state = false;
 	assert_false(node_fetch_begin(f->node, &head, f->now_ns));
 	assert_int_equal(configuration_version(f), 28);
 }
@@ -1026,7 +1026,7 @@
 			   .boot = 1 };
 	struct relay_head head = { .through = { 2, 23 },
 				   .newest = { 2, 23 },
-				   .whole = false };
+				   .is_full_state = false };
 	struct document kept = doc("routes", 26, "24");
 
 	advance(f, 40 * MS);
--- a/test/packet_relay_test.c
+++ b/test/packet_relay_test.c
@@ -95,7 +95,7 @@
 			 0);
 	assert_int_equal(head.through.revision, 6);
 	assert_int_equal(head.newest.revision, 5);
-	assert_false(head.whole);
+	assert_false(head.is_full_state);
 	assert_int_equal(documents_count(to), 1);
 	assert_string_equal(documents_at(to, 0)->key, "b");
 	for (uint32_t i = 0; i < body->len; i++)
@@ -384,7 +384,7 @@
 						      value_of_asking },
 			     &head),
 		0);
-	assert_true(head.whole);
+	assert_true(head.is_full_state);
 	assert_int_equal(named, 1);
 	assert_true(p->body->len < 1000);
 }
--- a/test/packet_wait_queue_test.c
+++ b/test/packet_wait_queue_test.c
@@ -31,7 +31,7 @@
 	assert_int_equal(n_bytes, WAIT_QUEUE_PACKET_MAX_BYTES);
 	wait_queue_remove(w, &f);
 	assert_int_equal(wait_queue_count(w), 0);
-	assert_null(wait_queue_first(w, &t));
+	assert_null(wait_queue_latest(w, &t));
 	assert_false(
 		wait_queue_add(w, &f, bytes, WAIT_QUEUE_PACKET_MAX_BYTES + 1));
 	wait_queue_free(w);
@@ -46,7 +46,7 @@
 	(void)state;
 	wait_queue_add(w, &f, (const uint8_t *)"x", 1);
 	wait_queue_remove(w, &other);
-	assert_ptr_equal(wait_queue_first(w, &t), &f);
+	assert_ptr_equal(wait_queue_latest(w, &t), &f);
 	wait_queue_free(w);
 }
 
@@ -70,17 +70,17 @@
 		for (uint32_t k = 0; k < 3; k++)
 			wait_queue_add(w, &f[k], (const uint8_t *)"x", 1);
 		wait_queue_add(w, &other_flow, (const uint8_t *)"y", 1);
-		assert_ptr_equal(wait_queue_first(w, &t), &f[2]);
+		assert_ptr_equal(wait_queue_latest(w, &t), &f[2]);
 		for (uint32_t k = 0; k < 3; k++) {
 			uint32_t left = 0;
 
 			wait_queue_remove(w, &f[orders[i][k]]);
-			for (struct flow_state *g = wait_queue_first(w, &t); g;
-			     g = wait_queue_next(w, g))
+			for (struct flow_state *g = wait_queue_latest(w, &t); g;
+			     g = wait_queue_earlier(w, g))
 				left++;
 			assert_int_equal(left, 2 - k);
 		}
-		assert_ptr_equal(wait_queue_first(w, &other), &other_flow);
+		assert_ptr_equal(wait_queue_latest(w, &other), &other_flow);
 		wait_queue_remove(w, &other_flow);
 	}
 	wait_queue_free(w);
