--- a/core/packet/node_calls.c
+++ b/core/packet/node_calls.c
@@ -235,11 +235,11 @@
 }
 
 /*
- * Whether this entry must not renew its claim to read the platform: it stood in
- * for a reader that reads again. With a claim of its own it would not notice
- * that it is no longer needed, and would go on reading.
+ * Whether another reader of the data centre, which this entry replaced, reads
+ * the platform again. This entry then must not renew its own claim: it would not
+ * notice that it is no longer needed, and would go on reading.
  */
-static bool is_claim_needless(const struct node *node)
+static bool has_other_reader_resumed(const struct node *node)
 {
 	struct source_view v = source_view_of(node);
 
@@ -251,7 +251,7 @@
 	uint32_t failures = node->source.failures;
 
 	if (ok) {
-		if (!is_claim_needless(node))
+		if (!has_other_reader_resumed(node))
 			peer_set_note_contact(node->peers, at, node->now_ns);
 		if (failures)
 			node->port.log(node->port.ctx, NODE_INFO, "platform",
--- a/core/packet/node_cold.c
+++ b/core/packet/node_cold.c
@@ -4,9 +4,9 @@
 #include "cold.h"
 
 /*
- * Whether the other entries know this one, and it knows them. An entry that has
- * just started or resumed after a pause would take a permit that another entry
- * has as well.
+ * Whether enough time has passed since the start or the last pause for the other
+ * entries to know this one, and for this one to know them. Before that it would
+ * take a permit that another entry has as well.
  */
 static bool is_known_to_peers(const struct node *node)
 {
--- a/core/packet/node_published.c
+++ b/core/packet/node_published.c
@@ -77,7 +77,7 @@
 }
 
 static void apply_target(struct node *node, const struct document *doc,
-			 const struct target_advertisement *news)
+			 const struct target_advertisement *update)
 {
 	static const char *const not_taken[] = {
 		[TARGET_NO_CAPACITY] = "not taken: target table is full",
@@ -85,11 +85,11 @@
 		[TARGET_ID_CONFLICT] =
 			"not taken: its id belongs to another key",
 	};
-	struct target *target = directory_by_id(node->directory, news->id);
+	struct target *target = directory_by_id(node->directory, update->id);
 	uint8_t before = target ? target->stage : UINT8_MAX;
 	enum target_change change;
 
-	target = directory_update_target(node->directory, news, node->now_ns,
+	target = directory_update_target(node->directory, update, node->now_ns,
 					 &change);
 	if (change >= TARGET_NO_CAPACITY) {
 		node->port.log(node->port.ctx, NODE_WARNING, "target", doc->key,
@@ -109,21 +109,21 @@
 /* @platform_failed_ns: when the platform last failed to answer, so that the
  * record may only have lapsed; 0 to take it as deleted. */
 static void apply_absence(struct node *node, const struct document *doc,
-			  const struct target_advertisement *news,
+			  const struct target_advertisement *update,
 			  uint64_t platform_failed_ns)
 {
-	struct target *target = directory_by_id(node->directory, news->id);
+	struct target *target = directory_by_id(node->directory, update->id);
 	uint8_t before;
 
 	/* The last value of a deleted record names the target of open flows. */
-	if (!target && news->addr) {
-		apply_target(node, doc, news);
-		target = directory_by_id(node->directory, news->id);
+	if (!target && update->addr) {
+		apply_target(node, doc, update);
+		target = directory_by_id(node->directory, update->id);
 	}
 	if (!target)
 		return;
 	before = target->stage;
-	directory_mark_absent(node->directory, news, node->now_ns,
+	directory_mark_absent(node->directory, update, node->now_ns,
 			      platform_failed_ns);
 	if (target->stage != before)
 		log_target(node, doc, target, stage_names[target->stage]);
@@ -135,7 +135,7 @@
  * ends the target that was published under its key before, and no other.
  */
 static void refuse_document(struct node *node, const struct document *doc,
-			    const struct decoded_document *news,
+			    const struct decoded_document *update,
 			    const char *problem)
 {
 	struct target_advertisement named = { 0 };
@@ -149,10 +149,10 @@
 		node->port.log(node->port.ctx, NODE_WARNING, "document",
 			       doc->key, "revision %llu refused: %s",
 			       (unsigned long long)doc->revision, problem);
-	if (news->kind != DOCUMENT_TARGET)
+	if (update->kind != DOCUMENT_TARGET)
 		return;
-	named.id = news->target.id;
-	named.key_hash = news->target.key_hash;
+	named.id = update->target.id;
+	named.key_hash = update->target.key_hash;
 	apply_absence(node, doc, &named, 0);
 }
 
@@ -195,19 +195,19 @@
 int node_document_compare(void *ctx, const struct document *doc)
 {
 	struct node *node = ctx;
-	struct decoded_document news;
+	struct decoded_document update;
 	const char *problem = "";
 	uint64_t version;
 
-	if (node->port.decode(doc, node->directory, &news, &problem))
+	if (node->port.decode(doc, node->directory, &update, &problem))
 		return 0;
-	if (news.kind == DOCUMENT_TARGET)
+	if (update.kind == DOCUMENT_TARGET)
 		return directory_compare_advertisement(node->directory,
-						       &news.target);
-	if (news.kind != DOCUMENT_ROUTES || !news.routes)
+						       &update.target);
+	if (update.kind != DOCUMENT_ROUTES || !update.routes)
 		return 0;
-	version = news.routes->version;
-	route_table_free(news.routes);
+	version = update.routes->version;
+	route_table_free(update.routes);
 	return (version > node_configuration_version(node)) -
 	       (version < node_configuration_version(node));
 }
@@ -224,20 +224,20 @@
 bool node_document_changed(void *ctx, const struct document *doc)
 {
 	struct node *node = ctx;
-	struct decoded_document news;
+	struct decoded_document update;
 	const char *problem = "";
-	int err = node->port.decode(doc, node->directory, &news, &problem);
+	int err = node->port.decode(doc, node->directory, &update, &problem);
 
 	if (err)
-		refuse_document(node, doc, &news, problem);
-	else if (news.kind == DOCUMENT_ROUTES && news.routes)
-		apply_routes(node, doc, news.routes);
-	else if (news.kind == DOCUMENT_EVACUATION)
-		apply_evacuation(node, doc, news.data_centre);
-	else if (news.kind == DOCUMENT_TARGET && doc->deleted)
-		apply_absence(node, doc, &news.target,
+		refuse_document(node, doc, &update, problem);
+	else if (update.kind == DOCUMENT_ROUTES && update.routes)
+		apply_routes(node, doc, update.routes);
+	else if (update.kind == DOCUMENT_EVACUATION)
+		apply_evacuation(node, doc, update.data_centre);
+	else if (update.kind == DOCUMENT_TARGET && doc->deleted)
+		apply_absence(node, doc, &update.target,
 			      peer_set_platform_failed_ns(node->peers));
-	else if (news.kind == DOCUMENT_TARGET)
-		apply_target(node, doc, &news.target);
+	else if (update.kind == DOCUMENT_TARGET)
+		apply_target(node, doc, &update.target);
 	return err != -ENOENT;
 }
