--- a/adapters/fields.c
+++ b/adapters/fields.c
@@ -297,7 +297,8 @@
  * @mistakes: list to which errors are added
  * @parent: node whose line is reported when @table is NULL
  * @prefix: dotted name of the table, "" at the top
- * @table: table, whose key is marked as taken; NULL when the document has none
+ * @table: table, whose key is marked as consumed; NULL when the document has
+ *	none
  * @field: field
  * @out: struct with the member
  */
@@ -331,7 +332,7 @@
  * fields_parse() - parse all fields of a table
  * @mistakes: list to which errors are added
  * @prefix: dotted name of the table, "" at the top
- * @table: table; its known keys are marked as taken
+ * @table: table; its known keys are marked as consumed
  * @fields: fields, up to one whose key is NULL
  * @out: struct with the members
  */
@@ -344,7 +345,8 @@
 }
 
 /**
- * fields_report_unknown() - report an error for each key not marked as taken
+ * fields_report_unknown() - report an error for each key not marked as
+ *	consumed
  * @mistakes: list to which errors are added
  * @prefix: dotted name of the table, "" at the top
  * @table: table after fields_parse()
--- a/adapters/link_watch.c
+++ b/adapters/link_watch.c
@@ -55,9 +55,9 @@
  * @counters: counters of the links
  * @spread: store from which entries are served; NULL until it is set
  * @peers: other cb-watch, an array of PEERS_MAX
- * @n_peers: number of entries of @peers in use
+ * @n_peers: number of elements of @peers in use
  * @entries: entries that have sent a hello
- * @n_entries: number of entries of @entries in use
+ * @n_entries: number of elements of @entries in use
  */
 struct watch_link {
 	uv_loop_t *loop;
--- a/adapters/publication.c
+++ b/adapters/publication.c
@@ -68,7 +68,7 @@
 };
 
 /**
- * struct reading - state while an account is parsed
+ * struct parser - state while an account is parsed
  * @account: result
  * @data_centre: data centre whose targets are kept; NULL keeps all
  * @seen: endpoints used so far; the value is "service" or "target"
--- a/adapters/publication_parameters.c
+++ b/adapters/publication_parameters.c
@@ -20,7 +20,7 @@
 };
 
 /**
- * struct filling - parameters of a template
+ * struct substitution - parameters of a template and their values
  * @kinds: [parameters] of the template, kind by name; NULL when there is none
  * @values: [parameters] of the account, value by name; NULL when there is none
  * @mistakes: list to which mistakes are added
--- a/adapters/relay_codec.c
+++ b/adapters/relay_codec.c
@@ -143,7 +143,7 @@
 			pack_document(p, documents_at(docs, i), base, cache);
 }
 
-/**
+/*
  * A deleted document keeps its last value: it allows even new processes to
  * distinguish the flows of an absent target from forged ones.
  */
--- a/cmd/cb-entry/callers.c
+++ b/cmd/cb-entry/callers.c
@@ -27,7 +27,7 @@
  * struct vip_sockets - sockets of all VIPs, in direct mode
  * @list: sockets, sorted by VIP
  * @n: number of sockets
- * @capacity: allocated number of entries of @list
+ * @capacity: allocated number of elements of @list
  * @bind_failed: a VIP of the configuration could not be bound
  */
 struct vip_sockets {
