--- a/adapters/link.c
+++ b/adapters/link.c
@@ -25,7 +25,7 @@
  * @handler: receives accounts and the list of VMs
  * @counters: counters of this link
  * @in_force: versions in force, by key; an array of SPREAD_KEYS_MAX
- * @n_in_force: number of entries of @in_force in use
+ * @n_in_force: number of elements of @in_force in use
  * @vms: buffer for the decoded list of VMs, VMS_MAX addresses
  */
 struct entry_link {
@@ -168,7 +168,7 @@
 {
 	const struct spread_offer *offer = msg->offers;
 	struct spread_offer *in_force = find_or_init_version(link, offer->key);
-	struct version joined;
+	struct version merged;
 	int err = 0;
 
 	if (!in_force)
@@ -178,11 +178,11 @@
 			version_adds_to(&in_force->version, &offer->version);
 		return;
 	}
-	joined = in_force->version;
-	version_join(&joined, &offer->version);
-	if (version_is_withdrawn(&joined))
+	merged = in_force->version;
+	version_merge(&merged, &offer->version);
+	if (version_is_withdrawn(&merged))
 		err = apply_withdrawal(link, offer);
-	else if (joined.hash != in_force->version.hash)
+	else if (merged.hash != in_force->version.hash)
 		err = apply_content(link, msg);
 	if (err) {
 		link->counters.link_unreadable++;
@@ -190,7 +190,7 @@
 			 "unreadable content: %s", strerror(-err));
 		return;
 	}
-	in_force->version = joined;
+	in_force->version = merged;
 	if (in_force == &link->in_force[link->n_in_force])
 		link->n_in_force++;
 }
--- a/core/spread/reader.c
+++ b/core/spread/reader.c
@@ -1,5 +1,6 @@
 #include "reader.h"
 #include "reader_lines.h"
+#include "timers.h"
 
 #include <errno.h>
 #include <stdio.h>
@@ -16,7 +17,6 @@
 #define RELIST_PERIOD_NS (60 * NS_PER_S)
 /* Pause after a watch without changes, in case such watches return at once. */
 #define WATCH_SPACING_NS (100 * NS_PER_MS)
-#define DEADLINE_NEVER_NS UINT64_MAX
 
 /* Revisions read lately, by hash of the key; a collision costs a call. */
 #define READ_CACHE_SLOTS 16384
@@ -44,7 +44,7 @@
  * @call_pending: a call is in progress
  * @roster_read: the list of VMs has been read, or the platform has none
  * @failures: failed calls since the last one that was answered
- * @next_deadline_ns: start of the next call, or DEADLINE_NEVER_NS
+ * @next_deadline_ns: start of the next call, or DEADLINE_NEVER
  * @relist_deadline_ns: the keys are listed again then
  * @watched_revision: changes up to it have been listed or watched
  * @platform_revision: highest revision of the last answer with lines
@@ -102,7 +102,7 @@
 		return NULL;
 	r->port = port;
 	r->rng = rng;
-	r->next_deadline_ns = DEADLINE_NEVER_NS;
+	r->next_deadline_ns = DEADLINE_NEVER;
 	r->relist_deadline_ns = now_ns;
 	snprintf(r->vms_key, sizeof(r->vms_key), "vms/%.*s", NAME_MAX_BYTES - 1,
 		 data_centre);
@@ -209,7 +209,7 @@
 {
 	r->step = step;
 	r->call_pending = true;
-	r->next_deadline_ns = DEADLINE_NEVER_NS;
+	r->next_deadline_ns = DEADLINE_NEVER;
 	r->counters.calls++;
 	r->port.start_call(r->port.ctx, call, key, r->watched_revision);
 }
@@ -218,7 +218,7 @@
 {
 	char key[sizeof(TEMPLATE_PREFIX) + NAME_MAX_BYTES];
 
-	r->next_deadline_ns = DEADLINE_NEVER_NS;
+	r->next_deadline_ns = DEADLINE_NEVER;
 	if (r->call_pending || r->mode == READER_OFF)
 		return;
 	if (r->mode == READER_ROSTER) {
--- a/core/spread/spread.c
+++ b/core/spread/spread.c
@@ -115,7 +115,7 @@
 	if (!copy)
 		return -ENOMEM;
 	store_replace_content(r, copy);
-	store_join(s, r, &v);
+	store_merge(s, r, &v);
 	relay_version(s, r, ADDR_NONE, now_ns);
 	return 0;
 }
@@ -147,7 +147,7 @@
 		s->counters.stale_refused++;
 		return -ESTALE;
 	}
-	store_join(s, r, &v);
+	store_merge(s, r, &v);
 	relay_version(s, r, ADDR_NONE, now_ns);
 	return 0;
 }
--- a/core/spread/spread_internal.h
+++ b/core/spread/spread_internal.h
@@ -34,7 +34,7 @@
 /**
  * struct record - a published key
  * @key: key
- * @version: join of all versions received
+ * @version: merge of all versions received
  * @content: content of @version; NULL when withdrawn or never received
  * @history: earlier contents, newest first; unused ones are NULL
  * @request_deadline_ns: time until which the key is requested from a peer
@@ -135,7 +135,7 @@
 struct record *store_find(const struct spread *s, const char *key);
 struct record *store_find_or_create(struct spread *s, const char *key);
 uint32_t key_bucket(const char *key);
-void store_join(struct spread *s, struct record *r, const struct version *v);
+void store_merge(struct spread *s, struct record *r, const struct version *v);
 void store_replace_content(struct record *r, struct content *new_content);
 const struct content *store_find_content(const struct record *r, uint64_t hash);
 void store_put_in_force(struct spread *s, const struct record *r);
--- a/core/spread/spread_relay.c
+++ b/core/spread/spread_relay.c
@@ -86,7 +86,7 @@
 }
 
 /*
- * Join the parts of an offered version that need no content: a withdrawal, or
+ * Merge the parts of an offered version that need no content: a withdrawal, or
  * another revision with the content that is stored. Returns true when the
  * content has to be requested.
  */
@@ -94,16 +94,16 @@
 			const struct spread_offer *o, uint64_t from,
 			uint64_t now_ns)
 {
-	struct version joined = r->version;
+	struct version merged = r->version;
 	struct version v = { .withdrawn_revision =
 				     o->version.withdrawn_revision };
 
-	version_join(&joined, &o->version);
-	if (version_is_withdrawn(&joined) ||
-	    (r->content && r->content->hash == joined.hash))
+	version_merge(&merged, &o->version);
+	if (version_is_withdrawn(&merged) ||
+	    (r->content && r->content->hash == merged.hash))
 		v = o->version;
 	if (version_adds_to(&v, &r->version)) {
-		store_join(s, r, &v);
+		store_merge(s, r, &v);
 		relay_version(s, r, from, now_ns);
 	}
 	return version_supersedes(&o->version, &r->version);
@@ -206,7 +206,7 @@
 	if (o->version.generation == r->version.generation)
 		s->counters.conflicts++;
 	store_replace_content(r, c);
-	store_join(s, r, &o->version);
+	store_merge(s, r, &o->version);
 	r->request_deadline_ns = 0;
 	relay_version(s, r, msg->from, now_ns);
 }
--- a/core/spread/spread_store.c
+++ b/core/spread/spread_store.c
@@ -87,11 +87,14 @@
 	}
 }
 
-/* Join a version. The content that it may need has been stored before. */
-void store_join(struct spread *s, struct record *r, const struct version *v)
+/*
+ * Merge a version into a record. The content that it may need has been stored
+ * before.
+ */
+void store_merge(struct spread *s, struct record *r, const struct version *v)
 {
 	toggle_digest(s, r);
-	version_join(&r->version, v);
+	version_merge(&r->version, v);
 	toggle_digest(s, r);
 	if (version_is_withdrawn(&r->version) && r->content) {
 		record_clear(r);
--- a/core/spread/version.c
+++ b/core/spread/version.c
@@ -26,11 +26,11 @@
 }
 
 /**
- * version_adds_to() - whether joining a version would change another
+ * version_adds_to() - whether merging a version would change another
  * @a: version received
  * @b: version held
  *
- * Return: true when joining @a into @b would change @b.
+ * Return: true when merging @a into @b would change @b.
  */
 bool version_adds_to(const struct version *a, const struct version *b)
 {
@@ -56,11 +56,11 @@
 }
 
 /**
- * version_join() - replace a version by its join with another
+ * version_merge() - merge another version into a version
  * @to: version to be changed
  * @from: version of another VM
  */
-void version_join(struct version *to, const struct version *from)
+void version_merge(struct version *to, const struct version *from)
 {
 	if (version_supersedes(from, to)) {
 		to->generation = from->generation;
--- a/core/spread/version.h
+++ b/core/spread/version.h
@@ -16,7 +16,8 @@
  *
  * Versions form a join semilattice: (generation, revision, hash) only grows in
  * the order of version_supersedes(), and @withdrawn_revision only grows. VMs
- * that have received the same versions hold the same join, whatever the order.
+ * that have received the same versions hold the same merged version, whatever
+ * the order.
  */
 struct version {
 	uint64_t generation;
@@ -29,7 +30,7 @@
 bool version_adds_to(const struct version *a, const struct version *b);
 bool version_is_empty(const struct version *v);
 bool version_is_withdrawn(const struct version *v);
-void version_join(struct version *to, const struct version *from);
+void version_merge(struct version *to, const struct version *from);
 uint64_t version_digest(const char *key, const struct version *v);
 
 #endif
--- a/test/content_prop.cc
+++ b/test/content_prop.cc
@@ -44,7 +44,7 @@
 
 version joined(version a, const version &b)
 {
-	version_join(&a, &b);
+	version_merge(&a, &b);
 	return a;
 }
 
--- a/test/spread_net.c
+++ b/test/spread_net.c
@@ -458,7 +458,7 @@
 
 	record_in_force(vm->net, vm->watch_versions, key, version);
 	if (version_adds_to(version, &joined)) {
-		version_join(&joined, version);
+		version_merge(&joined, version);
 		record_in_force(vm->net, vm->entry_versions, key, &joined);
 	}
 	if (content && !strcmp(key, VMS_KEY))
