--- a/adapters/wire.c
+++ b/adapters/wire.c
@@ -14,7 +14,7 @@
 #define STATE_BITS 3
 #define STATE_MASK ((1 << STATE_BITS) - 1)
 #define GRANTED_BIT (1 << STATE_BITS)
-#define COVERED_BIT (1 << (STATE_BITS + 1))
+#define HISTORY_KNOWN_BIT (1 << (STATE_BITS + 1))
 #define CLAIM_BITS_MAX ((1 << (STATE_BITS + 2)) - 1)
 
 /* Optional fields of a message; a field that is zero is omitted. */
@@ -109,11 +109,11 @@
 	int err = 0;
 
 	bits |= c->granted ? GRANTED_BIT : 0;
-	bits |= c->covered ? COVERED_BIT : 0;
+	bits |= c->history_known ? HISTORY_KNOWN_BIT : 0;
 	err |= msgpack_pack_uint64(pk, c->request);
 	err |= msgpack_pack_uint32(pk, c->bucket);
 	err |= msgpack_pack_uint64(pk, c->claimer);
-	err |= msgpack_pack_uint64(pk, c->boot);
+	err |= msgpack_pack_uint64(pk, c->start_incarnation);
 	err |= msgpack_pack_uint64(pk, c->target);
 	err |= msgpack_pack_uint8(pk, bits);
 	return err;
@@ -294,12 +294,12 @@
 	c->request = read_uint(r, UINT64_MAX);
 	c->bucket = read_uint(r, UINT32_MAX);
 	c->claimer = read_uint(r, UINT64_MAX);
-	c->boot = read_uint(r, UINT64_MAX);
+	c->start_incarnation = read_uint(r, UINT64_MAX);
 	c->target = read_uint(r, UINT64_MAX);
 	bits = read_uint(r, CLAIM_BITS_MAX);
 	c->state = bits & STATE_MASK;
 	c->granted = bits & GRANTED_BIT;
-	c->covered = bits & COVERED_BIT;
+	c->history_known = bits & HISTORY_KNOWN_BIT;
 	if (c->state > CLAIM_UNKNOWN)
 		r->err = -EPROTO;
 }
--- a/bench/bench-packet/main.c
+++ b/bench/bench-packet/main.c
@@ -201,12 +201,13 @@
 
 	m.n_claims = n;
 	for (uint8_t i = 0; i < n; i++)
-		m.claims[i] = (struct claim){ .request = 0xfeedfacecafe0000 + i,
-					      .bucket = 9000,
-					      .claimer = vm,
-					      .boot = 1796234231031ULL,
-					      .target = target,
-					      .state = CLAIM_OPEN };
+		m.claims[i] =
+			(struct claim){ .request = 0xfeedfacecafe0000 + i,
+					.bucket = 9000,
+					.claimer = vm,
+					.start_incarnation = 1796234231031ULL,
+					.target = target,
+					.state = CLAIM_OPEN };
 	return m;
 }
 
--- a/core/member/member.c
+++ b/core/member/member.c
@@ -46,7 +46,7 @@
 	m->rng = rng;
 	m->incarnation = conf->incarnation;
 	m->seq = rng_next(&m->rng) >> 40;
-	m->push_deadline_ns = DEADLINE_NEVER_NS;
+	m->push_deadline_ns = DEADLINE_NEVER;
 	m->n_probes = PROBE_ROUNDS * (conf->probes_per_period + 1) +
 		      PROBES_FOR_OTHERS;
 	m->probe = calloc(m->n_probes, sizeof(*m->probe));
@@ -367,7 +367,8 @@
  * @m: membership
  *
  * Return: number of updates that said so. When it grows, other entries have
- * held this entry's buckets meanwhile, and ring_reset_cover() has to be called.
+ * held this entry's buckets meanwhile, and ring_restart_cover_time() has to be
+ * called.
  */
 uint64_t member_self_deaths(const struct membership *m)
 {
--- a/core/member/member_gossip.c
+++ b/core/member/member_gossip.c
@@ -18,7 +18,7 @@
 	priv->transmits_left =
 		UPDATE_RETRANSMIT_FACTOR * (1 + log2_ceil(m->n_live + 1));
 	priv->push_pending = true;
-	if (m->push_deadline_ns == DEADLINE_NEVER_NS)
+	if (m->push_deadline_ns == DEADLINE_NEVER)
 		m->push_deadline_ns = now_ns + PUSH_DELAY_NS;
 	member_schedule_tick(m, m->push_deadline_ns);
 }
@@ -281,7 +281,7 @@
 
 	if (now_ns < m->push_deadline_ns)
 		return;
-	m->push_deadline_ns = DEADLINE_NEVER_NS;
+	m->push_deadline_ns = DEADLINE_NEVER;
 	if (!m->n_live)
 		return;
 	if (m->push_budget < PUSH_FANOUT) {
--- a/core/member/member_impl.h
+++ b/core/member/member_impl.h
@@ -3,8 +3,7 @@
 #define CB_MEMBER_IMPL_H
 
 #include "member.h"
-
-#define DEADLINE_NEVER_NS UINT64_MAX
+#include "timers.h"
 
 /* Members that messages can add beyond those of the platform's list. */
 #define MEMBERS_HEADROOM 1024
@@ -119,7 +118,7 @@
  * @ack_deadline_ns: unless a later ping is acked, this entry is partitioned
  *	from then on
  * @round_deadline_ns: next round of probes
- * @push_deadline_ns: next push of updates, or DEADLINE_NEVER_NS
+ * @push_deadline_ns: next push of updates, or DEADLINE_NEVER
  * @sync_deadline_ns: when a view still differs then, it is requested whole
  * @next_ns: earliest of all deadlines
  * @push_budget: pushed messages left in this period
--- a/core/member/member_probe.c
+++ b/core/member/member_probe.c
@@ -267,10 +267,10 @@
 	uint64_t wait_ns = SYNC_AFTER_PERIODS * m->conf.probe_period_ns;
 
 	if (msg->view == m->view) {
-		m->sync_deadline_ns = DEADLINE_NEVER_NS;
+		m->sync_deadline_ns = DEADLINE_NEVER;
 		return;
 	}
-	if (m->sync_deadline_ns == DEADLINE_NEVER_NS)
+	if (m->sync_deadline_ns == DEADLINE_NEVER)
 		m->sync_deadline_ns = now_ns + wait_ns;
 	if (now_ns < m->sync_deadline_ns)
 		return;
--- a/core/member/peer.h
+++ b/core/member/peer.h
@@ -86,27 +86,28 @@
 
 /**
  * struct claim - claimed request in a claim, a grant, a settlement or a record
- * @request: hash of caller, VIP and message ID
+ * @request: hash of flow, message ID and token
  * @bucket: bucket of its flow
  * @claimer: VM that may run the request
- * @boot: number of the claimer's process. A restarted process has lost its
- *	state, so claims of the process before it are not its own
+ * @start_incarnation: incarnation with which the claimer's process started. A
+ *	restarted process has lost its state, so claims of the process before it
+ *	are not its own
  * @target: target of the request, or ADDR_NONE
  * @state: enum claim_state
  * @granted: in a grant: the claimer may run the request
- * @covered: in a grant: the granter has every claim of the bucket whose request
- *	a caller may still retransmit
+ * @history_known: in a grant: the granter knows the bucket's complete claim
+ *	history: every claim whose request a caller may still retransmit
  * @slot: request slot at the claimer itself; not encoded
  */
 struct claim {
 	uint64_t request;
 	uint32_t bucket;
 	uint64_t claimer;
-	uint64_t boot;
+	uint64_t start_incarnation;
 	uint64_t target;
 	uint8_t state;
 	bool granted;
-	bool covered;
+	bool history_known;
 	uint32_t slot;
 };
 
--- a/core/member/ring.c
+++ b/core/member/ring.c
@@ -48,7 +48,7 @@
 	r->settle_ns = settle_ns;
 	r->cover_ns = cover_ns;
 	r->observer = observer;
-	r->next_ns = DEADLINE_NEVER_NS;
+	r->next_ns = DEADLINE_NEVER;
 	r->buckets = calloc(n_buckets, sizeof(*r->buckets));
 	r->pending = calloc(n_buckets, sizeof(*r->pending));
 	if (!r->buckets || !r->pending) {
@@ -56,7 +56,7 @@
 		return NULL;
 	}
 	for (i = 0; i < n_buckets; i++)
-		r->buckets[i].covered_from_ns = DEADLINE_NEVER_NS;
+		r->buckets[i].history_known_from_ns = DEADLINE_NEVER;
 	return r;
 }
 
@@ -105,13 +105,13 @@
 	b->pair = after;
 	if (r->is_placed)
 		b->earliest_change_ns = now_ns + r->settle_ns;
-	/* The observer still gets the old value of ring_is_covered(). */
+	/* The observer still gets the old value of ring_history_known(). */
 	if (r->observer.changed)
 		r->observer.changed(r->observer.ctx, i, before, after);
 	if (is_member && !was_member)
-		b->covered_from_ns = now_ns + r->cover_ns;
+		b->history_known_from_ns = now_ns + r->cover_ns;
 	if (!is_member)
-		b->covered_from_ns = DEADLINE_NEVER_NS;
+		b->history_known_from_ns = DEADLINE_NEVER;
 }
 
 static void collect_pending(struct ring *r)
@@ -130,7 +130,7 @@
 	uint32_t i, k, left = 0;
 	struct bucket *b;
 
-	r->next_ns = DEADLINE_NEVER_NS;
+	r->next_ns = DEADLINE_NEVER;
 	for (k = 0; k < r->n_pending; k++) {
 		i = r->pending[k];
 		b = &r->buckets[i];
@@ -241,36 +241,37 @@
 }
 
 /**
- * ring_is_covered() - whether this entry has every claim of a bucket whose
- *	request a caller may still retransmit
+ * ring_history_known() - whether this entry knows a bucket's complete claim
+ *	history: every claim whose request a caller may still retransmit
  * @r: ring
  * @bucket: index of the bucket
  * @now_ns: current time
  *
  * Return: true when this entry has been in the bucket's pair for the cover
- * time, or has received the bucket's claims from an entry that was covered.
+ * time, or has received the history from an entry that knew it.
  */
-bool ring_is_covered(const struct ring *r, uint32_t bucket, uint64_t now_ns)
+bool ring_history_known(const struct ring *r, uint32_t bucket, uint64_t now_ns)
 {
-	return r->buckets[bucket].covered_from_ns <= now_ns;
+	return r->buckets[bucket].history_known_from_ns <= now_ns;
 }
 
 /**
- * ring_mark_covered() - record that a covered entry has sent all claims of a
- *	bucket
+ * ring_mark_history_known() - record that this entry has received a bucket's
+ *	complete claim history
  * @r: ring
  * @bucket: index of the bucket; ignored when this entry is not in its pair
  */
-void ring_mark_covered(struct ring *r, uint32_t bucket)
+void ring_mark_history_known(struct ring *r, uint32_t bucket)
 {
 	struct bucket *b = &r->buckets[bucket];
 
 	if (pair_contains(b->pair, r->self))
-		b->covered_from_ns = 0;
+		b->history_known_from_ns = 0;
 }
 
 /**
- * ring_reset_cover() - start the cover time again in all pairs with this entry
+ * ring_restart_cover_time() - start the cover time again in all pairs with this
+ *	entry
  * @r: ring
  * @now_ns: current time
  *
@@ -278,13 +279,14 @@
  * example during a pause. Its own pairs have not changed, but claims were made
  * without it, and it would treat a retransmission of such a request as new.
  */
-void ring_reset_cover(struct ring *r, uint64_t now_ns)
+void ring_restart_cover_time(struct ring *r, uint64_t now_ns)
 {
 	uint32_t i;
 
 	for (i = 0; i < r->n_buckets; i++)
 		if (pair_contains(r->buckets[i].pair, r->self))
-			r->buckets[i].covered_from_ns = now_ns + r->cover_ns;
+			r->buckets[i].history_known_from_ns =
+				now_ns + r->cover_ns;
 }
 
 /**
--- a/core/member/ring.h
+++ b/core/member/ring.h
@@ -26,7 +26,7 @@
  * struct ring_observer - callback for changes of pairs
  * @ctx: first argument of @changed
  * @changed: the pair of a bucket changes; may be NULL. During the call
- *	ring_is_covered() still has the value from before the change
+ *	ring_history_known() still has the value from before the change
  */
 struct ring_observer {
 	void *ctx;
@@ -44,9 +44,9 @@
 struct ring_pair ring_current_pair(const struct ring *r, uint32_t bucket);
 struct ring_pair ring_desired_pair(const struct ring *r, uint32_t bucket);
 bool ring_is_settled(const struct ring *r, uint32_t bucket, uint64_t now_ns);
-bool ring_is_covered(const struct ring *r, uint32_t bucket, uint64_t now_ns);
-void ring_mark_covered(struct ring *r, uint32_t bucket);
-void ring_reset_cover(struct ring *r, uint64_t now_ns);
+bool ring_history_known(const struct ring *r, uint32_t bucket, uint64_t now_ns);
+void ring_mark_history_known(struct ring *r, uint32_t bucket);
+void ring_restart_cover_time(struct ring *r, uint64_t now_ns);
 uint64_t ring_memory_bytes(const struct ring *r);
 
 #endif
--- a/core/member/ring_impl.h
+++ b/core/member/ring_impl.h
@@ -3,8 +3,7 @@
 #define CB_RING_IMPL_H
 
 #include "ring.h"
-
-#define DEADLINE_NEVER_NS UINT64_MAX
+#include "timers.h"
 
 /**
  * struct candidate - VM and its rendezvous score for a bucket
@@ -19,14 +18,14 @@
  * @best: the two live VMs with the highest scores, highest first
  * @pair: pair in force; approaches @best by one member per change
  * @earliest_change_ns: the pair is not changed again before this
- * @covered_from_ns: from then on this entry has all claims of the bucket;
- *	DEADLINE_NEVER_NS while it is not in @pair
+ * @history_known_from_ns: time from which this entry knows the bucket's
+ *	complete claim history; DEADLINE_NEVER while it is not in @pair
  */
 struct bucket {
 	struct candidate best[2];
 	struct ring_pair pair;
 	uint64_t earliest_change_ns;
-	uint64_t covered_from_ns;
+	uint64_t history_known_from_ns;
 };
 
 /**
@@ -46,7 +45,7 @@
  * @buckets: the buckets
  * @n_pending: number of pending buckets
  * @pending: indexes of the buckets whose pair is not the desired one yet
- * @next_ns: earliest time at which one of them may change, or DEADLINE_NEVER_NS
+ * @next_ns: earliest time at which one of them may change, or DEADLINE_NEVER
  */
 struct ring {
 	uint32_t n_buckets;
--- a/core/request/account_stats.c
+++ b/core/request/account_stats.c
@@ -6,14 +6,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Counters of one client account. */
-struct account_entry {
+struct account_counters {
 	char name[NAME_MAX_BYTES];
 	struct answer_stats by_class[CLASS_COUNT];
 };
 
 /* Service in force; account is an index into struct account_stats.accounts. */
-struct service_entry {
+struct counted_service {
 	uint64_t vip;
 	uint8_t class;
 	uint32_t account;
@@ -29,9 +28,9 @@
  * @by_vip: index of @services by VIP
  */
 struct account_stats {
-	struct account_entry *accounts;
+	struct account_counters *accounts;
 	uint32_t n_accounts;
-	struct service_entry *services;
+	struct counted_service *services;
 	uint32_t n_services;
 	struct index *by_vip;
 };
@@ -58,7 +57,7 @@
 
 static int by_name(const void *name, const void *row)
 {
-	return strcmp(name, ((const struct account_entry *)row)->name);
+	return strcmp(name, ((const struct account_counters *)row)->name);
 }
 
 /*
@@ -78,7 +77,7 @@
 /*
  * Merges two lists that are sorted by name. Return: number of accounts in @to.
  */
-static uint32_t merge_accounts(struct account_entry *to,
+static uint32_t merge_accounts(struct account_counters *to,
 			       const struct account_stats *counters,
 			       const struct config *config)
 {
@@ -103,7 +102,7 @@
 			const struct config *config)
 {
 	uint32_t n_max = counters->n_accounts + config->n_accounts;
-	struct account_entry *grown = calloc(n_max + 1, sizeof(*grown));
+	struct account_counters *grown = calloc(n_max + 1, sizeof(*grown));
 
 	if (!grown)
 		return -ENOMEM;
@@ -113,7 +112,7 @@
 	return 0;
 }
 
-static const struct service_entry *
+static const struct counted_service *
 find_service(const struct account_stats *counters, uint64_t vip)
 {
 	uint32_t slot;
@@ -132,7 +131,7 @@
 static void add_services(struct account_stats *counters,
 			 const struct account_conf *account)
 {
-	const struct account_entry *row =
+	const struct account_counters *row =
 		bsearch(account->name, counters->accounts, counters->n_accounts,
 			sizeof(*row), by_name);
 
@@ -142,7 +141,7 @@
 		if (find_service(counters, s->vip))
 			continue;
 		counters->services[counters->n_services] =
-			(struct service_entry){
+			(struct counted_service){
 				.vip = s->vip,
 				.class = s->class,
 				.account = (uint32_t)(row - counters->accounts),
@@ -210,7 +209,7 @@
 struct answer_stats *account_stats_find(struct account_stats *counters,
 					uint64_t vip, uint16_t flags)
 {
-	const struct service_entry *s = find_service(counters, vip);
+	const struct counted_service *s = find_service(counters, vip);
 
 	if (!s)
 		return NULL;
--- a/core/request/claiming.c
+++ b/core/request/claiming.c
@@ -25,7 +25,7 @@
 static bool claim_is_own(const struct entry *entry, const struct claim *claim)
 {
 	return claim->claimer == entry->conf.member.self &&
-	       claim->boot == entry->conf.member.incarnation;
+	       claim->start_incarnation == entry->conf.member.incarnation;
 }
 
 /*
@@ -45,7 +45,8 @@
 	struct claim claim = { .request = req->claim_id,
 			       .bucket = req->bucket,
 			       .claimer = entry->conf.member.self,
-			       .boot = entry->conf.member.incarnation,
+			       .start_incarnation =
+				       entry->conf.member.incarnation,
 			       .target = req->target,
 			       .state = state,
 			       .slot = request_slot(entry, req) };
@@ -198,9 +199,9 @@
 }
 
 /*
- * The fabric keeps routing requests to an entry that is cut off from its peers,
- * while the caller's next retransmission is likely to reach one that is not. An
- * answer at once would needlessly end the request as unknown.
+ * The fabric keeps routing requests to an entry that is partitioned from its
+ * peers, while the caller's next retransmission is likely to reach one that is
+ * not. An answer at once would needlessly end the request as unknown.
  */
 static void wait_for_majority(struct entry *entry, struct request *req)
 {
@@ -292,7 +293,7 @@
 	struct claim *claim = claims_find(entry->claims, other->request);
 
 	other->granted = true;
-	other->covered = history_known(entry, other->bucket);
+	other->history_known = history_known(entry, other->bucket);
 	if (!claim) {
 		other->granted =
 			claims_put(entry->claims, other, entry->now_ns) != NULL;
@@ -304,7 +305,8 @@
 		*claim = *other;
 		return;
 	}
-	if (claim->claimer == other->claimer && claim->boot == other->boot) {
+	if (claim->claimer == other->claimer &&
+	    claim->start_incarnation == other->start_incarnation) {
 		other->granted = claim->state == CLAIM_OPEN;
 		other->state = claim->state;
 		return;
@@ -313,7 +315,7 @@
 		claim->state = CLAIM_UNKNOWN;
 	other->granted = false;
 	other->claimer = claim->claimer;
-	other->boot = claim->boot;
+	other->start_incarnation = claim->start_incarnation;
 	other->state = claim->state;
 }
 
@@ -327,7 +329,7 @@
 	memset(&reply, 0, sizeof(reply));
 	reply.request = other->request;
 	reply.granted = true;
-	reply.covered = other->covered;
+	reply.history_known = other->history_known;
 	return reply;
 }
 
@@ -343,7 +345,7 @@
 			continue;
 		other.slot = SLOT_NONE;
 		other.claimer = msg->from;
-		other.boot = msg->incarnation;
+		other.start_incarnation = msg->incarnation;
 		decide_claim(entry, &other, msg->from);
 		reply->claims[reply->n_claims++] = make_grant(&other);
 	}
@@ -354,7 +356,7 @@
 {
 	entry->counters.claims_denied++;
 	own->claimer = other->claimer;
-	own->boot = other->boot;
+	own->start_incarnation = other->start_incarnation;
 	own->state = other->state;
 	handle_existing_claim(entry, req, own);
 }
@@ -375,7 +377,8 @@
 {
 	struct request *req = pending_request_of(entry, own);
 
-	if (other->claimer == own->claimer && other->boot == own->boot)
+	if (other->claimer == own->claimer &&
+	    other->start_incarnation == own->start_incarnation)
 		return;
 	if (req)
 		handle_denial(entry, req, own, other);
@@ -388,7 +391,7 @@
  * grants of other entries do not count.
  */
 static void record_grant(struct entry *entry, struct request *req,
-			 uint64_t from, bool covered)
+			 uint64_t from, bool granter_knows_history)
 {
 	struct ring_pair pair = ring_current_pair(entry->ring, req->bucket);
 
@@ -398,7 +401,7 @@
 		req->granted_by[1] = from;
 	else
 		return;
-	req->granter_knows_history |= covered;
+	req->granter_knows_history |= granter_knows_history;
 	if (!may_claim(entry, req))
 		return;
 	if (has_grant_of(entry, req, pair.owner) &&
@@ -418,7 +421,7 @@
 		handle_denial(entry, req, claim, other);
 		return;
 	}
-	record_grant(entry, req, from, other->covered);
+	record_grant(entry, req, from, other->history_known);
 }
 
 /* claim_grants_received() - PEER_GRANT: answers to claims of this entry. */
@@ -440,7 +443,7 @@
 			claims_find(entry->claims, other->request);
 
 		if (!claim || claim->claimer != other->claimer ||
-		    claim->boot != other->boot)
+		    claim->start_incarnation != other->start_incarnation)
 			continue;
 		if (claim->state == CLAIM_OPEN)
 			claim->state = other->state;
--- a/core/request/claims.c
+++ b/core/request/claims.c
@@ -84,8 +84,8 @@
  * @table: table of claim records
  * @request: hash of the request
  *
- * Return: record, of which the caller may change all but request and bucket, or
- * NULL.
+ * Return: record, or NULL. The caller may change its members except request and
+ * bucket.
  */
 struct claim *claims_find(struct claims *table, uint64_t request)
 {
--- a/core/request/entry.c
+++ b/core/request/entry.c
@@ -22,8 +22,8 @@
 }
 
 /*
- * An entry that joins does not know the previous owner. Without it, the
- * bucket's present second would be the owner, and was.
+ * An entry that joins has no previous pair of the bucket. The previous owner is
+ * then the bucket's present second, which ranks first without this entry.
  */
 static void record_ownership(struct entry *entry, uint32_t bucket,
 			     struct ring_pair before, struct ring_pair after)
--- a/core/request/entry_membership.c
+++ b/core/request/entry_membership.c
@@ -49,8 +49,8 @@
 /*
  * An entry owns no buckets before it knows the others: a majority of the roster
  * has answered, and gossip had a settle time to arrive. Without a majority it
- * joins nevertheless after JOIN_WAIT_NS, so that a data centre that is cut off
- * keeps serving.
+ * joins nevertheless after JOIN_WAIT_NS, so that an entry that is partitioned
+ * from all others keeps serving.
  */
 static void join_if_ready(struct entry *entry)
 {
@@ -111,7 +111,7 @@
 	if (entry->minority_since_ns != DEADLINE_NEVER &&
 	    entry->now_ns >= entry->minority_since_ns +
 				     entry->conf.member.suspect_timeout_ns)
-		ring_reset_cover(entry->ring, entry->now_ns);
+		ring_restart_cover_time(entry->ring, entry->now_ns);
 	entry->minority_since_ns = DEADLINE_NEVER;
 }
 
@@ -131,7 +131,7 @@
 		entry->stale = false;
 	entry->lease_lapsed = !valid;
 	if (deaths != entry->deaths)
-		ring_reset_cover(entry->ring, entry->now_ns);
+		ring_restart_cover_time(entry->ring, entry->now_ns);
 	entry->deaths = deaths;
 	check_majority(entry);
 }
--- a/core/request/entry_query.c
+++ b/core/request/entry_query.c
@@ -22,7 +22,7 @@
 
 		if (p.owner != self && p.second != self)
 			continue;
-		if (!ring_is_covered(entry->ring, i, now_ns))
+		if (!ring_history_known(entry->ring, i, now_ns))
 			return false;
 	}
 	return true;
--- a/core/request/entry_state.h
+++ b/core/request/entry_state.h
@@ -52,10 +52,10 @@
  * @token_len: length of @token in bytes
  * @token: caller's token
  * @sends: transmissions to the present target
- * @targets_tried: targets that it was sent to
+ * @targets_tried: number of targets that it was sent to
  * @internal: made by this entry to renew or move a feed; no caller waits for it
  * @acked: the target has acknowledged it
- * @counted: the balancer counts it at @target
+ * @counted: the balancer counts it in flight at @target
  * @may_have_run: a target may have executed it
  * @carrier_lost: block of a transfer that no entry can continue
  * @granter_knows_history: an entry that granted its claim knows the bucket's
@@ -247,7 +247,7 @@
  * @peer_budget_refilled_ns: time of the budget's last refill
  * @msg_ids: message IDs by target
  * @view: number of the membership view that @ring follows
- * @deaths: deaths in the membership that were acted on
+ * @deaths: last value of member_self_deaths() that was handled
  * @minority_since_ns: time since which there is no majority, or DEADLINE_NEVER
  * @roster_known: the platform's list of VMs has arrived
  * @joined: this entry takes part in the ring
@@ -426,8 +426,8 @@
 				const struct peer_msg *msg);
 bool claim_lease_holds(const struct entry *entry);
 bool claim_is_pending(struct entry *entry, const struct claim *claim);
-void claim_resolve_conflict(struct entry *entry, struct claim *mine,
-			    const struct claim *line);
+void claim_resolve_conflict(struct entry *entry, struct claim *own,
+			    const struct claim *other);
 
 /* feed.c */
 int feeds_init(struct entry *entry);
--- a/core/request/feed_copy.c
+++ b/core/request/feed_copy.c
@@ -134,9 +134,9 @@
 }
 
 /*
- * Number of message IDs that the previous server may have used since it sent
- * the copy: few when it has just handed the feed over, many when it died and
- * the copy is old.
+ * Number of message IDs that the entry that served the feed before may have
+ * used since it sent the copy: few when it has just handed the feed over, many
+ * when it died and the copy is old.
  */
 static uint16_t msg_id_gap(const struct entry *entry, const struct feed *feed)
 {
@@ -174,7 +174,7 @@
  * The entry that serves the feed hands it over itself, without a gap, unless it
  * dies first. Meanwhile a third entry without a copy may have become the owner,
  * and this entry may be out of the pair: each entry that holds a copy of a feed
- * whose server is dead sends it to the owner.
+ * whose serving entry is dead sends it to the owner.
  */
 void feed_copy_timer(struct entry *entry, struct feed *feed)
 {
--- a/core/request/route.c
+++ b/core/request/route.c
@@ -42,7 +42,8 @@
 }
 
 /*
- * vm_is_serving() - whether an entry can still answer for its claims: not dead.
+ * vm_is_serving() - whether an entry is known and not dead, so that it can
+ * still answer the requests that it claimed.
  */
 bool vm_is_serving(const struct entry *entry, uint64_t vm)
 {
@@ -55,8 +56,8 @@
 }
 
 /*
- * vm_may_own() - whether an entry may own buckets: alive, neither new nor
- * leaving.
+ * vm_may_own() - whether an entry may own buckets: alive or suspect, and it has
+ * joined and does not leave.
  */
 bool vm_may_own(const struct entry *entry, uint64_t vm)
 {
--- a/core/request/stream.c
+++ b/core/request/stream.c
@@ -161,7 +161,7 @@
 	if (!member_has_majority(entry->members))
 		return false;
 	return was_known_at_leave(entry, bucket) ||
-	       ring_is_covered(entry->ring, bucket, entry->now_ns);
+	       ring_history_known(entry->ring, bucket, entry->now_ns);
 }
 
 static void add_bucket(struct entry *entry, uint64_t vm, uint32_t bucket)
@@ -196,7 +196,7 @@
 
 		if (p.owner != self && p.second != self)
 			continue;
-		if (ring_is_covered(entry->ring, i, entry->now_ns))
+		if (ring_history_known(entry->ring, i, entry->now_ns))
 			entry->known_at_leave[i / 64] |= 1ULL << (i % 64);
 	}
 }
@@ -366,7 +366,7 @@
 	if (pair.owner != entry->conf.member.self &&
 	    pair.second != entry->conf.member.self)
 		return false;
-	ring_mark_covered(entry->ring, bucket);
+	ring_mark_history_known(entry->ring, bucket);
 	return true;
 }
 
--- a/test/ring_test.c
+++ b/test/ring_test.c
@@ -88,7 +88,7 @@
 	set_live(r, 6, now_ns);
 	for (i = 0; i < BUCKETS; i++) {
 		assert_false(pair_contains(ring_current_pair(r, i), vm(0)));
-		assert_false(ring_is_covered(r, i, now_ns + 2 * COVER_NS));
+		assert_false(ring_history_known(r, i, now_ns + 2 * COVER_NS));
 	}
 	ring_free(r);
 }
@@ -173,19 +173,19 @@
 	uint32_t b = 5;
 
 	(void)state;
-	assert_false(ring_is_covered(r, b, now_ns - 1));
-	assert_true(ring_is_covered(r, b, now_ns));
-	ring_reset_cover(r, now_ns);
-	assert_false(ring_is_covered(r, b, now_ns + COVER_NS - 1));
-	ring_mark_covered(r, b);
-	assert_true(ring_is_covered(r, b, now_ns));
+	assert_false(ring_history_known(r, b, now_ns - 1));
+	assert_true(ring_history_known(r, b, now_ns));
+	ring_restart_cover_time(r, now_ns);
+	assert_false(ring_history_known(r, b, now_ns + COVER_NS - 1));
+	ring_mark_history_known(r, b);
+	assert_true(ring_history_known(r, b, now_ns));
 	set_live(r, 2, now_ns);
-	assert_false(ring_is_covered(r, b, now_ns));
-	ring_mark_covered(r, b);
-	assert_false(ring_is_covered(r, b, now_ns));
+	assert_false(ring_history_known(r, b, now_ns));
+	ring_mark_history_known(r, b);
+	assert_false(ring_history_known(r, b, now_ns));
 	set_live(r, 3, now_ns + SETTLE_NS);
 	assert_true(pair_contains(ring_current_pair(r, b), vm(0)));
-	assert_false(ring_is_covered(r, b, now_ns + SETTLE_NS));
+	assert_false(ring_history_known(r, b, now_ns + SETTLE_NS));
 	ring_free(r);
 }
 
--- a/test/wire_prop.cc
+++ b/test/wire_prop.cc
@@ -31,11 +31,11 @@
 	c.request = any<uint64_t>();
 	c.bucket = any<uint32_t>();
 	c.claimer = any<uint64_t>();
-	c.boot = any<uint64_t>();
+	c.start_incarnation = any<uint64_t>();
 	c.target = any<uint64_t>();
 	c.state = *rc::gen::inRange<int>(CLAIM_NONE, CLAIM_UNKNOWN + 1);
 	c.granted = any<bool>();
-	c.covered = any<bool>();
+	c.history_known = any<bool>();
 	return c;
 }
 
@@ -95,11 +95,12 @@
 				  return p.request == q.request &&
 					 p.bucket == q.bucket &&
 					 p.claimer == q.claimer &&
-					 p.boot == q.boot &&
+					 p.start_incarnation ==
+						 q.start_incarnation &&
 					 p.target == q.target &&
 					 p.state == q.state &&
 					 p.granted == q.granted &&
-					 p.covered == q.covered;
+					 p.history_known == q.history_known;
 			  });
 }
 
--- a/test/wire_test.c
+++ b/test/wire_test.c
@@ -27,7 +27,7 @@
 				      .claimer = m.from,
 				      .target = ADDR(0x7f460201, 5683),
 				      .state = CLAIM_OPEN,
-				      .covered = true };
+				      .history_known = true };
 	return m;
 }
 
