--- a/core/member/ring_impl.h
+++ b/core/member/ring_impl.h
@@ -7,6 +7,8 @@
 
 /**
  * struct candidate - VM and its rendezvous score for a bucket
+ * @vm: address, or ADDR_NONE
+ * @score: score, the higher the better
  */
 struct candidate {
 	uint64_t vm;
--- a/core/request/stream.c
+++ b/core/request/stream.c
@@ -32,16 +32,16 @@
  * @due: bit set of the buckets to be sent
  * @known: bit set: of @due, the buckets whose complete history this entry knew
  * @n_due: number of bits set in @due
- * @scan: bucket to continue with
- * @cursor: claim record of that bucket to continue with
- * @in_bucket: @cursor is valid
+ * @next_bucket: bucket to continue with
+ * @next_record: slot of the claim record of that bucket to continue with
+ * @in_bucket: @next_record is valid
  * @retry_ns: time of the next transmission
  * @in_flight: a message awaits its acknowledgement
  * @n_claims: number of @claims
  * @sends: transmissions since the last acknowledgement
  * @refusals: consecutive messages of which the receiver refused a part
- * @claims: records of the message in flight
  * @n_complete: number of @complete_numbers
+ * @claims: records of the message in flight
  * @complete_numbers: buckets of the message in flight whose history is
  *	complete, 16 bits each, big endian
  */
@@ -51,8 +51,8 @@
 	uint64_t *due;
 	uint64_t *known;
 	uint32_t n_due;
-	uint32_t scan;
-	uint32_t cursor;
+	uint32_t next_bucket;
+	uint32_t next_record;
 	bool in_bucket;
 	uint64_t retry_ns;
 	bool in_flight;
@@ -235,20 +235,20 @@
 
 static void finish_bucket(struct stream *s)
 {
-	uint64_t bit = 1ULL << (s->scan % 64);
+	uint64_t bit = 1ULL << (s->next_bucket % 64);
 
-	if (s->known[s->scan / 64] & bit)
+	if (s->known[s->next_bucket / 64] & bit)
 		bucket_number_put(s->complete_numbers, s->n_complete++,
-				  s->scan);
-	s->due[s->scan / 64] &= ~bit;
+				  s->next_bucket);
+	s->due[s->next_bucket / 64] &= ~bit;
 	s->n_due--;
 	s->in_bucket = false;
 }
 
 static void advance_to_due(const struct entry *entry, struct stream *s)
 {
-	while (!(s->due[s->scan / 64] & 1ULL << (s->scan % 64)))
-		s->scan = (s->scan + 1) % entry->conf.n_buckets;
+	while (!(s->due[s->next_bucket / 64] & 1ULL << (s->next_bucket % 64)))
+		s->next_bucket = (s->next_bucket + 1) % entry->conf.n_buckets;
 }
 
 /*
@@ -256,11 +256,11 @@
  */
 static void fill_bucket(struct entry *entry, struct stream *s)
 {
-	uint32_t slot = claims_newest(entry->claims, s->scan);
+	uint32_t slot = claims_newest(entry->claims, s->next_bucket);
 
-	if (s->in_bucket && s->cursor != CLAIM_SLOT_NONE &&
-	    claims_at(entry->claims, s->cursor)->bucket == s->scan)
-		slot = s->cursor;
+	if (s->in_bucket && s->next_record != CLAIM_SLOT_NONE &&
+	    claims_at(entry->claims, s->next_record)->bucket == s->next_bucket)
+		slot = s->next_record;
 	while (slot != CLAIM_SLOT_NONE && s->n_claims < CLAIMS_MAX) {
 		const struct claim *c = claims_at(entry->claims, slot);
 
@@ -272,7 +272,7 @@
 			s->claims[s->n_claims++] = *c;
 		slot = claims_next_older(entry->claims, slot);
 	}
-	s->cursor = slot;
+	s->next_record = slot;
 	s->in_bucket = true;
 	if (slot == CLAIM_SLOT_NONE)
 		finish_bucket(s);
