--- a/sim/sim-soak/main.c
+++ b/sim/sim-soak/main.c
@@ -17,7 +17,8 @@
 #define WARM_UP_NS (4 * NS_PER_S)
 /* The rules for a restored store apply 10 s after the fault at the earliest. */
 #define FINAL_WAIT_NS (11 * NS_PER_S)
-#define FAULT_GAP_NS (1500 * NS_PER_MS)
+/* Pauses between faults are drawn between 0 and twice this time. */
+#define MEAN_FAULT_GAP_NS (1500 * NS_PER_MS)
 /* Least share of the requests served over a run, including its faults. */
 #define MIN_SERVED_SHARE 0.80
 
@@ -170,7 +171,7 @@
 					(N_WORLD_FAULTS + N_SOAK_FAULTS));
 
 		apply_fault(s, plan->names ? fault_find(plan->names[i]) : k);
-		run_loop_for(s, rng_next(rng) % (2 * FAULT_GAP_NS));
+		run_loop_for(s, rng_next(rng) % (2 * MEAN_FAULT_GAP_NS));
 	}
 }
 
@@ -203,24 +204,28 @@
 	}
 }
 
-/* Return: no rule was broken and enough requests were served. */
-static bool check_report(const struct world *w)
+/*
+ * Prints the report of a run.
+ * Return: no rule was broken and enough requests were served.
+ */
+static bool print_and_check_report(const struct world *w)
 {
 	struct world_report r;
-	double served;
+	double served_share;
 
 	world_report(w, &r);
-	served = r.requests ? (double)(r.on_time + r.late) / (double)r.requests
-			    : 0;
+	served_share =
+		r.requests ? (double)(r.on_time + r.late) / (double)r.requests
+			   : 0;
 	printf("\n  requests %llu served %.4f misrouted %llu broken %llu late "
 	       "drain %llu evacuated %llu overrun %llu stale %llu doubled "
 	       "%llu\n",
-	       (unsigned long long)r.requests, served,
+	       (unsigned long long)r.requests, served_share,
 	       (unsigned long long)r.misrouted, (unsigned long long)r.broken,
 	       (unsigned long long)r.late_drain,
 	       (unsigned long long)r.evacuated, (unsigned long long)r.overrun,
 	       (unsigned long long)r.stale, (unsigned long long)r.doubled);
-	return !world_broken_rules(&r) && served >= MIN_SERVED_SHARE;
+	return !world_broken_rules(&r) && served_share >= MIN_SERVED_SHARE;
 }
 
 static bool run_seed(const char *program, const char *dir, uint64_t seed,
@@ -250,8 +255,8 @@
 	run_loop_for(&s, WARM_UP_NS);
 	inject_faults(&s, &rng, plan);
 	run_loop_for(&s, FINAL_WAIT_NS);
-	passed = check_report(s.world);
-	processes_end(&s);
+	passed = print_and_check_report(s.world);
+	processes_kill(&s);
 	for (uint32_t i = 0; i < s.world->n_entries; i++) {
 		proxy_close(&s, i);
 		store_server_close(&s, i);
@@ -339,10 +344,11 @@
 		.program = arg_str0(NULL, "program", "FILE", "cb-packet"),
 		.dir = arg_str0(NULL, "dir", "DIR", "settings and logs"),
 		.seeds = arg_int0(NULL, "seeds", "N", "runs (1)"),
-		.first = arg_int0(NULL, "first-seed", "N", "(1)"),
+		.first = arg_int0(NULL, "first-seed", "N",
+				  "seed of the first run (1)"),
 		.faults = arg_int0(NULL, "faults", "N", "faults a run (6)"),
 		.names = arg_strn(NULL, "fault", "NAME", 0, 32,
-				  "these, one after the other"),
+				  "inject these faults in this order"),
 		.list = arg_lit0(NULL, "list", "name the faults and stop"),
 		.help = arg_lit0(NULL, "help", "print this and stop"),
 		.end = arg_end(8),
--- a/sim/sim-soak/processes.c
+++ b/sim/sim-soak/processes.c
@@ -1,4 +1,4 @@
-/* Starts, stops, pauses and kills the cb-packet processes, each by its pid. */
+/* Starts, terminates, freezes and kills the cb-packet processes. */
 #include "soak.h"
 
 #include <fcntl.h>
@@ -47,7 +47,7 @@
 	fclose(f);
 }
 
-static void on_ended(uv_process_t *process, int64_t status, int signal)
+static void on_exited(uv_process_t *process, int64_t status, int signal)
 {
 	struct soak_entry *e = process->data;
 	struct soak *s = e->soak;
@@ -66,7 +66,7 @@
 		world_entry_ended(s->world, e->index);
 }
 
-static void start(void *ctx, struct world *w, uint32_t entry)
+static void start_process(void *ctx, struct world *w, uint32_t entry)
 {
 	struct soak *s = ctx;
 	struct soak_entry *e = &s->entries[entry];
@@ -78,7 +78,8 @@
 	w->entries[entry].up = true;
 	w->entries[entry].frozen = false;
 	if (e->running)
-		return; /* still ending; the world restarts it in on_ended() */
+		/* Still exiting; on_exited() calls world_entry_ended(). */
+		return;
 	settings_path(s, entry, settings);
 	snprintf(log, sizeof(log), "%s/entry-%u.log", s->dir, entry);
 	s->world = w;
@@ -88,7 +89,7 @@
 		open(log, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
 	options.file = s->program;
 	options.args = args;
-	options.exit_cb = on_ended;
+	options.exit_cb = on_exited;
 	options.stdio = io;
 	options.stdio_count = 3;
 	e->process.data = e;
@@ -105,25 +106,26 @@
 		uv_process_kill(&s->entries[entry].process, number);
 }
 
-static void end(void *ctx, struct world *w, uint32_t entry)
+static void kill_process(void *ctx, struct world *w, uint32_t entry)
 {
 	(void)w;
 	send_signal(ctx, entry, SIGKILL);
 }
 
-static void stop(void *ctx, struct world *w, uint32_t entry)
+static void terminate_process(void *ctx, struct world *w, uint32_t entry)
 {
 	(void)w;
 	send_signal(ctx, entry, SIGTERM);
 }
 
-static void freeze(void *ctx, struct world *w, uint32_t entry, bool frozen)
+static void freeze_process(void *ctx, struct world *w, uint32_t entry,
+			   bool frozen)
 {
 	w->entries[entry].frozen = frozen;
 	send_signal(ctx, entry, frozen ? SIGSTOP : SIGCONT);
 }
 
-static bool ready(void *ctx, struct world *w, uint32_t entry)
+static bool entry_is_ready(void *ctx, struct world *w, uint32_t entry)
 {
 	const struct soak *s = ctx;
 	const struct soak_entry *e = &s->entries[entry];
@@ -133,14 +135,14 @@
 	       uv_hrtime() < e->ready_ns + READY_VALID_NS;
 }
 
-static void packet(void *ctx, struct world *w, uint32_t entry,
-		   const struct sim_packet *k)
+static void send_packet(void *ctx, struct world *w, uint32_t entry,
+			const struct sim_packet *sent)
 {
 	(void)w;
-	sockets_send_packet(ctx, entry, k);
+	sockets_send_packet(ctx, entry, sent);
 }
 
-static void target(void *ctx, struct world *w, uint32_t i)
+static void update_target(void *ctx, struct world *w, uint32_t i)
 {
 	struct soak *s = ctx;
 
@@ -156,8 +158,14 @@
  */
 struct entry_driver processes_driver(struct soak *s)
 {
-	return (struct entry_driver){ s,      start, end,    stop,
-				      freeze, ready, packet, target };
+	return (struct entry_driver){ s,
+				      start_process,
+				      kill_process,
+				      terminate_process,
+				      freeze_process,
+				      entry_is_ready,
+				      send_packet,
+				      update_target };
 }
 
 static void on_readiness(void *ctx, const struct http_reply *r)
@@ -188,8 +196,10 @@
 }
 
 /**
- * processes_poll_readiness() - request /readiness of every idle client's entry
+ * processes_poll_readiness() - request /readiness of all entries
  * @s: run
+ *
+ * Skips entries whose previous request has not ended.
  */
 void processes_poll_readiness(struct soak *s)
 {
@@ -221,10 +231,10 @@
 }
 
 /**
- * processes_end() - kill all processes of the run and wait for their exit
+ * processes_kill() - kill all processes of the run and wait for their exit
  * @s: run
  */
-void processes_end(struct soak *s)
+void processes_kill(struct soak *s)
 {
 	for (uint32_t i = 0; i < s->world->n_entries; i++) {
 		s->world->entries[i].up = false;
--- a/sim/sim-soak/soak.h
+++ b/sim/sim-soak/soak.h
@@ -1,7 +1,8 @@
 /*
  * Runs real cb-packet processes in place of the entries of sim-packets.
  * Clients, targets, routers, store and checked rules are those of sim-packets;
- * packets and calls go over loopback, in real time.
+ * packets and calls go over loopback, in real time. A client is a struct
+ * sim_user of the world.
  */
 #ifndef SIM_SOAK_H
 #define SIM_SOAK_H
@@ -44,8 +45,8 @@
  * @pending_watches: unanswered watches of this entry
  * @proxy: listening socket that the entry connects to as its store
  * @links: open connections through the proxy
- * @discard_until_ns: for each end, bytes from that end of a connection opened
- *	before this real time are discarded
+ * @discard_until_ns: for each end, real time; a connection opened earlier
+ *	discards the bytes from that end as long as it is open
  * @delay_until_ns: real time until which bytes are delayed by @delay_ns
  * @delay_ns: added delay of bytes through the proxy
  * @readiness_client: HTTP client that polls the readiness of the process
@@ -124,7 +125,7 @@
 int processes_open(struct soak *s);
 void processes_poll_readiness(struct soak *s);
 void processes_reload(struct soak *s);
-void processes_end(struct soak *s);
+void processes_kill(struct soak *s);
 
 /* sockets.c */
 int sockets_open(struct soak *s);
@@ -132,7 +133,7 @@
 void sockets_accept_probes(struct soak *s);
 void sockets_update_target(struct soak *s, uint32_t target);
 void sockets_send_packet(struct soak *s, uint32_t entry,
-			 const struct sim_packet *k);
+			 const struct sim_packet *packet);
 
 /* proxy.c */
 int proxy_open(struct soak *s, uint32_t entry);
@@ -143,7 +144,7 @@
 void proxy_drop_requests(struct soak *s);
 void proxy_delay(struct soak *s);
 
-/* publish.c */
+/* store_server.c */
 int store_server_open(struct soak *s, uint32_t entry);
 void store_server_close(struct soak *s, uint32_t entry);
 void store_server_answer_watches(struct soak *s);
--- a/sim/sim-soak/sockets.c
+++ b/sim/sim-soak/sockets.c
@@ -13,12 +13,12 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define HEAD_BYTES 32
-#define ENVELOPE_BYTES 8
+#define HEADER_BYTES 32
+#define ENCAPSULATION_BYTES 8
 #define PORT_BITS 10
 #define PORT_MASK ((1U << PORT_BITS) - 1)
 
-static struct sockaddr_in address(uint64_t addr)
+static struct sockaddr_in to_sockaddr(uint64_t addr)
 {
 	return (struct sockaddr_in){
 		.sin_family = AF_INET,
@@ -29,14 +29,14 @@
 
 static int bind_socket(int type, uint64_t addr)
 {
-	struct sockaddr_in at = address(addr);
+	struct sockaddr_in sin = to_sockaddr(addr);
 	int fd = socket(AF_INET, type | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
 	int on = 1;
 
 	if (fd < 0)
 		return -errno;
 	setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on));
-	if (bind(fd, (struct sockaddr *)&at, sizeof(at))) {
+	if (bind(fd, (struct sockaddr *)&sin, sizeof(sin))) {
 		int err = -errno;
 
 		close(fd);
@@ -46,7 +46,7 @@
 }
 
 /* Clients share CLIENT_SOCKETS addresses; the upper port bits number them. */
-static uint64_t wire_addr(uint32_t client, uint16_t port)
+static uint64_t client_addr(uint32_t client, uint16_t port)
 {
 	return ADDR(CLIENT_IP_0 + client % CLIENT_SOCKETS,
 		    client / CLIENT_SOCKETS << PORT_BITS | (port & PORT_MASK));
@@ -61,8 +61,8 @@
 }
 
 /*
- * Flow in terms of the world. A port other than the client's current one
- * belongs to an earlier flow of that client.
+ * Flow of a packet, with the address that the client has in the world. A port
+ * other than the current one of the client belongs to an earlier flow.
  */
 static struct flow_key flow_of_packet(const struct soak *s, uint32_t user,
 				      uint64_t addr, uint64_t vip)
@@ -74,49 +74,49 @@
 				  vip };
 }
 
-static void put(uint8_t *at, uint64_t v, uint32_t bytes)
+static void put_le(uint8_t *at, uint64_t v, uint32_t bytes)
 {
 	for (uint32_t i = 0; i < bytes; i++)
 		at[i] = (uint8_t)(v >> 8 * i);
 }
 
 /* Writes the packet header of the platform; its numbers are little-endian. */
-static void write_head(uint8_t *out, const struct sim_user *u,
-		       const struct sim_packet *k)
+static void write_header(uint8_t *out, const struct sim_user *u,
+			 const struct sim_packet *packet)
 {
-	static const uint8_t wire[] = {
+	static const uint8_t wire_flags[] = {
 		[PACKET_SYN] = 8, [PACKET_ACK] = 4, [PACKET_FIN] = 64
 	};
-	uint64_t src = wire_addr(k->user, k->port);
+	uint64_t src = client_addr(packet->user, packet->port);
 	uint64_t dst = route_vip(u->class);
 
-	memset(out, 0, HEAD_BYTES);
-	out[0] = wire[k->flags];
-	put(out + 2, k->seq, 4);
-	put(out + 6, k->ack, 4);
-	put(out + 10, k->size_bytes, 2);
-	put(out + 16, ADDR_PORT(dst), 2);
-	put(out + 18, ADDR_IP(dst), 4);
-	put(out + 22, ADDR_PORT(src), 2);
-	put(out + 24, ADDR_IP(src), 4);
-	put(out + 28, k->flags & PACKET_SYN ? 0 : u->cookie, 4);
+	memset(out, 0, HEADER_BYTES);
+	out[0] = wire_flags[packet->flags];
+	put_le(out + 2, packet->seq, 4);
+	put_le(out + 6, packet->ack, 4);
+	put_le(out + 10, packet->size_bytes, 2);
+	put_le(out + 16, ADDR_PORT(dst), 2);
+	put_le(out + 18, ADDR_IP(dst), 4);
+	put_le(out + 22, ADDR_PORT(src), 2);
+	put_le(out + 24, ADDR_IP(src), 4);
+	put_le(out + 28, packet->flags & PACKET_SYN ? 0 : u->cookie, 4);
 }
 
 /* Sends the packet of a client to the process of an entry. */
 void sockets_send_packet(struct soak *s, uint32_t entry,
-			 const struct sim_packet *k)
+			 const struct sim_packet *packet)
 {
 	uint8_t data[PACKET_BUFFER_BYTES] = { 0 };
-	struct sockaddr_in to = address(ADDR(PEER_IP + entry, CLIENT_PORT));
+	struct sockaddr_in to = to_sockaddr(ADDR(PEER_IP + entry, CLIENT_PORT));
 
-	write_head(data, &s->world->users[k->user], k);
+	write_header(data, &s->world->users[packet->user], packet);
 	/* Clients retransmit a lost datagram. */
-	(void)!sendto(s->clients[k->user % CLIENT_SOCKETS].fd, data,
-		      HEAD_BYTES + k->size_bytes, 0, (struct sockaddr *)&to,
-		      sizeof(to));
+	(void)!sendto(s->clients[packet->user % CLIENT_SOCKETS].fd, data,
+		      HEADER_BYTES + packet->size_bytes, 0,
+		      (struct sockaddr *)&to, sizeof(to));
 }
 
-static void on_client(uv_poll_t *poll, int status, int events)
+static void on_client_readable(uv_poll_t *poll, int status, int events)
 {
 	struct soak_client_socket *c = poll->data;
 	struct soak *s = c->soak;
@@ -160,11 +160,11 @@
 	struct sim_packet sim;
 	struct packet k;
 
-	for (uint32_t i = 0; i < ENVELOPE_BYTES; i++)
+	for (uint32_t i = 0; i < ENCAPSULATION_BYTES; i++)
 		id = id << 8 | data[i];
 	if (id != t->advertised.id ||
-	    users_read_packet(data + ENVELOPE_BYTES,
-			      size_bytes - ENVELOPE_BYTES, &k))
+	    users_read_packet(data + ENCAPSULATION_BYTES,
+			      size_bytes - ENCAPSULATION_BYTES, &k))
 		return;
 	sim = (struct sim_packet){
 		.user = user_at_addr(s, k.flow.caller),
@@ -182,7 +182,7 @@
 	targets_receive(s->world, target, entry, &sim);
 }
 
-static void on_target(uv_poll_t *poll, int status, int events)
+static void on_target_readable(uv_poll_t *poll, int status, int events)
 {
 	struct soak_address *a = poll->data;
 	struct sockaddr_in from;
@@ -195,7 +195,7 @@
 	soak_advance(a->soak);
 	while ((n = recvfrom(a->packets_fd, data, sizeof(data), 0,
 			     (struct sockaddr *)&from, &from_size)) > 0)
-		if (n > ENVELOPE_BYTES)
+		if (n > ENCAPSULATION_BYTES)
 			deliver_to_target(a->soak, a, data, (uint32_t)n,
 					  ntohl(from.sin_addr.s_addr) -
 						  PEER_IP);
@@ -214,7 +214,7 @@
 	}
 }
 
-static struct soak_address *address_of(struct soak *s, uint64_t addr)
+static struct soak_address *find_or_open_address(struct soak *s, uint64_t addr)
 {
 	struct soak_address *a;
 
@@ -229,12 +229,12 @@
 	a->packets_fd = bind_socket(SOCK_DGRAM, addr);
 	uv_poll_init(&s->loop, &a->packets, a->packets_fd);
 	a->packets.data = a;
-	uv_poll_start(&a->packets, UV_READABLE, on_target);
+	uv_poll_start(&a->packets, UV_READABLE, on_target_readable);
 	s->addresses[s->n_addresses++] = a;
 	return a;
 }
 
-static void stop_answering(struct soak_address *a)
+static void close_tcp_sockets(struct soak_address *a)
 {
 	for (uint32_t i = 0; i < 3; i++) {
 		if (a->blackhole_fds[i] >= 0)
@@ -250,7 +250,7 @@
 /* Fills the backlog, so that connections hang as to a VM that is off. */
 static void open_blackhole(struct soak_address *a)
 {
-	struct sockaddr_in to = address(a->addr);
+	struct sockaddr_in to = to_sockaddr(a->addr);
 
 	a->blackhole_fds[0] = bind_socket(SOCK_STREAM, a->addr);
 	if (a->blackhole_fds[0] < 0 || listen(a->blackhole_fds[0], 0))
@@ -268,9 +268,9 @@
 void sockets_update_target(struct soak *s, uint32_t target)
 {
 	const struct sim_target *t = &s->world->targets[target];
-	struct soak_address *a = address_of(s, t->advertised.addr);
+	struct soak_address *a = find_or_open_address(s, t->advertised.addr);
 
-	stop_answering(a);
+	close_tcp_sockets(a);
 	if (t->alive) {
 		a->probes_fd = bind_socket(SOCK_STREAM, a->addr);
 		if (a->probes_fd >= 0 && listen(a->probes_fd, 128))
@@ -298,7 +298,7 @@
 			return c->fd;
 		uv_poll_init(&s->loop, &c->poll, c->fd);
 		c->poll.data = c;
-		uv_poll_start(&c->poll, UV_READABLE, on_client);
+		uv_poll_start(&c->poll, UV_READABLE, on_client_readable);
 	}
 	return 0;
 }
@@ -314,7 +314,7 @@
 		close(s->clients[i].fd);
 	}
 	for (uint32_t i = 0; i < s->n_addresses; i++) {
-		stop_answering(s->addresses[i]);
+		close_tcp_sockets(s->addresses[i]);
 		uv_poll_stop(&s->addresses[i]->packets);
 		close(s->addresses[i]->packets_fd);
 	}
--- a/sim/sim-soak/store_server.c
+++ b/sim/sim-soak/store_server.c
@@ -84,7 +84,7 @@
 	g_string_free(json, TRUE);
 }
 
-static void put_key(GString *out, const struct document *d)
+static void put_document(GString *out, const struct document *d)
 {
 	bool routes = !strcmp(d->key, "routes");
 
@@ -107,12 +107,12 @@
 			       (unsigned long long)d->created);
 }
 
-static void put_answer(const struct world *w, uint64_t after, const char *list,
-		       GString *out)
+static void put_answer(const struct world *w, uint64_t after,
+		       const char *list_name, GString *out)
 {
 	uint32_t n = 0;
 
-	g_string_printf(out, "{\"%s\":[", list);
+	g_string_printf(out, "{\"%s\":[", list_name);
 	for (uint32_t i = 0; i < w->n_keys; i++) {
 		const struct document *d = &w->keys[i].d;
 
@@ -120,7 +120,7 @@
 			continue;
 		if (n++)
 			g_string_append_c(out, ',');
-		put_key(out, d);
+		put_document(out, d);
 	}
 	g_string_append_printf(out,
 			       "],\"more-pages\":false,"
@@ -128,7 +128,7 @@
 			       (unsigned long long)w->revision);
 }
 
-static void put_epoch(const struct world *w, struct http_request *req)
+static void add_epoch_header(const struct world *w, struct http_request *req)
 {
 	char text[24];
 
@@ -150,14 +150,14 @@
 	return BUSY;
 }
 
-static int handle(void *ctx, struct http_request *req, const char *method,
-		  const char *path, const char *query, const GString *in,
-		  GString *body)
+static int handle_request(void *ctx, struct http_request *req,
+			  const char *method, const char *path,
+			  const char *query, const GString *in, GString *body)
 {
 	struct soak_entry *e = ctx;
 	struct world *w = e->soak->world;
 	char after[32] = "0", wait_ms[32] = "0";
-	uint64_t from;
+	uint64_t after_revision;
 
 	(void)method;
 	(void)in;
@@ -172,40 +172,40 @@
 		break;
 	}
 	if (!strcmp(path, "/kv-range")) {
-		put_epoch(w, req);
+		add_epoch_header(w, req);
 		put_answer(w, 0, "items", body);
 		return OK;
 	}
 	http_query_parameter(query, "after", after, sizeof(after));
 	http_query_parameter(query, "wait-ms", wait_ms, sizeof(wait_ms));
-	from = g_ascii_strtoull(after, NULL, 10);
-	if (w->revision == from)
-		return defer_watch(e, req, from,
+	after_revision = g_ascii_strtoull(after, NULL, 10);
+	if (w->revision == after_revision)
+		return defer_watch(e, req, after_revision,
 				   g_ascii_strtoull(wait_ms, NULL, 10));
-	put_epoch(w, req);
-	if (w->revision < from)
+	add_epoch_header(w, req);
+	if (w->revision < after_revision)
 		return GONE;
-	put_answer(w, from, "events", body);
+	put_answer(w, after_revision, "events", body);
 	return OK;
 }
 
-static void answer_watch(struct soak_entry *e, struct pending_watch *i)
+static void answer_watch(struct soak_entry *e, struct pending_watch *watch)
 {
 	struct world *w = e->soak->world;
 	GString *body;
 
 	if (store_mode_of(w, e->index) != STORE_ANSWERS ||
-	    i->after == NEVER_ANSWERED)
+	    watch->after == NEVER_ANSWERED)
 		return; /* no answer: the caller runs into its timeout */
-	if (w->revision == i->after && uv_hrtime() < i->deadline_ns)
+	if (w->revision == watch->after && uv_hrtime() < watch->deadline_ns)
 		return;
 	body = g_string_new(NULL);
-	put_epoch(w, i->req);
-	if (w->revision >= i->after)
-		put_answer(w, i->after, "events", body);
-	http_respond(i->req, w->revision >= i->after ? OK : GONE, body);
+	add_epoch_header(w, watch->req);
+	if (w->revision >= watch->after)
+		put_answer(w, watch->after, "events", body);
+	http_respond(watch->req, w->revision >= watch->after ? OK : GONE, body);
 	g_string_free(body, TRUE);
-	i->req = NULL;
+	watch->req = NULL;
 }
 
 /**
@@ -233,7 +233,7 @@
 int store_server_open(struct soak *s, uint32_t entry)
 {
 	struct soak_entry *e = &s->entries[entry];
-	struct http_handler handler = { e, handle };
+	struct http_handler handler = { e, handle_request };
 
 	return http_server_open(&s->loop, ADDR(STORE_IP_0 + entry, STORE_PORT),
 				handler, &e->store);
@@ -247,7 +247,7 @@
 void store_server_close(struct soak *s, uint32_t entry)
 {
 	struct soak_entry *e = &s->entries[entry];
-	GString *nothing = g_string_new(NULL);
+	GString *empty_body = g_string_new(NULL);
 
 	if (!e->store)
 		return;
@@ -255,7 +255,8 @@
 	e->store = NULL;
 	for (uint32_t i = 0; i < PENDING_WATCHES_MAX; i++)
 		if (e->pending_watches[i].req)
-			http_respond(e->pending_watches[i].req, BUSY, nothing);
+			http_respond(e->pending_watches[i].req, BUSY,
+				     empty_body);
 	memset(e->pending_watches, 0, sizeof(e->pending_watches));
-	g_string_free(nothing, TRUE);
+	g_string_free(empty_body, TRUE);
 }
