--- a/sim/sim-fabric/commands.c
+++ b/sim/sim-fabric/commands.c
@@ -8,35 +8,31 @@
 #define DELAY_MAX_MS 60000
 
 static const char *const counter_names[COUNTERS] = {
-	[COUNT_TO_ENTRIES] = "to_entries",
-	[COUNT_TO_CALLERS] = "to_callers",
-	[COUNT_CUT] = "cut",
-	[COUNT_DROPPED] = "dropped",
-	[COUNT_DUPLICATED] = "duplicated",
-	[COUNT_DELAYED] = "delayed",
-	[COUNT_UNSENT] = "unsent",
-	[COUNT_MALFORMED] = "malformed",
+	[COUNT_TO_ENTRIES] = "to_entries", [COUNT_TO_CALLERS] = "to_callers",
+	[COUNT_PARTITIONED] = "cut",	   [COUNT_DROPPED] = "dropped",
+	[COUNT_DUPLICATED] = "duplicated", [COUNT_DELAYED] = "delayed",
+	[COUNT_UNSENT] = "unsent",	   [COUNT_MALFORMED] = "malformed",
 };
 
-static int cut_or_heal(struct fabric *f, char **argv, bool cut)
+static int set_partitioned(struct fabric *f, char **argv, bool partitioned)
 {
 	uint64_t addr;
 
 	if (addr_parse(argv[1], &addr))
 		return -EINVAL;
-	return entries_set_cut(&f->entries, addr, cut);
+	return entries_set_partitioned(&f->entries, addr, partitioned);
 }
 
 static int do_cut(void *ctx, int argc, char **argv, char *reply, size_t n)
 {
 	(void)argc, (void)reply, (void)n;
-	return cut_or_heal(ctx, argv, true);
+	return set_partitioned(ctx, argv, true);
 }
 
 static int do_heal(void *ctx, int argc, char **argv, char *reply, size_t n)
 {
 	(void)argc, (void)reply, (void)n;
-	return cut_or_heal(ctx, argv, false);
+	return set_partitioned(ctx, argv, false);
 }
 
 static int do_drop(void *ctx, int argc, char **argv, char *reply, size_t n)
@@ -105,7 +101,7 @@
 	(void)argc, (void)argv, (void)reply, (void)n;
 	faults_clear(&f->faults);
 	for (i = 0; i < f->entries.n; i++)
-		f->entries.list[i].cut = false;
+		f->entries.list[i].partitioned = false;
 	return 0;
 }
 
--- a/sim/sim-fabric/delay_queue.c
+++ b/sim/sim-fabric/delay_queue.c
@@ -88,23 +88,24 @@
 /**
  * delay_queue_put() - add a datagram
  * @q: queue
- * @h: datagram, copied; @h->order is ignored
+ * @datagram: datagram, copied; @datagram->order is ignored
  *
  * Return: 0, or -ENOBUFS if the queue is full.
  */
-int delay_queue_put(struct delay_queue *q, const struct delayed_datagram *h)
+int delay_queue_put(struct delay_queue *q,
+		    const struct delayed_datagram *datagram)
 {
 	struct delayed_datagram *copy;
 
 	if (q->n == q->capacity)
 		return -ENOBUFS;
 	copy = &q->pool[q->heap[q->n]];
-	copy->due_ns = h->due_ns;
+	copy->due_ns = datagram->due_ns;
 	copy->order = q->next_order++;
-	copy->to = h->to;
-	copy->via = h->via;
-	copy->size_bytes = h->size_bytes;
-	memcpy(copy->data, h->data, h->size_bytes);
+	copy->to = datagram->to;
+	copy->via = datagram->via;
+	copy->size_bytes = datagram->size_bytes;
+	memcpy(copy->data, datagram->data, datagram->size_bytes);
 	sift_up(q, q->n++);
 	return 0;
 }
--- a/sim/sim-fabric/entries.c
+++ b/sim/sim-fabric/entries.c
@@ -21,7 +21,8 @@
 		return -E2BIG;
 	for (i = 0; i < n; i++) {
 		e->list[i].addr = addrs[i];
-		e->list[i].cut = entries_is_cut(&before, addrs[i]);
+		e->list[i].partitioned =
+			entries_is_partitioned(&before, addrs[i]);
 	}
 	e->n = n;
 	return 0;
@@ -39,20 +40,20 @@
 }
 
 /**
- * entries_set_cut() - partition an entry from the fabric, or reconnect it
+ * entries_set_partitioned() - partition an entry from the fabric, or reconnect it
  * @e: entries
  * @addr: address of the entry
- * @cut: true to partition it, false to reconnect it
+ * @partitioned: true to partition it, false to reconnect it
  *
  * Return: 0, or -ENOENT if the entry is not listed.
  */
-int entries_set_cut(struct entries *e, uint64_t addr, bool cut)
+int entries_set_partitioned(struct entries *e, uint64_t addr, bool partitioned)
 {
 	struct fabric_entry *slot = find(e, addr);
 
 	if (!slot)
 		return -ENOENT;
-	slot->cut = cut;
+	slot->partitioned = partitioned;
 	return 0;
 }
 
@@ -72,19 +73,19 @@
 }
 
 /**
- * entries_is_cut() - check whether an entry is partitioned
+ * entries_is_partitioned() - check whether an entry is partitioned
  * @e: entries
  * @addr: any address
  *
  * Return: true if @addr is a listed entry and partitioned.
  */
-bool entries_is_cut(const struct entries *e, uint64_t addr)
+bool entries_is_partitioned(const struct entries *e, uint64_t addr)
 {
 	uint32_t i;
 
 	for (i = 0; i < e->n; i++) {
 		if (e->list[i].addr == addr)
-			return e->list[i].cut;
+			return e->list[i].partitioned;
 	}
 	return false;
 }
--- a/sim/sim-fabric/fabric.h
+++ b/sim/sim-fabric/fabric.h
@@ -50,11 +50,11 @@
 /**
  * struct fabric_entry - an entry
  * @addr: address that receives datagrams
- * @cut: partitioned: datagrams to and from the entry are dropped
+ * @partitioned: datagrams to and from the entry are dropped
  */
 struct fabric_entry {
 	uint64_t addr;
-	bool cut;
+	bool partitioned;
 };
 
 /**
@@ -68,10 +68,10 @@
 };
 
 int entries_set(struct entries *e, const uint64_t *addrs, uint32_t n);
-int entries_set_cut(struct entries *e, uint64_t addr, bool cut);
+int entries_set_partitioned(struct entries *e, uint64_t addr, bool partitioned);
 const struct fabric_entry *entries_select(const struct entries *e,
 					  struct rng *rng);
-bool entries_is_cut(const struct entries *e, uint64_t addr);
+bool entries_is_partitioned(const struct entries *e, uint64_t addr);
 
 /* delay_queue.c: delayed datagrams. */
 
@@ -97,16 +97,20 @@
 
 struct delay_queue *delay_queue_new(uint32_t capacity);
 void delay_queue_free(struct delay_queue *q);
-int delay_queue_put(struct delay_queue *q, const struct delayed_datagram *h);
+int delay_queue_put(struct delay_queue *q,
+		    const struct delayed_datagram *datagram);
 const struct delayed_datagram *delay_queue_pop_due(struct delay_queue *q,
 						   uint64_t now_ns);
 uint64_t delay_queue_next_ns(const struct delay_queue *q);
 
-/* Counters, printed by the control command "stats". */
+/*
+ * Counters, printed by the control command "stats". COUNT_PARTITIONED also counts
+ * datagrams of callers that arrive while no entry is listed.
+ */
 enum counter {
 	COUNT_TO_ENTRIES,
 	COUNT_TO_CALLERS,
-	COUNT_CUT,
+	COUNT_PARTITIONED,
 	COUNT_DROPPED,
 	COUNT_DUPLICATED,
 	COUNT_DELAYED,
--- a/sim/sim-fabric/forward.c
+++ b/sim/sim-fabric/forward.c
@@ -2,14 +2,15 @@
 
 #include <string.h>
 
-static void send_now(struct fabric *f, const struct delayed_datagram *h)
+static void send_now(struct fabric *f, const struct delayed_datagram *datagram)
 {
-	uv_buf_t buf = uv_buf_init((char *)h->data, h->size_bytes);
+	uv_buf_t buf =
+		uv_buf_init((char *)datagram->data, datagram->size_bytes);
 	struct sockaddr_in to;
 	int rc;
 
-	sim_sockaddr(h->to, &to);
-	rc = uv_udp_try_send(&f->ports[h->via].udp, &buf, 1,
+	sim_sockaddr(datagram->to, &to);
+	rc = uv_udp_try_send(&f->ports[datagram->via].udp, &buf, 1,
 			     (struct sockaddr *)&to);
 	if (rc < 0)
 		f->counts[COUNT_UNSENT]++;
@@ -33,29 +34,29 @@
 void fabric_send_due(struct fabric *f)
 {
 	uint64_t now_ns = uv_hrtime();
-	const struct delayed_datagram *h;
+	const struct delayed_datagram *datagram;
 
-	while ((h = delay_queue_pop_due(f->delayed, now_ns)))
-		send_now(f, h);
+	while ((datagram = delay_queue_pop_due(f->delayed, now_ns)))
+		send_now(f, datagram);
 	arm_timer(f, now_ns);
 }
 
-static void delay(struct fabric *f, struct delayed_datagram *h,
+static void delay(struct fabric *f, struct delayed_datagram *datagram,
 		  uint64_t delay_ns)
 {
 	uint64_t now_ns = uv_hrtime();
 
-	h->due_ns = now_ns + delay_ns;
-	if (delay_queue_put(f->delayed, h)) {
+	datagram->due_ns = now_ns + delay_ns;
+	if (delay_queue_put(f->delayed, datagram)) {
 		f->counts[COUNT_UNSENT]++;
 		return;
 	}
 	f->counts[COUNT_DELAYED]++;
-	if (delay_queue_next_ns(f->delayed) == h->due_ns)
+	if (delay_queue_next_ns(f->delayed) == datagram->due_ns)
 		arm_timer(f, now_ns);
 }
 
-static void forward(struct fabric *f, struct delayed_datagram *h)
+static void forward(struct fabric *f, struct delayed_datagram *datagram)
 {
 	struct datagram_faults drawn = faults_draw(&f->faults);
 	uint32_t i;
@@ -64,9 +65,9 @@
 	f->counts[COUNT_DUPLICATED] += drawn.n_copies > 1;
 	for (i = 0; i < drawn.n_copies; i++) {
 		if (drawn.delay_ns[i])
-			delay(f, h, drawn.delay_ns[i]);
+			delay(f, datagram, drawn.delay_ns[i]);
 		else
-			send_now(f, h);
+			send_now(f, datagram);
 	}
 }
 
@@ -83,8 +84,8 @@
 	const struct fabric_entry *entry =
 		entries_select(&f->entries, &f->select_rng);
 
-	if (!entry || entry->cut) {
-		f->counts[COUNT_CUT]++;
+	if (!entry || entry->partitioned) {
+		f->counts[COUNT_PARTITIONED]++;
 		return;
 	}
 	proxy2_write(f->datagram.data, caller, vip->addr);
@@ -127,8 +128,8 @@
 		f->counts[COUNT_MALFORMED]++;
 		return;
 	}
-	if (entries_is_cut(&f->entries, entry)) {
-		f->counts[COUNT_CUT]++;
+	if (entries_is_partitioned(&f->entries, entry)) {
+		f->counts[COUNT_PARTITIONED]++;
 		return;
 	}
 	f->datagram.size_bytes = size_bytes - (uint32_t)header;
--- a/test/sim_fabric_test.c
+++ b/test/sim_fabric_test.c
@@ -29,7 +29,7 @@
 
 	(void)state;
 	entries_set(&e, addrs, 4);
-	assert_int_equal(entries_set_cut(&e, ENTRY(2), true), 0);
+	assert_int_equal(entries_set_partitioned(&e, ENTRY(2), true), 0);
 	for (i = 0; i < DRAWS; i++)
 		hits[entries_select(&e, &rng) - e.list]++;
 	for (i = 0; i < 4; i++)
@@ -44,13 +44,13 @@
 
 	(void)state;
 	entries_set(&e, before, 2);
-	assert_int_equal(entries_set_cut(&e, ENTRY(9), true), -ENOENT);
-	entries_set_cut(&e, ENTRY(1), true);
-	entries_set_cut(&e, ENTRY(2), true);
+	assert_int_equal(entries_set_partitioned(&e, ENTRY(9), true), -ENOENT);
+	entries_set_partitioned(&e, ENTRY(1), true);
+	entries_set_partitioned(&e, ENTRY(2), true);
 	entries_set(&e, after, 2);
-	assert_false(entries_is_cut(&e, ENTRY(1)));
-	assert_true(entries_is_cut(&e, ENTRY(2)));
-	assert_false(entries_is_cut(&e, ENTRY(3)));
+	assert_false(entries_is_partitioned(&e, ENTRY(1)));
+	assert_true(entries_is_partitioned(&e, ENTRY(2)));
+	assert_false(entries_is_partitioned(&e, ENTRY(3)));
 }
 
 static void faults_affect_the_configured_shares(void **state)
