--- a/sim/sim-target/commands.c
+++ b/sim/sim-target/commands.c
@@ -7,7 +7,7 @@
 
 static const char *const counter_names[COUNTERS] = {
 	[COUNT_RUNS] = "runs",
-	[COUNT_REPEATS] = "repeats",
+	[COUNT_RETRANSMISSIONS] = "repeats",
 	[COUNT_REUSED_IDS] = "reused_ids",
 	[COUNT_SHED] = "shed",
 	[COUNT_SHED_DRAINING] = "shed_draining",
--- a/sim/sim-target/dedup.c
+++ b/sim/sim-target/dedup.c
@@ -20,7 +20,7 @@
 	uint32_t next;
 	bool answered;
 	bool used;
-	struct reply answer;
+	struct answer answer;
 };
 
 /*
@@ -134,7 +134,7 @@
  * Return: whether the message is new, or a retransmission.
  */
 enum dedup_verdict dedup_record(struct dedup *d, const struct message_key *key,
-				uint64_t now_ns, const struct reply **answer)
+				uint64_t now_ns, const struct answer **answer)
 {
 	enum dedup_verdict verdict = DEDUP_NEW;
 	struct exchange *x = find(d, key);
@@ -159,7 +159,7 @@
  * @answer: answer, copied
  */
 void dedup_record_answer(struct dedup *d, const struct message_key *key,
-			 const struct reply *answer)
+			 const struct answer *answer)
 {
 	struct exchange *x = find(d, key);
 
--- a/sim/sim-target/serve.c
+++ b/sim/sim-target/serve.c
@@ -14,7 +14,7 @@
 #define SOCKET_SCAN_MAX 256
 #define MISSED_ROUNDS_MAX 2
 
-static const struct path paths[] = {
+static const struct resource resources[] = {
 	{ "feed", target_handle_feed, true },
 	{ "forecast", target_handle_work, false },
 	{ "report", target_handle_work, false },
@@ -26,7 +26,7 @@
 /* User data of a resource, the only context that libcoap passes to handlers. */
 struct resource_context {
 	struct target *t;
-	const struct path *path;
+	const struct resource *resource;
 };
 
 /**
@@ -64,27 +64,27 @@
  * target_fill_pdu() - write an answer into a PDU
  * @t: target
  * @pdu: PDU with type, message ID and token set
- * @reply: answer
+ * @answer: answer
  *
  * Return: true if all options and the body fitted.
  */
 bool target_fill_pdu(struct target *t, coap_pdu_t *pdu,
-		     const struct reply *reply)
+		     const struct answer *answer)
 {
-	size_t len = strlen(reply->body);
+	size_t len = strlen(answer->body);
 	bool ok = true;
 
-	coap_pdu_set_code(pdu, reply->code);
-	if (reply->code == COAP_RESPONSE_CODE_SERVICE_UNAVAILABLE)
-		ok &= add_uint(pdu, COAP_OPTION_MAXAGE, reply->max_age_s);
-	if (reply->has_block)
+	coap_pdu_set_code(pdu, answer->code);
+	if (answer->code == COAP_RESPONSE_CODE_SERVICE_UNAVAILABLE)
+		ok &= add_uint(pdu, COAP_OPTION_MAXAGE, answer->max_age_s);
+	if (answer->has_block)
 		ok &= add_uint(pdu, COAP_OPTION_BLOCK1,
-			       reply->block_num << 4 |
-				       (uint32_t)reply->block_more << 3 |
-				       reply->block_szx);
+			       answer->block_num << 4 |
+				       (uint32_t)answer->block_more << 3 |
+				       answer->block_szx);
 	ok &= add_load(t, pdu);
 	if (len)
-		ok &= coap_add_data(pdu, len, (const uint8_t *)reply->body);
+		ok &= coap_add_data(pdu, len, (const uint8_t *)answer->body);
 	return ok;
 }
 
@@ -92,10 +92,10 @@
  * target_send() - send a separate answer, after the handler has returned
  * @t: target
  * @r: request to be answered
- * @reply: answer
+ * @answer: answer
  */
 void target_send(struct target *t, const struct request *r,
-		 const struct reply *reply)
+		 const struct answer *answer)
 {
 	coap_pdu_type_t type =
 		r->confirmable ? COAP_MESSAGE_CON : COAP_MESSAGE_NON;
@@ -106,7 +106,7 @@
 	if (!pdu)
 		return;
 	if (coap_add_token(pdu, r->key.token_len, r->key.token) &&
-	    target_fill_pdu(t, pdu, reply))
+	    target_fill_pdu(t, pdu, answer))
 		coap_send(r->session, pdu);
 	else
 		coap_delete_pdu(pdu);
@@ -159,14 +159,14 @@
 	return uv_hrtime() + (uint64_t)timeout_ms * NS_PER_MS;
 }
 
-static void read_request(const struct resource_context *s,
+static void read_request(const struct resource_context *context,
 			 coap_session_t *session, const coap_pdu_t *pdu,
 			 const coap_string_t *query, struct request *r)
 {
 	coap_bin_const_t token = coap_pdu_get_token(pdu);
 
 	memset(r, 0, sizeof(*r));
-	r->path = s->path;
+	r->resource = context->resource;
 	r->session = session;
 	r->key.peer = sim_addr(&coap_session_get_addr_remote(session)->addr.sa);
 	r->key.mid = (uint16_t)coap_pdu_get_mid(pdu);
@@ -211,7 +211,7 @@
 
 static void notify(struct target *t, struct observer *feed, coap_pdu_t *answer)
 {
-	struct reply out = { .code = COAP_RESPONSE_CODE_CONTENT };
+	struct answer out = { .code = COAP_RESPONSE_CODE_CONTENT };
 
 	if (!feed)
 		return;
@@ -227,7 +227,7 @@
 
 /* A cancellation never runs the request, even if the request has ended. */
 static void answer_new(struct target *t, const struct request *r,
-		       struct reply *out)
+		       struct answer *out)
 {
 	if (r->observe == COAP_OBSERVE_CANCEL &&
 	    r->method == COAP_REQUEST_GET) {
@@ -236,7 +236,7 @@
 		target_write_body(t, r->id, 0, out);
 		return;
 	}
-	r->path->serve(t, r, out);
+	r->resource->serve(t, r, out);
 	out->has_block = r->has_block;
 	out->block_num = r->block.num;
 	out->block_more = r->block.m;
@@ -245,29 +245,31 @@
 
 /* A retransmitted request gets the current sequence number of its feed. */
 static void answer_retransmission(struct target *t, const struct request *r,
-				  const struct reply *before, struct reply *out)
+				  const struct answer *recorded,
+				  struct answer *out)
 {
 	coap_bin_const_t token = { r->key.token_len, r->key.token };
 	const struct observer *feed =
 		observers_find(t->observers, r->session, token);
 
-	*out = *before;
+	*out = *recorded;
 	if (feed && out->code == COAP_RESPONSE_CODE_CONTENT)
 		target_write_body(t, feed->id, feed->sequence, out);
 }
 
 static void answer_request(struct target *t, const struct request *r,
-			   struct reply *out)
+			   struct answer *out)
 {
-	const struct reply *before = NULL;
+	const struct answer *recorded = NULL;
 	enum dedup_verdict verdict = DEDUP_NEW;
 
 	if (!t->opt.no_dedup)
-		verdict = dedup_record(t->dedup, &r->key, uv_hrtime(), &before);
+		verdict =
+			dedup_record(t->dedup, &r->key, uv_hrtime(), &recorded);
 	if (verdict == DEDUP_PENDING || verdict == DEDUP_ANSWERED) {
-		t->counts[COUNT_REPEATS]++;
+		t->counts[COUNT_RETRANSMISSIONS]++;
 		if (verdict == DEDUP_ANSWERED)
-			answer_retransmission(t, r, before, out);
+			answer_retransmission(t, r, recorded, out);
 		return;
 	}
 	if (verdict == DEDUP_REUSED)
@@ -277,13 +279,14 @@
 		dedup_record_answer(t->dedup, &r->key, out);
 }
 
-static void handle(coap_resource_t *resource, coap_session_t *session,
-		   const coap_pdu_t *request, const coap_string_t *query,
-		   coap_pdu_t *answer)
+static void handle_request(coap_resource_t *coap_resource,
+			   coap_session_t *session, const coap_pdu_t *request,
+			   const coap_string_t *query, coap_pdu_t *answer)
 {
-	const struct resource_context *s = coap_resource_get_userdata(resource);
-	struct target *t = s->t;
-	struct reply out = { 0 };
+	const struct resource_context *context =
+		coap_resource_get_userdata(coap_resource);
+	struct target *t = context->t;
+	struct answer out = { 0 };
 	struct request r;
 	struct observer *feed;
 
@@ -297,7 +300,7 @@
 	}
 	if (t->behaviour.silent)
 		return;
-	read_request(s, session, request, query, &r);
+	read_request(context, session, request, query, &r);
 	answer_request(t, &r, &out);
 	if (out.code)
 		target_fill_pdu(t, answer, &out);
@@ -316,27 +319,27 @@
 	coap_resource_notify_observers(t->feed_resource, NULL);
 }
 
-static int add_path(struct target *t, const struct path *path)
+static int add_resource(struct target *t, const struct resource *resource)
 {
-	coap_str_const_t *name = coap_make_str_const(path->name);
-	struct resource_context *s = g_new0(struct resource_context, 1);
-	coap_resource_t *resource =
+	coap_str_const_t *name = coap_make_str_const(resource->name);
+	struct resource_context *context = g_new0(struct resource_context, 1);
+	coap_resource_t *coap_resource =
 		coap_resource_init(name, COAP_RESOURCE_FLAGS_NOTIFY_NON);
 	int method;
 
-	if (!resource)
+	if (!coap_resource)
 		return -ENOMEM;
-	s->t = t;
-	s->path = path;
-	coap_resource_set_userdata(resource, s);
+	context->t = t;
+	context->resource = resource;
+	coap_resource_set_userdata(coap_resource, context);
 	for (method = COAP_REQUEST_GET; method <= COAP_REQUEST_DELETE; method++)
-		coap_register_request_handler(resource, (coap_request_t)method,
-					      handle);
-	if (path->observable) {
-		coap_resource_set_get_observable(resource, 1);
-		t->feed_resource = resource;
+		coap_register_request_handler(
+			coap_resource, (coap_request_t)method, handle_request);
+	if (resource->observable) {
+		coap_resource_set_get_observable(coap_resource, 1);
+		t->feed_resource = coap_resource;
 	}
-	coap_add_resource(t->coap, resource);
+	coap_add_resource(t->coap, coap_resource);
 	return 0;
 }
 
@@ -388,7 +391,7 @@
 		return -EADDRNOTAVAIL;
 	enlarge_receive_buffer(t);
 	coap_resource_release_userdata_handler(t->coap, g_free);
-	for (i = 0; i < sizeof(paths) / sizeof(paths[0]) && !rc; i++)
-		rc = add_path(t, &paths[i]);
+	for (i = 0; i < sizeof(resources) / sizeof(resources[0]) && !rc; i++)
+		rc = add_resource(t, &resources[i]);
 	return rc;
 }
--- a/sim/sim-target/slots.c
+++ b/sim/sim-target/slots.c
@@ -5,13 +5,13 @@
 #include <string.h>
 
 /* A job in a slot. */
-struct running {
+struct running_job {
 	void *job;
 	uint64_t finish_ns;
 };
 
 /* A queued job. */
-struct waiting {
+struct queued_job {
 	void *job;
 	uint64_t deadline_ns;
 };
@@ -21,9 +21,9 @@
 	uint32_t n_slots;
 	uint32_t queue_max;
 	uint32_t n_running;
-	uint32_t n_waiting;
-	struct running *running;
-	struct waiting *queue;
+	uint32_t n_queued;
+	struct running_job *running;
+	struct queued_job *queue;
 };
 
 /**
@@ -39,8 +39,8 @@
 
 	s->n_slots = n_slots;
 	s->queue_max = queue_max;
-	s->running = g_new0(struct running, n_slots);
-	s->queue = g_new0(struct waiting, n_slots + queue_max);
+	s->running = g_new0(struct running_job, n_slots);
+	s->queue = g_new0(struct queued_job, n_slots + queue_max);
 	return s;
 }
 
@@ -65,19 +65,19 @@
 {
 	uint32_t n_free = s->n_slots - s->n_running;
 
-	if (s->n_waiting >= s->queue_max + n_free)
+	if (s->n_queued >= s->queue_max + n_free)
 		return -EBUSY;
-	s->queue[s->n_waiting].job = job;
-	s->queue[s->n_waiting].deadline_ns = deadline_ns;
-	s->n_waiting++;
+	s->queue[s->n_queued].job = job;
+	s->queue[s->n_queued].deadline_ns = deadline_ns;
+	s->n_queued++;
 	return 0;
 }
 
 static void unqueue(struct slots *s, uint32_t i)
 {
-	s->n_waiting--;
+	s->n_queued--;
 	memmove(&s->queue[i], &s->queue[i + 1],
-		(s->n_waiting - i) * sizeof(s->queue[0]));
+		(s->n_queued - i) * sizeof(s->queue[0]));
 }
 
 /**
@@ -92,7 +92,7 @@
 {
 	uint64_t deadline_ns;
 
-	if (s->n_waiting == 0 || s->n_running == s->n_slots)
+	if (s->n_queued == 0 || s->n_running == s->n_slots)
 		return SLOTS_NONE;
 	*job = s->queue[0].job;
 	deadline_ns = s->queue[0].deadline_ns;
@@ -149,7 +149,7 @@
 {
 	uint32_t i;
 
-	for (i = 0; i < s->n_waiting; i++) {
+	for (i = 0; i < s->n_queued; i++) {
 		if (!match(s->queue[i].job, arg))
 			continue;
 		*job = s->queue[i].job;
@@ -182,7 +182,7 @@
 	return s->n_running;
 }
 
-uint32_t slots_waiting(const struct slots *s)
+uint32_t slots_queued(const struct slots *s)
 {
-	return s->n_waiting;
+	return s->n_queued;
 }
--- a/sim/sim-target/target.h
+++ b/sim/sim-target/target.h
@@ -37,12 +37,12 @@
 		  void *arg, void **job);
 uint64_t slots_next_finish_ns(const struct slots *s);
 uint32_t slots_running(const struct slots *s);
-uint32_t slots_waiting(const struct slots *s);
+uint32_t slots_queued(const struct slots *s);
 
 /* dedup.c: detects retransmissions within the exchange lifetime. */
 
 /**
- * struct reply - contents of an answer, kept for retransmissions
+ * struct answer - contents of an answer, kept for retransmissions
  * @code: CoAP code, 0 if the answer is sent later
  * @max_age_s: Max-Age in seconds, sent only with code 5.03
  * @has_block: the request has a Block1 option, which the answer echoes
@@ -51,7 +51,7 @@
  * @block_szx: size exponent of Block1
  * @body: payload, ended by NUL
  */
-struct reply {
+struct answer {
 	uint8_t code;
 	uint32_t max_age_s;
 	bool has_block;
@@ -90,9 +90,9 @@
 struct dedup *dedup_new(uint32_t capacity, uint64_t window_ns);
 void dedup_free(struct dedup *d);
 enum dedup_verdict dedup_record(struct dedup *d, const struct message_key *key,
-				uint64_t now_ns, const struct reply **answer);
+				uint64_t now_ns, const struct answer **answer);
 void dedup_record_answer(struct dedup *d, const struct message_key *key,
-			 const struct reply *answer);
+			 const struct answer *answer);
 
 /* behaviour.c: faults of the target. */
 
@@ -218,7 +218,7 @@
 /* Counters, printed by the control command "stats". */
 enum counter {
 	COUNT_RUNS,
-	COUNT_REPEATS,
+	COUNT_RETRANSMISSIONS,
 	COUNT_REUSED_IDS,
 	COUNT_SHED,
 	COUNT_SHED_DRAINING,
@@ -234,22 +234,22 @@
 struct request;
 
 /**
- * struct path - a resource of the target
+ * struct resource - a resource of the target
  * @name: Uri-Path
  * @serve: handles a request that is no retransmission; fills @out, or leaves
  *	its code 0 if the answer is sent later
  * @observable: the resource supports Observe
  */
-struct path {
+struct resource {
 	const char *name;
 	void (*serve)(struct target *t, const struct request *r,
-		      struct reply *out);
+		      struct answer *out);
 	bool observable;
 };
 
 /**
  * struct request - a parsed request
- * @path: requested resource
+ * @resource: requested resource
  * @session: session of libcoap, not referenced
  * @key: identity at the message layer
  * @confirmable: the request is confirmable (CON)
@@ -257,11 +257,12 @@
  * @observe: value of the Observe option, -1 if missing
  * @has_block: the request has a Block1 option
  * @block: value of Block1
- * @deadline_ns: time at which the caller gives up, NEVER_NS if not given
+ * @deadline_ns: monotonic time from which the request must not start, NEVER_NS
+ *	without the Timeout option
  * @id: value of the query parameter id, "-" if missing
  */
 struct request {
-	const struct path *path;
+	const struct resource *resource;
 	coap_session_t *session;
 	struct message_key key;
 	bool confirmable;
@@ -306,7 +307,11 @@
 	uint64_t seed;
 };
 
-/* A target: a CoAP endpoint of libcoap, its jobs, observers and faults. */
+/*
+ * A target: a CoAP endpoint of libcoap, its jobs, observers and faults.
+ * @sequence numbers the answers of finished jobs, @round the rounds of
+ * notifications.
+ */
 struct target {
 	struct target_options opt;
 	char name[32];
@@ -341,24 +346,24 @@
 void target_free_jobs(struct target *t);
 void target_notify_observers(struct target *t);
 void target_apply_packet_loss(const struct target *t);
-void target_refuse(struct reply *out, const char *reason);
+void target_refuse(struct answer *out, const char *reason);
 void target_write_body(struct target *t, const char *id, uint32_t sequence,
-		       struct reply *out);
+		       struct answer *out);
 void target_log_run(struct target *t, const struct request *r);
 void target_send(struct target *t, const struct request *r,
-		 const struct reply *reply);
+		 const struct answer *answer);
 bool target_fill_pdu(struct target *t, coap_pdu_t *pdu,
-		     const struct reply *reply);
+		     const struct answer *answer);
 void target_handle_work(struct target *t, const struct request *r,
-			struct reply *out);
+			struct answer *out);
 void target_handle_upload(struct target *t, const struct request *r,
-			  struct reply *out);
+			  struct answer *out);
 void target_handle_feed(struct target *t, const struct request *r,
-			struct reply *out);
+			struct answer *out);
 void target_handle_load(struct target *t, const struct request *r,
-			struct reply *out);
+			struct answer *out);
 void target_handle_missing(struct target *t, const struct request *r,
-			   struct reply *out);
+			   struct answer *out);
 bool target_cancel(struct target *t, const struct request *r);
 struct load target_current_load(const struct target *t);
 void target_quit_when_idle(struct target *t);
--- a/sim/sim-target/work.c
+++ b/sim/sim-target/work.c
@@ -7,7 +7,7 @@
 
 /* A queued or running request; its session is referenced. */
 struct job {
-	struct request r;
+	struct request request;
 	bool fails;
 };
 
@@ -16,7 +16,7 @@
  * @out: receives the answer
  * @reason: reason for the body, in a few words
  */
-void target_refuse(struct reply *out, const char *reason)
+void target_refuse(struct answer *out, const char *reason)
 {
 	out->code = COAP_RESPONSE_CODE_SERVICE_UNAVAILABLE;
 	out->max_age_s = SHED_MAX_AGE_S;
@@ -31,7 +31,7 @@
  * @out: receives the body
  */
 void target_write_body(struct target *t, const char *id, uint32_t sequence,
-		       struct reply *out)
+		       struct answer *out)
 {
 	g_snprintf(out->body, sizeof(out->body), "%s %s %s %u", id,
 		   t->opt.service, t->name, sequence);
@@ -54,8 +54,8 @@
 	if (!t->runs)
 		return;
 	fprintf(t->runs, "run %s %s /%s %s %s %llu\n", r->id, t->opt.service,
-		r->path->name, methods[r->method < 5 ? r->method : 0], t->name,
-		(unsigned long long)(uv_hrtime() / NS_PER_MS));
+		r->resource->name, methods[r->method < 5 ? r->method : 0],
+		t->name, (unsigned long long)(uv_hrtime() / NS_PER_MS));
 	fflush(t->runs);
 }
 
@@ -69,7 +69,7 @@
 {
 	struct load l = {
 		.running = (uint16_t)slots_running(t->slots),
-		.waiting = (uint16_t)slots_waiting(t->slots),
+		.waiting = (uint16_t)slots_queued(t->slots),
 		.connections = (uint16_t)observers_count(t->observers),
 	};
 
@@ -77,10 +77,10 @@
 }
 
 static void fill_result(struct target *t, const struct job *job,
-			struct reply *out)
+			struct answer *out)
 {
-	target_write_body(t, job->r.id, ++t->sequence, out);
-	out->code = job->r.method == COAP_REQUEST_GET
+	target_write_body(t, job->request.id, ++t->sequence, out);
+	out->code = job->request.method == COAP_REQUEST_GET
 			    ? COAP_RESPONSE_CODE_CONTENT
 			    : COAP_RESPONSE_CODE_CHANGED;
 	if (!job->fails)
@@ -91,49 +91,49 @@
 
 static void job_free(struct job *job)
 {
-	coap_session_release(job->r.session);
+	coap_session_release(job->request.session);
 	g_free(job);
 }
 
-static void job_answer(struct target *t, struct job *job, struct reply *out)
+static void job_answer(struct target *t, struct job *job, struct answer *out)
 {
-	out->has_block = job->r.has_block;
-	out->block_num = job->r.block.num;
-	out->block_more = job->r.block.m;
-	out->block_szx = job->r.block.szx;
-	dedup_record_answer(t->dedup, &job->r.key, out);
-	target_send(t, &job->r, out);
+	out->has_block = job->request.has_block;
+	out->block_num = job->request.block.num;
+	out->block_more = job->request.block.m;
+	out->block_szx = job->request.block.szx;
+	dedup_record_answer(t->dedup, &job->request.key, out);
+	target_send(t, &job->request, out);
 	job_free(job);
 }
 
-static void finish(struct target *t, struct job *job)
+static void finish_job(struct target *t, struct job *job)
 {
-	struct reply out = { 0 };
+	struct answer out = { 0 };
 
 	fill_result(t, job, &out);
 	job_answer(t, job, &out);
 }
 
-static void expire(struct target *t, struct job *job)
+static void expire_job(struct target *t, struct job *job)
 {
-	struct reply out = { 0 };
+	struct answer out = { 0 };
 
 	t->counts[COUNT_EXPIRED]++;
 	target_refuse(&out, "deadline");
 	job_answer(t, job, &out);
 }
 
-static void start(struct target *t, struct job *job, uint64_t now_ns)
+static void start_job(struct target *t, struct job *job, uint64_t now_ns)
 {
 	uint64_t work_ns =
 		behaviour_work_ns(&t->behaviour, t->opt.work_ns, now_ns);
 
 	job->fails = behaviour_draw(&t->behaviour, t->behaviour.fail_percent);
-	target_log_run(t, &job->r);
+	target_log_run(t, &job->request);
 	slots_start(t->slots, job, now_ns + work_ns);
 }
 
-static void start_queued(struct target *t, uint64_t now_ns)
+static void start_queued_jobs(struct target *t, uint64_t now_ns)
 {
 	enum slots_verdict verdict;
 	void *job;
@@ -143,9 +143,9 @@
 		if (verdict == SLOTS_NONE)
 			return;
 		if (verdict == SLOTS_EXPIRED)
-			expire(t, job);
+			expire_job(t, job);
 		else
-			start(t, job, now_ns);
+			start_job(t, job, now_ns);
 	}
 }
 
@@ -161,12 +161,12 @@
 }
 
 /*
- * Open feeds are interrupted when the target quits, so it waits for them, but
- * only for FEEDS_WAIT_NS: what stops the target does not wait longer.
+ * Quitting interrupts open feeds, so the target waits until they close, but for
+ * FEEDS_WAIT_NS at most: the program that stops it does not wait longer.
  */
 static bool can_quit(const struct target *t, uint64_t now_ns)
 {
-	if (slots_running(t->slots) || slots_waiting(t->slots))
+	if (slots_running(t->slots) || slots_queued(t->slots))
 		return false;
 	return !observers_count(t->observers) || now_ns >= t->quit_deadline_ns;
 }
@@ -181,8 +181,8 @@
 	void *job;
 
 	while (slots_pop_finished(t->slots, now_ns, &job))
-		finish(t, job);
-	start_queued(t, now_ns);
+		finish_job(t, job);
+	start_queued_jobs(t, now_ns);
 	uv_update_time(&t->loop);
 	arm_work_timer(t, now_ns);
 	if (t->quitting && can_quit(t, now_ns))
@@ -216,7 +216,7 @@
 		job_free(job);
 }
 
-static bool refuse_by_fault(struct target *t, struct reply *out)
+static bool refuse_by_fault(struct target *t, struct answer *out)
 {
 	if (t->behaviour.draining) {
 		t->counts[COUNT_SHED_DRAINING]++;
@@ -238,14 +238,14 @@
  * @out: receives the answer if the request is refused
  */
 void target_handle_work(struct target *t, const struct request *r,
-			struct reply *out)
+			struct answer *out)
 {
 	struct job *job;
 
 	if (refuse_by_fault(t, out))
 		return;
 	job = g_new0(struct job, 1);
-	job->r = *r;
+	job->request = *r;
 	if (slots_enqueue(t->slots, job, r->deadline_ns)) {
 		g_free(job);
 		t->counts[COUNT_SHED]++;
@@ -263,7 +263,7 @@
  *	request is queued
  */
 void target_handle_upload(struct target *t, const struct request *r,
-			  struct reply *out)
+			  struct answer *out)
 {
 	enum upload_verdict verdict = UPLOAD_COMPLETE;
 
@@ -291,7 +291,7 @@
  * the target drains: a refusal would end the feed.
  */
 void target_handle_feed(struct target *t, const struct request *r,
-			struct reply *out)
+			struct answer *out)
 {
 	coap_bin_const_t token = { r->key.token_len, r->key.token };
 	struct observer *feed = observers_find(t->observers, r->session, token);
@@ -324,7 +324,7 @@
  * @out: receives the answer
  */
 void target_handle_load(struct target *t, const struct request *r,
-			struct reply *out)
+			struct answer *out)
 {
 	struct load now = target_current_load(t);
 	struct load reported = load_report_get(&t->report, &now, uv_hrtime());
@@ -342,7 +342,7 @@
  * @out: receives the answer
  */
 void target_handle_missing(struct target *t, const struct request *r,
-			   struct reply *out)
+			   struct answer *out)
 {
 	(void)t;
 	(void)r;
@@ -351,7 +351,7 @@
 
 static bool same_request(const void *job, void *arg)
 {
-	const struct message_key *a = &((const struct job *)job)->r.key;
+	const struct message_key *a = &((const struct job *)job)->request.key;
 	const struct message_key *b = arg;
 
 	return a->peer == b->peer && a->token_len == b->token_len &&
--- a/sim/sim.h
+++ b/sim/sim.h
@@ -41,7 +41,7 @@
 void sim_sockaddr(uint64_t addr, struct sockaddr_in *sin);
 uint64_t sim_addr(const struct sockaddr *sa);
 int sim_udp_bind(uv_loop_t *loop, uv_udp_t *udp, uint64_t addr,
-		 const char *program, const char *step);
+		 const char *program, const char *purpose);
 void sim_timer_arm(uv_timer_t *timer, uv_timer_cb callback,
 		   uint64_t deadline_ns, uint64_t now_ns);
 void sim_loop_close(uv_loop_t *loop);
@@ -52,9 +52,10 @@
  * @min_args: least number of arguments
  * @max_args: greatest number of arguments
  * @usage: expected arguments, for error messages
- * @run: runs the command with the arguments @argv[1] to @argv[argc - 1]; writes
- *	the answer to @reply, or leaves it empty for "ok"; returns 0, or a
- *	negative errno value for invalid arguments
+ * @run: runs the command with @ctx of the control port and the arguments
+ *	@argv[1] to @argv[argc - 1]; writes the answer to @reply, or leaves it
+ *	empty for "ok"; returns 0, or a negative errno value for invalid
+ *	arguments
  */
 struct control_command {
 	const char *name;
--- a/sim/sockets.c
+++ b/sim/sockets.c
@@ -37,12 +37,12 @@
  * @udp: handle to initialise
  * @addr: address to bind
  * @program: program name for the error message
- * @step: purpose of the socket for the error message
+ * @purpose: name of the socket for the error message
  *
  * Return: 0, or a negative error of libuv after printing an error message.
  */
 int sim_udp_bind(uv_loop_t *loop, uv_udp_t *udp, uint64_t addr,
-		 const char *program, const char *step)
+		 const char *program, const char *purpose)
 {
 	struct sockaddr_in sin;
 	char text[32];
@@ -53,7 +53,7 @@
 	if (!rc)
 		rc = uv_udp_bind(udp, (struct sockaddr *)&sin, 0);
 	if (rc)
-		fprintf(stderr, "%s: %s %s: %s\n", program, step,
+		fprintf(stderr, "%s: %s %s: %s\n", program, purpose,
 			addr_text(addr, text, sizeof(text)), uv_strerror(rc));
 	return rc;
 }
--- a/test/sim_dedup_test.c
+++ b/test/sim_dedup_test.c
@@ -36,7 +36,7 @@
 static enum dedup_verdict record(struct dedup *d, struct message_key key,
 				 uint64_t now_ns)
 {
-	const struct reply *answer;
+	const struct answer *answer;
 
 	return dedup_record(d, &key, now_ns, &answer);
 }
@@ -48,12 +48,12 @@
 static void retransmission_gets_the_recorded_answer(void **state)
 {
 	struct message_key key = key_of(PEER, 7, 1);
-	struct reply reply = { .code = 0x44, .body = "done" };
-	const struct reply *answer = NULL;
+	struct answer recorded = { .code = 0x44, .body = "done" };
+	const struct answer *answer = NULL;
 
 	assert_int_equal(record(*state, key, 0), DEDUP_NEW);
 	assert_int_equal(record(*state, key, 1), DEDUP_PENDING);
-	dedup_record_answer(*state, &key, &reply);
+	dedup_record_answer(*state, &key, &recorded);
 	assert_int_equal(dedup_record(*state, &key, 2, &answer),
 			 DEDUP_ANSWERED);
 	assert_int_equal(answer->code, 0x44);
@@ -68,11 +68,11 @@
 {
 	struct message_key first = key_of(PEER, 7, 1);
 	struct message_key second = key_of(PEER, 7, 2);
-	struct reply reply = { .code = 0x44 };
+	struct answer recorded = { .code = 0x44 };
 
 	assert_int_equal(record(*state, first, 0), DEDUP_NEW);
 	assert_int_equal(record(*state, second, 1), DEDUP_REUSED);
-	dedup_record_answer(*state, &first, &reply);
+	dedup_record_answer(*state, &first, &recorded);
 	assert_int_equal(record(*state, second, 2), DEDUP_PENDING);
 }
 
--- a/test/sim_slots_test.c
+++ b/test/sim_slots_test.c
@@ -60,7 +60,7 @@
 	assert_int_equal(slots_enqueue(s, &jobs[i], NEVER_NS), -EBUSY);
 	assert_int_equal(start_all(s, 0), 0);
 	assert_int_equal(slots_running(s), SLOTS);
-	assert_int_equal(slots_waiting(s), QUEUE);
+	assert_int_equal(slots_queued(s), QUEUE);
 }
 
 static void queued_jobs_start_in_order_of_arrival(void **state)
@@ -118,7 +118,7 @@
 	assert_true(slots_cancel(s, is_job, &jobs[2], &job));
 	assert_ptr_equal(job, &jobs[2]);
 	assert_false(slots_cancel(s, is_job, &jobs[2], &job));
-	assert_int_equal(slots_waiting(s), 1);
+	assert_int_equal(slots_queued(s), 1);
 	assert_int_equal(slots_running(s), SLOTS);
 }
 
