--- a/sim/sim-fabric/entries.c
+++ b/sim/sim-fabric/entries.c
@@ -40,7 +40,7 @@
 }
 
 /**
- * entries_set_partitioned() - partition an entry from the fabric, or reconnect it
+ * entries_set_partitioned() - partition an entry, or reconnect it
  * @e: entries
  * @addr: address of the entry
  * @partitioned: true to partition it, false to reconnect it
--- a/sim/sim-fabric/fabric.h
+++ b/sim/sim-fabric/fabric.h
@@ -104,8 +104,8 @@
 uint64_t delay_queue_next_ns(const struct delay_queue *q);
 
 /*
- * Counters, printed by the control command "stats". COUNT_PARTITIONED also counts
- * datagrams of callers that arrive while no entry is listed.
+ * Counters, printed by the control command "stats". COUNT_PARTITIONED also
+ * counts datagrams of callers that arrive while no entry is listed.
  */
 enum counter {
 	COUNT_TO_ENTRIES,
--- a/test/sim_target_test.c
+++ b/test/sim_target_test.c
@@ -117,7 +117,7 @@
 	SEND(f, MSG(POST, "\x01", "t") REPORT);
 	assert_int_equal(receive_answer_code(f), CODE_CHANGED);
 	assert_int_equal(f->t.counts[COUNT_RUNS], 1);
-	assert_int_equal(f->t.counts[COUNT_REPEATS], 1);
+	assert_int_equal(f->t.counts[COUNT_RETRANSMISSIONS], 1);
 }
 
 /*
