--- a/sim/sim-experiment/experiment.h
+++ b/sim/sim-experiment/experiment.h
@@ -44,7 +44,7 @@
 struct incident_kind {
 	const char *name;
 	const char *help;
-	void (*begin)(struct world *w, const struct incident *t);
+	void (*begin)(struct world *w, const struct incident *incident);
 };
 
 extern const struct incident_kind incident_kinds[];
--- a/sim/sim-experiment/incidents.c
+++ b/sim/sim-experiment/incidents.c
@@ -3,113 +3,116 @@
 
 #include "world_state.h"
 
-static bool is_drawn(struct world *w, const struct incident *t)
+static bool is_drawn(struct world *w, const struct incident *incident)
 {
-	return world_random_unit(&w->rng) < t->share;
+	return world_random_unit(&w->rng) < incident->share;
 }
 
-static uint32_t zone_of(struct world *w, const struct incident *t)
+static uint32_t zone_of(struct world *w, const struct incident *incident)
 {
-	return t->zone == UINT32_MAX
+	return incident->zone == UINT32_MAX
 		       ? (uint32_t)(rng_next(&w->rng) % w->conf.site.n_zones)
-		       : t->zone;
+		       : incident->zone;
 }
 
-static bool in_zone(const struct incident *t, uint32_t zone)
+static bool in_zone(const struct incident *incident, uint32_t zone)
 {
-	return t->zone == UINT32_MAX || t->zone == zone;
+	return incident->zone == UINT32_MAX || incident->zone == zone;
 }
 
-static bool is_living_target(const struct world *w, const struct incident *t,
-			     uint32_t i)
+static bool is_living_target(const struct world *w,
+			     const struct incident *incident, uint32_t i)
 {
 	return w->targets[i].alive && w->targets[i].service == SERVICE_MAIN &&
-	       in_zone(t, w->targets[i].zone);
+	       in_zone(incident, w->targets[i].zone);
 }
 
 /* Apply to a share of the living targets, drawn without replacement. */
-static void apply_to_targets(struct world *w, const struct incident *t,
+static void apply_to_targets(struct world *w, const struct incident *incident,
 			     void (*apply)(struct world *w, uint32_t target,
-					   const struct incident *t))
+					   const struct incident *incident))
 {
 	uint32_t n = w->n_targets, left = 0, want;
 
 	for (uint32_t i = 0; i < n; i++)
-		left += is_living_target(w, t, i);
-	want = (uint32_t)((double)left * t->share + 0.5);
+		left += is_living_target(w, incident, i);
+	want = (uint32_t)((double)left * incident->share + 0.5);
 	for (uint32_t i = 0; i < n && want; i++) {
-		if (!is_living_target(w, t, i))
+		if (!is_living_target(w, incident, i))
 			continue;
 		if (rng_next(&w->rng) % left-- < want) {
 			want--;
-			apply(w, i, t);
+			apply(w, i, incident);
 		}
 	}
 }
 
 static void restart_one(struct world *w, uint32_t target,
-			const struct incident *t)
+			const struct incident *incident)
 {
-	world_restart_target(w, target, t->for_ns);
+	world_restart_target(w, target, incident->for_ns);
 }
 
-static void kill_one(struct world *w, uint32_t target, const struct incident *t)
+static void kill_one(struct world *w, uint32_t target,
+		     const struct incident *incident)
 {
-	(void)t;
+	(void)incident;
 	world_kill_target(w, target, false);
 }
 
-static void darken_one(struct world *w, uint32_t target,
-		       const struct incident *t)
+static void kill_one_with_vm(struct world *w, uint32_t target,
+			     const struct incident *incident)
 {
-	(void)t;
+	(void)incident;
 	world_kill_target(w, target, true);
 }
 
-static void fail_one(struct world *w, uint32_t target, const struct incident *t)
+static void fail_one(struct world *w, uint32_t target,
+		     const struct incident *incident)
 {
-	world_fail_target(w, target, TARGET_FAILS, t->for_ns);
+	world_fail_target(w, target, TARGET_FAILS, incident->for_ns);
 }
 
-static void hang_one(struct world *w, uint32_t target, const struct incident *t)
+static void hang_one(struct world *w, uint32_t target,
+		     const struct incident *incident)
 {
-	world_fail_target(w, target, TARGET_HANGS, t->for_ns);
+	world_fail_target(w, target, TARGET_HANGS, incident->for_ns);
 }
 
-static void crawl_one(struct world *w, uint32_t target,
-		      const struct incident *t)
+static void slow_one(struct world *w, uint32_t target,
+		     const struct incident *incident)
 {
-	world_fail_target(w, target, TARGET_SLOW, t->for_ns);
+	world_fail_target(w, target, TARGET_SLOW, incident->for_ns);
 }
 
-static void restart_targets(struct world *w, const struct incident *t)
+static void restart_targets(struct world *w, const struct incident *incident)
 {
-	apply_to_targets(w, t, restart_one);
+	apply_to_targets(w, incident, restart_one);
 }
 
-static void kill_targets(struct world *w, const struct incident *t)
+static void kill_targets(struct world *w, const struct incident *incident)
 {
-	apply_to_targets(w, t, kill_one);
+	apply_to_targets(w, incident, kill_one);
 }
 
-static void darken_targets(struct world *w, const struct incident *t)
+static void darken_targets(struct world *w, const struct incident *incident)
 {
-	apply_to_targets(w, t, darken_one);
+	apply_to_targets(w, incident, kill_one_with_vm);
 }
 
-static void fail_targets(struct world *w, const struct incident *t)
+static void fail_targets(struct world *w, const struct incident *incident)
 {
-	apply_to_targets(w, t, fail_one);
+	apply_to_targets(w, incident, fail_one);
 }
 
-static void hang_targets(struct world *w, const struct incident *t)
+static void hang_targets(struct world *w, const struct incident *incident)
 {
-	apply_to_targets(w, t, hang_one);
+	apply_to_targets(w, incident, hang_one);
 }
 
-static void crawl_targets(struct world *w, const struct incident *t)
+static void crawl_targets(struct world *w, const struct incident *incident)
 {
-	apply_to_targets(w, t, crawl_one);
+	apply_to_targets(w, incident, slow_one);
 }
 
 static void on_release(struct world *w, const struct event *e)
@@ -117,27 +120,30 @@
 	world_release_target(w, (uint32_t)e->arg0);
 }
 
-static void release_targets(struct world *w, const struct incident *t)
+static void release_targets(struct world *w, const struct incident *incident)
 {
 	uint32_t n = w->n_targets, k = 0;
 
 	for (uint32_t i = 0; i < n; i++)
-		if (is_living_target(w, t, i) && is_drawn(w, t))
-			world_schedule(w, k++ * t->gap_ns, on_release, i, 0, 0);
+		if (is_living_target(w, incident, i) && is_drawn(w, incident))
+			world_schedule(w, k++ * incident->gap_ns, on_release, i,
+				       0, 0);
 }
 
-static void kill_entries(struct world *w, const struct incident *t)
+static void kill_entries(struct world *w, const struct incident *incident)
 {
 	for (uint32_t i = 0; i < w->n_entries; i++)
-		if (in_zone(t, w->entries[i].zone) && is_drawn(w, t))
-			world_kill_entry(w, i, t->for_ns);
+		if (in_zone(incident, w->entries[i].zone) &&
+		    is_drawn(w, incident))
+			world_kill_entry(w, i, incident->for_ns);
 }
 
-static void freeze_entries(struct world *w, const struct incident *t)
+static void freeze_entries(struct world *w, const struct incident *incident)
 {
 	for (uint32_t i = 0; i < w->n_entries; i++)
-		if (in_zone(t, w->entries[i].zone) && is_drawn(w, t))
-			world_freeze_entry(w, i, t->for_ns);
+		if (in_zone(incident, w->entries[i].zone) &&
+		    is_drawn(w, incident))
+			world_freeze_entry(w, i, incident->for_ns);
 }
 
 static void on_stop(struct world *w, const struct event *e)
@@ -145,45 +151,48 @@
 	world_stop_entry(w, (uint32_t)e->arg0);
 }
 
-static void roll_entries(struct world *w, const struct incident *t)
+static void roll_entries(struct world *w, const struct incident *incident)
 {
 	uint32_t k = 0;
 
 	for (uint32_t i = 0; i < w->n_entries; i++)
-		if (in_zone(t, w->entries[i].zone) && is_drawn(w, t))
-			world_schedule(w, k++ * t->gap_ns, on_stop, i, 0, 0);
+		if (in_zone(incident, w->entries[i].zone) &&
+		    is_drawn(w, incident))
+			world_schedule(w, k++ * incident->gap_ns, on_stop, i, 0,
+				       0);
 }
 
-static void cut_zone(struct world *w, const struct incident *t)
+static void cut_zone(struct world *w, const struct incident *incident)
 {
-	world_cut_zone(w, zone_of(w, t), t->for_ns);
+	world_partition_zone(w, zone_of(w, incident), incident->for_ns);
 }
 
-static void store_down(struct world *w, const struct incident *t)
+static void store_down(struct world *w, const struct incident *incident)
 {
-	world_store_down(w, t->for_ns, false);
+	world_store_down(w, incident->for_ns, false);
 }
 
-static void store_lapse(struct world *w, const struct incident *t)
+static void store_lapse(struct world *w, const struct incident *incident)
 {
-	world_store_down(w, t->for_ns, true);
+	world_store_down(w, incident->for_ns, true);
 }
 
-static void load_spike(struct world *w, const struct incident *t)
+static void load_spike(struct world *w, const struct incident *incident)
 {
 	for (uint32_t z = 0; z < w->conf.site.n_zones; z++)
-		if (in_zone(t, z))
-			world_scale_load(w, z, t->factor, t->for_ns);
+		if (in_zone(incident, z))
+			world_scale_load(w, z, incident->factor,
+					 incident->for_ns);
 }
 
 /* Move a share of one data centre's load to the next data centre. */
-static void shift_load(struct world *w, const struct incident *t)
+static void shift_load(struct world *w, const struct incident *incident)
 {
-	uint32_t from = zone_of(w, t);
+	uint32_t from = zone_of(w, incident);
 	uint32_t to = (from + 1) % w->conf.site.n_zones;
 
-	world_scale_load(w, from, 1 - t->share, t->for_ns);
-	world_scale_load(w, to, 1 + t->share, t->for_ns);
+	world_scale_load(w, from, 1 - incident->share, incident->for_ns);
+	world_scale_load(w, to, 1 + incident->share, incident->for_ns);
 }
 
 const struct incident_kind incident_kinds[] = {
--- a/sim/sim-experiment/report.c
+++ b/sim/sim-experiment/report.c
@@ -35,7 +35,7 @@
 	FIGURE("imbalance", imbalance),
 	FIGURE("bound", bound),
 	FIGURE("bound_worst", bound_worst),
-	FIGURE("cut", lost[CAUSE_CUT]),
+	FIGURE("cut", lost[CAUSE_NO_ENTRY]),
 	FIGURE("gone", lost[CAUSE_GONE]),
 	FIGURE("refused", lost[CAUSE_REFUSED]),
 	FIGURE("waited", lost[CAUSE_WAITED]),
--- a/sim/sim-packets/entries.c
+++ b/sim/sim-packets/entries.c
@@ -205,7 +205,7 @@
 	uint64_t delay_ns = link_delay_ns(c->w, c->entry, SYN_BYTES);
 	uint32_t index =
 		attempt_alloc(c->w, (uint32_t)(c->entry - c->w->entries), t);
-	bool lost = s->machine_down || delay_ns == UINT64_MAX ||
+	bool lost = s->vm_down || delay_ns == UINT64_MAX ||
 		    world_is_cut(c->w, c->entry->zone, s->zone);
 
 	c->w->report.probes++;
@@ -391,7 +391,7 @@
 	(void)format;
 }
 
-static void start(void *ctx, struct world *w, uint32_t entry)
+static void start_process(void *ctx, struct world *w, uint32_t entry)
 {
 	struct sim_entry *e = &w->entries[entry];
 	struct node_conf conf = {
@@ -440,8 +440,8 @@
 	world_schedule(w, 0, on_tick, entry, e->boot, 0);
 }
 
-static void packet(void *ctx, struct world *w, uint32_t entry,
-		   const struct sim_packet *k)
+static void deliver_packet(void *ctx, struct world *w, uint32_t entry,
+			   const struct sim_packet *k)
 {
 	uint8_t bytes[HEADER_BYTES + SEGMENT_BYTES];
 	struct sim_entry *e = &w->entries[entry];
@@ -473,14 +473,14 @@
 		u->packet_lost = true;
 }
 
-static void end(void *ctx, struct world *w, uint32_t entry)
+static void kill_process(void *ctx, struct world *w, uint32_t entry)
 {
 	(void)ctx;
 	w->entries[entry].up = false;
 	world_record_entry_state(w, entry, false);
 }
 
-static void stop(void *ctx, struct world *w, uint32_t entry)
+static void stop_process(void *ctx, struct world *w, uint32_t entry)
 {
 	struct sim_entry *e = &w->entries[entry];
 
@@ -489,14 +489,15 @@
 		node_stop(e->node, w->now_ns);
 }
 
-static void freeze(void *ctx, struct world *w, uint32_t entry, bool frozen)
+static void freeze_process(void *ctx, struct world *w, uint32_t entry,
+			   bool frozen)
 {
 	(void)ctx;
 	w->entries[entry].frozen = frozen;
 	world_record_entry_state(w, entry, !frozen);
 }
 
-static bool ready(void *ctx, struct world *w, uint32_t entry)
+static bool entry_is_ready(void *ctx, struct world *w, uint32_t entry)
 {
 	const struct sim_entry *e = &w->entries[entry];
 
@@ -504,9 +505,11 @@
 	return is_running(e) && e->node->ready;
 }
 
-/* Driver that runs the entries inside the emulator. */
+/* Return: driver that runs the entries inside the emulator. */
 struct entry_driver emulated_entry_driver(void)
 {
-	return (struct entry_driver){ NULL,   start, end,    stop,
-				      freeze, ready, packet, NULL };
+	return (struct entry_driver){ NULL,	      start_process,
+				      kill_process,   stop_process,
+				      freeze_process, entry_is_ready,
+				      deliver_packet, NULL };
 }
--- a/sim/sim-packets/fault_table.c
+++ b/sim/sim-packets/fault_table.c
@@ -64,8 +64,9 @@
 
 static void cut_zone(struct world *w)
 {
-	world_cut_zone(w, (uint32_t)(rng_next(&w->rng) % w->conf.site.n_zones),
-		       5 * NS_PER_S);
+	world_partition_zone(
+		w, (uint32_t)(rng_next(&w->rng) % w->conf.site.n_zones),
+		5 * NS_PER_S);
 }
 
 static void cut_zone_during_roll(struct world *w)
@@ -171,7 +172,7 @@
 {
 	uint32_t zone = (uint32_t)(rng_next(&w->rng) % w->conf.site.n_zones);
 
-	world_cut_zone(w, zone, 5 * NS_PER_S);
+	world_partition_zone(w, zone, 5 * NS_PER_S);
 	for (uint32_t i = 0; i < w->n_targets; i++)
 		if (w->targets[i].zone == zone &&
 		    w->targets[i].service == SERVICE_MAIN)
@@ -311,7 +312,8 @@
 	uint32_t zone = any_zone(w);
 
 	evacuate_for(w, zone, 8 * NS_PER_S);
-	world_cut_zone(w, (zone + 1) % w->conf.site.n_zones, 5 * NS_PER_S);
+	world_partition_zone(w, (zone + 1) % w->conf.site.n_zones,
+			     5 * NS_PER_S);
 }
 
 static void evacuate_in_burst(struct world *w)
@@ -333,7 +335,7 @@
 
 static void on_cut(struct world *w, const struct event *e)
 {
-	world_cut_zone(w, (uint32_t)e->arg0, 5 * NS_PER_S);
+	world_partition_zone(w, (uint32_t)e->arg0, 5 * NS_PER_S);
 }
 
 static void lapse_then_cut(struct world *w)
--- a/sim/sim-packets/faults.c
+++ b/sim/sim-packets/faults.c
@@ -96,12 +96,12 @@
 }
 
 /**
- * world_cut_zone() - partition a data centre from the others and the store
+ * world_partition_zone() - partition a data centre from others and the store
  * @w: emulator
  * @zone: index of the data centre; its clients still reach it
  * @ns: duration
  */
-void world_cut_zone(struct world *w, uint32_t zone, uint64_t ns)
+void world_partition_zone(struct world *w, uint32_t zone, uint64_t ns)
 {
 	w->cut_until_ns[zone] = w->now_ns + ns;
 	disturb_zone(w, zone, w->now_ns + ns);
--- a/sim/sim-packets/restarts.c
+++ b/sim/sim-packets/restarts.c
@@ -14,7 +14,7 @@
 			       on_publish, e->arg0, e->arg1, 0);
 }
 
-static void on_start_again(struct world *w, const struct event *e)
+static void on_target_restart(struct world *w, const struct event *e)
 {
 	struct sim_target *t = &w->targets[e->arg0];
 
@@ -48,10 +48,10 @@
 	t->process++;
 	targets_clear(t);
 	targets_report_change(w, target);
-	world_schedule(w, down_ns, on_start_again, target, 0, 0);
+	world_schedule(w, down_ns, on_target_restart, target, 0, 0);
 }
 
-static void on_late(struct world *w, const struct event *e)
+static void on_delayed_write(struct world *w, const struct event *e)
 {
 	struct target_value v;
 
@@ -66,16 +66,16 @@
  * world_delay_record() - delay a write of a target's record
  * @w: emulator
  * @target: index of the target
- * @late_ns: delay
+ * @delay_ns: time until the write
  *
  * The write overwrites what the target, or its next process, writes meanwhile.
  */
-void world_delay_record(struct world *w, uint32_t target, uint64_t late_ns)
+void world_delay_record(struct world *w, uint32_t target, uint64_t delay_ns)
 {
 	struct sim_target *t = &w->targets[target];
 
-	world_schedule(w, late_ns, on_late, target, t->advertised.started_ms,
-		       ++t->advertised.sequence);
+	world_schedule(w, delay_ns, on_delayed_write, target,
+		       t->advertised.started_ms, ++t->advertised.sequence);
 }
 
 /**
--- a/sim/sim-packets/router.c
+++ b/sim/sim-packets/router.c
@@ -5,17 +5,17 @@
 #define MISSED_PROBES_MAX 2
 
 /* Periodic readiness check of all entries. */
-void router_probe(struct world *w, const struct event *e)
+void router_probe(struct world *w, const struct event *event)
 {
-	(void)e;
+	(void)event;
 	world_schedule(w, READY_NS, router_probe, 0, 0, 0);
 	for (uint32_t i = 0; i < w->n_entries; i++) {
-		struct sim_entry *s = &w->entries[i];
+		struct sim_entry *e = &w->entries[i];
 
 		if (w->conf.driver.ready(w->conf.driver.ctx, w, i))
-			s->missed_probes = 0;
-		else if (s->missed_probes < MISSED_PROBES_MAX)
-			s->missed_probes++;
+			e->missed_probes = 0;
+		else if (e->missed_probes < MISSED_PROBES_MAX)
+			e->missed_probes++;
 	}
 }
 
@@ -45,18 +45,18 @@
 static uint32_t select_by_hash(const struct world *w, uint64_t flow,
 			       uint32_t zone, bool all)
 {
-	uint64_t best = 0;
-	uint32_t at = UINT32_MAX;
+	uint64_t best_hash = 0;
+	uint32_t selected = UINT32_MAX;
 
 	for (uint32_t i = 0; i < w->n_entries; i++) {
 		uint64_t h = hash_u64(flow, i + 1);
 
-		if (!is_candidate(w, i, zone, all) || h < best)
+		if (!is_candidate(w, i, zone, all) || h < best_hash)
 			continue;
-		best = h;
-		at = i;
+		best_hash = h;
+		selected = i;
 	}
-	return at;
+	return selected;
 }
 
 static uint32_t select_entry(const struct world *w, uint64_t flow,
--- a/sim/sim-packets/targets.c
+++ b/sim/sim-packets/targets.c
@@ -367,13 +367,13 @@
 	}
 }
 
-/* End a target's process, and with @dark its machine too. */
-void targets_end(struct world *w, uint32_t target, bool machine_down)
+/* End a target's process, and with @vm_down its VM too. */
+void targets_end(struct world *w, uint32_t target, bool vm_down)
 {
 	struct sim_target *t = &w->targets[target];
 
 	t->alive = false;
-	t->machine_down = machine_down;
+	t->vm_down = vm_down;
 	targets_clear(t);
 	t->disturbed_ns = w->now_ns;
 	targets_report_change(w, target);
@@ -449,13 +449,13 @@
  * world_kill_target() - end a target without draining it
  * @w: emulator
  * @target: index of the target; spared if too few of its service are left
- * @machine_down: its machine fails too, so that connections to it time out
+ * @vm_down: its VM fails too, so that connections to it time out
  */
-void world_kill_target(struct world *w, uint32_t target, bool machine_down)
+void world_kill_target(struct world *w, uint32_t target, bool vm_down)
 {
 	if (!may_kill(w, target))
 		return;
-	targets_end(w, target, machine_down);
+	targets_end(w, target, vm_down);
 	world_schedule(w, 3 * NS_PER_S, on_expire, target, 0, 0);
 }
 
--- a/sim/sim-packets/users.c
+++ b/sim/sim-packets/users.c
@@ -91,7 +91,7 @@
 	if (u->has_failed)
 		return CAUSE_FAILED;
 	if (u->packet_lost)
-		return CAUSE_CUT;
+		return CAUSE_NO_ENTRY;
 	if (u->target_gone)
 		return CAUSE_GONE;
 	if (u->was_refused)
@@ -160,7 +160,7 @@
 }
 
 /* Retransmit unacknowledged segments, with exponential backoff. */
-static void on_repeat(struct world *w, const struct event *e)
+static void on_retransmit(struct world *w, const struct event *e)
 {
 	uint32_t user = (uint32_t)e->arg0;
 	struct sim_user *u = &w->users[user];
@@ -173,7 +173,7 @@
 		return;
 	for (uint32_t i = u->acked; i < u->sent; i++)
 		send_segment(w, user, i);
-	world_schedule(w, next_ns, on_repeat, e->arg0, e->arg1, next_ns);
+	world_schedule(w, next_ns, on_retransmit, e->arg0, e->arg1, next_ns);
 }
 
 static void send_request(struct world *w, uint32_t user)
@@ -187,11 +187,11 @@
 		u->segments = SEGMENTS_MAX;
 	u->sent = u->acked = 0;
 	send_window(w, user);
-	world_schedule(w, REPEAT_NS, on_repeat, user,
+	world_schedule(w, REPEAT_NS, on_retransmit, user,
 		       u->request_number << 16 | u->port, REPEAT_NS);
 }
 
-static void on_copy(struct world *w, const struct event *e)
+static void on_syn_retransmit(struct world *w, const struct event *e)
 {
 	struct sim_user *u = &w->users[e->arg0];
 
@@ -227,7 +227,8 @@
 	u->syn_copies = 0;
 	send_packet(w, user, PACKET_SYN, 0, 0);
 	for (uint32_t i = 0; i < SYN_COPIES; i++)
-		world_schedule(w, copy_ns[i], on_copy, user, u->port, 0);
+		world_schedule(w, copy_ns[i], on_syn_retransmit, user, u->port,
+			       0);
 	world_schedule(w, SYN_GIVE_UP_NS, on_give_up, user, u->port, 0);
 }
 
--- a/sim/sim-packets/world.h
+++ b/sim/sim-packets/world.h
@@ -178,7 +178,7 @@
 /**
  * enum world_cause - why a request wasn't answered within its objective
  * @CAUSE_NONE: it was
- * @CAUSE_CUT: a packet reached no running entry
+ * @CAUSE_NO_ENTRY: a packet reached no running entry
  * @CAUSE_GONE: it was sent to a target that no longer existed
  * @CAUSE_REFUSED: targets refused every attempt, or entries reset it
  * @CAUSE_WAITED: queueing, at the target or on the way there
@@ -188,7 +188,7 @@
  */
 enum world_cause {
 	CAUSE_NONE,
-	CAUSE_CUT,
+	CAUSE_NO_ENTRY,
 	CAUSE_GONE,
 	CAUSE_REFUSED,
 	CAUSE_WAITED,
@@ -236,18 +236,18 @@
 void world_kill_entry(struct world *w, uint32_t entry, uint64_t down_ns);
 void world_stop_entry(struct world *w, uint32_t entry);
 void world_freeze_entry(struct world *w, uint32_t entry, uint64_t ns);
-void world_cut_zone(struct world *w, uint32_t zone, uint64_t ns);
+void world_partition_zone(struct world *w, uint32_t zone, uint64_t ns);
 void world_set_store_mode(struct world *w, uint32_t entry, enum store_mode mode,
 			  uint64_t ns);
 void world_store_slow(struct world *w, uint64_t store_answer_ns, uint64_t ns);
 void world_store_down(struct world *w, uint64_t ns, bool lapse);
 void world_copy_store(struct world *w);
 void world_restore_store(struct world *w, uint64_t ns);
-void world_kill_target(struct world *w, uint32_t target, bool machine_down);
+void world_kill_target(struct world *w, uint32_t target, bool vm_down);
 void world_fail_target(struct world *w, uint32_t target, enum target_mode mode,
 		       uint64_t ns);
 void world_restart_target(struct world *w, uint32_t target, uint64_t down_ns);
-void world_delay_record(struct world *w, uint32_t target, uint64_t late_ns);
+void world_delay_record(struct world *w, uint32_t target, uint64_t delay_ns);
 void world_write_foreign_record(struct world *w, enum record_defect defect,
 				uint32_t target, bool under_its_key);
 void world_release_target(struct world *w, uint32_t target);
--- a/sim/sim-packets/world_state.h
+++ b/sim/sim-packets/world_state.h
@@ -129,13 +129,13 @@
 /**
  * struct sim_target - a target and its process
  * @advertised: the target's own fields of its record
- * @process: counts the processes that ended
+ * @process: number of its processes that ended
  * @restarted_ns: start of the current process if it is not the first
- * @cold_until_ns: end of its cold time
+ * @cold_until_ns: end of its cold phase
  * @service: index of its service
  * @zone: data centre
  * @alive: a process runs
- * @machine_down: connections to it time out
+ * @vm_down: its VM failed, so that connections to it time out
  * @mode: enum target_mode until @mode_until_ns
  * @mode_until_ns: it works normally from then on
  * @leaving_since_ns: when it published that it leaves; 0 before
@@ -158,7 +158,7 @@
 	uint32_t service;
 	uint32_t zone;
 	bool alive;
-	bool machine_down;
+	bool vm_down;
 	uint8_t mode;
 	uint64_t mode_until_ns;
 	uint64_t leaving_since_ns;
@@ -488,7 +488,7 @@
 void targets_start_cold(struct world *w, uint32_t target);
 void targets_report_change(struct world *w, uint32_t target);
 uint32_t targets_find_by_addr(const struct world *w, uint64_t addr);
-void targets_end(struct world *w, uint32_t target, bool machine_down);
+void targets_end(struct world *w, uint32_t target, bool vm_down);
 void targets_clear(struct sim_target *t);
 
 /* arrivals.c */
--- a/sim/sim-soak/sockets.c
+++ b/sim/sim-soak/sockets.c
@@ -275,7 +275,7 @@
 		a->probes_fd = bind_socket(SOCK_STREAM, a->addr);
 		if (a->probes_fd >= 0 && listen(a->probes_fd, 128))
 			perror("listen");
-	} else if (t->machine_down) {
+	} else if (t->vm_down) {
 		open_blackhole(a);
 	}
 }
