--- a/sim/sim-experiment/main.c
+++ b/sim/sim-experiment/main.c
@@ -1,6 +1,6 @@
 /*
  * sim-experiment: runs experiments on the emulator, with several policies on the
- * same seeds, and prints the earned part of the offered value and other results.
+ * same seeds, and prints the results.
  */
 #include "experiment.h"
 
