--- a/sim/sim-packets/entries.c
+++ b/sim/sim-packets/entries.c
@@ -105,7 +105,7 @@
 		if (at >= c->w->n_entries || delay_ns == UINT64_MAX)
 			continue;
 		zone = c->w->entries[at].zone;
-		if (!world_is_cut(c->w, c->entry->zone, zone))
+		if (!world_is_partitioned(c->w, c->entry->zone, zone))
 			world_schedule(c->w,
 				       delay_ns + world_one_way_ns(
 							  c->w, c->entry->zone,
@@ -125,7 +125,7 @@
 
 	if (!is_running(s))
 		return;
-	if (!is_running(peer) || world_is_cut(w, s->zone, peer->zone)) {
+	if (!is_running(peer) || world_is_partitioned(w, s->zone, peer->zone)) {
 		node_fetch_end(s->node, NULL, w->now_ns);
 		return;
 	}
@@ -159,9 +159,9 @@
 {
 	struct port_ctx *c = ctx;
 	uint32_t at = entry_index(peer);
-	bool is_reachable =
-		is_running(&c->w->entries[at]) &&
-		!world_is_cut(c->w, c->entry->zone, c->w->entries[at].zone);
+	bool is_reachable = is_running(&c->w->entries[at]) &&
+			    !world_is_partitioned(c->w, c->entry->zone,
+						  c->w->entries[at].zone);
 
 	world_schedule(c->w,
 		       is_reachable ? 2 * c->w->conf.site.other_dc_delay_ns
@@ -206,7 +206,7 @@
 	uint32_t index =
 		attempt_alloc(c->w, (uint32_t)(c->entry - c->w->entries), t);
 	bool lost = s->vm_down || delay_ns == UINT64_MAX ||
-		    world_is_cut(c->w, c->entry->zone, s->zone);
+		    world_is_partitioned(c->w, c->entry->zone, s->zone);
 
 	c->w->report.probes++;
 	if (!lost)
@@ -254,7 +254,7 @@
 	if (s->zone != e->zone)
 		w->report.cross_dc_bytes += bytes;
 	if (delay_ns == UINT64_MAX || s->advertised.id != t->advertised.id ||
-	    !s->alive || world_is_cut(w, e->zone, s->zone)) {
+	    !s->alive || world_is_partitioned(w, e->zone, s->zone)) {
 		w->users[k->user].target_gone = true;
 		return;
 	}
--- a/sim/sim-packets/fault_table.c
+++ b/sim/sim-packets/fault_table.c
@@ -3,12 +3,12 @@
 
 #include <string.h>
 
-static uint32_t any_entry(struct world *w)
+static uint32_t random_entry(struct world *w)
 {
 	return (uint32_t)(rng_next(&w->rng) % w->n_entries);
 }
 
-static uint32_t any_target(struct world *w)
+static uint32_t random_target(struct world *w)
 {
 	uint32_t i;
 
@@ -20,7 +20,7 @@
 
 static void kill_entry(struct world *w)
 {
-	world_kill_entry(w, any_entry(w), NS_PER_S);
+	world_kill_entry(w, random_entry(w), NS_PER_S);
 }
 
 static void kill_entries(struct world *w)
@@ -37,7 +37,7 @@
 
 static void stop_entry(struct world *w)
 {
-	world_stop_entry(w, any_entry(w));
+	world_stop_entry(w, random_entry(w));
 }
 
 static void on_stop(struct world *w, const struct event *e)
@@ -53,7 +53,7 @@
 
 static void freeze(struct world *w)
 {
-	world_freeze_entry(w, any_entry(w), 3 * NS_PER_S);
+	world_freeze_entry(w, random_entry(w), 3 * NS_PER_S);
 }
 
 static void freeze_half(struct world *w)
@@ -77,17 +77,17 @@
 
 static void kill_target(struct world *w)
 {
-	world_kill_target(w, any_target(w), false);
+	world_kill_target(w, random_target(w), false);
 }
 
 static void darken_targets(struct world *w)
 {
 	for (uint32_t i = 0; i < 3; i++)
-		world_kill_target(w, any_target(w), true);
+		world_kill_target(w, random_target(w), true);
 }
 
 /* Affect the first target of each data centre, so that all faults of this kind
- * strike the same targets. */
+ * hit the same targets. */
 static void fail_targets(struct world *w, enum target_mode mode)
 {
 	for (uint32_t z = 0; z < w->conf.site.n_zones; z++)
@@ -117,7 +117,7 @@
 static void reuse(struct world *w)
 {
 	for (uint32_t i = 0; i < 3; i++)
-		world_reuse_address(w, any_target(w));
+		world_reuse_address(w, random_target(w));
 }
 
 static void reuse_store_down(struct world *w)
@@ -129,14 +129,14 @@
 static void restart_targets(struct world *w)
 {
 	for (uint32_t i = 0; i < 3; i++)
-		world_restart_target(w, any_target(w), 300 * NS_PER_MS);
+		world_restart_target(w, random_target(w), 300 * NS_PER_MS);
 }
 
 /* Too fast for probes and connections to notice; only the record shows it. */
 static void restart_targets_at_once(struct world *w)
 {
 	for (uint32_t i = 0; i < 3; i++)
-		world_restart_target(w, any_target(w), NS_PER_MS);
+		world_restart_target(w, random_target(w), NS_PER_MS);
 }
 
 static void on_restart(struct world *w, const struct event *e)
@@ -147,7 +147,7 @@
 static void restart_targets_twice(struct world *w)
 {
 	for (uint32_t i = 0; i < 3; i++) {
-		uint32_t t = any_target(w);
+		uint32_t t = random_target(w);
 
 		world_restart_target(w, t, 200 * NS_PER_MS);
 		world_schedule(w, 500 * NS_PER_MS, on_restart, t,
@@ -194,7 +194,7 @@
 static void late_entries(struct world *w)
 {
 	for (uint32_t i = 0; i < 3; i++) {
-		uint32_t t = any_target(w);
+		uint32_t t = random_target(w);
 
 		world_delay_record(w, t, 2 * NS_PER_S);
 		if (i)
@@ -206,16 +206,16 @@
 
 static void foreign_entries(struct world *w)
 {
-	for (uint32_t i = FOREIGN_NONE + 1; i < FOREIGN_KINDS; i++)
+	for (uint32_t i = DEFECT_NONE + 1; i < DEFECT_KINDS; i++)
 		world_write_foreign_record(w, (enum record_defect)i,
-					   any_target(w), false);
+					   random_target(w), false);
 }
 
 static void foreign_entries_in_place(struct world *w)
 {
-	for (uint32_t i = FOREIGN_NONE + 1; i < FOREIGN_KINDS; i++)
+	for (uint32_t i = DEFECT_NONE + 1; i < DEFECT_KINDS; i++)
 		world_write_foreign_record(w, (enum record_defect)i,
-					   any_target(w), true);
+					   random_target(w), true);
 }
 
 static void on_release(struct world *w, const struct event *e)
@@ -292,7 +292,7 @@
 	world_store_down(w, e->arg0, e->arg1);
 }
 
-/* Some entries know of the evacuation; the others can't read the store. */
+/* The store goes down when only some entries have read the evacuation. */
 static void evacuate_store_down(struct world *w)
 {
 	evacuate(w);
@@ -333,7 +333,7 @@
 	world_store_down(w, 4 * NS_PER_S, true);
 }
 
-static void on_cut(struct world *w, const struct event *e)
+static void on_partition(struct world *w, const struct event *e)
 {
 	world_partition_zone(w, (uint32_t)e->arg0, 5 * NS_PER_S);
 }
@@ -341,7 +341,7 @@
 static void lapse_then_cut(struct world *w)
 {
 	world_store_down(w, 4 * NS_PER_S, true);
-	world_schedule(w, 4200 * NS_PER_MS, on_cut, 0, 0, 0);
+	world_schedule(w, 4200 * NS_PER_MS, on_partition, 0, 0, 0);
 }
 
 static void store_refuses_half(struct world *w)
@@ -372,8 +372,8 @@
 		world_schedule(w, i * 300 * NS_PER_MS, on_change, i, 0, 0);
 }
 
-/* The restored store has lost these changes of the configuration, and the leave
- * of a target. */
+/* The restored store lacks these changes of the configuration, and the record of
+ * a target that leaves. */
 #define LOST_CHANGES 5
 #define LOST_GAP_NS (200 * NS_PER_MS)
 #define STORE_DOWN_NS NS_PER_S
@@ -383,11 +383,11 @@
 	world_restore_store(w, e->arg0);
 }
 
-/* After things have settled a target leaves and a route is dropped. */
+/* A target leaves and a route is dropped, when the rules apply again. */
 static void on_release_and_drop(struct world *w, const struct event *e)
 {
 	(void)e;
-	world_release_target(w, any_target(w));
+	world_release_target(w, random_target(w));
 	world_drop_route(w);
 }
 
@@ -400,7 +400,7 @@
 	world_add_route(w);
 	for (uint32_t i = 1; i < LOST_CHANGES; i++)
 		world_schedule(w, i * LOST_GAP_NS, on_change, 2 * i, 0, 0);
-	world_schedule(w, LOST_GAP_NS, on_release, any_target(w), 0, 0);
+	world_schedule(w, LOST_GAP_NS, on_release, random_target(w), 0, 0);
 	world_schedule(w, down_after_ns, on_restored, STORE_DOWN_NS, 0, 0);
 	return down_after_ns + STORE_DOWN_NS;
 }
@@ -507,7 +507,7 @@
 }
 
 /* The least parts served are the worst of 20 seeds, less a margin for other
- * seeds, which is too small for other faults. */
+ * seeds. The margin is small enough to notice a different fault. */
 const struct world_fault world_faults[] = {
 	{ "none", "no fault", no_fault, 0.999 },
 	{ "kill_entry", "an entry's process is killed", kill_entry, 0.995 },
--- a/sim/sim-packets/faults.c
+++ b/sim/sim-packets/faults.c
@@ -103,7 +103,7 @@
  */
 void world_partition_zone(struct world *w, uint32_t zone, uint64_t ns)
 {
-	w->cut_until_ns[zone] = w->now_ns + ns;
+	w->partitioned_until_ns[zone] = w->now_ns + ns;
 	disturb_zone(w, zone, w->now_ns + ns);
 }
 
@@ -154,14 +154,14 @@
  * world_store_down() - make the store unavailable to all
  * @w: emulator
  * @ns: duration
- * @lapse: the records of all targets expire meanwhile, and are renewed 1.5 s
+ * @records_expire: the records of all targets expire meanwhile, and are renewed 1.5 s
  *	after the store is available again
  */
-void world_store_down(struct world *w, uint64_t ns, bool lapse)
+void world_store_down(struct world *w, uint64_t ns, bool records_expire)
 {
 	w->store_down_until_ns = w->now_ns + ns;
 	w->store_disturbed_ns = w->now_ns + ns;
-	if (!lapse)
+	if (!records_expire)
 		return;
 	world_schedule(w, ns - NS_PER_MS, on_expire, 0, 0, 0);
 	world_schedule(w, ns + 1500 * NS_PER_MS, on_renew, 0, 0, 0);
--- a/sim/sim-packets/restarts.c
+++ b/sim/sim-packets/restarts.c
@@ -93,11 +93,11 @@
 	struct target_value v;
 
 	store_target_value(w, t, &v);
-	v.foreign = defect;
+	v.defect = defect;
 	/* Newer than the target's own record, so that it would win if accepted. */
 	v.advertised.started_ms = w->now_ns / NS_PER_MS;
 	v.advertised.sequence += 100;
-	if (defect == FOREIGN_UNBORN)
+	if (defect == DEFECT_NO_START_TIME)
 		v.advertised.started_ms = 0;
 	store_write_target(w, under_its_key ? t->advertised.id : ++w->last_id,
 			   &v);
--- a/sim/sim-packets/store.c
+++ b/sim/sim-packets/store.c
@@ -48,7 +48,7 @@
 static bool reachable(const struct world *w, const struct sim_entry *e)
 {
 	return w->now_ns >= w->store_down_until_ns &&
-	       w->cut_until_ns[e->zone] <= w->now_ns;
+	       w->partitioned_until_ns[e->zone] <= w->now_ns;
 }
 
 /* How the store handles an entry's calls now. */
@@ -472,8 +472,8 @@
 		return 0;
 	memcpy(&v, d->value, sizeof(v));
 	*problem = "not a target's";
-	if (v.foreign && v.foreign != FOREIGN_UNBORN)
-		return v.foreign == FOREIGN_SERVICE ? -ENOENT : -EPROTO;
+	if (v.defect && v.defect != DEFECT_NO_START_TIME)
+		return v.defect == DEFECT_SERVICE ? -ENOENT : -EPROTO;
 	v.advertised.id = out->target.id;
 	v.advertised.key_hash = out->target.key_hash;
 	out->target = v.advertised;
--- a/sim/sim-packets/targets.c
+++ b/sim/sim-packets/targets.c
@@ -157,7 +157,7 @@
 	return w->now_ns < t->mode_until_ns ? t->mode : TARGET_WORKS;
 }
 
-static void on_cut(struct world *w, const struct event *e)
+static void on_unknown_flow(struct world *w, const struct event *e)
 {
 	users_flow_unknown(w, (uint32_t)(e->arg0 >> 16), (uint16_t)e->arg0);
 }
@@ -360,7 +360,7 @@
 	} else if (k->flags & PACKET_FIN) {
 		drop_flow(t, k->user, k->port);
 	} else if (!f) {
-		world_schedule(w, w->conf.site.client_delay_ns, on_cut,
+		world_schedule(w, w->conf.site.client_delay_ns, on_unknown_flow,
 			       flow_id(k->user, k->port), 0, 0);
 	} else if (k->size_bytes) {
 		receive_segment(w, target, f, k);
--- a/sim/sim-packets/users.c
+++ b/sim/sim-packets/users.c
@@ -4,16 +4,17 @@
  */
 #include "world_state.h"
 
-#define SYN_COPIES 2
+#define SYN_RETRANSMISSIONS 2
 #define SYN_GIVE_UP_NS (1400 * NS_PER_MS)
-#define REPEAT_NS (200 * NS_PER_MS)
-#define REPEAT_MAX_NS (1600 * NS_PER_MS)
+#define RETRANSMIT_NS (200 * NS_PER_MS)
+#define RETRANSMIT_MAX_NS (1600 * NS_PER_MS)
 /* Size of an answer that carries an error. */
 #define ERROR_BYTES 200
 #define ACK_PACKETS 2
 
-static const uint64_t copy_ns[SYN_COPIES] = { 200 * NS_PER_MS,
-					      600 * NS_PER_MS };
+static const uint64_t syn_retransmit_ns[SYN_RETRANSMISSIONS] = {
+	200 * NS_PER_MS, 600 * NS_PER_MS
+};
 
 struct flow_key users_flow(const struct world *w, uint32_t user, uint16_t port)
 {
@@ -40,7 +41,7 @@
 	};
 	uint32_t entry = (uint32_t)(e->arg1 >> 32);
 
-	/* Packets of an abandoned flow are not sent. */
+	/* Packets of an abandoned flow are dropped. */
 	if (w->users[k.user].port == k.port)
 		w->conf.driver.deliver(w->conf.driver.ctx, w, entry, &k);
 }
@@ -164,8 +165,8 @@
 {
 	uint32_t user = (uint32_t)e->arg0;
 	struct sim_user *u = &w->users[user];
-	uint64_t next_ns =
-		e->arg2 * 2 < REPEAT_MAX_NS ? e->arg2 * 2 : REPEAT_MAX_NS;
+	uint64_t next_ns = e->arg2 * 2 < RETRANSMIT_MAX_NS ? e->arg2 * 2
+							   : RETRANSMIT_MAX_NS;
 
 	if (!u->has_request || u->request_number != e->arg1 >> 16 ||
 	    u->port != (uint16_t)e->arg1 || u->state != USER_OPEN ||
@@ -187,8 +188,8 @@
 		u->segments = SEGMENTS_MAX;
 	u->sent = u->acked = 0;
 	send_window(w, user);
-	world_schedule(w, REPEAT_NS, on_retransmit, user,
-		       u->request_number << 16 | u->port, REPEAT_NS);
+	world_schedule(w, RETRANSMIT_NS, on_retransmit, user,
+		       u->request_number << 16 | u->port, RETRANSMIT_NS);
 }
 
 static void on_syn_retransmit(struct world *w, const struct event *e)
@@ -226,9 +227,9 @@
 	u->segments = 0;
 	u->syn_copies = 0;
 	send_packet(w, user, PACKET_SYN, 0, 0);
-	for (uint32_t i = 0; i < SYN_COPIES; i++)
-		world_schedule(w, copy_ns[i], on_syn_retransmit, user, u->port,
-			       0);
+	for (uint32_t i = 0; i < SYN_RETRANSMISSIONS; i++)
+		world_schedule(w, syn_retransmit_ns[i], on_syn_retransmit, user,
+			       u->port, 0);
 	world_schedule(w, SYN_GIVE_UP_NS, on_give_up, user, u->port, 0);
 }
 
@@ -383,7 +384,7 @@
 	       w->now_ns > t->restarted_ns + PUBLISH_MAX_NS &&
 	       w->now_ns > t->disturbed_ns + SETTLE_NS &&
 	       w->now_ns > e->disturbed_ns + SETTLE_NS &&
-	       w->cut_until_ns[t->zone] + SETTLE_NS < w->now_ns;
+	       w->partitioned_until_ns[t->zone] + SETTLE_NS < w->now_ns;
 }
 
 /* Whether an entry denied a flow of a route that is in force. */
--- a/sim/sim-packets/world.c
+++ b/sim/sim-packets/world.c
@@ -139,10 +139,12 @@
 	return s->max && v > s->max ? s->max : v;
 }
 
-bool world_is_cut(const struct world *w, uint32_t zone_a, uint32_t zone_b)
+bool world_is_partitioned(const struct world *w, uint32_t zone_a,
+			  uint32_t zone_b)
 {
-	return zone_a != zone_b && (w->cut_until_ns[zone_a] > w->now_ns ||
-				    w->cut_until_ns[zone_b] > w->now_ns);
+	return zone_a != zone_b &&
+	       (w->partitioned_until_ns[zone_a] > w->now_ns ||
+		w->partitioned_until_ns[zone_b] > w->now_ns);
 }
 
 uint64_t world_one_way_ns(const struct world *w, uint32_t zone_a,
--- a/sim/sim-packets/world.h
+++ b/sim/sim-packets/world.h
@@ -109,24 +109,24 @@
 
 /**
  * enum record_defect - what is wrong with a record that no target wrote
- * @FOREIGN_NONE: nothing, a target wrote it
- * @FOREIGN_BYTES: it can't be decoded
- * @FOREIGN_MISSING: a field is missing
- * @FOREIGN_TYPE: a field has the wrong type
- * @FOREIGN_STATE: the state is unknown
- * @FOREIGN_SERVICE: no configuration names the service
- * @FOREIGN_UNBORN: the start time of the process is missing
- * @FOREIGN_KINDS: number of values
+ * @DEFECT_NONE: nothing, a target wrote it
+ * @DEFECT_BYTES: its bytes can't be decoded
+ * @DEFECT_NO_ADDRESS: the address is missing
+ * @DEFECT_SLOTS_TYPE: the number of slots has the wrong type
+ * @DEFECT_STATE: the state is unknown
+ * @DEFECT_SERVICE: no configuration names the service
+ * @DEFECT_NO_START_TIME: the start time of the process is missing
+ * @DEFECT_KINDS: number of values
  */
 enum record_defect {
-	FOREIGN_NONE,
-	FOREIGN_BYTES,
-	FOREIGN_MISSING,
-	FOREIGN_TYPE,
-	FOREIGN_STATE,
-	FOREIGN_SERVICE,
-	FOREIGN_UNBORN,
-	FOREIGN_KINDS,
+	DEFECT_NONE,
+	DEFECT_BYTES,
+	DEFECT_NO_ADDRESS,
+	DEFECT_SLOTS_TYPE,
+	DEFECT_STATE,
+	DEFECT_SERVICE,
+	DEFECT_NO_START_TIME,
+	DEFECT_KINDS,
 };
 
 /**
@@ -240,7 +240,7 @@
 void world_set_store_mode(struct world *w, uint32_t entry, enum store_mode mode,
 			  uint64_t ns);
 void world_store_slow(struct world *w, uint64_t store_answer_ns, uint64_t ns);
-void world_store_down(struct world *w, uint64_t ns, bool lapse);
+void world_store_down(struct world *w, uint64_t ns, bool records_expire);
 void world_copy_store(struct world *w);
 void world_restore_store(struct world *w, uint64_t ns);
 void world_kill_target(struct world *w, uint32_t target, bool vm_down);
--- a/sim/sim-packets/world_state.h
+++ b/sim/sim-packets/world_state.h
@@ -248,7 +248,7 @@
 /* Values of the store: the record of a target, and a configuration. */
 struct target_value {
 	struct target_advertisement advertised;
-	enum record_defect foreign;
+	enum record_defect defect;
 	char service[SITE_NAME_BYTES];
 	char zone[SITE_NAME_BYTES];
 };
@@ -361,7 +361,7 @@
  * @store_slow_ns: time until an answer, until @store_slow_until_ns
  * @store_slow_until_ns: the store answers at its normal speed from then on
  * @store_disturbed_ns: end of the last fault of the store
- * @cut_until_ns: end of the last partition, by data centre
+ * @partitioned_until_ns: end of the last partition, by data centre
  * @last_id: newest id of a target
  * @last_request_number: newest number of a request
  * @contexts: contexts of the entries' ports
@@ -421,7 +421,7 @@
 	uint64_t store_slow_ns;
 	uint64_t store_slow_until_ns;
 	uint64_t store_disturbed_ns;
-	uint64_t cut_until_ns[ZONES_MAX];
+	uint64_t partitioned_until_ns[ZONES_MAX];
 	uint64_t last_id;
 	uint64_t last_request_number;
 	struct port_ctx contexts[ENTRIES_MAX];
@@ -446,7 +446,8 @@
 		    uint64_t a, uint64_t b, uint64_t c);
 double world_random_unit(struct rng *rng);
 uint64_t world_sample(struct rng *rng, const struct site_spread *s);
-bool world_is_cut(const struct world *w, uint32_t zone_a, uint32_t zone_b);
+bool world_is_partitioned(const struct world *w, uint32_t zone_a,
+			  uint32_t zone_b);
 uint64_t world_one_way_ns(const struct world *w, uint32_t zone_a,
 			  uint32_t zone_b);
 uint64_t route_vip(uint32_t route);
--- a/sim/sim-soak/store_server.c
+++ b/sim/sim-soak/store_server.c
@@ -61,11 +61,11 @@
 	uint32_t ip = ADDR_IP(v->advertised.addr);
 	GString *json = g_string_new("{");
 
-	if (v->foreign != FOREIGN_MISSING)
+	if (v->defect != DEFECT_NO_ADDRESS)
 		g_string_append_printf(json, "\"address\":\"%u.%u.%u.%u:%u\",",
 				       ip >> 24, ip >> 16 & 255, ip >> 8 & 255,
 				       ip & 255, ADDR_PORT(v->advertised.addr));
-	if (v->foreign != FOREIGN_UNBORN)
+	if (v->defect != DEFECT_NO_START_TIME)
 		g_string_append_printf(
 			json, "\"born\":%llu,",
 			(unsigned long long)v->advertised.started_ms);
@@ -74,12 +74,12 @@
 		"\"service\":\"%s\",\"zone\":\"%s\",\"version\":\"v1\","
 		"\"slots\":%s%u%s,\"state\":\"%s\",\"cold-remaining-ms\":0,"
 		"\"sequence\":%llu%s",
-		v->foreign == FOREIGN_SERVICE ? "none" : v->service, v->zone,
-		v->foreign == FOREIGN_TYPE ? "\"" : "", v->advertised.slots,
-		v->foreign == FOREIGN_TYPE ? "\"" : "",
-		v->foreign == FOREIGN_STATE ? "paused" : state,
+		v->defect == DEFECT_SERVICE ? "none" : v->service, v->zone,
+		v->defect == DEFECT_SLOTS_TYPE ? "\"" : "", v->advertised.slots,
+		v->defect == DEFECT_SLOTS_TYPE ? "\"" : "",
+		v->defect == DEFECT_STATE ? "paused" : state,
 		(unsigned long long)v->advertised.sequence,
-		v->foreign == FOREIGN_BYTES ? "" : "}");
+		v->defect == DEFECT_BYTES ? "" : "}");
 	put_value(out, json->str);
 	g_string_free(json, TRUE);
 }
