--- a/sim/sim-packets/site.h
+++ b/sim/sim-packets/site.h
@@ -82,7 +82,7 @@
  * struct site_zone - a data centre
  * @name: name of the data centre
  * @entries: number of entries
- * @users: clients' users with a flow that stays open
+ * @users: number of clients with a flow that stays open
  * @per_s: requests a second, by class
  * @amplitude: of the sine wave that the rates follow, as a part of the rate
  * @period_ns: period of that wave; 0 for constant rates
@@ -136,7 +136,7 @@
  * @zones: number of data centres
  * @entries: entries
  * @targets: targets of the first service
- * @users: clients' users with a flow that stays open
+ * @users: number of clients with a flow that stays open
  * @feeds_per_s: requests a second on those flows
  * @reports_per_s: requests a second that open a flow each
  */
--- a/sim/sim-packets/world_state.h
+++ b/sim/sim-packets/world_state.h
@@ -101,8 +101,8 @@
 
 /**
  * struct sim_flow - an open flow at a target
- * @user: index of the client's user
- * @port: the user's port
+ * @user: index of the client in struct world's users
+ * @port: the client's source port
  * @request_number: newest request on this flow; later copies of its packets
  *	don't count as a new request
  * @received: bitmap of the received packets of that request
@@ -178,7 +178,7 @@
 enum user_state { USER_IDLE, USER_OPENING, USER_OPEN };
 
 /**
- * struct sim_user - a client's user, with one flow and one request at a time
+ * struct sim_user - a client, with one flow and one request at a time
  * @zone: data centre
  * @ip: IPv4 address
  * @class: index of the struct site_class of its requests
@@ -334,7 +334,7 @@
  * @n_entries: number of @entries
  * @targets: targets; dead ones stay
  * @n_targets: number of @targets
- * @users: users of clients
+ * @users: clients
  * @n_users: number of @users
  * @next_idle_user: where the search for an idle user starts
  * @load_factor: multiplier of the request rates until @load_until_ns
--- a/sim/sim-platform/platform.c
+++ b/sim/sim-platform/platform.c
@@ -29,7 +29,7 @@
 	uv_stop(&p->loop);
 }
 
-static int failed(const char *step, uint64_t addr, int rc)
+static int print_failure(const char *step, uint64_t addr, int rc)
 {
 	char text[32];
 
@@ -49,7 +49,7 @@
 		g_queue_init(&p->frontends[i].watchers);
 		rc = frontend_open(&p->frontends[i]);
 		if (rc)
-			return failed("serve", p->opt.addrs[i], rc);
+			return print_failure("serve", p->opt.addrs[i], rc);
 	}
 	return 0;
 }
@@ -62,7 +62,7 @@
 	if (p->opt.admin == ADDR_NONE)
 		return 0;
 	rc = http_server_open(&p->loop, p->opt.admin, handler, &p->admin);
-	return rc ? failed("admin", p->opt.admin, rc) : 0;
+	return rc ? print_failure("admin", p->opt.admin, rc) : 0;
 }
 
 static void open_loop(struct platform *p)
