--- a/adapters/relay_codec.c
+++ b/adapters/relay_codec.c
@@ -143,7 +143,7 @@
 			pack_document(p, documents_at(docs, i), base, cache);
 }
 
-/**
+/*
  * A deleted document keeps its last value: it allows even new processes to
  * distinguish the flows of an absent target from forged ones.
  */
@@ -251,7 +251,7 @@
 	    !msgpack_is_array(&f[6], DOCUMENTS_MAX))
 		return false;
 	head->newest.epoch = head->floor.epoch = head->through.epoch;
-	head->whole = is_complete;
+	head->is_full_state = is_complete;
 	return true;
 }
 
--- a/core/packet/node_calls.c
+++ b/core/packet/node_calls.c
@@ -169,7 +169,7 @@
 
 /*
  * Log that the platform answered in another epoch. A later one counts as an
- * outage of the platform: the entries of targets are as old as its restored
+ * outage of the platform: the records of targets are as old as its restored
  * copy and may lapse before they are renewed, though the targets live.
  */
 static void handle_other_epoch(struct node *node, uint64_t epoch,
@@ -235,11 +235,11 @@
 }
 
 /*
- * Whether this entry must not renew its claim to read the platform: it stood in
- * for a reader that reads again. With a claim of its own it would not notice
- * that it is no longer needed, and would go on reading.
+ * Whether another reader of the data centre, which this entry replaced, reads
+ * the platform again. This entry then must not renew its own claim: it would not
+ * notice that it is no longer needed, and would go on reading.
  */
-static bool is_claim_needless(const struct node *node)
+static bool has_other_reader_resumed(const struct node *node)
 {
 	struct source_view v = source_view_of(node);
 
@@ -251,7 +251,7 @@
 	uint32_t failures = node->source.failures;
 
 	if (ok) {
-		if (!is_claim_needless(node))
+		if (!has_other_reader_resumed(node))
 			peer_set_note_contact(node->peers, at, node->now_ns);
 		if (failures)
 			node->port.log(node->port.ctx, NODE_INFO, "platform",
@@ -329,7 +329,7 @@
 
 /**
  * node_fetch_begin() - start to apply the documents of a peer, which follow by
- *	node_take_relay_listed() when @head->whole, otherwise by
+ *	node_take_relay_listed() when @head->is_full_state, otherwise by
  *	node_take_relayed()
  * @node: entry
  * @head: positions of the documents
@@ -348,7 +348,7 @@
 	node->now_ns = now_ns;
 	if (head->through.epoch < documents_complete(node->documents).epoch)
 		return false;
-	if (!head->whole)
+	if (!head->is_full_state)
 		return true;
 	if (node->source.listing && node_has_snapshot(node))
 		return false;
@@ -375,7 +375,7 @@
 		node->counters.peer_calls_failed++;
 		return;
 	}
-	if (head->whole)
+	if (head->is_full_state)
 		documents_list_end(node->documents, head->through, head->floor,
 				   now_ns);
 	documents_advance_synced(node->documents, head->through, now_ns);
--- a/test/packet_node_test.c
+++ b/test/packet_node_test.c
@@ -386,7 +386,7 @@
 	struct answer_head more = { .revision = 20, .more = true };
 	struct relay_head whole = { .through = { 0, 18 },
 				    .newest = { 0, 18 },
-				    .whole = true };
+				    .is_full_state = true };
 
 	/* The watched history is gone, so the entry lists again. */
 	apply_listing(f);
@@ -421,7 +421,7 @@
 	struct relay_head whole = { .through = { 0, 18 },
 				    .newest = { 0, 18 },
 				    .floor = { 0, 18 },
-				    .whole = true };
+				    .is_full_state = true };
 
 	strcpy(more.last_key, "t/1");
 	advance(f, 40 * MS);
@@ -533,7 +533,7 @@
 	assert_false(evacuated(f, "como"));
 }
 
-/* The write was delayed, or a peer that is behind sends it. */
+/* A delayed write, or a peer that is behind, may send an older version. */
 static void test_late_write_does_not_restart_an_evacuation(void **state)
 {
 	struct fixture *f = *state;
@@ -841,9 +841,9 @@
 
 /*
  * Flows would go to a target that is no longer published, when somebody else
- * overwrites its entry with an invalid one.
+ * overwrites its record with an invalid one.
  */
-static void test_overwritten_entry_ends_its_target(void **state)
+static void test_overwritten_record_ends_its_target(void **state)
 {
 	struct fixture *f = *state;
 	struct target *t;
@@ -927,14 +927,14 @@
 	assert_int_equal(configuration_version(f), 28);
 }
 
-/* The watch was pending when a peer advertised the new epoch. */
+/* Changes would be missed: a peer advertises the new epoch during a watch. */
 static void test_watch_started_before_new_epoch_is_refused(void **state)
 {
 	struct fixture *f = *state;
 	struct hello h = { .from = PEER, .newest = { 2, 23 }, .boot = 1 };
 	struct relay_head head = { .through = { 2, 23 },
 				   .newest = { 2, 23 },
-				   .whole = true };
+				   .is_full_state = true };
 
 	watch_before_restore(f);
 	node_receive_hello(f->node, &h, f->now_ns);
@@ -945,7 +945,7 @@
 	assert_false(answer_in_epoch(f, 2, 30, "32"));
 }
 
-/* Its two halves would be of states that never existed together. */
+/* Pages of two epochs would form a listing of a state that never existed. */
 static void test_pages_of_two_epochs_form_no_listing(void **state)
 {
 	struct fixture *f = *state;
@@ -972,7 +972,7 @@
 	struct fixture *f = *state;
 	struct relay_head head = { .through = { 1, 90 },
 				   .newest = { 1, 90 },
-				   .whole = true };
+				   .is_full_state = true };
 
 	advance(f, 40 * MS);
 	assert_true(answer_in_epoch(f, 2, 23, "28"));
@@ -982,16 +982,16 @@
 	assert_int_equal(f->calls.lists, 2);
 	assert_false(answer_in_epoch(f, 1, 80, "30"));
 	assert_false(node_fetch_begin(f->node, &head, f->now_ns));
-	head.whole = false;
+	head.is_full_state = false;
 	assert_false(node_fetch_begin(f->node, &head, f->now_ns));
 	assert_int_equal(configuration_version(f), 28);
 }
 
 /*
- * Targets would count as gone: in a restored copy their entries are as old as
+ * Targets would count as gone: in a restored copy their records are as old as
  * the copy, and lapse before they are renewed.
  */
-static void test_lapsed_entries_of_restored_store_keep_targets(void **state)
+static void test_lapsed_records_of_restored_store_keep_targets(void **state)
 {
 	struct fixture *f = *state;
 	struct answer_head head = { .revision = 12 };
@@ -1026,7 +1026,7 @@
 			   .boot = 1 };
 	struct relay_head head = { .through = { 2, 23 },
 				   .newest = { 2, 23 },
-				   .whole = false };
+				   .is_full_state = false };
 	struct document kept = doc("routes", 26, "24");
 
 	advance(f, 40 * MS);
@@ -1080,8 +1080,8 @@
 		TEST(test_heartbeats_under_load_stay_within_budget),
 		TEST(test_loaded_heartbeats_of_many_targets_stay_within_budget),
 		TEST(test_targets_apply_after_later_configuration),
-		TEST(test_overwritten_entry_ends_its_target),
-		TEST(test_lapsed_entries_of_restored_store_keep_targets),
+		TEST(test_overwritten_record_ends_its_target),
+		TEST(test_lapsed_records_of_restored_store_keep_targets),
 		TEST(test_answer_to_watch_of_other_epoch_is_refused),
 		TEST(test_lower_revision_of_later_epoch_is_applied),
 		TEST(test_watch_started_before_new_epoch_is_refused),
