--- a/sim/sim-packets/entries.c
+++ b/sim/sim-packets/entries.c
@@ -54,7 +54,8 @@
  * Queue a datagram on an entry's link. Return: time until it has left the link;
  * UINT64_MAX if it is dropped because the queue is full.
  */
-static uint64_t link_delay_ns(struct world *w, struct sim_entry *e, uint32_t bytes)
+static uint64_t link_delay_ns(struct world *w, struct sim_entry *e,
+			      uint32_t bytes)
 {
 	uint64_t rate = w->conf.site.link_bytes_per_s;
 
@@ -90,7 +91,8 @@
 	w->free_hello = (uint32_t)e->arg1;
 }
 
-static void send_hello(void *ctx, const uint64_t *to, uint32_t n, const struct hello *h)
+static void send_hello(void *ctx, const uint64_t *to, uint32_t n,
+		       const struct hello *h)
 {
 	struct port_ctx *c = ctx;
 
@@ -104,7 +106,11 @@
 			continue;
 		zone = c->w->entries[at].zone;
 		if (!world_is_partitioned(c->w, c->entry->zone, zone))
-			world_schedule(c->w, delay_ns + world_one_way_ns(c->w, c->entry->zone, zone), on_hello, at, hello_alloc(c->w, h), 0);
+			world_schedule(c->w,
+				       delay_ns + world_one_way_ns(
+							  c->w, c->entry->zone,
+							  zone),
+				       on_hello, at, hello_alloc(c->w, h), 0);
 	}
 }
 
@@ -154,13 +160,19 @@
 	struct port_ctx *c = ctx;
 	uint32_t at = entry_index(peer);
 	bool is_reachable = is_running(&c->w->entries[at]) &&
-			    !world_is_partitioned(c->w, c->entry->zone, c->w->entries[at].zone);
+			    !world_is_partitioned(c->w, c->entry->zone,
+						  c->w->entries[at].zone);
 
-	world_schedule(c->w, is_reachable ? 2 * c->w->conf.site.other_dc_delay_ns : PEER_TIMEOUT_NS, on_fetched, (uint32_t)(c->entry - c->w->entries), at, after.epoch << EPOCH_SHIFT | after.revision);
+	world_schedule(c->w,
+		       is_reachable ? 2 * c->w->conf.site.other_dc_delay_ns
+				    : PEER_TIMEOUT_NS,
+		       on_fetched, (uint32_t)(c->entry - c->w->entries), at,
+		       after.epoch << EPOCH_SHIFT | after.revision);
 }
 
 /* Record a connection attempt. Return: its index, for an event. */
-static uint32_t attempt_alloc(struct world *w, uint32_t entry, const struct target *t)
+static uint32_t attempt_alloc(struct world *w, uint32_t entry,
+			      const struct target *t)
 {
 	uint32_t i = w->next_attempt++ % ATTEMPTS_MAX;
 
@@ -175,7 +187,9 @@
 	struct sim_entry *s = &w->entries[a->entry];
 
 	if (is_running(s))
-		node_probe_ended(s->node, &a->incarnation, (enum probe_outcome)e->arg1, a->start_ns, w->now_ns);
+		node_probe_ended(s->node, &a->incarnation,
+				 (enum probe_outcome)e->arg1, a->start_ns,
+				 w->now_ns);
 }
 
 static void probe(void *ctx, const struct target *t)
@@ -199,7 +213,8 @@
 		round_trip_ns += delay_ns;
 	/* The attempt times out first; a late answer is reported too. */
 	if (lost || round_trip_ns > timeout_ns)
-		world_schedule(c->w, timeout_ns, on_probed, index, PROBE_SILENT, 0);
+		world_schedule(c->w, timeout_ns, on_probed, index, PROBE_SILENT,
+			       0);
 	if (lost)
 		return;
 	if (!s->alive)
@@ -228,7 +243,8 @@
 }
 
 /* A packet is dropped if another target has the intended one's address now. */
-static void send_to_target(struct world *w, struct sim_entry *e, const struct target *t, const struct sim_packet *k)
+static void send_to_target(struct world *w, struct sim_entry *e,
+			   const struct target *t, const struct sim_packet *k)
 {
 	uint32_t at = targets_find_by_addr(w, t->advertised.addr);
 	const struct sim_target *s = &w->targets[at];
@@ -237,11 +253,16 @@
 
 	if (s->zone != e->zone)
 		w->report.cross_dc_bytes += bytes;
-	if (delay_ns == UINT64_MAX || s->advertised.id != t->advertised.id || !s->alive || world_is_partitioned(w, e->zone, s->zone)) {
+	if (delay_ns == UINT64_MAX || s->advertised.id != t->advertised.id ||
+	    !s->alive || world_is_partitioned(w, e->zone, s->zone)) {
 		w->users[k->user].target_gone = true;
 		return;
 	}
-	world_schedule(w, delay_ns + world_one_way_ns(w, e->zone, s->zone), on_forward, (uint64_t)k->flags << 48 | (uint64_t)k->port << 32 | at, (uint64_t)k->user << 32 | (uint32_t)(e - w->entries), (uint64_t)k->size_bytes << 32 | k->seq);
+	world_schedule(w, delay_ns + world_one_way_ns(w, e->zone, s->zone),
+		       on_forward,
+		       (uint64_t)k->flags << 48 | (uint64_t)k->port << 32 | at,
+		       (uint64_t)k->user << 32 | (uint32_t)(e - w->entries),
+		       (uint64_t)k->size_bytes << 32 | k->seq);
 }
 
 static void schedule_pacing(struct world *w, struct sim_entry *e);
@@ -273,11 +294,13 @@
 	if (!due_ns || e->pace_scheduled)
 		return;
 	e->pace_scheduled = true;
-	world_schedule(w, due_ns > w->now_ns ? due_ns - w->now_ns : 0, on_pacing_due, (uint64_t)(e - w->entries), e->boot, 0);
+	world_schedule(w, due_ns > w->now_ns ? due_ns - w->now_ns : 0,
+		       on_pacing_due, (uint64_t)(e - w->entries), e->boot, 0);
 }
 
 /* Forward a packet at once or when the link has capacity, as cb-packet does. */
-static void forward(struct world *w, struct sim_entry *e, const struct target *t, const struct sim_packet *k)
+static void forward(struct world *w, struct sim_entry *e,
+		    const struct target *t, const struct sim_packet *k)
 {
 	struct packet p = { .flow = users_flow(w, k->user, k->port),
 			    .seq = k->seq,
@@ -314,7 +337,8 @@
 }
 
 /* Send a queued packet. Its sequence number tells the target which one it is. */
-static void send_queued(void *ctx, const struct flow_state *f, const uint8_t *bytes, uint32_t n_bytes)
+static void send_queued(void *ctx, const struct flow_state *f,
+			const uint8_t *bytes, uint32_t n_bytes)
 {
 	struct port_ctx *c = ctx;
 	struct sim_packet k = {
@@ -336,9 +360,11 @@
 	users_reset(w, &flow, (uint32_t)e->arg2);
 }
 
-static void reset(struct world *w, struct sim_entry *e, const struct flow_key *flow)
+static void reset(struct world *w, struct sim_entry *e,
+		  const struct flow_key *flow)
 {
-	world_schedule(w, w->conf.site.client_delay_ns, on_reset, flow->caller, flow->vip, (uint32_t)(e - w->entries));
+	world_schedule(w, w->conf.site.client_delay_ns, on_reset, flow->caller,
+		       flow->vip, (uint32_t)(e - w->entries));
 }
 
 static void reset_flow(void *ctx, const struct flow_state *f)
@@ -355,7 +381,8 @@
 	(void)was;
 }
 
-static void no_log(void *ctx, enum node_log_level level, const char *step, const char *peer, const char *format, ...)
+static void no_log(void *ctx, enum node_log_level level, const char *step,
+		   const char *peer, const char *format, ...)
 {
 	(void)ctx;
 	(void)level;
@@ -398,7 +425,8 @@
 	};
 
 	(void)ctx;
-	snprintf(conf.data_centre, sizeof(conf.data_centre), "%s", w->conf.site.zones[e->zone].name);
+	snprintf(conf.data_centre, sizeof(conf.data_centre), "%s",
+		 w->conf.site.zones[e->zone].name);
 	w->contexts[entry] = (struct port_ctx){ w, e };
 	node_free(e->node);
 	e->node = node_new(&conf, port, w->now_ns);
@@ -412,7 +440,8 @@
 	world_schedule(w, 0, on_tick, entry, e->boot, 0);
 }
 
-static void deliver_packet(void *ctx, struct world *w, uint32_t entry, const struct sim_packet *k)
+static void deliver_packet(void *ctx, struct world *w, uint32_t entry,
+			   const struct sim_packet *k)
 {
 	uint8_t bytes[HEADER_BYTES + SEGMENT_BYTES];
 	struct sim_entry *e = &w->entries[entry];
@@ -460,7 +489,8 @@
 		node_stop(e->node, w->now_ns);
 }
 
-static void freeze_process(void *ctx, struct world *w, uint32_t entry, bool frozen)
+static void freeze_process(void *ctx, struct world *w, uint32_t entry,
+			   bool frozen)
 {
 	(void)ctx;
 	w->entries[entry].frozen = frozen;
