--- a/sim/sim-experiment/main.c
+++ b/sim/sim-experiment/main.c
@@ -1,6 +1,6 @@
 /*
  * sim-experiment: runs experiments on the emulator, with several policies on the
- * same seeds, and prints what clients got.
+ * same seeds, and prints the results.
  */
 #include "experiment.h"
 
--- a/sim/sim-packets/entries.c
+++ b/sim/sim-packets/entries.c
@@ -105,7 +105,7 @@
 		if (at >= c->w->n_entries || delay_ns == UINT64_MAX)
 			continue;
 		zone = c->w->entries[at].zone;
-		if (!world_is_cut(c->w, c->entry->zone, zone))
+		if (!world_is_partitioned(c->w, c->entry->zone, zone))
 			world_schedule(c->w,
 				       delay_ns + world_one_way_ns(
 							  c->w, c->entry->zone,
@@ -125,7 +125,7 @@
 
 	if (!is_running(s))
 		return;
-	if (!is_running(peer) || world_is_cut(w, s->zone, peer->zone)) {
+	if (!is_running(peer) || world_is_partitioned(w, s->zone, peer->zone)) {
 		node_fetch_end(s->node, NULL, w->now_ns);
 		return;
 	}
@@ -159,9 +159,9 @@
 {
 	struct port_ctx *c = ctx;
 	uint32_t at = entry_index(peer);
-	bool is_reachable =
-		is_running(&c->w->entries[at]) &&
-		!world_is_cut(c->w, c->entry->zone, c->w->entries[at].zone);
+	bool is_reachable = is_running(&c->w->entries[at]) &&
+			    !world_is_partitioned(c->w, c->entry->zone,
+						  c->w->entries[at].zone);
 
 	world_schedule(c->w,
 		       is_reachable ? 2 * c->w->conf.site.other_dc_delay_ns
@@ -205,8 +205,8 @@
 	uint64_t delay_ns = link_delay_ns(c->w, c->entry, SYN_BYTES);
 	uint32_t index =
 		attempt_alloc(c->w, (uint32_t)(c->entry - c->w->entries), t);
-	bool lost = s->machine_down || delay_ns == UINT64_MAX ||
-		    world_is_cut(c->w, c->entry->zone, s->zone);
+	bool lost = s->vm_down || delay_ns == UINT64_MAX ||
+		    world_is_partitioned(c->w, c->entry->zone, s->zone);
 
 	c->w->report.probes++;
 	if (!lost)
@@ -254,7 +254,7 @@
 	if (s->zone != e->zone)
 		w->report.cross_dc_bytes += bytes;
 	if (delay_ns == UINT64_MAX || s->advertised.id != t->advertised.id ||
-	    !s->alive || world_is_cut(w, e->zone, s->zone)) {
+	    !s->alive || world_is_partitioned(w, e->zone, s->zone)) {
 		w->users[k->user].target_gone = true;
 		return;
 	}
@@ -391,7 +391,7 @@
 	(void)format;
 }
 
-static void start(void *ctx, struct world *w, uint32_t entry)
+static void start_process(void *ctx, struct world *w, uint32_t entry)
 {
 	struct sim_entry *e = &w->entries[entry];
 	struct node_conf conf = {
@@ -440,8 +440,8 @@
 	world_schedule(w, 0, on_tick, entry, e->boot, 0);
 }
 
-static void packet(void *ctx, struct world *w, uint32_t entry,
-		   const struct sim_packet *k)
+static void deliver_packet(void *ctx, struct world *w, uint32_t entry,
+			   const struct sim_packet *k)
 {
 	uint8_t bytes[HEADER_BYTES + SEGMENT_BYTES];
 	struct sim_entry *e = &w->entries[entry];
@@ -473,14 +473,14 @@
 		u->packet_lost = true;
 }
 
-static void end(void *ctx, struct world *w, uint32_t entry)
+static void kill_process(void *ctx, struct world *w, uint32_t entry)
 {
 	(void)ctx;
 	w->entries[entry].up = false;
 	world_record_entry_state(w, entry, false);
 }
 
-static void stop(void *ctx, struct world *w, uint32_t entry)
+static void stop_process(void *ctx, struct world *w, uint32_t entry)
 {
 	struct sim_entry *e = &w->entries[entry];
 
@@ -489,14 +489,15 @@
 		node_stop(e->node, w->now_ns);
 }
 
-static void freeze(void *ctx, struct world *w, uint32_t entry, bool frozen)
+static void freeze_process(void *ctx, struct world *w, uint32_t entry,
+			   bool frozen)
 {
 	(void)ctx;
 	w->entries[entry].frozen = frozen;
 	world_record_entry_state(w, entry, !frozen);
 }
 
-static bool ready(void *ctx, struct world *w, uint32_t entry)
+static bool entry_is_ready(void *ctx, struct world *w, uint32_t entry)
 {
 	const struct sim_entry *e = &w->entries[entry];
 
@@ -504,9 +505,11 @@
 	return is_running(e) && e->node->ready;
 }
 
-/* Driver that runs the entries inside the emulator. */
+/* Return: driver that runs the entries inside the emulator. */
 struct entry_driver emulated_entry_driver(void)
 {
-	return (struct entry_driver){ NULL,   start, end,    stop,
-				      freeze, ready, packet, NULL };
+	return (struct entry_driver){ NULL,	      start_process,
+				      kill_process,   stop_process,
+				      freeze_process, entry_is_ready,
+				      deliver_packet, NULL };
 }
--- a/sim/sim-packets/world_state.h
+++ b/sim/sim-packets/world_state.h
@@ -101,8 +101,8 @@
 
 /**
  * struct sim_flow - an open flow at a target
- * @user: index of the client's user
- * @port: the user's port
+ * @user: index of the client in struct world's users
+ * @port: the client's source port
  * @request_number: newest request on this flow; later copies of its packets
  *	don't count as a new request
  * @received: bitmap of the received packets of that request
@@ -129,13 +129,13 @@
 /**
  * struct sim_target - a target and its process
  * @advertised: the target's own fields of its record
- * @process: counts the processes that ended
+ * @process: number of its processes that ended
  * @restarted_ns: start of the current process if it is not the first
- * @cold_until_ns: end of its cold time
+ * @cold_until_ns: end of its cold phase
  * @service: index of its service
  * @zone: data centre
  * @alive: a process runs
- * @machine_down: connections to it time out
+ * @vm_down: its VM failed, so that connections to it time out
  * @mode: enum target_mode until @mode_until_ns
  * @mode_until_ns: it works normally from then on
  * @leaving_since_ns: when it published that it leaves; 0 before
@@ -158,7 +158,7 @@
 	uint32_t service;
 	uint32_t zone;
 	bool alive;
-	bool machine_down;
+	bool vm_down;
 	uint8_t mode;
 	uint64_t mode_until_ns;
 	uint64_t leaving_since_ns;
@@ -178,7 +178,7 @@
 enum user_state { USER_IDLE, USER_OPENING, USER_OPEN };
 
 /**
- * struct sim_user - a client's user, with one flow and one request at a time
+ * struct sim_user - a client, with one flow and one request at a time
  * @zone: data centre
  * @ip: IPv4 address
  * @class: index of the struct site_class of its requests
@@ -248,7 +248,7 @@
 /* Values of the store: the record of a target, and a configuration. */
 struct target_value {
 	struct target_advertisement advertised;
-	enum record_defect foreign;
+	enum record_defect defect;
 	char service[SITE_NAME_BYTES];
 	char zone[SITE_NAME_BYTES];
 };
@@ -334,7 +334,7 @@
  * @n_entries: number of @entries
  * @targets: targets; dead ones stay
  * @n_targets: number of @targets
- * @users: users of clients
+ * @users: clients
  * @n_users: number of @users
  * @next_idle_user: where the search for an idle user starts
  * @load_factor: multiplier of the request rates until @load_until_ns
@@ -361,7 +361,7 @@
  * @store_slow_ns: time until an answer, until @store_slow_until_ns
  * @store_slow_until_ns: the store answers at its normal speed from then on
  * @store_disturbed_ns: end of the last fault of the store
- * @cut_until_ns: end of the last partition, by data centre
+ * @partitioned_until_ns: end of the last partition, by data centre
  * @last_id: newest id of a target
  * @last_request_number: newest number of a request
  * @contexts: contexts of the entries' ports
@@ -421,7 +421,7 @@
 	uint64_t store_slow_ns;
 	uint64_t store_slow_until_ns;
 	uint64_t store_disturbed_ns;
-	uint64_t cut_until_ns[ZONES_MAX];
+	uint64_t partitioned_until_ns[ZONES_MAX];
 	uint64_t last_id;
 	uint64_t last_request_number;
 	struct port_ctx contexts[ENTRIES_MAX];
@@ -446,7 +446,8 @@
 		    uint64_t a, uint64_t b, uint64_t c);
 double world_random_unit(struct rng *rng);
 uint64_t world_sample(struct rng *rng, const struct site_spread *s);
-bool world_is_cut(const struct world *w, uint32_t zone_a, uint32_t zone_b);
+bool world_is_partitioned(const struct world *w, uint32_t zone_a,
+			  uint32_t zone_b);
 uint64_t world_one_way_ns(const struct world *w, uint32_t zone_a,
 			  uint32_t zone_b);
 uint64_t route_vip(uint32_t route);
@@ -488,7 +489,7 @@
 void targets_start_cold(struct world *w, uint32_t target);
 void targets_report_change(struct world *w, uint32_t target);
 uint32_t targets_find_by_addr(const struct world *w, uint64_t addr);
-void targets_end(struct world *w, uint32_t target, bool machine_down);
+void targets_end(struct world *w, uint32_t target, bool vm_down);
 void targets_clear(struct sim_target *t);
 
 /* arrivals.c */
