--- a/sim/sim-packets/fault_table.c
+++ b/sim/sim-packets/fault_table.c
@@ -507,7 +507,7 @@
 }
 
 /* The least parts served are the worst of 20 seeds, less a margin for other
- * seeds. The margin is small enough to notice a different fault. */
+ * seeds; a different fault must not fit into the margin. */
 const struct world_fault world_faults[] = {
 	{ "none", "no fault", no_fault, 0.999 },
 	{ "kill_entry", "an entry's process is killed", kill_entry, 0.995 },
--- a/sim/sim-soak/processes.c
+++ b/sim/sim-soak/processes.c
@@ -78,7 +78,8 @@
 	w->entries[entry].up = true;
 	w->entries[entry].frozen = false;
 	if (e->running)
-		/* Still exiting; on_exited() calls world_entry_ended(). */
+		/* Still exiting; on_exited() calls world_entry_ended(), which
+		 * restarts it. */
 		return;
 	settings_path(s, entry, settings);
 	snprintf(log, sizeof(log), "%s/entry-%u.log", s->dir, entry);
--- a/sim/sim-target/target.h
+++ b/sim/sim-target/target.h
@@ -257,8 +257,8 @@
  * @observe: value of the Observe option, -1 if missing
  * @has_block: the request has a Block1 option
  * @block: value of Block1
- * @deadline_ns: monotonic time from which the request must not start, NEVER_NS
- *	without the Timeout option
+ * @deadline_ns: monotonic time at which the caller gives up, from which the
+ *	request must not start; NEVER_NS without the Timeout option
  * @id: value of the query parameter id, "-" if missing
  */
 struct request {
