--- a/test/spread_test.c
+++ b/test/spread_test.c
@@ -283,7 +283,7 @@
 	net_publish(net, ACCOUNT, "2|a|c");
 	net_run(net, IN_FORCE_NS);
 	hash = net_content_hash(net, 0, ACCOUNT);
-	net_publish(net, ACCOUNT, "2|a|remaining");
+	net_publish(net, ACCOUNT, "2|a|other");
 	net_run(net, 90 * NET_S);
 	assert_generation_at_all(net, 2);
 	for (uint32_t i = 0; i < N_VMS; i++)
