--- a/test/process/outer_names_test.sh
+++ b/test/process/outer_names_test.sh
@@ -58,18 +58,7 @@
 # their full names, so check-outer-names finds them.
 grep -oh 'cb_[a-z_]*' cmd/cb-entry/metrics_accounts.c >"$dir/service_metrics"
 
-# Tests that run cb-packet use addresses in 127.77.
-cat >"$dir/packet.toml" <<END
-[vm]
-data_centre = "garda"
-peer = "127.77.0.1:7720"
-http = "127.77.0.1:8166"
-[clients]
-listen = "127.77.0.1:8172"
-[platform]
-address = "127.77.0.2:8169"
-ready = "127.77.0.1:8167"
-END
+packet_settings >"$dir/packet.toml"
 start_process packet "$B/bin/cb-packet" --settings "$dir/packet.toml"
 wait_for_lines "$dir/packet.log" 1 '"step":"start"' || fail "cb-packet did not start"
 expect_listed_metrics 127.77.0.1:8166 cb-packet
--- a/test/process/pages.sh
+++ b/test/process/pages.sh
@@ -10,6 +10,21 @@
 	exec 7>&-
 }
 
+# Prints settings of a cb-packet without peers; its platform does not answer.
+packet_settings() {
+	cat <<-END
+	[vm]
+	data_centre = "garda"
+	peer = "127.77.0.1:7720"
+	http = "127.77.0.1:8166"
+	[clients]
+	listen = "127.77.0.1:8172"
+	[platform]
+	address = "127.77.0.2:8169"
+	ready = "127.77.0.1:8167"
+	END
+}
+
 # Reads a page of metrics. Prints their names; a histogram has one name.
 metric_names() {
 	sed -n 's/^\(cb_[a-z0-9_]*\).*/\1/p' |
--- a/test/process/two_builds_test.sh
+++ b/test/process/two_builds_test.sh
@@ -70,17 +70,7 @@
 
 # write_metric_names BIN FILE: metrics on the page of a single cb-packet.
 write_metric_names() {
-	cat >"$dir/packet.toml" <<-END
-	[vm]
-	data_centre = "garda"
-	peer = "127.77.0.1:7720"
-	http = "127.77.0.1:8166"
-	[clients]
-	listen = "127.77.0.1:8172"
-	[platform]
-	address = "127.77.0.2:8169"
-	ready = "127.77.0.1:8167"
-	END
+	packet_settings >"$dir/packet.toml"
 	: >"$dir/packet.log"
 	"$1/cb-packet" --settings "$dir/packet.toml" >"$dir/packet.log" 2>&1 &
 	pid=$!
