--- a/test/process/pages.sh
+++ b/test/process/pages.sh
@@ -1,4 +1,5 @@
-# Sourced by tests that read the HTTP pages of a daemon; needs bash.
+# Sourced by tests that run a cb-packet alone or read the HTTP pages of a daemon;
+# needs bash.
 
 # get_page IP:PORT PATH: prints the body.
 get_page() {
--- a/test/process/reload_test.sh
+++ b/test/process/reload_test.sh
@@ -1,8 +1,11 @@
-#!/bin/sh
+#!/bin/bash
 # cb-packet applies changed settings after SIGHUP and without it, and keeps the
 # settings in force when the file is invalid. The test waits for log lines, not
 # for a time.
 set -eu
+cd "$(dirname "$0")/../.."
+B=${B:-build/opt}
+. test/process/pages.sh
 # The addresses are fixed, so only one test that uses them runs at a time.
 exec 9>>"${TMPDIR:-/tmp}/cactusbeam-cb-packet.lock"
 flock 9
@@ -11,33 +14,16 @@
 trap 'if [ -n "$pid" ]; then kill -9 "$pid" 2>/dev/null || true; fi; rm -rf "$dir"' EXIT
 
 settings() { # DECISIONS_PER_S
-	cat <<-END
-	[vm]
-	data_centre = "garda"
-	peer = "127.77.0.1:7720"
-	http = "127.77.0.1:8166"
-	[clients]
-	listen = "127.77.0.1:8172"
-	[platform]
-	address = "127.77.0.2:8169"
-	ready = "127.77.0.1:8167"
-	[limits]
-	decisions_per_s = $1
-	END
+	packet_settings
+	printf '[limits]\ndecisions_per_s = %s\n' "$1"
 }
 
 # wait_for_log COUNT TEXT: waits up to 60 s until COUNT log lines contain TEXT.
 wait_for_log() {
-	i=0
-	while [ "$(grep -c "$2" "$dir/log")" -lt "$1" ]; do
-		i=$((i + 1))
-		if [ "$i" -gt 600 ]; then
-			echo "FAILED: not $1 log lines with: $2"
-			cat "$dir/log"
-			exit 1
-		fi
-		sleep 0.1
-	done
+	wait_for_lines "$dir/log" "$1" "$2" && return
+	echo "FAILED: not $1 log lines with: $2"
+	cat "$dir/log"
+	exit 1
 }
 
 settings 1 >"$dir/settings.toml"
